--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 try:
-    from glenkeel import balance, zones
-    from glenkeel.balance import Balancer
-    from glenkeel.zones import State, Zone, Zones
+    from garnetusher.policy import balance, zones
+    from garnetusher.policy.balance import Balancer
+    from garnetusher.policy.zones import State, Zone, Zones
     HAS_ZONES = True
 except ImportError:  # the module of an earlier tree, which lacks some of these parts
     HAS_ZONES = False
--- a/garnetusher/model/baselines.py
+++ b/garnetusher/model/baselines.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from glenkeel import interface as api
-from glenkeel.balance import Balancer
+from garnetusher.policy import interface as api
+from garnetusher.policy.balance import Balancer
 
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 
@@ -21,7 +21,7 @@
     """What decides on a sidecar's requests."""
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """The actions that follow from an event; both are in glenkeel/interface.py."""
+        """The actions that follow from an event; both are in garnetusher/policy/interface.py."""
 
 
 class _Request:
--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from glenkeel.balance import Balancer
-from glenkeel.interface import (
+from garnetusher.policy.balance import Balancer
+from garnetusher.policy.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/garnetusher/model/explore/module.py
+++ b/garnetusher/model/explore/module.py
@@ -11,7 +11,7 @@
 
 from garnetusher.model.contract import Breach, Host
 from garnetusher.model.explore import Broken, Schedule, Step
-from glenkeel import interface as api
+from garnetusher.policy import interface as api
 
 CLASSES = [
     api.RequestClass("read", 300_000, 1_500_000, effect="idempotent", late_worth=0.3),
@@ -38,7 +38,7 @@
 
 
 class Module:
-    """`Part` for `glenkeel.Balancer`."""
+    """`Part` for `garnetusher.policy.Balancer`."""
 
     name = "module"
 
--- a/garnetusher/model/steady.py
+++ b/garnetusher/model/steady.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from glenkeel import interface as api
-from glenkeel.balance import Balancer
+from garnetusher.policy import interface as api
+from garnetusher.policy.balance import Balancer
 
 Listing = api.UpstreamsUpdated
 GAP_US = 10_000  # between requests: a hundred a second
--- a/garnetusher/model/world.py
+++ b/garnetusher/model/world.py
@@ -1,7 +1,8 @@
 """An experiment in virtual time: real `Balancer`s, machines, links, clients and a list, on one queue of events.
 
-What a host does for its module (plovertrail/host.py) is done by `Sidecar` here, in the same words: one outcome for
-each attempt, one answer for each request. The records are those of the lab, so checker and figures are the same too.
+What a host does for its module (garnetusher/sidecar/host.py) is done by `Sidecar` here, in the same words: one
+outcome for each attempt, one answer for each request. The records are those of the lab, so checker and figures are
+the same too.
 """
 
 from __future__ import annotations
@@ -49,14 +50,14 @@
     Vanished,
 )
 from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream
-from glenkeel import interface as api
+from garnetusher.policy import interface as api
 
 EPOCH_US = 10**12  # the module's clock at the start of a play: a start at 0 would mean long ago
 DIAL_TIMEOUT_US = 200_000  # as the settings of a sidecar say
 ANSWER_MARGIN_US = 10_000  # an answer sets out so long before its client's time is out
 LOCAL_US = 60  # between a client and its sidecar
 ASK_WITHIN_US = 10_000_000  # as the settings of a sidecar say
-LIST_ANSWER_US = 2_500_000  # a call to the list that has not been answered has failed (plovertrail/discovery.py)
+LIST_ANSWER_US = 2_500_000  # a call to the list that has not been answered has failed (sidecar/discovery.py)
 LIST_AGAIN_US = 250_000  # till the next, where the module does not ask by itself
 COUNT_US = 250_000  # between two looks of a sidecar at how many there are
 MEMBER_SEEDS = 3  # sidecars whose addresses all members are told
--- a/glenkeel/balance.py
+++ b/garnetusher/policy/balance.py
@@ -1,4 +1,4 @@
-"""All decisions of the balancer. Its interface, types, events and actions: glenkeel/interface.py.
+"""All decisions of the balancer. Its interface, types, events and actions: garnetusher/policy/interface.py.
 
 Everything is slots (docs/design.md): a request takes a free slot of a random upstream, waits in the ONE
 buffer when none is free, is refused when that is taken, and is reissued through a slot.
@@ -9,9 +9,9 @@
 import random
 from collections.abc import Callable
 
-from glenkeel import interface as api
-from glenkeel.slots import FIRST_SLOTS, Pool, Server
-from glenkeel.zones import State, Zone, Zones
+from garnetusher.policy import interface as api
+from garnetusher.policy.slots import FIRST_SLOTS, Pool, Server
+from garnetusher.policy.zones import State, Zone, Zones
 
 MOST_SLOTS = 8  # no upstream gets more from one sidecar, however quick its answers
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
@@ -634,7 +634,7 @@
         del self.servers[server.entry.id]
         server.pool.drop(server)
 
-    # Zones: what their state, which glenkeel/zones.py owns, means for slots
+    # Zones: what their state, which garnetusher/policy/zones.py owns, means for slots
 
     def judge_zone(self, attempt: Attempt, outcome: api.Outcome, elapsed_us: int, pace: float) -> None:
         number, upstream = attempt.entry.zone, attempt.entry.id
--- a/glenkeel/slots.py
+++ b/garnetusher/policy/slots.py
@@ -3,7 +3,7 @@
 Nothing here walks the list. An upstream lies in a bucket with those of about its weight, and is moved when the weight
 changes; a draw picks a bucket, then one of it, and takes that by its weight or picks again (after Matias, Vitter and
 Ni, "Dynamic generation of discrete random variates", 2003). Upstreams that start at about the same time come due
-together, by one figure for all of them. Events and their meaning: glenkeel/interface.py.
+together, by one figure for all of them. Events and their meaning: garnetusher/policy/interface.py.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from collections.abc import Container, Iterable
 from itertools import islice
 
-from glenkeel import interface as api
+from garnetusher.policy import interface as api
 
 FIRST_SLOTS = 3.0  # a busy sidecar would fill one each in its first moment, and refuse till more open
 COLD_PART = 0.45  # of the multiple that pushes a cold upstream over: its work comes in lumps
--- a/glenkeel/zones.py
+++ b/garnetusher/policy/zones.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Callable
 
-from glenkeel import interface as api
+from garnetusher.policy import interface as api
 
 LOST_PART = 0.75  # of a zone's upstreams have to fail in a row: half of them lost is no lost zone
 MOST_NEEDED = 8  # so many different ones tell it, however many there are: 0.75 ** 8 is one in ten
--- a/plovertrail/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""One real sidecar: `python -m plovertrail`, told by its environment what it is."""
+"""One real sidecar: `python -m garnetusher.sidecar`, told by its environment what it is."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, TypeVar
 
-from glenkeel.wire import WireError
-from plovertrail import config, logs
-from plovertrail.admin import Admin, Route
-from plovertrail.discovery import Discovery
-from plovertrail.operators import operators_calls
-from plovertrail.reload import Reloader
-from plovertrail.request import clock_us
-from plovertrail.server import Server
-from plovertrail.sidecar import Sidecar
-from plovertrail.sockets import RETRY_S, PatientSelector, is_own
+from garnetusher.sidecar import config, logs
+from garnetusher.sidecar.admin import Admin, Route
+from garnetusher.sidecar.discovery import Discovery
+from garnetusher.sidecar.operators import operators_calls
+from garnetusher.sidecar.reload import Reloader
+from garnetusher.sidecar.request import clock_us
+from garnetusher.sidecar.server import Server
+from garnetusher.sidecar.sidecar import Sidecar
+from garnetusher.sidecar.sockets import RETRY_S, PatientSelector, is_own
+from garnetusher.simulator.protocol import WireError
 
 if TYPE_CHECKING:
-    from plovertrail.members import Members
+    from garnetusher.sidecar.members import Members
 
 log = logging.getLogger(__name__)
 Made = TypeVar("Made")
@@ -86,7 +86,7 @@
         return None
     raw, zones, zone = sidecar.settings.raw, sidecar.settings.zones, sidecar.settings.settings.zone
     try:
-        from plovertrail.members import Members, switch
+        from garnetusher.sidecar.members import Members, switch
 
         members = Members(switch(fleet["membership"], str(raw.get("name", "")), zones[zone]), sidecar.host.count)
         own = await members.open()
@@ -147,13 +147,13 @@
         text = os.environ.get("BALANCER_SOCKET_FD")
         inherited = config.inherited_socket(text) if text else None
     except UNREADABLE as error:
-        print(f"plovertrail: configuration: {error!r}", file=sys.stderr)
+        print(f"garnetusher.sidecar: configuration: {error!r}", file=sys.stderr)
         return 2
     try:
         with asyncio.Runner(loop_factory=lambda: patiently(event_loop)) as runner:
             runner.run(run(settings, path, inherited))
     except OSError as error:
-        print(f"plovertrail: cannot start: {error}", file=sys.stderr)
+        print(f"garnetusher.sidecar: cannot start: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/plovertrail/admin.py
+++ b/garnetusher/sidecar/admin.py
@@ -9,8 +9,8 @@
 
 import httptools
 
-from plovertrail.server import LISTEN_PATIENCE_S, REASONS
-from plovertrail.sockets import Listener, listen_at
+from garnetusher.sidecar.server import LISTEN_PATIENCE_S, REASONS
+from garnetusher.sidecar.sockets import Listener, listen_at
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/catalogue.py
+++ b/garnetusher/sidecar/catalogue.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from glenkeel.interface import Settings
-from plovertrail.request import Call, clock_us
+from garnetusher.policy.interface import Settings
+from garnetusher.sidecar.request import Call, clock_us
 
 OWN_HEADERS = frozenset((  # of this connection, or written anew for each attempt
     b"host", b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"upgrade", b"expect",
--- a/plovertrail/config.py
+++ b/garnetusher/sidecar/config.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from glenkeel import wire
-from glenkeel.interface import Settings
+from garnetusher.policy.interface import Settings
+from garnetusher.simulator import protocol
 
 
 @dataclass(slots=True)
@@ -126,7 +126,7 @@
 
 
 def load(path: str, admin: str | None = None) -> Config:
-    """Read and check the file; raises ValueError, KeyError or wire.WireError on what is malformed.
+    """Read and check the file; raises ValueError, KeyError or protocol.WireError on what is malformed.
 
     `admin` is what the environment says of that address: of two processes that are told the same file, it
     tells them apart, so it goes before the file."""
@@ -139,7 +139,7 @@
     positive(settings["bounds"]["most-tries"], "most-tries")
     pairs = flatten(settings)
     admin = admin or raw.get("admin")
-    values = wire.settings_from_pairs(pairs)
+    values = protocol.settings_from_pairs(pairs)
     values.regions = regions_of(list(settings["areas"]), raw.get("fleet"))
     return Config(
         listen=parse_address(raw["listen"]),
--- a/plovertrail/discovery.py
+++ b/garnetusher/sidecar/discovery.py
@@ -11,10 +11,10 @@
 
 import httptools
 
-from glenkeel.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
-from plovertrail.boot_times import BootTimes
-from plovertrail.config import parse_address
-from plovertrail.request import clock_us
+from garnetusher.policy.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from garnetusher.sidecar.boot_times import BootTimes
+from garnetusher.sidecar.config import parse_address
+from garnetusher.sidecar.request import clock_us
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/gate.py
+++ b/garnetusher/sidecar/gate.py
@@ -9,9 +9,9 @@
 
 from collections.abc import Mapping
 
-from glenkeel import interface as api
-from plovertrail.request import ANSWER_MARGIN_US, Answer, Attempt, Denial, Permit, Request, Verdict
-from plovertrail.trace import Trace
+from garnetusher.policy import interface as api
+from garnetusher.sidecar.request import ANSWER_MARGIN_US, Answer, Attempt, Denial, Permit, Request, Verdict
+from garnetusher.sidecar.trace import Trace
 
 LATE_ANSWER_US = 70_000  # beyond a request's time: the settings' slack of 20 ms, and 50 ms that sockets may take
 FAULTS_OF_THE_POLICY = frozenset((Denial.MAY_HAVE_RUN, Denial.STILL_OUT, Denial.TOO_MANY))
--- a/plovertrail/host.py
+++ b/garnetusher/sidecar/host.py
@@ -11,11 +11,11 @@
 from collections import deque
 from collections.abc import Callable
 
-from glenkeel import interface as api
-from glenkeel.balance import Balancer
-from plovertrail.body import Head, Sink, Source
-from plovertrail.gate import Gate
-from plovertrail.request import (
+from garnetusher.policy import interface as api
+from garnetusher.policy.balance import Balancer
+from garnetusher.sidecar.body import Head, Sink, Source
+from garnetusher.sidecar.gate import Gate
+from garnetusher.sidecar.request import (
     ANSWER_MARGIN_US,
     Answer,
     Asker,
@@ -29,7 +29,7 @@
     Verdict,
     clock_us,
 )
-from plovertrail.trace import Trace
+from garnetusher.sidecar.trace import Trace
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/operators.py
+++ b/garnetusher/sidecar/operators.py
@@ -5,8 +5,8 @@
 import json
 from collections.abc import Callable
 
-from plovertrail.admin import Route
-from plovertrail.sidecar import Sidecar
+from garnetusher.sidecar.admin import Route
+from garnetusher.sidecar.sidecar import Sidecar
 
 
 def operators_calls(sidecar: Sidecar) -> dict[bytes, Route]:
--- a/plovertrail/request.py
+++ b/garnetusher/sidecar/request.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from glenkeel import interface as api
-from plovertrail.body import Head, Sink, Source, Upload
+from garnetusher.policy import interface as api
+from garnetusher.sidecar.body import Head, Sink, Source, Upload
 
 
 def clock_us() -> int:
--- a/plovertrail/server.py
+++ b/garnetusher/sidecar/server.py
@@ -9,8 +9,8 @@
 
 import httptools
 
-from glenkeel.interface import Settings
-from plovertrail.body import (
+from garnetusher.policy.interface import Settings
+from garnetusher.sidecar.body import (
     HELD,
     LAST_CHUNK,
     LONGEST,
@@ -22,11 +22,11 @@
     Upload,
     chunk,
 )
-from plovertrail.catalogue import Catalogue, Reject, retry_after
-from plovertrail.host import Host
-from plovertrail.lifecycle import Lifecycle, State
-from plovertrail.request import ANSWER_MARGIN_US, Answer, Call, Verdict, clock_us
-from plovertrail.sockets import Listener, SteadySocket, listen_at
+from garnetusher.sidecar.catalogue import Catalogue, Reject, retry_after
+from garnetusher.sidecar.host import Host
+from garnetusher.sidecar.lifecycle import Lifecycle, State
+from garnetusher.sidecar.request import ANSWER_MARGIN_US, Answer, Call, Verdict, clock_us
+from garnetusher.sidecar.sockets import Listener, SteadySocket, listen_at
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -5,14 +5,14 @@
 import logging
 import socket
 
-from plovertrail import config
-from plovertrail.catalogue import Catalogue
-from plovertrail.discovery import Directory, Discovery
-from plovertrail.host import Host
-from plovertrail.lifecycle import Lifecycle
-from plovertrail.server import Server
-from plovertrail.trace import Trace
-from plovertrail.upstreams import Pool
+from garnetusher.sidecar import config
+from garnetusher.sidecar.catalogue import Catalogue
+from garnetusher.sidecar.discovery import Directory, Discovery
+from garnetusher.sidecar.host import Host
+from garnetusher.sidecar.lifecycle import Lifecycle
+from garnetusher.sidecar.server import Server
+from garnetusher.sidecar.trace import Trace
+from garnetusher.sidecar.upstreams import Pool
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/upstreams.py
+++ b/garnetusher/sidecar/upstreams.py
@@ -10,8 +10,8 @@
 
 import httptools
 
-from glenkeel.interface import Outcome
-from plovertrail.body import (
+from garnetusher.policy.interface import Outcome
+from garnetusher.sidecar.body import (
     HELD,
     LAST_CHUNK,
     LONGEST,
@@ -22,9 +22,9 @@
     Source,
     chunk,
 )
-from plovertrail.request import Call, Permission, Permit, Result, clock_us
-from plovertrail.sockets import RETRY_S, SteadySocket, is_own
-from plovertrail.trace import Trace
+from garnetusher.sidecar.request import Call, Permission, Permit, Result, clock_us
+from garnetusher.sidecar.sockets import RETRY_S, SteadySocket, is_own
+from garnetusher.sidecar.trace import Trace
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/garnetusher/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The simulator's protocol round the same policy."""
--- a/glenkeel/adapter.py
+++ b/garnetusher/simulator/__main__.py
@@ -5,9 +5,9 @@
 import sys
 from typing import BinaryIO
 
-from glenkeel import wire
-from glenkeel.balance import Balancer
-from glenkeel.interface import RequestArrived
+from garnetusher.policy.balance import Balancer
+from garnetusher.policy.interface import RequestArrived
+from garnetusher.simulator import protocol
 
 
 def read_exactly(source: BinaryIO, size: int) -> bytes:
@@ -25,29 +25,29 @@
     """The running instances; they share nothing but the decoder's upstream lists."""
 
     def __init__(self) -> None:
-        self.decoder = wire.Decoder()
+        self.decoder = protocol.Decoder()
         self.instances: dict[int, Balancer] = {}
 
     def batch(self, now_us: int, count: int, body: bytes) -> bytes:
         records: list[bytes] = []
         for instance, event in self.decoder.batch(body, count):
-            if isinstance(event, wire.InstanceStarted):
-                settings = wire.parse_settings(event.options)
+            if isinstance(event, protocol.InstanceStarted):
+                settings = protocol.parse_settings(event.options)
                 self.instances[instance] = Balancer(settings, event.seed, now_us)
-            elif isinstance(event, wire.InstanceStopped):
+            elif isinstance(event, protocol.InstanceStopped):
                 self.instances.pop(instance, None)
             elif instance in self.instances:
                 classes = len(self.instances[instance].settings.classes)
                 if isinstance(event, RequestArrived) and event.class_index >= classes:
                     what = f"request class {event.class_index} of {classes}"
-                    raise wire.WireError(f"instance {instance}: {what}")
+                    raise protocol.WireError(f"instance {instance}: {what}")
                 try:
                     actions = self.instances[instance].handle(now_us, event)
-                    records.extend([wire.encode(instance, action) for action in actions])
+                    records.extend([protocol.encode(instance, action) for action in actions])
                 except Exception as error:  # a bug in the decisions is told on the wire, not hidden
                     text = f"{type(error).__name__}: {error}"
-                    records.append(wire.encode(instance, wire.InternalError(text)))
-        return wire.reply(records)
+                    records.append(protocol.encode(instance, protocol.InternalError(text)))
+        return protocol.reply(records)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
@@ -55,19 +55,19 @@
     host = Host()
     number = 0
     while True:
-        header = read_exactly(source, wire.HEADER.size)
+        header = read_exactly(source, protocol.HEADER.size)
         if not header:
             return
         try:
-            if len(header) < wire.HEADER.size:
-                raise wire.WireError(f"truncated header: {len(header)} of {wire.HEADER.size} bytes")
-            size, count, now_us = wire.HEADER.unpack(header)
+            if len(header) < protocol.HEADER.size:
+                raise protocol.WireError(f"truncated header: {len(header)} of {protocol.HEADER.size} bytes")
+            size, count, now_us = protocol.HEADER.unpack(header)
             body = read_exactly(source, size)
             if len(body) < size:
-                raise wire.WireError(f"truncated body: {len(body)} of {size} bytes")
+                raise protocol.WireError(f"truncated body: {len(body)} of {size} bytes")
             answer = host.batch(now_us, count, body)
-        except wire.WireError as error:
-            raise wire.WireError(f"batch {number}: {error}") from error
+        except protocol.WireError as error:
+            raise protocol.WireError(f"batch {number}: {error}") from error
         sink.write(answer)
         sink.flush()
         number += 1
@@ -76,11 +76,11 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as error:
-        print(f"glenkeel: {error}", file=sys.stderr)
+    except protocol.WireError as error:
+        print(f"garnetusher: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("glenkeel: the reader of our replies is gone", file=sys.stderr)
+        print("garnetusher: the reader of our replies is gone", file=sys.stderr)
         return 3
     return 0
 
--- a/glenkeel/wire.py
+++ b/garnetusher/simulator/protocol.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from glenkeel import interface as api
+from garnetusher.policy import interface as api
 
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
--- a/glenkeel/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""glenkeel: the decisions of a sidecar balancer for service-to-service calls."""
--- a/plovertrail/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""plovertrail: a sidecar balancer on real sockets; its decisions are made in glenkeel."""
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from glenkeel.balance import Balancer, Request
-from glenkeel.interface import UpstreamState
-from glenkeel.slots import Server
-from plovertrail import __main__ as program
-from plovertrail import discovery, host, server, upstreams
-from plovertrail.gate import Gate
-from plovertrail.request import Answer, Verdict, clock_us
+from garnetusher.policy.balance import Balancer, Request
+from garnetusher.policy.interface import UpstreamState
+from garnetusher.policy.slots import Server
+from garnetusher.sidecar import __main__ as program
+from garnetusher.sidecar import discovery, host, server, upstreams
+from garnetusher.sidecar.gate import Gate
+from garnetusher.sidecar.request import Answer, Verdict, clock_us
 
 
 def answers_twice() -> None:
--- a/tests/net.py
+++ b/tests/net.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from glenkeel.interface import RequestClass, Settings
-from plovertrail.__main__ import serve
-from plovertrail.config import Config
-from plovertrail.request import Call, Permit, Result
-from plovertrail.upstreams import Address, Attempt, Pool
+from garnetusher.policy.interface import RequestClass, Settings
+from garnetusher.sidecar.__main__ import serve
+from garnetusher.sidecar.config import Config
+from garnetusher.sidecar.request import Call, Permit, Result
+from garnetusher.sidecar.upstreams import Address, Attempt, Pool
 
 PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -46,14 +46,14 @@
 def test_an_earlier_trees_decisions_are_played(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
                                                capfd: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "small.toml").write_text(text(seconds=2))
-    tree = tmp_path / "tree" / "glenkeel"
+    tree = tmp_path / "tree" / "garnetusher" / "policy"
     tree.mkdir(parents=True)
-    for path in (ROOT / "glenkeel").glob("*.py"):
+    for path in (ROOT / "garnetusher" / "policy").glob("*.py"):
         (tree / path.name).write_text(path.read_text().replace("FIRST_SLOTS = 3.0", "FIRST_SLOTS = 1.0"))
     digests = []
-    for words in ((), ("--tree", str(ROOT)), ("--tree", str(tree.parent))):
+    for words in ((), ("--tree", str(ROOT)), ("--tree", str(tree.parent.parent))):
         _, out = run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--json", *words)
         digests.append(json.loads(out)["digest"])
     assert digests[0] == digests[1] != digests[2]
     status, out = run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--tree", str(tmp_path))
-    assert status == 2 and "expected a checkout with glenkeel/balance.py" in out
+    assert status == 2 and "expected a checkout with garnetusher/policy/balance.py" in out
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from glenkeel.balance import Balancer
-from glenkeel.interface import (
+from garnetusher.policy.balance import Balancer
+from garnetusher.policy.interface import (
     AttemptEnded,
     Fail,
     Outcome,
@@ -19,7 +19,7 @@
     TimerFired,
     UpstreamsUpdated,
 )
-from glenkeel.interface import ListKind as Kind
+from garnetusher.policy.interface import ListKind as Kind
 from tests.world import START_US, World, settings, upstreams
 
 
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from glenkeel.interface import ListKind, Outcome, RequestClass, UpstreamState
-from plovertrail import upstreams as upstreams_module
-from plovertrail.upstreams import Connection, Pool
+from garnetusher.policy.interface import ListKind, Outcome, RequestClass, UpstreamState
+from garnetusher.sidecar import upstreams as upstreams_module
+from garnetusher.sidecar.upstreams import Connection, Pool
 from tests.net import (
     OK,
     Discovery,
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from glenkeel.interface import RequestClass, Settings, SettingsChanged, Tenant, places_before
-from plovertrail.catalogue import Catalogue
+from garnetusher.policy.interface import RequestClass, Settings, SettingsChanged, Tenant, places_before
+from garnetusher.sidecar.catalogue import Catalogue
 from tests.world import World, classes, settings, upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -58,8 +58,10 @@
 
 def test_nothing_names_a_deployment() -> None:
     """Neither the program nor the deploy file knows a class, a tenant or a zone of any site."""
-    files = [ROOT / "deploy" / "balancer.toml", *ROOT.glob("glenkeel/*.py"), *ROOT.glob("plovertrail/*.py")]
-    text = {path.name: path.read_text() for path in files}
+    files = [ROOT / "deploy" / "balancer.toml"]
+    for package in ("policy", "simulator", "sidecar"):
+        files.extend((ROOT / "garnetusher" / package).rglob("*.py"))
+    text = {str(path.relative_to(ROOT)): path.read_text() for path in files}
     assert len(SITES) >= 2 and len(text) > 10
     for site in SITES:
         names = [site["name"], *(each["name"] for each in site["class"]), *(each["name"] for each in site["tenant"]),
--- a/tests/test_crossing_watch.py
+++ b/tests/test_crossing_watch.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from glenkeel.interface import ListKind, UpstreamState, UpstreamsUpdated
-from plovertrail.config import parse_address
-from plovertrail.discovery import PIECE, Address, Directory, Watch
-from plovertrail.discovery import Discovery as Discovering
+from garnetusher.policy.interface import ListKind, UpstreamState, UpstreamsUpdated
+from garnetusher.sidecar.config import parse_address
+from garnetusher.sidecar.discovery import PIECE, Address, Directory, Watch
+from garnetusher.sidecar.discovery import Discovery as Discovering
 from tests.net import OK, Discovery, Upstream, answering, entry, listing, request, sidecar, until
 from tests.test_sidecar import DrivenLoop, run, status
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.test_wire import EMPTY, LIST, batch, power_on
+from tests.test_simulator_protocol import EMPTY, LIST, batch, power_on
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -43,7 +43,7 @@
 def test_the_deployed_command_ends_on_a_bad_frame_with_one_line(sim: str) -> None:
     done = start(sim, bytes.fromhex(EMPTY) + b"\x01\x00")
     assert done.returncode != 0 and done.stdout == bytes(8)
-    assert done.stderr.decode().splitlines() == ["glenkeel: batch 1: truncated header: 2 of 16 bytes"]
+    assert done.stderr.decode().splitlines() == ["garnetusher: batch 1: truncated header: 2 of 16 bytes"]
 
 
 def test_the_decision_module_keeps_its_limits() -> None:
@@ -52,7 +52,7 @@
         lines += (ROOT / name).read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= 1200  # the operators run no longer one
     assert max(map(len, lines)) <= 120
-    assert "glenkeel/interface.py" in lines[0]
+    assert "garnetusher/policy/interface.py" in lines[0]
 
 
 def test_figures_stand_in_named_constants_or_are_plain_fractions() -> None:
@@ -71,10 +71,12 @@
 
 
 def test_the_package_needs_the_standard_library_only() -> None:
-    code = "import sys, glenkeel.adapter; print(*sorted({m.split('.')[0] for m in sys.modules}))"
+    code = ("import sys, garnetusher.simulator.__main__; print(*sorted({'.'.join(m.split('.')[:2])"
+            " if m.startswith('garnetusher.') else m.split('.')[0] for m in sys.modules}))")
     found = subprocess.run([sys.executable, "-S", "-c", code], cwd=ROOT, capture_output=True, text=True,
                            check=True, timeout=60).stdout.split()
-    assert set(found) - set(sys.stdlib_module_names) <= {"glenkeel", "__main__", "sitecustomize"}
+    assert set(found) - set(sys.stdlib_module_names) <= {
+        "garnetusher", "garnetusher.policy", "garnetusher.simulator", "__main__", "sitecustomize"}
 
 
 def test_the_readme_example_runs_as_written() -> None:
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -11,9 +11,9 @@
 import pytest
 
 from garnetusher.model.steady import Steady, listing
-from glenkeel import interface as api
-from glenkeel.balance import Balancer
-from glenkeel.slots import COHORTS, Pool, Server
+from garnetusher.policy import interface as api
+from garnetusher.policy.balance import Balancer
+from garnetusher.policy.slots import COHORTS, Pool, Server
 from tests.world import START_US, World, settings, upstreams
 
 Weights = dict[int, float]
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -10,8 +10,8 @@
 from garnetusher.model import explore
 from garnetusher.model.explore import Find
 from garnetusher.model.explore.module import Module
-from glenkeel import interface as api
-from glenkeel.balance import Attempt, Balancer, Request
+from garnetusher.policy import interface as api
+from garnetusher.policy.balance import Attempt, Balancer, Request
 from tests.test_files import call
 
 FOUND_WITHIN = 400  # schedules; 2,000 are allowed
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from glenkeel.interface import Outcome, RequestClass, Settings, Upstream
-from plovertrail.body import Head, Source
-from plovertrail.gate import LATE_ANSWER_US, Gate
-from plovertrail.request import Answer, Attempt, Call, Denial, Permit, Request, Verdict
-from plovertrail.trace import LAST_EVENTS, Trace
+from garnetusher.policy.interface import Outcome, RequestClass, Settings, Upstream
+from garnetusher.sidecar.body import Head, Source
+from garnetusher.sidecar.gate import LATE_ANSWER_US, Gate
+from garnetusher.sidecar.request import Answer, Attempt, Call, Denial, Permit, Request, Verdict
+from garnetusher.sidecar.trace import LAST_EVENTS, Trace
 
 NOW_US = 10_000_000
 KINDS = {effect: RequestClass(effect, aim_us=500_000, deadline_us=1_000_000, effect=effect, group="cell",
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -167,7 +167,7 @@
     (tmp_path / "good").mkdir()
     subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True, timeout=600)
     bad = breaches(tmp_path / "bad", it,
-                   f"cd {ROOT}; {DEPLOY['run'].replace('plovertrail', f'tests.faulty.misdeeds {deed}')}")
+                   f"cd {ROOT}; {DEPLOY['run'].replace('garnetusher.sidecar', f'tests.faulty.misdeeds {deed}')}")
     assert {b.rule for b in bad} == {rule} and all(b.lines for b in bad)
     assert breaches(tmp_path / "good", it, f"cd {ROOT}; {DEPLOY['run']}") == []
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -16,13 +16,17 @@
 
 # what a part may import of the project; a deeper name goes before its parent's
 ALLOWED = {
-    "glenkeel": {"glenkeel"},
-    "plovertrail.members": {"garnetusher.membership", "plovertrail"},  # imported where the file switches it on
-    "plovertrail": {"glenkeel", "plovertrail"},
+    "garnetusher.policy": {"garnetusher.policy"},
+    # imported where the file switches it on
+    "garnetusher.sidecar.members": {"garnetusher.membership", "garnetusher.sidecar"},
+    # the text of settings is the simulator's too
+    "garnetusher.sidecar.config": {"garnetusher.policy", "garnetusher.sidecar", "garnetusher.simulator"},
+    "garnetusher.sidecar": {"garnetusher.policy", "garnetusher.sidecar"},
+    "garnetusher.simulator": {"garnetusher.policy", "garnetusher.simulator"},
     "garnetusher.config": set(),
     "garnetusher.logs": set(),
     "garnetusher.membership": {"garnetusher.membership"},
-    "garnetusher.model": {"glenkeel", "garnetusher.config", "garnetusher.membership", "garnetusher.model"},
+    "garnetusher.model": {"garnetusher.policy", "garnetusher.config", "garnetusher.membership", "garnetusher.model"},
     "garnetusher.cli": {"garnetusher.config", "garnetusher.logs", "garnetusher.model", "garnetusher.cli"},
     "garnetusher.lab": {"garnetusher.config", "garnetusher.logs", "garnetusher.model", "garnetusher.cli",
                         "garnetusher.lab"},
@@ -32,9 +36,8 @@
 
 
 def modules() -> Iterator[tuple[str, Path]]:
-    for package in ("glenkeel", "plovertrail", "garnetusher"):
-        for path in sorted((ROOT / package).rglob("*.py")):
-            yield ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"), path
+    for path in sorted((ROOT / "garnetusher").rglob("*.py")):
+        yield ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"), path
 
 
 def imported(path: Path) -> set[str]:
@@ -56,7 +59,7 @@
     for module, path in modules():
         part = next((p for p in ALLOWED if below(module, p)), None)
         for name in imported(path):
-            ours = any(below(name, top) for top in ("glenkeel", "plovertrail", "garnetusher"))
+            ours = below(name, "garnetusher")
             if part is not None and ours and name != "garnetusher" and \
                     not any(below(name, allowed) or below(allowed, name) for allowed in ALLOWED[part]):
                 wrong.append(f"{module} imports {name}")
@@ -71,11 +74,13 @@
 
 
 def test_run_imports_what_it_did() -> None:
-    code = ("import sys; before = set(sys.modules); import plovertrail.__main__; "
-            "print(*sorted({m.split('.')[0] for m in set(sys.modules) - before}))")
+    code = ("import sys; before = set(sys.modules); import garnetusher.sidecar.__main__; "
+            "print(*sorted({'.'.join(m.split('.')[:2]) if m.startswith('garnetusher.') else m.split('.')[0]"
+            " for m in set(sys.modules) - before}))")
     found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
                            timeout=60).stdout.split()
-    assert set(found) - set(sys.stdlib_module_names) - BUILT_IN == {"glenkeel", "plovertrail", "httptools"}
+    assert set(found) - set(sys.stdlib_module_names) - BUILT_IN == {
+        "garnetusher", "garnetusher.policy", "garnetusher.sidecar", "garnetusher.simulator", "httptools"}
     assert (ROOT / "requirements.txt").read_text() == "httptools==0.9.0\n"
 
 
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from glenkeel.interface import (
+from garnetusher.policy.interface import (
     ListKind,
     Outcome,
     SetTimer,
@@ -15,7 +15,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from plovertrail.discovery import PIECE, Directory, Discovery
+from garnetusher.sidecar.discovery import PIECE, Directory, Discovery
 from tests.world import START_US, World, settings, upstreams
 
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from glenkeel.interface import RequestClass, Settings
-from plovertrail import server as server_module
-from plovertrail.body import LONGEST, Head, Room, Source, Upload
-from plovertrail.catalogue import Catalogue
-from plovertrail.request import Call, Result
-from plovertrail.upstreams import SETTLE_US, Pool
+from garnetusher.policy.interface import RequestClass, Settings
+from garnetusher.sidecar import server as server_module
+from garnetusher.sidecar.body import LONGEST, Head, Room, Source, Upload
+from garnetusher.sidecar.catalogue import Catalogue
+from garnetusher.sidecar.request import Call, Result
+from garnetusher.sidecar.upstreams import SETTLE_US, Pool
 from tests.net import (
     NOT_RUN,
     OK,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -16,7 +16,7 @@
 import pytest
 
 from garnetusher.cli import members as told
-from plovertrail.members import switch
+from garnetusher.sidecar.members import switch
 from tests.experiment import ROOT
 from tests.net import free_port
 from tests.test_program import configuration
@@ -35,7 +35,7 @@
             admin = f"127.0.0.1:{free_port()}"
             path = configuration(place, name=f"n{number}", admin=admin, fleet={"membership": membership})
             with (place / "log").open("wb") as log:
-                running.append((subprocess.Popen([sys.executable, "-m", "plovertrail"], cwd=ROOT, stderr=log,
+                running.append((subprocess.Popen([sys.executable, "-m", "garnetusher.sidecar"], cwd=ROOT, stderr=log,
                                                  env=os.environ | {"BALANCER_CONFIG": str(path)}), admin))
         yield running
     finally:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,7 +20,7 @@
 from garnetusher.model.explore.membership import Membership
 from garnetusher.model.members import CLUSTER, Members, Node
 from garnetusher.model.world import World
-from glenkeel.balance import Balancer
+from garnetusher.policy.balance import Balancer
 from tests.experiment import small
 from tests.world import settings as settings_of
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from plovertrail import admin
-from plovertrail.config import load
-from plovertrail.lifecycle import Lifecycle, State
+from garnetusher.sidecar import admin
+from garnetusher.sidecar.config import load
+from garnetusher.sidecar.lifecycle import Lifecycle, State
 from tests.net import OK, Upstream, answering, read_message, request, sidecar
 from tests.test_program import configuration
 from tests.test_sidecar import run, status
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,9 +17,9 @@
 
 import pytest
 
-from plovertrail.config import Config, flatten, load
-from plovertrail.reload import Reloader
-from plovertrail.sidecar import Sidecar
+from garnetusher.sidecar.config import Config, flatten, load
+from garnetusher.sidecar.reload import Reloader
+from garnetusher.sidecar.sidecar import Sidecar
 from tests.net import (
     OK,
     PATIENCE_S,
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from plovertrail import __main__ as program_module
-from plovertrail.config import inherited_socket
+from garnetusher.sidecar import __main__ as program_module
+from garnetusher.sidecar.config import inherited_socket
 from tests.net import (
     OK,
     PATIENCE_S,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,8 +9,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from glenkeel.balance import Balancer
-from glenkeel.interface import (
+from garnetusher.policy.balance import Balancer
+from garnetusher.policy.interface import (
     AttemptEnded,
     ListKind,
     Outcome,
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -10,17 +10,17 @@
 
 import pytest
 
-from glenkeel.balance import Balancer
-from glenkeel.interface import Event, Outcome, Settings
-from plovertrail.discovery import Directory
-from plovertrail.discovery import Discovery as Discovering
-from plovertrail.gate import Gate
-from plovertrail.host import Host
-from plovertrail.lifecycle import Lifecycle
-from plovertrail.request import Answer, Call, Result, Verdict, clock_us
-from plovertrail.server import Client, Server
-from plovertrail.trace import Trace
-from plovertrail.upstreams import SETTLE_US, Connection, Pool, Trust
+from garnetusher.policy.balance import Balancer
+from garnetusher.policy.interface import Event, Outcome, Settings
+from garnetusher.sidecar.discovery import Directory
+from garnetusher.sidecar.discovery import Discovery as Discovering
+from garnetusher.sidecar.gate import Gate
+from garnetusher.sidecar.host import Host
+from garnetusher.sidecar.lifecycle import Lifecycle
+from garnetusher.sidecar.request import Answer, Call, Result, Verdict, clock_us
+from garnetusher.sidecar.server import Client, Server
+from garnetusher.sidecar.trace import Trace
+from garnetusher.sidecar.upstreams import SETTLE_US, Connection, Pool, Trust
 from tests.net import (
     NOT_RUN,
     OK,
--- a/tests/test_wire.py
+++ b/tests/test_simulator_protocol.py
@@ -7,21 +7,22 @@
 
 import pytest
 
-from glenkeel import adapter, wire
-from glenkeel import interface as api
-from glenkeel.balance import Balancer
+from garnetusher.policy import interface as api
+from garnetusher.policy.balance import Balancer
+from garnetusher.simulator import __main__ as adapter
+from garnetusher.simulator import protocol
 from tests.options import OPTIONS
 
 LIST = ("6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
         " f211902c 01 00 0000 01 0000c03f 20145d0000000000")
 FIRST, SECOND, TICKET, OTHER = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
-EVENTS: list[tuple[str, wire.Record]] = [
+EVENTS: list[tuple[str, protocol.Record]] = [
     (LIST + "50 0300 02 29000000 00000000", api.UpstreamsUpdated(api.ListKind.CACHED, [
         api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41)),
     ("46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
      api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000)),
-    ("28 0300", wire.InstanceStopped()),
+    ("28 0300", protocol.InstanceStopped()),
     ("32 0300 4d000000", api.TimerFired(77)),
     ("3c 0300 192b6f0e", api.RequestGone(OTHER)),
     ("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
@@ -31,7 +32,7 @@
     ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND, api.Outcome.OK, 1400)),
 ]
 
-ACTIONS: list[tuple[str, wire.Reply]] = [
+ACTIONS: list[tuple[str, protocol.Reply]] = [
     ("14 0300 c4913a5d 074a1203 80380100", api.Send(TICKET, FIRST, 80000)),
     ("5a 0300 192b6f0e", api.Fail(OTHER)),
     ("32 0300 ffffffff 0400 68692037", api.TellPeer(b"hi 7")),
@@ -42,7 +43,7 @@
     ("50 0300 f211902c", api.Probe(SECOND)),
     ("78 0300 1100 74776f2073657276657273206b6e6f776e", api.Log("two servers known")),
     ("64 0300 c4913a5d 00", api.Cancel(TICKET, 0)),
-    ("3c 0300 1200 696e646578206f7574206f662072616e6765", wire.InternalError("index out of range")),
+    ("3c 0300 1200 696e646578206f7574206f662072616e6765", protocol.InternalError("index out of range")),
     ("0a 0300", api.FetchList()),
 ]
 
@@ -69,25 +70,25 @@
 
 
 @pytest.mark.parametrize(("text", "event"), EVENTS)
-def test_documented_events_are_read(text: str, event: wire.Record) -> None:
+def test_documented_events_are_read(text: str, event: protocol.Record) -> None:
     data = bytes.fromhex(text)
     count = 2 if text.startswith("6e") else 1
-    assert list(wire.Decoder().batch(data, count)) == [(3, event)]
+    assert list(protocol.Decoder().batch(data, count)) == [(3, event)]
 
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
-def test_documented_actions_are_written(text: str, action: wire.Reply) -> None:
-    assert wire.encode(3, action) == bytes.fromhex(text)
+def test_documented_actions_are_written(text: str, action: protocol.Reply) -> None:
+    assert protocol.encode(3, action) == bytes.fromhex(text)
 
 
 def test_the_documented_frames() -> None:
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
-    events = list(wire.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
+    events = list(protocol.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
-    records = [wire.encode(3, ACTIONS[0][1]), wire.encode(3, ACTIONS[6][1]), bytes.fromhex(
+    records = [protocol.encode(3, ACTIONS[0][1]), protocol.encode(3, ACTIONS[6][1]), bytes.fromhex(
         "78 0500 1100 74776f2073657276657273206b6e6f776e")]
-    assert wire.reply(records) == bytes.fromhex(
+    assert protocol.reply(records) == bytes.fromhex(
         "34000000 03000000 14 0300 c4913a5d 074a1203 80380100 1e 0300 7afd870000000000 4d000000"
         "78 0500 1100 74776f2073657276657273206b6e6f776e")
 
@@ -114,7 +115,7 @@
     short = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
     data = bytes.fromhex(LIST) + members + short + members
-    first, second = wire.Decoder().batch(data, 4)
+    first, second = protocol.Decoder().batch(data, 4)
     assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
 
@@ -139,14 +140,14 @@
     (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
 ])
 def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
-    with pytest.raises(wire.WireError) as caught:
+    with pytest.raises(protocol.WireError) as caught:
         serve(data)
     assert words in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    settings = wire.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
-    assert settings == wire.parse_settings(OPTIONS)
+    settings = protocol.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
+    assert settings == protocol.parse_settings(OPTIONS)
     assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
     assert settings.classes[2].memory_us == 1_200_000 and settings.classes[2].group == "cell"
     assert settings.tenants[1].allowance_per_s == 152.0 and settings.ask_within_us == 10_000_000
@@ -154,7 +155,7 @@
 
 
 def test_report_names_are_translated_and_unknown_ones_kept() -> None:
-    settings = wire.parse_settings(OPTIONS.replace("report.names=", "report.names=busy,q,moon"))
+    settings = protocol.parse_settings(OPTIONS.replace("report.names=", "report.names=busy,q,moon"))
     assert settings.report_names == ["utilization", "queued", "moon"]
 
 
@@ -187,5 +188,5 @@
 
 def test_a_class_out_of_range_is_named_and_ends_the_adapter() -> None:
     arrival = struct.pack("<BHIBIQIBQ", 70, 3, 1, 9, 0, 0, 0, 0, 9_000_000)
-    with pytest.raises(wire.WireError, match="batch 1: instance 3: request class 9 of 3"):
+    with pytest.raises(protocol.WireError, match="batch 1: instance 3: request class 9 of 3"):
         serve(batch([power_on()]) + batch([arrival]))
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from glenkeel.interface import (
+from garnetusher.policy.interface import (
     AttemptEnded,
     BodyPassed,
     Cancel,
@@ -25,7 +25,7 @@
     UpstreamState,
     places_before,
 )
-from glenkeel.slots import FIRST_SLOTS
+from garnetusher.policy.slots import FIRST_SLOTS
 from tests.world import START_US, World, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -166,7 +166,7 @@
 def test_a_seeded_fault_is_caught_and_the_program_itself_is_not_blamed(tmp_path: Path) -> None:
     build(ROOT)
     bad = "cd {root}; exec .venv/bin/python -B -m tests.faulty.misdeeds {deed}"
-    good = f"cd {ROOT}; exec .venv/bin/python -B -m plovertrail"
+    good = f"cd {ROOT}; exec .venv/bin/python -B -m garnetusher.sidecar"
     with ProcessPoolExecutor(4) as pool:
         waiting = []
         for deed, (rule, plan) in MISDEEDS.items():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,8 +12,8 @@
 from garnetusher.model.ablations import without
 from garnetusher.model.records import Believed
 from garnetusher.model.world import World
-from glenkeel import interface as api
-from glenkeel.zones import QUIET_US, State, Zone, Zones
+from garnetusher.policy import interface as api
+from garnetusher.policy.zones import QUIET_US, State, Zone, Zones
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
 from tests.test_sidecar import run
--- a/tests/world.py
+++ b/tests/world.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from garnetusher.model.contract import START_US, Host
-from glenkeel.interface import RequestClass, Settings, Upstream
+from garnetusher.policy.interface import RequestClass, Settings, Upstream
 
 __all__ = ["START_US", "World", "classes", "settings", "upstreams"]
 
