--- a/garnetusher/__main__.py
+++ b/garnetusher/__main__.py
@@ -10,18 +10,26 @@
 
 from garnetusher import cli
 
-GROUPS = {"lab": ("garnetusher.lab.commands", "Experiments on real processes, with faults between them."),
-          "model": ("garnetusher.cli.virtual", "The same experiments in virtual time, with the real decisions."),
-          "zones": ("garnetusher.cli.zones", "What a sidecar believes of each zone; leave one, or return to it."),
-          "members": ("garnetusher.cli.members", "Whom a process holds for present, and whether the others agree."),
-          "config": ("garnetusher.cli.files", "Check files without running anything.")}
+GROUPS = {
+    "lab": ("garnetusher.lab.commands", "Experiments on real processes, with faults between them."),
+    "model": ("garnetusher.cli.virtual", "The same experiments in virtual time, with the real decisions."),
+    "zones": ("garnetusher.cli.zones", "What a sidecar believes of each zone; leave one, or return to it."),
+    "members": ("garnetusher.cli.members", "Whom a process holds for present, and whether the others agree."),
+    "config": ("garnetusher.cli.files", "Check files without running anything."),
+}
 
 
 def application(called: str) -> typer.Typer:
     """The whole command; of the groups only the one called is more than its name."""
-    app = typer.Typer(name="garnetusher", no_args_is_help=True, add_completion=False, rich_markup_mode=None,
-                      pretty_exceptions_enable=False, epilog="Example: garnetusher lab run experiments/calm.toml",
-                      help="A fleet of sidecars through failures: run it, break it, see what holds.")
+    app = typer.Typer(
+        name="garnetusher",
+        no_args_is_help=True,
+        add_completion=False,
+        rich_markup_mode=None,
+        pretty_exceptions_enable=False,
+        epilog="Example: garnetusher lab run experiments/calm.toml",
+        help="A fleet of sidecars through failures: run it, break it, see what holds.",
+    )
     for name, (module, text) in GROUPS.items():
         group = importlib.import_module(module).app if name == called else typer.Typer()
         if name != called:
--- a/garnetusher/cli/__init__.py
+++ b/garnetusher/cli/__init__.py
@@ -40,8 +40,12 @@
     if not sys.stderr.isatty():
         yield lambda what, part: None
         return
-    columns = (TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:3.0f}%"),
-               TimeElapsedColumn())
+    columns = (
+        TextColumn("{task.description}"),
+        BarColumn(),
+        TextColumn("{task.percentage:3.0f}%"),
+        TimeElapsedColumn(),
+    )
     with Progress(*columns, console=console, transient=True) as bar:
         task = bar.add_task(title, total=1.0)
         yield lambda what, part: bar.update(task, description=f"{title}: {what}", completed=part)
--- a/garnetusher/cli/cost.py
+++ b/garnetusher/cli/cost.py
@@ -40,8 +40,15 @@
         rounds.append((time.process_time_ns() - began) / 1000 / REQUESTS)
     sent, asked = steady.sent, steady.requests
     changes = [_ms(steady, change(whole, number, CHANGES)) for number in range(CHANGES)]
-    return Cost(count, cold, round(statistics.median(rounds), 1), round(list_ms, 2), round(same_ms, 2),
-                round(max(changes), 3), round(sent / asked, 3))
+    return Cost(
+        count,
+        cold,
+        round(statistics.median(rounds), 1),
+        round(list_ms, 2),
+        round(same_ms, 2),
+        round(max(changes), 3),
+        round(sent / asked, 3),
+    )
 
 
 def _ms(steady: Steady, event: Listing) -> float:
@@ -52,8 +59,13 @@
 
 def table(costs: list[Cost]) -> str:
     """In Markdown, a row each."""
-    lines = ["| upstreams | state | us a request | ms a list | ms the same list | ms a change, longest | sent |",
-             "| ---: | --- | ---: | ---: | ---: | ---: | ---: |"]
-    lines += [f"| {c.upstreams} | {'all cold' if c.cold else 'warm'} | {c.request_us:.1f} | {c.list_ms:.2f} "
-              f"| {c.same_list_ms:.2f} | {c.change_ms:.3f} | {c.sent:.3f} |" for c in costs]
+    lines = [
+        "| upstreams | state | us a request | ms a list | ms the same list | ms a change, longest | sent |",
+        "| ---: | --- | ---: | ---: | ---: | ---: | ---: |",
+    ]
+    lines += [
+        f"| {c.upstreams} | {'all cold' if c.cold else 'warm'} | {c.request_us:.1f} | {c.list_ms:.2f} "
+        f"| {c.same_list_ms:.2f} | {c.change_ms:.3f} | {c.sent:.3f} |"
+        for c in costs
+    ]
     return "\n".join(lines)
--- a/garnetusher/cli/curves.py
+++ b/garnetusher/cli/curves.py
@@ -15,9 +15,14 @@
 GROW = ("fleet", "sidecars")
 # what is drawn: a figure of the plays and what a person calls it
 PLOTS = {
-    "served_worth.whole": "worth served", "retries": "retries a request", "crossings": "crossings a request",
-    "connections_per_request": "connections opened a request", "list_calls_a_sidecar": "list calls a sidecar",
-    "decision_us": "CPU of decisions, us a request", "refused": "refused", "work_unserved": "work that served nothing",
+    "served_worth.whole": "worth served",
+    "retries": "retries a request",
+    "crossings": "crossings a request",
+    "connections_per_request": "connections opened a request",
+    "list_calls_a_sidecar": "list calls a sidecar",
+    "decision_us": "CPU of decisions, us a request",
+    "refused": "refused",
+    "work_unserved": "work that served nothing",
 }
 
 
@@ -31,17 +36,27 @@
     figures: dict[str, float]
 
 
-def measure(experiment: Experiment, sizes: list[int], policies: list[str], grow: str, seeds: range,
-            progress: Callable[[str, float], None]) -> list[Point]:
+def measure(
+    experiment: Experiment,
+    sizes: list[int],
+    policies: list[str],
+    grow: str,
+    seeds: range,
+    progress: Callable[[str, float], None],
+) -> list[Point]:
     """All of them, the largest first, so that no core waits for it at the end."""
     cases = [(policy, size) for size in sorted(sizes, reverse=True) for policy in policies]
-    fleets = {(policy, size): structs.replace(it, sidecars=structs.replace(it.sidecars, policy=policy))
-              for policy, size in cases for it in [scaled(experiment, size, alone=grow == "sidecars")]}
+    fleets = {
+        (policy, size): structs.replace(it, sidecars=structs.replace(it.sidecars, policy=policy))
+        for policy, size in cases
+        for it in [scaled(experiment, size, alone=grow == "sidecars")]
+    }
     plays = [(case, seed) for case in cases for seed in seeds]
     found: dict[tuple[str, int], list[Play]] = {}
     with ProcessPoolExecutor() as pool:
-        for done, ((case, _), played) in enumerate(zip(plays, pool.map(
-                play, [fleets[case] for case, _ in plays], [seed for _, seed in plays]), strict=True)):
+        for done, ((case, _), played) in enumerate(
+            zip(plays, pool.map(play, [fleets[case] for case, _ in plays], [seed for _, seed in plays]), strict=True)
+        ):
             found.setdefault(case, []).append(played)
             progress(f"{case[0]}, {case[1]} sidecars", (done + 1) / len(plays))
     return [_point(policy, fleets[policy, size], found[policy, size]) for policy in policies for size in sorted(sizes)]
@@ -49,9 +64,15 @@
 
 def _point(policy: str, it: Experiment, plays: list[Play]) -> Point:
     sidecars = sum(it.sidecars.per_zone.values())
-    each = [p.result.figures | {
-        "retries": p.result.figures["attempts_per_request"] - 1, "decision_us": p.decision_us,
-        "list_calls_a_sidecar": p.result.figures["list_calls"] / sidecars} for p in plays]
+    each = [
+        p.result.figures
+        | {
+            "retries": p.result.figures["attempts_per_request"] - 1,
+            "decision_us": p.decision_us,
+            "list_calls_a_sidecar": p.result.figures["list_calls"] / sidecars,
+        }
+        for p in plays
+    ]
     means = {name: round(sum(f[name] for f in each) / len(each), 5) for name in (*PLOTS, "rules_broken")}
     return Point(policy, sidecars, sum(it.upstreams.per_zone.values()), it.load.requests_per_s, means)
 
@@ -59,11 +80,15 @@
 def table(points: list[Point]) -> str:
     """In Markdown, a row a point."""
     columns = list(PLOTS)
-    lines = [f"| policy | sidecars | upstreams | requests a second | {' | '.join(PLOTS.values())} | rules broken |",
-             f"| --- | ---: | ---: | ---: |{' ---: |' * (len(columns) + 1)}"]
-    lines += [f"| {p.policy} | {p.sidecars} | {p.upstreams} | {p.requests_per_s:g} | "
-              f"{' | '.join(f'{p.figures[name]:.4g}' for name in columns)} | {p.figures['rules_broken']:g} |"
-              for p in points]
+    lines = [
+        f"| policy | sidecars | upstreams | requests a second | {' | '.join(PLOTS.values())} | rules broken |",
+        f"| --- | ---: | ---: | ---: |{' ---: |' * (len(columns) + 1)}",
+    ]
+    lines += [
+        f"| {p.policy} | {p.sidecars} | {p.upstreams} | {p.requests_per_s:g} | "
+        f"{' | '.join(f'{p.figures[name]:.4g}' for name in columns)} | {p.figures['rules_broken']:g} |"
+        for p in points
+    ]
     return "\n".join(lines)
 
 
--- a/garnetusher/cli/explore.py
+++ b/garnetusher/cli/explore.py
@@ -34,15 +34,20 @@
         """What a person is told."""
         rules = Counter(find.broken.rule for find in self.finds)
         told = ", ".join(f"{count} broke {rule}" for rule, count in rules.items()) or "nothing broke"
-        lines = [f"{self.part}: {self.schedules} schedules of up to {self.steps} steps, seeds {self.seeds[0]} to "
-                 f"{self.seeds[1]}: {told}"]
+        lines = [
+            f"{self.part}: {self.schedules} schedules of up to {self.steps} steps, seeds {self.seeds[0]} to "
+            f"{self.seeds[1]}: {told}"
+        ]
         seen: set[str] = set()
         for find in self.finds:
             if find.broken.rule not in seen:
                 seen.add(find.broken.rule)
                 story = PARTS[self.part].tell(find.schedule)
-                lines += [f"seed {find.schedule.seed}, {len(find.schedule.steps)} steps of {find.drawn_steps}: "
-                          f"{find.broken.text}", *("  " + line for line in story[-STORY_LINES:])]
+                lines += [
+                    f"seed {find.schedule.seed}, {len(find.schedule.steps)} steps of {find.drawn_steps}: "
+                    f"{find.broken.text}",
+                    *("  " + line for line in story[-STORY_LINES:]),
+                ]
         return lines
 
 
@@ -53,10 +58,11 @@
 def search(part: str, seeds: range, steps: int) -> Iterator[Explored]:
     """Play all seeds, over all cores; yields the state after each chunk, in the order of the seeds."""
     state = Explored(part, [seeds[0], seeds[-1]], steps=steps)
-    chunks = [seeds[i:i + CHUNK] for i in range(0, len(seeds), CHUNK)]
+    chunks = [seeds[i : i + CHUNK] for i in range(0, len(seeds), CHUNK)]
     with ProcessPoolExecutor(min(len(chunks), os.cpu_count() or 1)) as pool:
-        for chunk, finds in zip(chunks, pool.map(_chunk, [part] * len(chunks), chunks, [steps] * len(chunks)),
-                                strict=True):
+        for chunk, finds in zip(
+            chunks, pool.map(_chunk, [part] * len(chunks), chunks, [steps] * len(chunks)), strict=True
+        ):
             state.schedules += len(chunk)
             state.finds.extend(finds)
             yield state
@@ -66,8 +72,9 @@
     """A file for the smallest find of each rule."""
     smallest: dict[str, Find] = {}
     for find in found.finds:
-        if find.broken.rule not in smallest or \
-                len(find.schedule.steps) < len(smallest[find.broken.rule].schedule.steps):
+        if find.broken.rule not in smallest or len(find.schedule.steps) < len(
+            smallest[find.broken.rule].schedule.steps
+        ):
             smallest[find.broken.rule] = find
     paths = []
     for rule, find in smallest.items():
--- a/garnetusher/cli/fidelity.py
+++ b/garnetusher/cli/fidelity.py
@@ -15,8 +15,17 @@
 
 CLOSE = 0.05  # of worth, between a play on real processes and one in virtual time
 WORTH = "served_worth.whole"
-FIGURES = (WORTH, "served_worth.during_fault", "served_worth.after", "crossings", "connections_per_request",
-           "attempts_per_request", "refused", "failed", "zone_leave_s.home")
+FIGURES = (
+    WORTH,
+    "served_worth.during_fault",
+    "served_worth.after",
+    "crossings",
+    "connections_per_request",
+    "attempts_per_request",
+    "refused",
+    "failed",
+    "zone_leave_s.home",
+)
 
 
 class Row(Struct):
@@ -63,11 +72,15 @@
 
 def table(rows: list[Row]) -> str:
     """In Markdown: real and virtual, a figure a column."""
-    lines = [f"| experiment | plays | {' | '.join(FIGURES)} | worth apart |",
-             f"| --- | ---: |{' ---: |' * (len(FIGURES) + 1)}"]
+    lines = [
+        f"| experiment | plays | {' | '.join(FIGURES)} | worth apart |",
+        f"| --- | ---: |{' ---: |' * (len(FIGURES) + 1)}",
+    ]
     for row in rows:
-        cells = [f"{row.real[name]:.4g} / {row.virtual[name]:.4g}" if name in row.real and name in row.virtual else "-"
-                 for name in FIGURES]
+        cells = [
+            f"{row.real[name]:.4g} / {row.virtual[name]:.4g}" if name in row.real and name in row.virtual else "-"
+            for name in FIGURES
+        ]
         apart = row.virtual[WORTH] - row.real[WORTH]
         mark = "" if row.close else " !"
         lines.append(f"| {row.name} | {len(row.seeds)} | {' | '.join(cells)} | {apart:+.4f}{mark} |")
--- a/garnetusher/cli/files.py
+++ b/garnetusher/cli/files.py
@@ -19,8 +19,10 @@
 
 
 @app.command(epilog="Example: garnetusher config check experiments/calm.toml")
-def check(file: Annotated[Path, typer.Argument(help="An experiment, in TOML.")],
-          json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False) -> None:
+def check(
+    file: Annotated[Path, typer.Argument(help="An experiment, in TOML.")],
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Say whether a file holds; if not, which key, where, and what was expected."""
     try:
         found = experiment.load(file)
@@ -31,5 +33,7 @@
     if json:
         cli.say_json({"file": str(file), "ok": True, "name": found.name})
     else:
-        cli.say(f"{file}: experiment {found.name}, {sum(found.upstreams.per_zone.values())} upstreams, "
-                f"{sum(found.sidecars.per_zone.values())} sidecars, {len(found.faults)} faults: good")
+        cli.say(
+            f"{file}: experiment {found.name}, {sum(found.upstreams.per_zone.values())} upstreams, "
+            f"{sum(found.sidecars.per_zone.values())} sidecars, {len(found.faults)} faults: good"
+        )
--- a/garnetusher/cli/plays.py
+++ b/garnetusher/cli/plays.py
@@ -28,8 +28,9 @@
     with without(list(off)):
         world = World(experiment, plan, time.thread_time_ns)
         lines = world.run()
-    found, _ = result.judge(experiment, plan, lines, world.clock.events,
-                            not_asked=sum(s.not_asked for s in world.sidecars.values()))
+    found, _ = result.judge(
+        experiment, plan, lines, world.clock.events, not_asked=sum(s.not_asked for s in world.sidecars.values())
+    )
     found.digest = world.clock.digest
     return Play(found, time.perf_counter() - began, world.decided_ns / 1000 / max(1.0, found.figures["requests"]))
 
--- a/garnetusher/cli/presence.py
+++ b/garnetusher/cli/presence.py
@@ -13,22 +13,38 @@
 from garnetusher.model.presence import Presence
 
 SIZES = (10, 100, 1000)
-COLUMNS = ("members", "loss", "starved", "seed", "joined_s", "bytes_a_second", "datagrams_a_second", "noticed_p50_s",
-           "noticed_p99_s", "noticed", "accused", "split_s", "healed_s", "cpu_us")
+COLUMNS = (
+    "members",
+    "loss",
+    "starved",
+    "seed",
+    "joined_s",
+    "bytes_a_second",
+    "datagrams_a_second",
+    "noticed_p50_s",
+    "noticed_p99_s",
+    "noticed",
+    "accused",
+    "split_s",
+    "healed_s",
+    "cpu_us",
+)
 
 
 def _play(size: int, loss: float, starved: float, seed: int) -> Presence:
     return presence.play(size, loss, int(starved * size), seed, time.thread_time_ns)
 
 
-def measure(sizes: list[int], loss: float, starved: float, seeds: range,
-            progress: Callable[[str, float], None]) -> list[Presence]:
+def measure(
+    sizes: list[int], loss: float, starved: float, seeds: range, progress: Callable[[str, float], None]
+) -> list[Presence]:
     """A play for each size and seed, the largest first."""
     cases = [(size, seed) for size in sorted(sizes, reverse=True) for seed in seeds]
     found = []
     with ProcessPoolExecutor() as pool:
-        for played in pool.map(_play, [size for size, _ in cases], [loss] * len(cases), [starved] * len(cases),
-                               [seed for _, seed in cases]):
+        for played in pool.map(
+            _play, [size for size, _ in cases], [loss] * len(cases), [starved] * len(cases), [seed for _, seed in cases]
+        ):
             found.append(played)
             progress(f"{played.members} members", len(found) / len(cases))
     return sorted(found, key=lambda p: (p.members, p.seed))
@@ -50,8 +66,12 @@
 
     figure, (times, costs) = plt.subplots(1, 2, figsize=(9.5, 3.4))
     sizes = [p.members for p in plays]
-    for name, label in (("noticed_p50_s", "a kill noticed, median"), ("noticed_p99_s", "99th"),
-                        ("joined_s", "joins of all at once"), ("healed_s", "views equal after a split")):
+    for name, label in (
+        ("noticed_p50_s", "a kill noticed, median"),
+        ("noticed_p99_s", "99th"),
+        ("joined_s", "joins of all at once"),
+        ("healed_s", "views equal after a split"),
+    ):
         times.plot(sizes, [getattr(p, name) for p in plays], "o", ms=4, label=label)
     costs.plot(sizes, [p.bytes_a_second for p in plays], "o", ms=4, color="#4c72b0")
     for axes, label in ((times, "seconds"), (costs, "bytes a second that a member sends")):
--- a/garnetusher/cli/trees.py
+++ b/garnetusher/cli/trees.py
@@ -22,7 +22,7 @@
     whole command is run.
     """
     place = next(i for i, word in enumerate(words) if word == "--tree" or word.startswith("--tree="))
-    rest = words[:place] + words[place + (2 if words[place] == "--tree" else 1):]
+    rest = words[:place] + words[place + (2 if words[place] == "--tree" else 1) :]
     tree = tree.resolve()
     if not (tree / POLICY).is_dir() and (tree / "garnetusher" / "__main__.py").is_file():
         return _run([tree], rest)
--- a/garnetusher/cli/virtual.py
+++ b/garnetusher/cli/virtual.py
@@ -28,12 +28,35 @@
 
 app = typer.Typer(no_args_is_help=True, help="The same experiments in virtual time, with the real decisions.")
 
-COLUMNS = ("served_worth.whole", "served_worth.during_fault", "served_worth.after", "crossings", "refused",
-           "attempts_per_request", "zone_leave_s", "zone_leave_s.home", "zones_left", "zone_return_s",
-           "back_to_098_s", "second_dip", "false_leaves", "rules_broken")
+COLUMNS = (
+    "served_worth.whole",
+    "served_worth.during_fault",
+    "served_worth.after",
+    "crossings",
+    "refused",
+    "attempts_per_request",
+    "zone_leave_s",
+    "zone_leave_s.home",
+    "zones_left",
+    "zone_return_s",
+    "back_to_098_s",
+    "second_dip",
+    "false_leaves",
+    "rules_broken",
+)
 
-COMPARED = ("served_worth.whole", "served_worth.during_fault", "served_worth.after", "crossings", "refused", "failed",
-            "attempts_per_request", "connections_per_request", "work_unserved", "rules_broken")
+COMPARED = (
+    "served_worth.whole",
+    "served_worth.during_fault",
+    "served_worth.after",
+    "crossings",
+    "refused",
+    "failed",
+    "attempts_per_request",
+    "connections_per_request",
+    "work_unserved",
+    "rules_broken",
+)
 
 
 @app.callback()
@@ -42,14 +65,18 @@
 
 
 @app.command(epilog="Example: garnetusher model run experiments/zone-silent.toml --sidecars 100 --seeds 1:8")
-def run(file: Annotated[Path, typer.Argument(help="The experiment, in TOML.")],
-        seed: Annotated[int | None, typer.Option(min=0, help="Of all random draws; else the file's.")] = None,
-        seeds: Annotated[str | None, typer.Option(help="Several plays, A:B, spread over the cores.")] = None,
-        sidecars: Annotated[int | None, typer.Option(min=1, help="So many, with all else in proportion.")] = None,
-        off: Annotated[list[str] | None, typer.Option(
-            "--without", help=f"A part of the decisions to do without: {', '.join(ABLATIONS)}.")] = None,
-        tree: Annotated[Path | None, typer.Option(help="A checkout whose decisions are played; else these.")] = None,
-        json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False) -> None:
+def run(
+    file: Annotated[Path, typer.Argument(help="The experiment, in TOML.")],
+    seed: Annotated[int | None, typer.Option(min=0, help="Of all random draws; else the file's.")] = None,
+    seeds: Annotated[str | None, typer.Option(help="Several plays, A:B, spread over the cores.")] = None,
+    sidecars: Annotated[int | None, typer.Option(min=1, help="So many, with all else in proportion.")] = None,
+    off: Annotated[
+        list[str] | None,
+        typer.Option("--without", help=f"A part of the decisions to do without: {', '.join(ABLATIONS)}."),
+    ] = None,
+    tree: Annotated[Path | None, typer.Option(help="A checkout whose decisions are played; else these.")] = None,
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Play an experiment in virtual time; print its figures against their bounds."""
     if tree is not None:
         raise typer.Exit(trees.call(tree, sys.argv[1:]))
@@ -67,8 +94,10 @@
         experiment = experiments.scaled(experiment, sidecars)
     found = []
     try:
-        with cli.progress(f"{experiment.name} in virtual time") as progress, \
-                ProcessPoolExecutor(min(len(numbers), os.cpu_count() or 1)) as pool:
+        with (
+            cli.progress(f"{experiment.name} in virtual time") as progress,
+            ProcessPoolExecutor(min(len(numbers), os.cpu_count() or 1)) as pool,
+        ):
             for played in pool.map(play, [experiment] * len(numbers), numbers, [off or []] * len(numbers)):
                 found.append((played.result, played.took_s))
                 progress("playing", len(found) / len(numbers))
@@ -91,10 +120,11 @@
 
 
 @app.command(epilog="Example: garnetusher model baselines experiments/crash.toml --seeds 1:8")
-def baselines(file: Annotated[Path, typer.Argument(help="The experiment, in TOML.")],
-              seeds: Annotated[str, typer.Option(help="Plays of each policy, A:B.")] = "1:8",
-              json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False
-              ) -> None:
+def baselines(
+    file: Annotated[Path, typer.Argument(help="The experiment, in TOML.")],
+    seeds: Annotated[str, typer.Option(help="Plays of each policy, A:B.")] = "1:8",
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Lay the product's policy beside plain ones on the same draws: means, a row each."""
     try:
         experiment, numbers = experiments.load(file), span(seeds)
@@ -108,8 +138,11 @@
             progress(name, len(rows) / len(policies.NAMES))
             it = structs.replace(experiment, sidecars=structs.replace(experiment.sidecars, policy=name))
             found = [p.result.figures for p in pool.map(play, [it] * len(numbers), numbers)]
-            rows[name] = {key: round(sum(f[key] for f in found if key in f) / sum(key in f for f in found), 4)
-                          for key in COMPARED if any(key in f for f in found)}
+            rows[name] = {
+                key: round(sum(f[key] for f in found if key in f) / sum(key in f for f in found), 4)
+                for key in COMPARED
+                if any(key in f for f in found)
+            }
     if json:
         cli.say_json({"name": experiment.name, "seeds": list(numbers), "policies": rows})
         return
@@ -119,8 +152,10 @@
 
 
 @app.command(epilog="Example: garnetusher model cost --upstreams 10 --upstreams 10000")
-def cost(upstreams: Annotated[list[int] | None, typer.Option(min=1, help="A length of the list.")] = None,
-         json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False) -> None:
+def cost(
+    upstreams: Annotated[list[int] | None, typer.Option(min=1, help="A length of the list.")] = None,
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Measure what one request's decisions cost this machine, by the length of the list, warm and all cold."""
     cases = [(count, cold) for cold in (False, True) for count in upstreams or (10, 100, 1000, 10_000)]
     found: list[costs.Cost] = []
@@ -135,12 +170,13 @@
 
 
 @app.command(epilog="Example: garnetusher model explore module --seeds 1:20000")
-def explore(part: Annotated[str, typer.Argument(help=f"What to explore: {', '.join(explorer.PARTS)}.")],
-            seeds: Annotated[str, typer.Option(help="A schedule each, A:B.")] = "1:2000",
-            steps: Annotated[int, typer.Option(min=4, help="In a schedule, at the most.")] = 120,
-            out: Annotated[Path, typer.Option(help="Where what breaks is kept.")] = Path("found"),
-            json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False
-            ) -> None:
+def explore(
+    part: Annotated[str, typer.Argument(help=f"What to explore: {', '.join(explorer.PARTS)}.")],
+    seeds: Annotated[str, typer.Option(help="A schedule each, A:B.")] = "1:2000",
+    steps: Annotated[int, typer.Option(min=4, help="In a schedule, at the most.")] = 120,
+    out: Annotated[Path, typer.Option(help="Where what breaks is kept.")] = Path("found"),
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Play seeded schedules of events against a core; shrink and keep those that break a rule."""
     if part not in explorer.PARTS:
         cli.fail(f"{part}: expected one of {', '.join(explorer.PARTS)}")
@@ -176,14 +212,17 @@
 
 
 @app.command(epilog="Example: garnetusher model curve experiments/fleet.toml --sidecars 10 --sidecars 1000")
-def curve(file: Annotated[Path, typer.Argument(help="The experiment, in TOML.")],
-          sidecars: Annotated[list[int] | None, typer.Option(min=1, help="A size of the fleet.")] = None,
-          policy: Annotated[list[str] | None, typer.Option(help=f"One of {', '.join(policies.NAMES)}.")] = None,
-          grow: Annotated[str, typer.Option(help="What grows: `fleet` with upstreams and load, or `sidecars` alone."
-                                            )] = "fleet",
-          seeds: Annotated[str, typer.Option(help="Plays of each, A:B.")] = "1:2",
-          out: Annotated[Path, typer.Option(help="Where plots and figures go.")] = Path("found/curve"),
-          json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False) -> None:
+def curve(
+    file: Annotated[Path, typer.Argument(help="The experiment, in TOML.")],
+    sidecars: Annotated[list[int] | None, typer.Option(min=1, help="A size of the fleet.")] = None,
+    policy: Annotated[list[str] | None, typer.Option(help=f"One of {', '.join(policies.NAMES)}.")] = None,
+    grow: Annotated[
+        str, typer.Option(help="What grows: `fleet` with upstreams and load, or `sidecars` alone.")
+    ] = "fleet",
+    seeds: Annotated[str, typer.Option(help="Plays of each, A:B.")] = "1:2",
+    out: Annotated[Path, typer.Option(help="Where plots and figures go.")] = Path("found/curve"),
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Play a fleet of growing size; a table, and a plot for each of worth, retries, crossings and other costs."""
     try:
         experiment, numbers = experiments.load(file), span(seeds)
@@ -201,20 +240,28 @@
         points = growing.measure(experiment, sizes, policy or [policies.OWN], grow, numbers, progress)
     paths = growing.draw(experiment.name, grow, points, out)
     if json:
-        cli.say_json({"name": experiment.name, "grow": grow, "seeds": list(numbers), "points": points,
-                      "plots": [str(path) for path in paths]})
+        cli.say_json(
+            {
+                "name": experiment.name,
+                "grow": grow,
+                "seeds": list(numbers),
+                "points": points,
+                "plots": [str(path) for path in paths],
+            }
+        )
     else:
         cli.say("\n".join([growing.table(points), "", *(f"plot: {path}" for path in paths)]))
 
 
 @app.command(epilog="Example: garnetusher model members --size 10 --size 1000 --loss 0.1 --starved 0.1")
-def members(size: Annotated[list[int] | None, typer.Option(min=2, help="Members of a fleet.")] = None,
-            loss: Annotated[float, typer.Option(min=0, max=1, help="Part of the datagrams that are lost.")] = 0.0,
-            starved: Annotated[float, typer.Option(min=0, max=1, help="Part whose turns come 0.3 s late.")] = 0.0,
-            seeds: Annotated[str, typer.Option(help="Plays of each, A:B.")] = "1:2",
-            out: Annotated[Path, typer.Option(help="Where the plot goes.")] = Path("found/members.svg"),
-            json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False
-            ) -> None:
+def members(
+    size: Annotated[list[int] | None, typer.Option(min=2, help="Members of a fleet.")] = None,
+    loss: Annotated[float, typer.Option(min=0, max=1, help="Part of the datagrams that are lost.")] = 0.0,
+    starved: Annotated[float, typer.Option(min=0, max=1, help="Part whose turns come 0.3 s late.")] = 0.0,
+    seeds: Annotated[str, typer.Option(help="Plays of each, A:B.")] = "1:2",
+    out: Annotated[Path, typer.Option(help="Where the plot goes.")] = Path("found/members.svg"),
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Membership by the size of the fleet: joins, a kill, a split that heals, and what it costs in calm."""
     try:
         numbers = span(seeds)
@@ -231,11 +278,12 @@
 
 
 @app.command(epilog="Example: garnetusher model fidelity found/calm-1 found/crash-1")
-def fidelity(folders: Annotated[list[Path], typer.Argument(help="Folders that `lab run` has filled.")],
-             library: Annotated[Path, typer.Option(help="Where the experiments' files are.")] = Path("experiments"),
-             tree: Annotated[Path | None, typer.Option(help="A checkout whose decisions are played.")] = None,
-             json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False
-             ) -> None:
+def fidelity(
+    folders: Annotated[list[Path], typer.Argument(help="Folders that `lab run` has filled.")],
+    library: Annotated[Path, typer.Option(help="Where the experiments' files are.")] = Path("experiments"),
+    tree: Annotated[Path | None, typer.Option(help="A checkout whose decisions are played.")] = None,
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Lay plays of the lab beside the same experiments and seeds in virtual time: means by experiment."""
     if tree is not None:
         raise typer.Exit(trees.call(tree, sys.argv[1:]))
--- a/garnetusher/cli/zones.py
+++ b/garnetusher/cli/zones.py
@@ -36,8 +36,11 @@
 
 
 @app.callback(invoke_without_command=True, epilog="Example: garnetusher zones --at 127.0.0.1:9100")
-def zones(context: typer.Context, at: At = "",
-          json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False) -> None:
+def zones(
+    context: typer.Context,
+    at: At = "",
+    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
+) -> None:
     """Each zone's state, since when, and why."""
     if context.invoked_subcommand is not None:
         return
@@ -49,8 +52,10 @@
         cli.say_json(found)
         return
     for zone in found:
-        cli.say(f"{zone['zone']:<16} {zone['state']:<10} by {zone['by']:<9} for {zone['for_s']:>8.1f} s, "
-                f"{zone['upstreams']} upstreams: {zone['why']}")
+        cli.say(
+            f"{zone['zone']:<16} {zone['state']:<10} by {zone['by']:<9} for {zone['for_s']:>8.1f} s, "
+            f"{zone['upstreams']} upstreams: {zone['why']}"
+        )
 
 
 def order(at: str, what: str, name: str) -> None:
--- a/garnetusher/config.py
+++ b/garnetusher/config.py
@@ -38,8 +38,9 @@
     except OSError as error:
         raise FileError(path, "", f"can't be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise FileError(path, "", f"expected text in UTF-8, found byte {error.object[error.start]:#04x} "
-                                  f"at position {error.start}") from None
+        raise FileError(
+            path, "", f"expected text in UTF-8, found byte {error.object[error.start]:#04x} at position {error.start}"
+        ) from None
     return parse(text, model, path)
 
 
--- a/garnetusher/lab/clients.py
+++ b/garnetusher/lab/clients.py
@@ -105,8 +105,9 @@
 class Application:
     """The client process of one sidecar."""
 
-    def __init__(self, clock: Clockwork, experiment: Experiment, plan: Plan, sidecar: SidecarPlan,
-                 address: tuple[str, int]) -> None:
+    def __init__(
+        self, clock: Clockwork, experiment: Experiment, plan: Plan, sidecar: SidecarPlan, address: tuple[str, int]
+    ) -> None:
         self.clock, self.experiment, self.sidecar, self.address = clock, experiment, sidecar, address
         self.client = Client(experiment, plan.seed, sidecar.name)
         self.source: Iterator[tuple[int, int, int]] = iter(arrivals(experiment, plan, sidecar))
@@ -158,8 +159,9 @@
             async with asyncio.timeout(wait_us / 1e6):
                 _, line = await self.clock.loop.create_connection(lambda: Line(self), *self.address)
         except OSError:
-            self.clock.write(Unreached(self.clock.now_us(), it.ident, it.request, self.sidecar.name, it.cls, it.tenant,
-                                       it.first_us))
+            self.clock.write(
+                Unreached(self.clock.now_us(), it.ident, it.request, self.sidecar.name, it.cls, it.tenant, it.first_us)
+            )
             self._again(it, True, 0)
             return
         self._ask(line, it, wait_us)
@@ -172,13 +174,18 @@
         safe = kind.effect == "idempotent"
         tenant = f"X-Tenant: {self.experiment.tenants[it.tenant].name}\r\n" if self.experiment.tenants else ""
         again = "X-Retry: 1\r\n" if it.number and self.experiment.clients.marks else ""
-        head = (f"{'GET' if safe else 'POST'} /{kind.name}/it HTTP/1.1\r\nHost: api.internal\r\n"
-                f"X-Request-Id: {it.ident}\r\nX-Class: {kind.name}\r\n{tenant}X-Deadline-Ms: {wait_ms}\r\n"
-                + again + ("" if safe else "Content-Length: 2\r\n") + "\r\n"
-                + ("" if safe else "{}"))
+        head = (
+            f"{'GET' if safe else 'POST'} /{kind.name}/it HTTP/1.1\r\nHost: api.internal\r\n"
+            f"X-Request-Id: {it.ident}\r\nX-Class: {kind.name}\r\n{tenant}X-Deadline-Ms: {wait_ms}\r\n"
+            + again
+            + ("" if safe else "Content-Length: 2\r\n")
+            + "\r\n"
+            + ("" if safe else "{}")
+        )
         line.carry(it, head.encode())
-        self.clock.write(Asked(now, it.ident, it.request, self.sidecar.name, it.cls, it.tenant, it.first_us,
-                               it.until_us))
+        self.clock.write(
+            Asked(now, it.ident, it.request, self.sidecar.name, it.cls, it.tenant, it.first_us, it.until_us)
+        )
         self.clock.at(it.until_us, self._time_out, line, it)
         leaves_us = self.client.leaves_after_us(wait_us)
         if leaves_us is not None:
--- a/garnetusher/lab/datagrams.py
+++ b/garnetusher/lab/datagrams.py
@@ -8,6 +8,7 @@
 
 import asyncio
 import contextlib
+import functools
 import random
 from typing import cast
 
@@ -40,14 +41,16 @@
         self.clock, self.members = clock, members
         self._sides: dict[tuple[str, str], _Side] = {}
         self.weather = {(a, b): Weather() for a in members for b in members if a != b}
-        self._links = {pair: DatagramLink(weather, random.Random(int(draw.uniform(seed, *pair) * 2**53)))
-                       for pair, weather in self.weather.items()}
+        self._links = {
+            pair: DatagramLink(weather, random.Random(int(draw.uniform(seed, *pair) * 2**53)))
+            for pair, weather in self.weather.items()
+        }
         self.passed = self.lost = 0
 
     async def open(self, host: str) -> None:
         for near, far in self.weather:
-            _, side = await self.clock.loop.create_datagram_endpoint(
-                lambda near=near, far=far: _Side(self, near, far), local_addr=(host, 0))  # type: ignore[misc]
+            make_side = functools.partial(_Side, self, near, far)
+            _, side = await self.clock.loop.create_datagram_endpoint(make_side, local_addr=(host, 0))
             self._sides[near, far] = side
 
     def as_seen_by(self, near: str, far: str) -> Address:
--- a/garnetusher/lab/directory.py
+++ b/garnetusher/lab/directory.py
@@ -25,8 +25,16 @@
 
 def entry(uid: str, zone: str, endpoint: str, state: str, boot_ms: int) -> dict[str, Any]:
     """One upstream in the protocol's form."""
-    return {"uid": uid, "endpoint": endpoint, "az": zone, "model": "nodo-estandar", "pod_group": 0, "state": state,
-            "capacity_hint": 1.0, "boot_ms": boot_ms}
+    return {
+        "uid": uid,
+        "endpoint": endpoint,
+        "az": zone,
+        "model": "nodo-estandar",
+        "pod_group": 0,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": boot_ms,
+    }
 
 
 class Caller:
@@ -66,15 +74,15 @@
 class ListService:
     """The upstreams, as they are listed, and who watches."""
 
-    def __init__(self, clock: Clockwork, plan: Plan, addresses: dict[str, dict[str, str]],
-                 figures: Directory) -> None:
+    def __init__(self, clock: Clockwork, plan: Plan, addresses: dict[str, dict[str, str]], figures: Directory) -> None:
         self.clock, self.plan, self.addresses, self.figures = clock, plan, addresses, figures
         self.spread_us = round(figures.spread_ms * 1000)
         self.free_us = 0  # when the calls that wait will have been answered
         self.unix_zero_ms = 0  # what the calendar says when the play starts
         self.rev = 1
         self.now: dict[str, ListStep] = {
-            u.uid: ListStep(0, u.uid, u.zone, "active") for u in plan.upstreams if u.from_us == 0}
+            u.uid: ListStep(0, u.uid, u.zone, "active") for u in plan.upstreams if u.from_us == 0
+        }
         self.changes: list[tuple[int, ListStep]] = []
         self.watchers: dict[Caller, int] = {}  # with the version that each has
         self.listeners: dict[str, linked.Listener] = {}
@@ -115,8 +123,10 @@
         self.clock.write(Listed(self.clock.now_us(), caller.sidecar, "watch" if following else "whole"))
         if not following:
             body = json.dumps(self._whole(caller.sidecar)).encode()
-            caller.connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body),
-                                    lambda: self.told(caller.sidecar, list(self.now.values())))
+            caller.connection.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body),
+                lambda: self.told(caller.sidecar, list(self.now.values())),
+            )
             return
         since = int(query.get("since", ["0"])[0])
         caller.connection.write(WATCH)
--- a/garnetusher/lab/linked.py
+++ b/garnetusher/lab/linked.py
@@ -122,8 +122,12 @@
                 self.transport.write(data)
                 if note is not None:
                     note()
-        if self.closed and self.transport is not None and not self.outbound.waiting \
-                and not self.listener.to_sidecar.cut:
+        if (
+            self.closed
+            and self.transport is not None
+            and not self.outbound.waiting
+            and not self.listener.to_sidecar.cut
+        ):
             self.transport.close()
         if self._gone and not self._told and not self.inbound.waiting and not self.listener.to_party.cut:
             self._told = True
@@ -143,8 +147,9 @@
 class Listener:
     """The listening socket of one pair, with the weather of its link both ways."""
 
-    def __init__(self, clock: Clockwork, host: str, peer: Callable[[Connection], Peer], seed: int,
-                 usual: Weather | None = None) -> None:
+    def __init__(
+        self, clock: Clockwork, host: str, peer: Callable[[Connection], Peer], seed: int, usual: Weather | None = None
+    ) -> None:
         self.clock, self.peer, self.rng = clock, peer, random.Random(seed)
         self.to_party, self.to_sidecar = (replace(usual or Weather()) for _ in range(2))
         self.connections: set[Connection] = set()
@@ -226,7 +231,8 @@
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             task: asyncio.Task[object] = self.clock.loop.create_task(
-                self.clock.loop.connect_accepted_socket(lambda: Connection(self), sock))
+                self.clock.loop.connect_accepted_socket(lambda: Connection(self), sock)
+            )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
--- a/garnetusher/lab/play.py
+++ b/garnetusher/lab/play.py
@@ -63,9 +63,16 @@
     async def start(self) -> Ready:
         with self.log_path.open("wb") as errors:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "garnetusher.lab.worker", stdin=asyncio.subprocess.PIPE,
-                stdout=asyncio.subprocess.PIPE, stderr=errors, limit=LONGEST_LINE, preexec_fn=die_with_parent,
-                start_new_session=True)
+                sys.executable,
+                "-m",
+                "garnetusher.lab.worker",
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=errors,
+                limit=LONGEST_LINE,
+                preexec_fn=die_with_parent,
+                start_new_session=True,
+            )
         await self.tell(self.job)
         return await self.hear(Ready)
 
@@ -83,7 +90,7 @@
             line = b""
         if not line:
             status = self.process.returncode
-            last = self.log_path.read_text(errors="replace").splitlines()[-sidecars.LAST_LINES:]
+            last = self.log_path.read_text(errors="replace").splitlines()[-sidecars.LAST_LINES :]
             log.error("lab.worker.died", worker=self.job.name, status=status, last_lines=last)
             raise LabError(f"the lab's own {self.job.name} ended early; its last lines:\n  " + "\n  ".join(last))
         return msgspec.json.decode(line, type=kind)
@@ -127,6 +134,7 @@
     def cancel() -> None:
         if task is not None:
             task.cancel()
+
     return cancel
 
 
@@ -154,8 +162,14 @@
         for worker in self.workers:
             await worker.tell(begin)
         self.fleet.begin()
-        log.info("lab.play.begins", experiment=self.experiment.name, seed=self.plan.seed, out=str(self.out),
-                 sidecars=len(self.plan.sidecars), upstreams=len(self.plan.upstreams))
+        log.info(
+            "lab.play.begins",
+            experiment=self.experiment.name,
+            seed=self.plan.seed,
+            out=str(self.out),
+            sidecars=len(self.plan.sidecars),
+            upstreams=len(self.plan.upstreams),
+        )
         await self._wait()
         return await self._end()
 
@@ -167,20 +181,32 @@
         self.cores = _Cores(len(serving) + len(asking))
         os.sched_setaffinity(0, self.cores.of(0))
         hosts = {uid: self._host(1, number) for number, uid in enumerate(uids)}
-        upstreams = [self._worker("upstreams", f"upstreams-{i}", part, 1 + i, hosts=hosts)
-                     for i, part in enumerate(serving)]
+        upstreams = [
+            self._worker("upstreams", f"upstreams-{i}", part, 1 + i, hosts=hosts) for i, part in enumerate(serving)
+        ]
         endpoints: dict[str, dict[str, str]] = {}
         for ready in await asyncio.gather(*(w.start() for w in upstreams)):
             endpoints |= ready.endpoints
         lists = self._worker(DIRECTORY, DIRECTORY, [], 0, endpoints=endpoints, hosts={DIRECTORY: self._host(0, 0)})
         calls = (await lists.start()).endpoints[DIRECTORY]
-        self.fleet = Fleet(e, plan, self.tree, self.out, self.cores.sidecars, endpoints, calls,
-                           {name: self._host(200, number) for number, name in enumerate(names)},
-                           self.journal.write, self.now_us)
+        self.fleet = Fleet(
+            e,
+            plan,
+            self.tree,
+            self.out,
+            self.cores.sidecars,
+            endpoints,
+            calls,
+            {name: self._host(200, number) for number, name in enumerate(names)},
+            self.journal.write,
+            self.now_us,
+        )
         await self.fleet.start()
         addresses = {name: s.address for name, s in self.fleet.sidecars.items()}
-        clients = [self._worker("clients", f"clients-{i}", part, 1 + len(serving) + i, addresses=addresses)
-                   for i, part in enumerate(asking)]
+        clients = [
+            self._worker("clients", f"clients-{i}", part, 1 + len(serving) + i, addresses=addresses)
+            for i, part in enumerate(asking)
+        ]
         await asyncio.gather(*(w.start() for w in clients))
 
     def _host(self, kind: int, number: int) -> str:
@@ -188,9 +214,19 @@
         return f"127.{self.network}.{kind + number // 250}.{1 + number % 250}"
 
     def _worker(self, role: str, name: str, members: list[str], number: int, **more: object) -> _WorkerProcess:
-        job = msgspec.convert({"role": role, "name": name, "members": members, "cores": self.cores.of(number),
-                               "journal": str(self.out / "parts" / f"{name}.jsonl"), "plan": self.plan,
-                               "experiment": self.experiment, **more}, Job)
+        job = msgspec.convert(
+            {
+                "role": role,
+                "name": name,
+                "members": members,
+                "cores": self.cores.of(number),
+                "journal": str(self.out / "parts" / f"{name}.jsonl"),
+                "plan": self.plan,
+                "experiment": self.experiment,
+                **more,
+            },
+            Job,
+        )
         worker = _WorkerProcess(job, self.out / "logs" / f"lab-{name}.log")
         self.workers.append(worker)
         return worker
@@ -220,8 +256,9 @@
                     times, memory = meter.cpu_times(), meter.memory_info().rss
             except psutil.Error:
                 continue
-            self.journal.write(Usage(self.now_us(), name, round(times.user + times.system, 3),
-                                     round(memory / 2**20, 1)))
+            self.journal.write(
+                Usage(self.now_us(), name, round(times.user + times.system, 3), round(memory / 2**20, 1))
+            )
 
     async def _end(self) -> Played:
         closings = {}
@@ -238,9 +275,15 @@
         events, late = (sum(getattr(c, name) for c in closings.values()) for name in ("events", "late"))
         if late:
             log.warning("lab.late", worker="all", events=events, late=late)
-        return Played(self.plan, whole, events, late, sum(c.not_asked for c in closings.values()),
-                      {"lab": self.cores.lab, "sidecars": self.cores.sidecars},
-                      {name: round(c.cpu_s, 2) for name, c in closings.items()})
+        return Played(
+            self.plan,
+            whole,
+            events,
+            late,
+            sum(c.not_asked for c in closings.values()),
+            {"lab": self.cores.lab, "sidecars": self.cores.sidecars},
+            {name: round(c.cpu_s, 2) for name, c in closings.items()},
+        )
 
     async def clean(self) -> None:
         """End whatever still runs; told again it does nothing."""
--- a/garnetusher/lab/report.py
+++ b/garnetusher/lab/report.py
@@ -21,28 +21,67 @@
 
 SHOWN_BREACHES = 20  # with their event lines; result.json has all
 SHOWN_LINES = 30  # of one breach
-COLOURS = {"up": "#4c9a5b", "cold": "#7fb3d5", "leaving": "#c9b458", "hung": "#8e44ad", "slow": "#e67e22",
-           "silent": "#555555", "refusing": "#d98880", "down": "#c0392b", "stopped": "#8e44ad", "stopping": "#c9b458",
-           "erring": "#e67e22"}
+COLOURS = {
+    "up": "#4c9a5b",
+    "cold": "#7fb3d5",
+    "leaving": "#c9b458",
+    "hung": "#8e44ad",
+    "slow": "#e67e22",
+    "silent": "#555555",
+    "refusing": "#d98880",
+    "down": "#c0392b",
+    "stopped": "#8e44ad",
+    "stopping": "#c9b458",
+    "erring": "#e67e22",
+}
 FAULT = "#f5d6d0"
-AFTER = {"die": "down", "vanish": "down", "hang": "hung", "resume": "up", "refuse": "refusing", "accept": "up",
-         "fell_over": "down", "boot": "cold", "spawned": "up", "ready": "up", "killed": "down", "died": "down",
-         "term": "stopping", "ended": "down", "stopped": "stopped", "continued": "up"}
+AFTER = {
+    "die": "down",
+    "vanish": "down",
+    "hang": "hung",
+    "resume": "up",
+    "refuse": "refusing",
+    "accept": "up",
+    "fell_over": "down",
+    "boot": "cold",
+    "spawned": "up",
+    "ready": "up",
+    "killed": "down",
+    "died": "down",
+    "term": "stopping",
+    "ended": "down",
+    "stopped": "stopped",
+    "continued": "up",
+}
 
 
 def write(experiment: Experiment, played: Played, result: Result, requests: list[figures.Request], path: Path) -> None:
     """The whole report of a play."""
     told = figures.story(experiment, played.plan, requests)
-    template = jinja2.Environment(loader=jinja2.PackageLoader("garnetusher.lab", "."), autoescape=True,
-                                  trim_blocks=True, lstrip_blocks=True).get_template("report.html")
-    path.write_text(template.render(
-        experiment=experiment, result=result, spans=played.plan.spans, shown=result.broken[:SHOWN_BREACHES],
-        lines=SHOWN_LINES, figures=sorted(result.figures.items()),
-        worth=_over_time(played, told, [("served worth", told.worth)]),
-        latency=_over_time(played, told, [
-            ("median, ms", {z: [p[0] for p in told.latency_ms[z]] for z in told.zones}),
-            ("99th, ms", {z: [p[1] for p in told.latency_ms[z]] for z in told.zones})]),
-        states=_states(experiment, played)), encoding="utf-8")
+    template = jinja2.Environment(
+        loader=jinja2.PackageLoader("garnetusher.lab", "."), autoescape=True, trim_blocks=True, lstrip_blocks=True
+    ).get_template("report.html")
+    path.write_text(
+        template.render(
+            experiment=experiment,
+            result=result,
+            spans=played.plan.spans,
+            shown=result.broken[:SHOWN_BREACHES],
+            lines=SHOWN_LINES,
+            figures=sorted(result.figures.items()),
+            worth=_over_time(played, told, [("served worth", told.worth)]),
+            latency=_over_time(
+                played,
+                told,
+                [
+                    ("median, ms", {z: [p[0] for p in told.latency_ms[z]] for z in told.zones}),
+                    ("99th, ms", {z: [p[1] for p in told.latency_ms[z]] for z in told.zones}),
+                ],
+            ),
+            states=_states(experiment, played),
+        ),
+        encoding="utf-8",
+    )
 
 
 def _svg(figure: Any) -> Markup:
@@ -50,7 +89,7 @@
     figure.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
     plt.close(figure)
     text = out.getvalue()
-    return Markup(text[text.index("<svg"):])
+    return Markup(text[text.index("<svg") :])
 
 
 def _shade(axes: Any, played: Played) -> None:
@@ -92,8 +131,15 @@
     axes.set_yticks(range(len(rows)), [name for name, _ in rows], fontsize=6)
     axes.invert_yaxis()
     axes.set_xlim(0, played.plan.seconds)
-    axes.legend([bar[0] for bar in seen.values()], list(seen), loc="lower center", bbox_to_anchor=(0.5, 1.0),
-                ncols=8, fontsize=8, frameon=False)
+    axes.legend(
+        [bar[0] for bar in seen.values()],
+        list(seen),
+        loc="lower center",
+        bbox_to_anchor=(0.5, 1.0),
+        ncols=8,
+        fontsize=8,
+        frameon=False,
+    )
     return _svg(figure)
 
 
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -59,8 +59,16 @@
     command = str(deploy_file(tree)["build"])
     if membership:
         command += "; .venv/bin/pip install -q --disable-pip-version-check -r requirements-fleet.txt"
-    done = subprocess.run(["/bin/sh", "-c", command], cwd=tree, capture_output=True, text=True,
-                          stdin=subprocess.DEVNULL, check=False, timeout=1200, env=_plain())
+    done = subprocess.run(
+        ["/bin/sh", "-c", command],
+        cwd=tree,
+        capture_output=True,
+        text=True,
+        stdin=subprocess.DEVNULL,
+        check=False,
+        timeout=1200,
+        env=_plain(),
+    )
     if done.returncode != 0:
         raise LabError(f"{tree}: its build ended with {done.returncode}: {done.stderr.strip()[-500:]}")
 
@@ -80,23 +88,60 @@
     """The settings of one sidecar, by the names of the protocol's page; times in microseconds."""
     u, s, zones = experiment.upstreams, experiment.sidecars, experiment.topology.zones
     return {
-        "accounts": [{"name": t.name, "share": t.share, "allowance-per-s": t.share * experiment.load.requests_per_s}
-                     for t in experiment.tenants],
-        "areas": zones, "locality": zones.index(sidecar.zone), "kinds": ["nodo-estandar"], "family": "mesh",
-        "bounds": {"cancel": True, "conn-idle": int(u.idle_s * 1e6), "dial-timeout": 200_000, "max-open": 20_000,
-                   "max-retry-after": 2_000_000, "most-tries": s.max_attempts, "multiplex": 1, "peers": False,
-                   "probes": True, "retry-after": True, "second-copies": s.second_copies},
-        "client-habits": {"marks-retry": experiment.clients.marks}, "fees": {"cross-zone": 0.022}, "granularity": 1000,
-        "instances": s.told or len(plan.sidecars), "self-index": plan.sidecars.index(sidecar),
-        "invariants": {"answer-slack": 20_000, "ask-within": 10_000_000, "cold-share": min(0.13, u.cold_share),
-                       "drain-grace": 1_000_000, "fall": int(u.fall_s * 1e6), "overload-factor": u.overload_factor,
-                       "warm-up": int(u.warm_up_s * 1e6)},
-        "over-share-worth": experiment.over_share_worth, "registry-mode": experiment.directory.mode,
-        "report": {"how": "none", "names": []}, "value-by": "request", "weights": "rough",
+        "accounts": [
+            {"name": t.name, "share": t.share, "allowance-per-s": t.share * experiment.load.requests_per_s}
+            for t in experiment.tenants
+        ],
+        "areas": zones,
+        "locality": zones.index(sidecar.zone),
+        "kinds": ["nodo-estandar"],
+        "family": "mesh",
+        "bounds": {
+            "cancel": True,
+            "conn-idle": int(u.idle_s * 1e6),
+            "dial-timeout": 200_000,
+            "max-open": 20_000,
+            "max-retry-after": 2_000_000,
+            "most-tries": s.max_attempts,
+            "multiplex": 1,
+            "peers": False,
+            "probes": True,
+            "retry-after": True,
+            "second-copies": s.second_copies,
+        },
+        "client-habits": {"marks-retry": experiment.clients.marks},
+        "fees": {"cross-zone": 0.022},
+        "granularity": 1000,
+        "instances": s.told or len(plan.sidecars),
+        "self-index": plan.sidecars.index(sidecar),
+        "invariants": {
+            "answer-slack": 20_000,
+            "ask-within": 10_000_000,
+            "cold-share": min(0.13, u.cold_share),
+            "drain-grace": 1_000_000,
+            "fall": int(u.fall_s * 1e6),
+            "overload-factor": u.overload_factor,
+            "warm-up": int(u.warm_up_s * 1e6),
+        },
+        "over-share-worth": experiment.over_share_worth,
+        "registry-mode": experiment.directory.mode,
+        "report": {"how": "none", "names": []},
+        "value-by": "request",
+        "weights": "rough",
         "request-classes": [
-            {"name": c.name, "aim": int(c.aim_ms * 1000), "deadline": int(c.deadline_ms * 1000), "effect": c.effect,
-             "group": "all", "late-worth": 0.0, "memory-span": 5_000_000, "stream": False, "worth": c.worth}
-            for c in experiment.classes],
+            {
+                "name": c.name,
+                "aim": int(c.aim_ms * 1000),
+                "deadline": int(c.deadline_ms * 1000),
+                "effect": c.effect,
+                "group": "all",
+                "late-worth": 0.0,
+                "memory-span": 5_000_000,
+                "stream": False,
+                "worth": c.worth,
+            }
+            for c in experiment.classes
+        ],
     }
 
 
@@ -124,19 +169,46 @@
         (folder / "tmp").mkdir(parents=True)
         listen = f"{self.address[0]}:{self.address[1]}"
         path = folder / "config.json"
-        path.write_text(json.dumps({
-            "name": name, "listen": listen, "discovery": self.discovery, "admin": self.admin,
-            "seed": f"{int(draw.uniform(fleet.plan.seed, 'sidecar', name, self.starts) * 2**63):x}",
-            "limits": {"cores": 1.0, "memory_mb": fleet.experiment.sidecars.memory_mb,
-                       "sockets": fleet.experiment.sidecars.sockets},
-            "known": fleet.known(name, at_us), "settings": settings(fleet.experiment, fleet.plan, self.plan),
-            "fleet": {"regions": fleet.experiment.topology.regions} | fleet.membership(self)}))
-        told = {"BALANCER_NAME": name, "BALANCER_LISTEN": listen, "BALANCER_DISCOVERY": self.discovery,
-                "BALANCER_CONFIG": str(path), "BALANCER_ADMIN": self.admin, "TMPDIR": str(folder / "tmp")}
+        path.write_text(
+            json.dumps(
+                {
+                    "name": name,
+                    "listen": listen,
+                    "discovery": self.discovery,
+                    "admin": self.admin,
+                    "seed": f"{int(draw.uniform(fleet.plan.seed, 'sidecar', name, self.starts) * 2**63):x}",
+                    "limits": {
+                        "cores": 1.0,
+                        "memory_mb": fleet.experiment.sidecars.memory_mb,
+                        "sockets": fleet.experiment.sidecars.sockets,
+                    },
+                    "known": fleet.known(name, at_us),
+                    "settings": settings(fleet.experiment, fleet.plan, self.plan),
+                    "fleet": {"regions": fleet.experiment.topology.regions} | fleet.membership(self),
+                }
+            )
+        )
+        told = {
+            "BALANCER_NAME": name,
+            "BALANCER_LISTEN": listen,
+            "BALANCER_DISCOVERY": self.discovery,
+            "BALANCER_CONFIG": str(path),
+            "BALANCER_ADMIN": self.admin,
+            "TMPDIR": str(folder / "tmp"),
+        }
         with self.log_path.open("ab") as file:
             self.process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", fleet.command, cwd=fleet.tree, stdin=subprocess.DEVNULL, stdout=file, stderr=file,
-                env=_plain() | told, preexec_fn=self._before_exec, start_new_session=True)
+                "/bin/sh",
+                "-c",
+                fleet.command,
+                cwd=fleet.tree,
+                stdin=subprocess.DEVNULL,
+                stdout=file,
+                stderr=file,
+                env=_plain() | told,
+                preexec_fn=self._before_exec,
+                start_new_session=True,
+            )
         self.expected = False
         fleet.record(name, "spawned", self.process.pid)
         log.info("lab.sidecar.started", sidecar=name, pid=self.process.pid)
@@ -155,7 +227,6 @@
     def last_lines(self) -> list[str]:
         return self.log_path.read_text(errors="replace").splitlines()[-LAST_LINES:] if self.log_path.exists() else []
 
-
     def news(self) -> list[str]:
         """The whole lines that it has logged since the last call."""
         if not self.log_path.exists() or self.log_path.stat().st_size <= self.log_read:
@@ -170,9 +241,19 @@
 class Fleet:
     """All sidecars of a play."""
 
-    def __init__(self, experiment: Experiment, plan: Plan, tree: Path, out: Path, cores: list[int],
-                 endpoints: dict[str, dict[str, str]], lists: dict[str, str], hosts: dict[str, str],
-                 record: Callable[[Process | Believed], None], now_us: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        experiment: Experiment,
+        plan: Plan,
+        tree: Path,
+        out: Path,
+        cores: list[int],
+        endpoints: dict[str, dict[str, str]],
+        lists: dict[str, str],
+        hosts: dict[str, str],
+        record: Callable[[Process | Believed], None],
+        now_us: Callable[[], int],
+    ) -> None:
         self.experiment, self.plan, self.tree, self.out, self.cores = experiment, plan, tree, out, cores
         self.endpoints = endpoints
         self.command = str(deploy_file(tree)["run"])
@@ -196,9 +277,15 @@
                 states[step.uid] = step.state
                 if step.started_us >= 0:
                     boots[step.uid] = self.unix_zero_ms + step.started_us // 1000
-        return {"rev": rev, "all": True, "targets": [
-            entry(uid, zones[uid], self.endpoints[uid][sidecar], state, boots.get(uid, 0))
-            for uid, state in states.items() if state != "left"]}
+        return {
+            "rev": rev,
+            "all": True,
+            "targets": [
+                entry(uid, zones[uid], self.endpoints[uid][sidecar], state, boots.get(uid, 0))
+                for uid, state in states.items()
+                if state != "left"
+            ],
+        }
 
     def membership(self, sidecar: Sidecar) -> dict[str, Any]:
         """What switches a sidecar's member on, where the experiment wants members."""
@@ -218,15 +305,19 @@
                 assert sidecar.process is not None
                 after = asyncio.get_running_loop().time() - began
                 if sidecar.process.returncode is not None:
-                    raise LabError(f"sidecar {sidecar.plan.name} died at its start with {sidecar.process.returncode}; "
-                                   "its last lines:\n  " + "\n  ".join(sidecar.last_lines()))
+                    raise LabError(
+                        f"sidecar {sidecar.plan.name} died at its start with {sidecar.process.returncode}; "
+                        "its last lines:\n  " + "\n  ".join(sidecar.last_lines())
+                    )
                 if await is_up(sidecar.address):
                     waiting.discard(sidecar)
                     self.record(sidecar.plan.name, "ready", sidecar.process.pid)
                     log.info("lab.sidecar.ready", sidecar=sidecar.plan.name, after_s=round(after, 2))
                 elif after > READY_S:
-                    raise LabError(f"sidecar {sidecar.plan.name} was not ready within {READY_S:g} s; its last "
-                                   "lines:\n  " + "\n  ".join(sidecar.last_lines()))
+                    raise LabError(
+                        f"sidecar {sidecar.plan.name} was not ready within {READY_S:g} s; its last "
+                        "lines:\n  " + "\n  ".join(sidecar.last_lines())
+                    )
             await asyncio.sleep(0.02)
 
     def watch(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
@@ -234,8 +325,7 @@
             status = await process.wait()
             if sidecar.process is process and not sidecar.expected:
                 self.record(sidecar.plan.name, "died", process.pid)
-                log.error("lab.sidecar.died", sidecar=sidecar.plan.name, status=status,
-                          last_lines=sidecar.last_lines())
+                log.error("lab.sidecar.died", sidecar=sidecar.plan.name, status=status, last_lines=sidecar.last_lines())
             else:
                 self.record(sidecar.plan.name, "ended", process.pid)
 
--- a/garnetusher/lab/soak/campaign.py
+++ b/garnetusher/lab/soak/campaign.py
@@ -44,8 +44,9 @@
     return play(draw(seed, sidecars), Path(folder) / f"seed-{seed}", Path(tree))
 
 
-def campaign(seeds: Iterable[int], sidecars: int, jobs: int, folder: Path, tree: Path,
-             progress: Callable[[str, float], None]) -> Summary:
+def campaign(
+    seeds: Iterable[int], sidecars: int, jobs: int, folder: Path, tree: Path, progress: Callable[[str, float], None]
+) -> Summary:
     """Play all seeds, so many at once."""
     numbers = list(seeds)
     done: list[Outcome] = []
@@ -67,13 +68,32 @@
         troubles.update(outcome.troubles)
         pairs.update((first, second) for first, second in outcome.pairs)
     fewest = min(pairs[pair] for pair in PAIRS)
-    rarest = [f"{first} and {second}: {pairs[first, second]}" for first, second in
-              sorted(PAIRS, key=lambda pair: pairs[pair])[:5]]
-    failed = [{"seed": o.seed, "folder": o.folder, "rules": dict(Counter(b["rule"] for b in o.breaches)),
-               "first": o.breaches[0]["text"]} for o in done if o.breaches]
-    return Summary([o.seed for o in done], round(sum(o.seconds for o in done) / 60, 1), sum(o.requests for o in done),
-                   sum(o.attempts for o in done), dict(sorted(ends.items())), dict(sorted(troubles.items())), fewest,
-                   rarest, failed, max((o.worst_lag_s for o in done), default=0.0))
+    rarest = [
+        f"{first} and {second}: {pairs[first, second]}"
+        for first, second in sorted(PAIRS, key=lambda pair: pairs[pair])[:5]
+    ]
+    failed = [
+        {
+            "seed": o.seed,
+            "folder": o.folder,
+            "rules": dict(Counter(b["rule"] for b in o.breaches)),
+            "first": o.breaches[0]["text"],
+        }
+        for o in done
+        if o.breaches
+    ]
+    return Summary(
+        [o.seed for o in done],
+        round(sum(o.seconds for o in done) / 60, 1),
+        sum(o.requests for o in done),
+        sum(o.attempts for o in done),
+        dict(sorted(ends.items())),
+        dict(sorted(troubles.items())),
+        fewest,
+        rarest,
+        failed,
+        max((o.worst_lag_s for o in done), default=0.0),
+    )
 
 
 def reduce_and_save(plan: Plan, rules: set[str], folder: Path, tree: Path) -> Path:
--- a/garnetusher/lab/soak/client.py
+++ b/garnetusher/lab/soak/client.py
@@ -29,8 +29,14 @@
 class Application:
     """All clients of one sidecar."""
 
-    def __init__(self, sidecar: int, address: tuple[str, int], plan: Plan, records: Records,
-                 unanswered: Callable[[str], Awaitable[None]]) -> None:
+    def __init__(
+        self,
+        sidecar: int,
+        address: tuple[str, int],
+        plan: Plan,
+        records: Records,
+        unanswered: Callable[[str], Awaitable[None]],
+    ) -> None:
         self.sidecar, self.address, self.plan, self.records = sidecar, address, plan, records
         self.unanswered = unanswered  # is told of a request that has had nothing in its time
         self.random = random.Random(f"{plan.seed}-clients-{sidecar}")
@@ -79,8 +85,10 @@
         method = "GET" if kind.effect == "idempotent" else "POST"
         key = f"Idempotency-Key: {ident}\r\n" if kind.effect == "deduplicated" else ""
         length = "" if method == "GET" else f"Content-Length: {len(body)}\r\n"
-        return (f"{method} /{kind.name}/x HTTP/1.1\r\nHost: api\r\nX-Request-Id: {ident}\r\nX-Class: {kind.name}\r\n"
-                f"X-Deadline-Ms: {kind.deadline_ms}\r\n{key}{length}\r\n").encode() + body
+        return (
+            f"{method} /{kind.name}/x HTTP/1.1\r\nHost: api\r\nX-Request-Id: {ident}\r\nX-Class: {kind.name}\r\n"
+            f"X-Deadline-Ms: {kind.deadline_ms}\r\n{key}{length}\r\n"
+        ).encode() + body
 
     async def ask(self, ident: str, kind: Class) -> None:
         """One request, to its end; on a connection that was closed as it was sent once more on a new one."""
@@ -108,7 +116,8 @@
         leaving = None
         if "leavers" in self.doing and self.random.random() < 0.5:
             leaving = asyncio.get_running_loop().call_later(
-                self.random.random() ** 2 * request.deadline_s, self.leave, request, writer)
+                self.random.random() ** 2 * request.deadline_s, self.leave, request, writer
+            )
         await self.hear(request, reader, writer)
         if leaving is not None:
             leaving.cancel()
@@ -117,7 +126,7 @@
     async def send(self, writer: asyncio.StreamWriter, data: bytes) -> bool:
         """Write a request; returns whether it was written whole."""
         if "half_requests" in self.doing and self.random.random() < 0.4:
-            writer.write(data[:self.random.randrange(1, len(data))])
+            writer.write(data[: self.random.randrange(1, len(data))])
             await asyncio.sleep(self.random.random())
             writer.transport.abort()
             return False
--- a/garnetusher/lab/soak/discovery.py
+++ b/garnetusher/lab/soak/discovery.py
@@ -29,8 +29,16 @@
     cell: int
 
     def line(self) -> dict[str, Any]:
-        return {"uid": self.uid, "endpoint": f"{self.host}:{self.port}", "az": "ab"[self.cell % 2], "model": "m",
-                "pod_group": self.cell, "state": self.state, "capacity_hint": 1.0, "boot_ms": self.boot_ms}
+        return {
+            "uid": self.uid,
+            "endpoint": f"{self.host}:{self.port}",
+            "az": "ab"[self.cell % 2],
+            "model": "m",
+            "pod_group": self.cell,
+            "state": self.state,
+            "capacity_hint": 1.0,
+            "boot_ms": self.boot_ms,
+        }
 
 
 class Agent:
@@ -72,8 +80,11 @@
             writer.transport.abort()
 
     def listing(self) -> dict[str, Any]:
-        return {"rev": self.version, "all": True,
-                "targets": [entry.line() for entry in self.entries if entry.state != "left"]}
+        return {
+            "rev": self.version,
+            "all": True,
+            "targets": [entry.line() for entry in self.entries if entry.state != "left"],
+        }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One call: a watch."""
--- a/garnetusher/lab/soak/fleet.py
+++ b/garnetusher/lab/soak/fleet.py
@@ -31,8 +31,9 @@
 class Sidecar:
     """One name, and the process that has it."""
 
-    def __init__(self, number: int, host: str, folder: Path, tree: Path, settings: dict[str, Any], records: Records,
-                 faults: bool) -> None:
+    def __init__(
+        self, number: int, host: str, folder: Path, tree: Path, settings: dict[str, Any], records: Records, faults: bool
+    ) -> None:
         self.number, self.folder, self.tree, self.settings, self.records = number, folder, tree, settings, records
         self.address = (host, port_of(number, 0))
         self.admin = (host, port_of(number, 1))
@@ -46,12 +47,19 @@
 
     def write_config(self, discovery_port: int, known: dict[str, Any], half: bool = False) -> None:
         """The file that the platform would put there; `half` leaves it cut short."""
-        text = json.dumps({
-            "name": f"s{self.number}", "listen": f"{self.address[0]}:{self.address[1]}",
-            "discovery": f"{self.address[0]}:{discovery_port}", "admin": f"{self.admin[0]}:{self.admin[1]}",
-            "seed": f"{self.number * 1000 + self.seed:x}",
-            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512}, "known": known, "settings": self.settings})
-        self.config.write_text(text[:len(text) * 2 // 3] if half else text)
+        text = json.dumps(
+            {
+                "name": f"s{self.number}",
+                "listen": f"{self.address[0]}:{self.address[1]}",
+                "discovery": f"{self.address[0]}:{discovery_port}",
+                "admin": f"{self.admin[0]}:{self.admin[1]}",
+                "seed": f"{self.number * 1000 + self.seed:x}",
+                "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512},
+                "known": known,
+                "settings": self.settings,
+            }
+        )
+        self.config.write_text(text[: len(text) * 2 // 3] if half else text)
 
     def environment(self) -> Mapping[str, str]:
         plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV", "BALANCER_"))}
@@ -62,8 +70,17 @@
         self.seed += 1
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", str(deploy_file(self.tree)["run"]), cwd=self.tree, stdin=subprocess.DEVNULL,
-                stdout=log, stderr=log, env=self.environment(), preexec_fn=die_with_parent, start_new_session=True)
+                "/bin/sh",
+                "-c",
+                str(deploy_file(self.tree)["run"]),
+                cwd=self.tree,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                env=self.environment(),
+                preexec_fn=die_with_parent,
+                start_new_session=True,
+            )
         self.expected = False
         self.step("start")
 
--- a/garnetusher/lab/soak/oracle.py
+++ b/garnetusher/lab/soak/oracle.py
@@ -76,8 +76,11 @@
     def _held_s(self, request: Request, attempt: Attempt) -> float:
         """How much longer a process was held up than it may be between its look at the clock and its write, if that can
         explain the attempt: a stop that began after its request was there, and ended as the attempt was written."""
-        stops = [end_s - start_s for start_s, end_s in self.stops[attempt.sidecar]
-                 if request.sent_s <= start_s and end_s <= attempt.first_byte_s <= end_s + STAND_INS_S]
+        stops = [
+            end_s - start_s
+            for start_s, end_s in self.stops[attempt.sidecar]
+            if request.sent_s <= start_s and end_s <= attempt.first_byte_s <= end_s + STAND_INS_S
+        ]
         return max(0.0, max(stops, default=0.0) - HELD_S)
 
     def _stopped_at(self, sidecar: int, at_s: float) -> float:
@@ -91,11 +94,18 @@
                 continue
             if step.what == "kill" and request.sent_s - 0.3 <= step.at_s <= request.ended_s + 0.1:
                 return True
-            if step.what == "term" and step.at_s + UNANSWERED_AFTER_TERM_S < request.sent_s < step.at_s + 5.0 \
-                    and request.end in (End.CLOSED, End.SILENT):
+            if (
+                step.what == "term"
+                and step.at_s + UNANSWERED_AFTER_TERM_S < request.sent_s < step.at_s + 5.0
+                and request.end in (End.CLOSED, End.SILENT)
+            ):
                 return True
-            if step.what == "term" and request.new_connection and request.end is End.CLOSED \
-                    and step.at_s + NEW_AFTER_TERM_S < request.sent_s < step.at_s + 5.0:
+            if (
+                step.what == "term"
+                and request.new_connection
+                and request.end is End.CLOSED
+                and step.at_s + NEW_AFTER_TERM_S < request.sent_s < step.at_s + 5.0
+            ):
                 return True
         return False
 
@@ -106,27 +116,38 @@
             return
         late_s = request.ended_s - request.sent_s - request.deadline_s
         if request.end is End.SILENT or late_s > LATE_S + self._slack_s(request.ended_s):
-            self.breach("lost", request.sent_s, f"{request.ident} {request.kind}: {request.end} after its time and "
-                        f"{late_s:.3f} s")
+            self.breach(
+                "lost",
+                request.sent_s,
+                f"{request.ident} {request.kind}: {request.end} after its time and {late_s:.3f} s",
+            )
         elif request.end is End.CLOSED and (self.attempts[request.ident] or request.new_connection):
-            self.breach("lost", request.sent_s, f"{request.ident} {request.kind}: its connection was closed with no "
-                        f"answer after {request.ended_s - request.sent_s:.3f} s, "
-                        f"{len(self.attempts[request.ident])} attempts, new={request.new_connection}")
+            self.breach(
+                "lost",
+                request.sent_s,
+                f"{request.ident} {request.kind}: its connection was closed with no "
+                f"answer after {request.ended_s - request.sent_s:.3f} s, "
+                f"{len(self.attempts[request.ident])} attempts, new={request.new_connection}",
+            )
 
     def _ran(self, request: Request, kind: Class) -> None:
         """Each effect once: what may have run is repeated only as its class allows, and never called refused."""
         ran = [a for a in self.attempts[request.ident] if a.whole_s and not a.turned_away]
         ran.sort(key=lambda attempt: attempt.first_byte_s)
         if kind.effect == "at_most_once" and len(ran) > 1:
-            self.breach("duplicate", ran[1].first_byte_s, f"{request.ident}: ran at upstreams "
-                        f"{[a.upstream for a in ran]}")
+            self.breach(
+                "duplicate", ran[1].first_byte_s, f"{request.ident}: ran at upstreams {[a.upstream for a in ran]}"
+            )
         if kind.effect == "deduplicated" and len(ran) > 1:
             first = ran[0]
             for other in ran[1:]:
                 after_s = other.first_byte_s - first.first_byte_s
                 if after_s > self.plan.memory_ms / 1000 + WINDOW_SLACK_S:
-                    self.breach("duplicate", other.first_byte_s, f"{request.ident}: repeated after {after_s:.3f} s, "
-                                f"the memory is {self.plan.memory_ms} ms")
+                    self.breach(
+                        "duplicate",
+                        other.first_byte_s,
+                        f"{request.ident}: repeated after {after_s:.3f} s, the memory is {self.plan.memory_ms} ms",
+                    )
                 if not self._mates(kind, first, other):
                     self.breach("duplicate", other.first_byte_s, f"{request.ident}: repeated outside its {kind.group}")
         harmless = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
@@ -148,8 +169,11 @@
         for attempt in self._dated(request):
             after_s = attempt.first_byte_s - request.left_s
             if after_s > LEFT_S + self._slack_s(attempt.first_byte_s) + self._held_s(request, attempt):
-                self.breach("left", attempt.first_byte_s, f"{request.ident}: an attempt began {after_s:.3f} s after "
-                            "its client closed")
+                self.breach(
+                    "left",
+                    attempt.first_byte_s,
+                    f"{request.ident}: an attempt began {after_s:.3f} s after its client closed",
+                )
 
     def _dated(self, request: Request) -> list[Attempt]:
         """Its attempts of which it is known when they were written."""
@@ -161,8 +185,11 @@
             left_s = request.sent_s + request.deadline_s - attempt.first_byte_s
             slack_s = TOLD_SLACK_S + self._slack_s(attempt.first_byte_s) + self._held_s(request, attempt)
             if attempt.told_s > left_s + slack_s:
-                self.breach("told", attempt.first_byte_s, f"{request.ident}: told {attempt.told_s:.3f} s with "
-                            f"{left_s:.3f} s left")
+                self.breach(
+                    "told",
+                    attempt.first_byte_s,
+                    f"{request.ident}: told {attempt.told_s:.3f} s with {left_s:.3f} s left",
+                )
 
     def _drained(self) -> None:
         """Nothing new to an upstream that drains or is gone."""
@@ -180,19 +207,28 @@
                 first = change
             after_s = attempt.first_byte_s - max(first.told_s, self._asks_by(attempt))
             if after_s > DRAIN_S + self._slack_s(attempt.first_byte_s):
-                self.breach("drain", attempt.first_byte_s, f"{attempt.ident}: sent to u{attempt.upstream} "
-                            f"{after_s:.3f} s after {first.state} was told")
+                self.breach(
+                    "drain",
+                    attempt.first_byte_s,
+                    f"{attempt.ident}: sent to u{attempt.upstream} {after_s:.3f} s after {first.state} was told",
+                )
 
     def _asks_by(self, attempt: Attempt) -> float:
         """Where the list has to be asked for, a new process counts as told only once it has had time to ask."""
-        starts = [step.at_s for step in self.records.steps
-                  if step.sidecar == attempt.sidecar and step.what == "start" and step.at_s <= attempt.first_byte_s]
+        starts = [
+            step.at_s
+            for step in self.records.steps
+            if step.sidecar == attempt.sidecar and step.what == "start" and step.at_s <= attempt.first_byte_s
+        ]
         return starts[-1] + ASKED_S if starts and self.plan.mode == "on_request" else 0.0
 
     def _strangers(self) -> None:
         """Who sends no proper request gets an end in time; it is a share that is priced, so a few may miss it."""
-        missed = [s for s in self.records.strangers if not s[2] or s[2] - s[1] > STRANGER_S + STAND_INS_S
-                  + self._stopped_at(s[0], s[2])]
+        missed = [
+            s
+            for s in self.records.strangers
+            if not s[2] or s[2] - s[1] > STRANGER_S + STAND_INS_S + self._stopped_at(s[0], s[2])
+        ]
         missed = [s for s in missed if not self._ended_under(s[0], s[1])]
         if len(missed) > max(1, len(self.records.strangers) // 10):
             self.breach("strangers", missed[0][1], f"{len(missed)} of {len(self.records.strangers)} got no end in 3 s")
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -19,16 +19,35 @@
 TOGETHER_S = 0.6  # troubles of one group begin within so long of each other
 
 SidecarTrouble = Literal["hold_up", "restart", "kill", "reload", "reload_burst", "half_file", "wall_clock", "syscalls"]
-UpstreamTrouble = Literal["drain", "cold_start", "hang", "reset", "errors", "turn_away", "silent", "late", "garbage",
-                          "idle_close"]
+UpstreamTrouble = Literal[
+    "drain", "cold_start", "hang", "reset", "errors", "turn_away", "silent", "late", "garbage", "idle_close"
+]
 DiscoveryTrouble = Literal["outage", "watch_reset", "watch_silent"]
 ClientTrouble = Literal["leavers", "half_requests", "strangers", "slow_writers", "pipelines", "long_bodies"]
 Kind = SidecarTrouble | UpstreamTrouble | DiscoveryTrouble | ClientTrouble
 
-OF_SIDECARS: tuple[Kind, ...] = ("hold_up", "restart", "kill", "reload", "reload_burst", "half_file", "wall_clock",
-                                 "syscalls")
-OF_UPSTREAMS: tuple[Kind, ...] = ("drain", "cold_start", "hang", "reset", "errors", "turn_away", "silent", "late",
-                                  "garbage", "idle_close")
+OF_SIDECARS: tuple[Kind, ...] = (
+    "hold_up",
+    "restart",
+    "kill",
+    "reload",
+    "reload_burst",
+    "half_file",
+    "wall_clock",
+    "syscalls",
+)
+OF_UPSTREAMS: tuple[Kind, ...] = (
+    "drain",
+    "cold_start",
+    "hang",
+    "reset",
+    "errors",
+    "turn_away",
+    "silent",
+    "late",
+    "garbage",
+    "idle_close",
+)
 OF_DISCOVERY: tuple[Kind, ...] = ("outage", "watch_reset", "watch_silent")
 OF_CLIENTS: tuple[Kind, ...] = ("leavers", "half_requests", "strangers", "slow_writers", "pipelines", "long_bodies")
 ALL: tuple[Kind, ...] = OF_SIDECARS + OF_UPSTREAMS + OF_DISCOVERY + OF_CLIENTS
@@ -36,8 +55,18 @@
 # errors that end a connection by themselves: they are drawn only where connections are made, and never for reads and
 # writes, which clients' connections make too and would lose what is under way
 ENDS_CONNECTIONS = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
-SERVICE_CALLS = (Call.ACCEPT, Call.SOCKET, Call.CONNECT, Call.RECV, Call.SEND, Call.EPOLL_WAIT, Call.SETSOCKOPT,
-                 Call.POLL, Call.SHUTDOWN, Call.OPEN)
+SERVICE_CALLS = (
+    Call.ACCEPT,
+    Call.SOCKET,
+    Call.CONNECT,
+    Call.RECV,
+    Call.SEND,
+    Call.EPOLL_WAIT,
+    Call.SETSOCKOPT,
+    Call.POLL,
+    Call.SHUTDOWN,
+    Call.OPEN,
+)
 
 
 class Trouble(Struct, frozen=True):
@@ -108,9 +137,11 @@
     rng = random.Random(seed)
     upstreams = rng.randint(5, 8)
     deadlines = (300, 500, 1000, 1500, 2500)
-    classes = [Class("read", "idempotent", rng.choice(deadlines)), Class("publish", "at_most_once",
-                                                                         rng.choice(deadlines)),
-               Class("mark", "deduplicated", rng.choice(deadlines), rng.choice(("all", "zone", "cell")))]
+    classes = [
+        Class("read", "idempotent", rng.choice(deadlines)),
+        Class("publish", "at_most_once", rng.choice(deadlines)),
+        Class("mark", "deduplicated", rng.choice(deadlines), rng.choice(("all", "zone", "cell"))),
+    ]
     troubles: list[Trouble] = []
     at_s = QUIET_S + rng.random()
     kinds = _shuffled_kinds(rng)
@@ -119,11 +150,21 @@
             kind = kinds.pop() if kinds else rng.choice(ALL)
             troubles.append(_trouble(rng, kind, at_s + rng.random() * TOGETHER_S, sidecars, upstreams))
         at_s += 0.8 + rng.random() * 0.8
-    return Plan(seed, SECONDS, sidecars, upstreams, rate_per_s=rng.choice((3.0, 6.0, 10.0)),
-                service_ms=rng.choice((5.0, 20.0, 60.0)), classes=classes,
-                troubles=sorted(troubles, key=lambda trouble: trouble.at_s), max_attempts=rng.choice((2, 3, 4)),
-                second_copies=rng.random() < 0.7, dial_timeout_ms=rng.choice((200, 500, 1200)),
-                memory_ms=rng.choice((700, 2000, 5000)), mode=rng.choice(("pushed", "pushed", "on_request")))
+    return Plan(
+        seed,
+        SECONDS,
+        sidecars,
+        upstreams,
+        rate_per_s=rng.choice((3.0, 6.0, 10.0)),
+        service_ms=rng.choice((5.0, 20.0, 60.0)),
+        classes=classes,
+        troubles=sorted(troubles, key=lambda trouble: trouble.at_s),
+        max_attempts=rng.choice((2, 3, 4)),
+        second_copies=rng.random() < 0.7,
+        dial_timeout_ms=rng.choice((200, 500, 1200)),
+        memory_ms=rng.choice((700, 2000, 5000)),
+        mode=rng.choice(("pushed", "pushed", "on_request")),
+    )
 
 
 def _shuffled_kinds(rng: random.Random) -> list[Kind]:
@@ -142,7 +183,7 @@
     if kind == "hold_up":
         for_s = 0.05 + rng.random() * 0.25
     elif kind in ("restart", "kill"):
-        some = some[:max(1, sidecars // 3)]
+        some = some[: max(1, sidecars // 3)]
         for_s = 4.0
     elif kind == "wall_clock":
         more["value"] = rng.choice((-1, 1)) * rng.choice((3.0, 30.0, 3600.0))
@@ -158,15 +199,44 @@
 def settings(plan: Plan) -> dict[str, Any]:
     """The settings of all sidecars, by the names of the protocol's page; times in microseconds."""
     return {
-        "accounts": [], "areas": ["a", "b"], "granularity": 1000, "instances": plan.sidecars, "locality": 0,
-        "kinds": ["m"], "registry-mode": plan.mode, "report": {"how": "none", "names": []}, "weights": "none",
-        "bounds": {"cancel": True, "conn-idle": 3_000_000, "dial-timeout": plan.dial_timeout_ms * 1000,
-                   "max-retry-after": 1_000_000, "most-tries": plan.max_attempts, "probes": False, "retry-after": True,
-                   "second-copies": plan.second_copies},
-        "invariants": {"ask-within": 10_000_000, "cold-share": 0.13, "drain-grace": 1_000_000, "fall": 3_000_000,
-                       "overload-factor": 3.0, "warm-up": 10_000_000},
+        "accounts": [],
+        "areas": ["a", "b"],
+        "granularity": 1000,
+        "instances": plan.sidecars,
+        "locality": 0,
+        "kinds": ["m"],
+        "registry-mode": plan.mode,
+        "report": {"how": "none", "names": []},
+        "weights": "none",
+        "bounds": {
+            "cancel": True,
+            "conn-idle": 3_000_000,
+            "dial-timeout": plan.dial_timeout_ms * 1000,
+            "max-retry-after": 1_000_000,
+            "most-tries": plan.max_attempts,
+            "probes": False,
+            "retry-after": True,
+            "second-copies": plan.second_copies,
+        },
+        "invariants": {
+            "ask-within": 10_000_000,
+            "cold-share": 0.13,
+            "drain-grace": 1_000_000,
+            "fall": 3_000_000,
+            "overload-factor": 3.0,
+            "warm-up": 10_000_000,
+        },
         "request-classes": [
-            {"name": c.name, "aim": c.deadline_ms * 500, "deadline": c.deadline_ms * 1000, "effect": c.effect,
-             "group": c.group, "late-worth": 0.5, "memory-span": plan.memory_ms * 1000, "worth": 1.0}
-            for c in plan.classes],
+            {
+                "name": c.name,
+                "aim": c.deadline_ms * 500,
+                "deadline": c.deadline_ms * 1000,
+                "effect": c.effect,
+                "group": c.group,
+                "late-worth": 0.5,
+                "memory-span": plan.memory_ms * 1000,
+                "worth": 1.0,
+            }
+            for c in plan.classes
+        ],
     }
--- a/garnetusher/lab/soak/run.py
+++ b/garnetusher/lab/soak/run.py
@@ -99,16 +99,22 @@
 
     async def _open(self) -> None:
         plan = self.plan
-        self.upstreams = [Upstream(number, self.host, plan.service_ms, self.records, plan.seed)
-                          for number in range(plan.upstreams)]
+        self.upstreams = [
+            Upstream(number, self.host, plan.service_ms, self.records, plan.seed) for number in range(plan.upstreams)
+        ]
         for upstream in self.upstreams:
             await upstream.open(plan.sidecars)
         faulty = {target for t in plan.troubles if t.kind in ("syscalls", "wall_clock") for target in t.targets}
         for number in range(plan.sidecars):
             folder = self.folder / f"s{number}"
             folder.mkdir(parents=True, exist_ok=True)
-            agent = Agent(number, self.host, self.records, [u.links[number].port for u in self.upstreams],
-                          pushed=plan.mode == "pushed")
+            agent = Agent(
+                number,
+                self.host,
+                self.records,
+                [u.links[number].port for u in self.upstreams],
+                pushed=plan.mode == "pushed",
+            )
             await agent.open()
             sidecar = Sidecar(number, self.host, folder, self.tree, settings(plan), self.records, number in faulty)
             sidecar.write_config(agent.port, agent.listing())
@@ -216,8 +222,13 @@
             once = trouble.value == 0.0
             # a call that a signal interrupts again and again is tried again by the interpreter, which would stand still
             share = min(trouble.value, 0.3) if error == errno.EINTR else trouble.value
-            sidecar.board.inject(Call(trouble.call), error, 0.0 if once else min(trouble.for_s, 0.3),
-                                 count=1 if once else -1, per_mille=int(1000 * (share or 1.0)))
+            sidecar.board.inject(
+                Call(trouble.call),
+                error,
+                0.0 if once else min(trouble.for_s, 0.3),
+                count=1 if once else -1,
+                per_mille=int(1000 * (share or 1.0)),
+            )
 
     async def _reload(self, trouble: Trouble, number: int) -> None:
         sidecar, agent = self.sidecars[number], self.agents[number]
@@ -246,16 +257,23 @@
     records = it.records
     ends = Counter(request.end.value for request in records.requests.values() if request.end is not None)
     outcome = Outcome(
-        plan.seed, round(now_s() - began_s, 1), len(records.requests), len(records.attempts), dict(ends),
+        plan.seed,
+        round(now_s() - began_s, 1),
+        len(records.requests),
+        len(records.attempts),
+        dict(ends),
         [{"rule": b.rule, "at_s": round(b.at_s - began_s, 3), "text": b.text} for b in breaches],
-        dict(Counter(trouble.kind for trouble in plan.troubles)), sorted(map(list, plan.pairs())),
+        dict(Counter(trouble.kind for trouble in plan.troubles)),
+        sorted(map(list, plan.pairs())),
         round(max((lag for _, lag in records.lags), default=0.0), 3),
         sum(sidecar.board.hits(call) for sidecar in it.sidecars if sidecar.board is not None for call in Call),
-        str(folder))
+        str(folder),
+    )
     steps = [f"{step.at_s - began_s:8.3f} s{step.sidecar} {step.what} {step.detail}" for step in records.steps]
     (folder / "steps.txt").write_text("\n".join(steps) + "\n")
     if breaches:
-        (folder / "records.txt").write_text("\n".join(
-            repr(entry) for entry in (*records.requests.values(), *records.attempts, *records.changes)) + "\n")
+        (folder / "records.txt").write_text(
+            "\n".join(repr(entry) for entry in (*records.requests.values(), *records.attempts, *records.changes)) + "\n"
+        )
     (folder / "breaches.json").write_text(json.dumps(outcome.breaches, indent=1) + "\n")
     return outcome
--- a/garnetusher/lab/soak/size.py
+++ b/garnetusher/lab/soak/size.py
@@ -95,8 +95,17 @@
 def day(upstreams: int, seconds: float) -> Plan:
     """The same day at any size."""
     classes = [Class("read", "idempotent", 1500), Class("publish", "at_most_once", 1500)]
-    return Plan(seed=upstreams, seconds=seconds, sidecars=1, upstreams=upstreams, rate_per_s=40.0, service_ms=10.0,
-                classes=classes, troubles=[], dial_timeout_ms=500)
+    return Plan(
+        seed=upstreams,
+        seconds=seconds,
+        sidecars=1,
+        upstreams=upstreams,
+        rate_per_s=40.0,
+        service_ms=10.0,
+        classes=classes,
+        troubles=[],
+        dial_timeout_ms=500,
+    )
 
 
 def rows(usual: Need, large: Need) -> list[Row]:
@@ -108,7 +117,8 @@
         Row("descriptors", usual.descriptors, large.descriptors, 2 * usual.descriptors + 40),
         Row("connections made to upstreams", usual.connections, large.connections, 2.5 * usual.connections + 40),
         Row("list, KB", usual.list_kb, large.list_kb, 2 * usual.list_kb + 64 + 500 * thousands),
-        Row("share served", usual.served, large.served, 0.85 * usual.served, at_most=False)]
+        Row("share served", usual.served, large.served, 0.85 * usual.served, at_most=False),
+    ]
 
 
 def measure(usual: int, times: int, seconds: float, folder: Path, tree: Path) -> list[Row]:
--- a/garnetusher/lab/soak/upstream.py
+++ b/garnetusher/lab/soak/upstream.py
@@ -149,13 +149,20 @@
     def begin(self) -> None:
         head, _, _ = self.data.partition(b"\r\n\r\n")
         self.head_end = len(head) + 4
-        fields = {name.lower(): value.strip() for name, _, value in
-                  (line.partition(b":") for line in head.split(b"\r\n")[1:])}
+        fields = {
+            name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in head.split(b"\r\n")[1:])
+        }
         self.length = int(fields.get(b"content-length", b"0"))
         self.chunked = fields.get(b"transfer-encoding") == b"chunked"
-        self.attempt = Attempt(fields[b"x-request-id"].decode(), self.link.sidecar, self.upstream.number,
-                               self.first_byte_s, int(fields[b"x-deadline-ms"]) / 1000, self.upstream.starts,
-                               queued=self.queued)
+        self.attempt = Attempt(
+            fields[b"x-request-id"].decode(),
+            self.link.sidecar,
+            self.upstream.number,
+            self.first_byte_s,
+            int(fields[b"x-deadline-ms"]) / 1000,
+            self.upstream.starts,
+            queued=self.queued,
+        )
         self.queued = False
         self.upstream.records.attempts.append(self.attempt)
 
@@ -176,8 +183,11 @@
         elif upstream.does("garbage"):
             later(self.worked_s(), self.write, upstream.random.choice(GARBAGE))
         else:
-            later(self.worked_s(), self.write, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
-                  % (len(OK_BODY), OK_BODY))
+            later(
+                self.worked_s(),
+                self.write,
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(OK_BODY), OK_BODY),
+            )
 
     def worked_s(self) -> float:
         return self.upstream.random.expovariate(1 / self.upstream.service_s)
--- a/garnetusher/lab/syscall_faults.py
+++ b/garnetusher/lab/syscall_faults.py
@@ -61,8 +61,12 @@
     built = Path(tempfile.gettempdir()) / f"garnetusher-faults-{os.getuid()}-{digest}.so"
     if not built.exists():
         partial = built.with_suffix(f".{os.getpid()}")
-        done = subprocess.run([compiler, "-shared", "-fPIC", "-O2", "-o", str(partial), str(SOURCE), "-ldl"],
-                              capture_output=True, text=True, check=False)
+        done = subprocess.run(
+            [compiler, "-shared", "-fPIC", "-O2", "-o", str(partial), str(SOURCE), "-ldl"],
+            capture_output=True,
+            text=True,
+            check=False,
+        )
         if done.returncode != 0:
             raise CompilerError(f"{SOURCE.name}: cc ended with {done.returncode}: {done.stderr.strip()[-500:]}")
         partial.replace(built)
@@ -84,8 +88,9 @@
         """What the process has to be told."""
         return {"LD_PRELOAD": str(library()), "GARNETUSHER_FAULTS": str(self.path)}
 
-    def inject(self, call: Call, error: int, for_s: float = 0.0, count: int = -1, per_mille: int = 1000,
-               after_s: float = 0.0) -> None:
+    def inject(
+        self, call: Call, error: int, for_s: float = 0.0, count: int = -1, per_mille: int = 1000, after_s: float = 0.0
+    ) -> None:
         """Fail a call with this errno, from `after_s` on: for some seconds (0: for good), `count` times at the most
         (negative: any number), and of the calls in that time so many in a thousand."""
         if self.used == MOST_FAULTS:
@@ -94,7 +99,7 @@
         until_ns = from_ns + int(for_s * 1e9) if for_s > 0 else _FOREVER_NS
         record = _RECORD.pack(call, error, per_mille, count, from_ns, until_ns)
         place = self.size - (MOST_FAULTS - self.used) * _RECORD.size
-        self.memory[place:place + _RECORD.size] = record
+        self.memory[place : place + _RECORD.size] = record
         self.used += 1
         self.memory[4:8] = struct.pack("=I", self.used)
 
@@ -117,23 +122,66 @@
 
     def _counter(self, start: int, call: Call) -> int:
         place = start + call * _COUNT.size
-        return int(_COUNT.unpack(self.memory[place:place + _COUNT.size])[0])
+        return int(_COUNT.unpack(self.memory[place : place + _COUNT.size])[0])
 
 
 # What Linux documents for each call and what can happen to a correct program for a moment (man 2 and 7 ip, tcp).
 DOCUMENTED: dict[Call, tuple[int, ...]] = {
-    Call.ACCEPT: (errno.EAGAIN, errno.EINTR, errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS,
-                  errno.ENOMEM, errno.EPERM, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN,
-                  errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT),
+    Call.ACCEPT: (
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.ECONNABORTED,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EPERM,
+        errno.EPROTO,
+        errno.ENETDOWN,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+        errno.ETIMEDOUT,
+    ),
     Call.SOCKET: (errno.EACCES, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
-    Call.CONNECT: (errno.EACCES, errno.EPERM, errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ECONNREFUSED,
-                   errno.EINTR, errno.ENETUNREACH, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS),
+    Call.CONNECT: (
+        errno.EACCES,
+        errno.EPERM,
+        errno.EADDRINUSE,
+        errno.EADDRNOTAVAIL,
+        errno.EAGAIN,
+        errno.ECONNREFUSED,
+        errno.EINTR,
+        errno.ENETUNREACH,
+        errno.ETIMEDOUT,
+        errno.EHOSTUNREACH,
+        errno.ENOBUFS,
+    ),
     Call.BIND: (errno.EACCES, errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOMEM),
     Call.LISTEN: (errno.EADDRINUSE,),
-    Call.RECV: (errno.EAGAIN, errno.EINTR, errno.ENOMEM, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH,
-                SHORT_TRANSFER),
-    Call.SEND: (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNRESET, errno.EPIPE,
-                errno.ETIMEDOUT, errno.EHOSTUNREACH, SHORT_TRANSFER),
+    Call.RECV: (
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.ENOMEM,
+        errno.ECONNRESET,
+        errno.ETIMEDOUT,
+        errno.EHOSTUNREACH,
+        SHORT_TRANSFER,
+    ),
+    Call.SEND: (
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.ECONNRESET,
+        errno.EPIPE,
+        errno.ETIMEDOUT,
+        errno.EHOSTUNREACH,
+        SHORT_TRANSFER,
+    ),
     Call.EPOLL_WAIT: (errno.EINTR,),
     Call.EPOLL_CTL: (errno.ENOMEM, errno.ENOSPC),
     Call.EPOLL_CREATE: (errno.EMFILE, errno.ENFILE, errno.ENOMEM),
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -171,8 +171,7 @@
         work = draw.work_us(self.seed, base, kind.work_ms, kind.work_cv)
         if caller.fresh:
             work += int(self.figures.handshake_ms * 1000)
-        self.clock.write(Attempt(now, job.n, ident, self.plan.uid, caller.sidecar, caller.began_us, work,
-                                 caller.fresh))
+        self.clock.write(Attempt(now, job.n, ident, self.plan.uid, caller.sidecar, caller.began_us, work, caller.fresh))
         trips = 2 * self.figures.handshake_trips if caller.fresh else 0.0  # ways that a handshake takes first
         trips_us = int(trips * caller.connection.listener.to_party.delay_us)
         caller.fresh, caller.job = False, job
@@ -221,8 +220,12 @@
                     self._answer(job, ERROR, "error")
                 else:
                     body = f"{self.plan.uid} {job.ident}\n".encode()
-                    self._answer(job, b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s"
-                                 % (len(body), body), "served")
+                    self._answer(
+                        job,
+                        b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s"
+                        % (len(body), body),
+                        "served",
+                    )
             elif isinstance(action, TurnedAway):
                 if action.job in self.jobs:
                     self._answer(self.jobs[action.job], NOT_RUN, "turned_away")
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -84,8 +84,9 @@
                     continue
                 machine = Machinery(self.clock, job.experiment, job.plan.seed, plan)
                 for sidecar in job.plan.sidecars:
-                    machine.link(sidecar.name, job.hosts[plan.uid],
-                                 usual(topology, topology.one_way_ms(sidecar.zone, plan.zone)))
+                    machine.link(
+                        sidecar.name, job.hosts[plan.uid], usual(topology, topology.one_way_ms(sidecar.zone, plan.zone))
+                    )
                 self.machines.append(machine)
                 ready[plan.uid] = {name: f"{x.host}:{x.port}" for name, x in machine.listeners.items()}
         elif job.role == "directory":
@@ -94,8 +95,11 @@
                 self.service.link(sidecar.name, job.hosts["directory"], usual(topology, topology.cross_zone_ms))
             ready["directory"] = {name: f"{x.host}:{x.port}" for name, x in self.service.listeners.items()}
         else:
-            self.apps = [Application(self.clock, job.experiment, job.plan, sidecar, job.addresses[sidecar.name])
-                         for sidecar in job.plan.sidecars if sidecar.name in job.members]
+            self.apps = [
+                Application(self.clock, job.experiment, job.plan, sidecar, job.addresses[sidecar.name])
+                for sidecar in job.plan.sidecars
+                if sidecar.name in job.members
+            ]
         return Ready(ready)
 
     def begin(self, order: Begin) -> None:
@@ -137,8 +141,7 @@
         if self.service is not None:
             self.service.close()
         self.journal.close()
-        return Closing(self.clock.events, self.clock.late, time.process_time(),
-                       sum(app.not_asked for app in self.apps))
+        return Closing(self.clock.events, self.clock.late, time.process_time(), sum(app.not_asked for app in self.apps))
 
 
 def usual(topology: Topology, way_ms: float) -> Weather:
--- a/garnetusher/membership/core.py
+++ b/garnetusher/membership/core.py
@@ -155,8 +155,9 @@
 class Member:
     """Feed it events; `next_us` tells when it wants a `Wake`. `phase` is joining, present, leaving or stopped."""
 
-    def __init__(self, settings: Settings, codec: Codec, boot: int, seed: int, now_us: int,
-                 incarnation: int = 0) -> None:
+    def __init__(
+        self, settings: Settings, codec: Codec, boot: int, seed: int, now_us: int, incarnation: int = 0
+    ) -> None:
         self.settings, self.codec = settings, codec
         self.name, self.boot, self.incarnation = settings.name, boot, incarnation
         self.random = random.Random(seed)
@@ -420,8 +421,13 @@
         if before is None or (before.state, before.boot) != (entry.state, entry.boot):
             self._actions.append(Changed(entry, before))
             if entry.name != self.name or before is not None:
-                self._say(f"membership.{State(entry.state).name.lower()}", member=entry.name, boot=entry.boot,
-                          incarnation=entry.incarnation, by=entry.by)
+                self._say(
+                    f"membership.{State(entry.state).name.lower()}",
+                    member=entry.name,
+                    boot=entry.boot,
+                    incarnation=entry.incarnation,
+                    by=entry.by,
+                )
 
     def _learn(self, entry: Entry, sender: str) -> None:
         """News of somebody, perhaps of this process itself."""
@@ -443,8 +449,10 @@
 
     @staticmethod
     def _same_doubt(entry: Entry, known: Entry) -> bool:
-        return entry.state == known.state == State.DOUBTED and \
-            (entry.boot, entry.incarnation) == (known.boot, known.incarnation)
+        return entry.state == known.state == State.DOUBTED and (entry.boot, entry.incarnation) == (
+            known.boot,
+            known.incarnation,
+        )
 
     def _about_me(self, entry: Entry) -> None:
         if self.phase != "present" or entry.boot < self.boot:
@@ -523,8 +531,12 @@
         if self.phase == "stopped":
             return
         known = self.view.entries.get(sender)
-        if self.phase == "present" and (known is None or known.boot != received.boot or not counts(known)) and \
-                not isinstance(body, Join | Buckets) and self.now_us - self._synced_us >= STRANGER_US:
+        if (
+            self.phase == "present"
+            and (known is None or known.boot != received.boot or not counts(known))
+            and not isinstance(body, Join | Buckets)
+            and self.now_us - self._synced_us >= STRANGER_US
+        ):
             # hazard: one that came while nobody could tell of it would wait for its own probes to find the others
             self._synced_us = self.now_us
             self._send(address, Buckets(self.view.digests, answer=True), known)
@@ -612,8 +624,11 @@
     def disputed(self) -> dict[str, Dispute]:
         """The members heard of late that see it otherwise, and not only for news that is under way."""
         own = self.view.digest
-        return {name: d for name, d in sorted(self.disputes.items())
-                if d.digest != own and self.now_us - d.since_us >= DISPUTE_US and self.now_us - d.heard_us < HEARD_US}
+        return {
+            name: d
+            for name, d in sorted(self.disputes.items())
+            if d.digest != own and self.now_us - d.since_us >= DISPUTE_US and self.now_us - d.heard_us < HEARD_US
+        }
 
     @property
     def agreed(self) -> bool:
--- a/garnetusher/membership/count.py
+++ b/garnetusher/membership/count.py
@@ -34,8 +34,9 @@
         self.floor, self.hold_us, self.hold_failed_us = max(1, floor), hold_us, hold_failed_us
         self._seen: deque[tuple[int, int]] = deque()  # (until when it holds, count): later, and fewer
 
-    def saw(self, now_us: int, present: Sequence[str], failed: Mapping[str, int], own: str, agreed: bool,
-            welcomed: int = 0) -> Share:
+    def saw(
+        self, now_us: int, present: Sequence[str], failed: Mapping[str, int], own: str, agreed: bool, welcomed: int = 0
+    ) -> Share:
         """A view: the names present, in order; those that failed and since when; whether others agree with it; and of
         how many a newcomer was told, while it has not heard of them all."""
         count = len(present) + sum(now_us - since_us < self.hold_failed_us for since_us in failed.values())
--- a/garnetusher/membership/messages.py
+++ b/garnetusher/membership/messages.py
@@ -208,9 +208,17 @@
 
 def sane(entries: list[Entry]) -> bool:
     """Whether entries can be what a member has said; what can't must not get into a view."""
-    return all(0 < len(e.name.encode()) <= LONGEST_NAME and len(e.zone.encode()) <= LONGEST_NAME and 0 < e.port < 65536
-               and 0 <= e.state <= 3 and 0 <= e.incarnation < 2**63 and 0 <= e.boot < 2**63 and len(e.kind) <= 16
-               and len(e.host) <= 45 for e in entries)
+    return all(
+        0 < len(e.name.encode()) <= LONGEST_NAME
+        and len(e.zone.encode()) <= LONGEST_NAME
+        and 0 < e.port < 65536
+        and 0 <= e.state <= 3
+        and 0 <= e.incarnation < 2**63
+        and 0 <= e.boot < 2**63
+        and len(e.kind) <= 16
+        and len(e.host) <= 45
+        for e in entries
+    )
 
 
 def keys_of(text: str) -> list[bytes]:
--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -10,6 +10,7 @@
     from garnetusher.policy import balance, zones
     from garnetusher.policy.balance import Balancer
     from garnetusher.policy.zones import State, Zone, Zones
+
     HAS_ZONES = True
 except ImportError:  # the module of an earlier tree, which lacks some of these parts
     HAS_ZONES = False
@@ -78,8 +79,11 @@
         yield
         return
     touched: list[tuple[Any, tuple[str, ...]]] = [
-        (zones, ("SLOW_TIMES", "STEPS", "LONGEST_WAIT_US")), (balance, ("ROOM",)), (Balancer, ("stays",)),
-        (Zones, ("compare", "overdue", "doubted", "move", "quiet"))]
+        (zones, ("SLOW_TIMES", "STEPS", "LONGEST_WAIT_US")),
+        (balance, ("ROOM",)),
+        (Balancer, ("stays",)),
+        (Zones, ("compare", "overdue", "doubted", "move", "quiet")),
+    ]
     kept = [(where, name, getattr(where, name)) for where, names in touched for name in names]
     try:
         for name in names:
--- a/garnetusher/model/baselines.py
+++ b/garnetusher/model/baselines.py
@@ -114,7 +114,11 @@
 
 OWN = "slots"  # the product's own
 _CHOICES: dict[str, Callable[[Plain, list[int]], int]] = {
-    "random": _random, "least": _least, "two": _two, "round_robin": _round_robin}
+    "random": _random,
+    "least": _least,
+    "two": _two,
+    "round_robin": _round_robin,
+}
 NAMES = (OWN, *_CHOICES)
 
 
--- a/garnetusher/model/beliefs.py
+++ b/garnetusher/model/beliefs.py
@@ -87,8 +87,10 @@
 def _excused(plan: Plan, told: Believed) -> bool:
     """Whether a fault that the sidecar could see touched the zone, or the sidecar itself."""
     members = _members(plan, told.zone) | {told.sidecar}
-    return any(members & set(span.parties) and span.what not in HARMLESS
-               and span.at_us <= told.t < span.until_us + AFTER_US for span in plan.spans)
+    return any(
+        members & set(span.parties) and span.what not in HARMLESS and span.at_us <= told.t < span.until_us + AFTER_US
+        for span in plan.spans
+    )
 
 
 def _time_in(experiment: Experiment, plan: Plan, told: list[Believed]) -> dict[str, float]:
--- a/garnetusher/model/checker.py
+++ b/garnetusher/model/checker.py
@@ -59,8 +59,14 @@
 def check(experiment: Experiment, plan: Plan, records: list[AnyRecord]) -> list[Breach]:
     """All breaches of a play, in the order of time."""
     sheet = _Sheet(experiment, plan, records)
-    breaches = [*_answers(sheet), *_held_back(sheet), *_repeats(sheet), *_drains(sheet), *_cold(sheet),
-                *_crashes(sheet)]
+    breaches = [
+        *_answers(sheet),
+        *_held_back(sheet),
+        *_repeats(sheet),
+        *_drains(sheet),
+        *_cold(sheet),
+        *_crashes(sheet),
+    ]
     return sorted(breaches, key=lambda b: b.t)
 
 
@@ -140,8 +146,11 @@
 
 def _cut_times(plan: Plan) -> list[tuple[int, int]]:
     """When anything was cut off, silent or down: attempts then leave no trace at an upstream."""
-    return [(s.at_us, s.until_us + 1_000_000) for s in plan.spans
-            if s.what in ("cut", "silent", "refuse", "kill", "stop", "loss", "restart")]
+    return [
+        (s.at_us, s.until_us + 1_000_000)
+        for s in plan.spans
+        if s.what in ("cut", "silent", "refuse", "kill", "stop", "loss", "restart")
+    ]
 
 
 # Rule 1
@@ -161,8 +170,12 @@
                 yield sheet.breach("one_answer", record.t, f"{ident} was never answered", ident)
             elif isinstance(record, Answered):
                 if record.t > asked.until_t + ANSWER_SLACK_US:
-                    yield sheet.breach("one_answer", record.t, f"{ident} was answered "
-                                       f"{(record.t - asked.until_t) / 1000:.0f} ms after its time", ident)
+                    yield sheet.breach(
+                        "one_answer",
+                        record.t,
+                        f"{ident} was answered {(record.t - asked.until_t) / 1000:.0f} ms after its time",
+                        ident,
+                    )
                 if record.status == 200 and record.by not in {a.upstream for a in sheet.attempts.get(ident, [])}:
                     yield sheet.breach("one_answer", record.t, f"{ident} was served with what no upstream made", ident)
 
@@ -180,8 +193,12 @@
                 continue
             if any(a <= record.t and asked.t <= b for a, b in sheet.cut):
                 continue
-            yield sheet.breach("held_back", record.t, f"{ident} was given up only {(record.t - last) / 1000:.0f} ms "
-                               "after the last that was tried for it", ident)
+            yield sheet.breach(
+                "held_back",
+                record.t,
+                f"{ident} was given up only {(record.t - last) / 1000:.0f} ms after the last that was tried for it",
+                ident,
+            )
 
 
 def _end_us(sheet: _Sheet, attempt: Attempt) -> int:
@@ -204,13 +221,21 @@
             continue
         for before, after in zip(attempts, attempts[1:], strict=False):
             if _may_have_run(sheet, before, after.began):
-                yield sheet.breach("no_repeat", after.t, f"{ident}, which is unsafe, was sent again though it may "
-                                   "have run", ident)
+                yield sheet.breach(
+                    "no_repeat", after.t, f"{ident}, which is unsafe, was sent again though it may have run", ident
+                )
         for record in sheet.answers.get(ident, []):
-            if isinstance(record, Answered) and record.status in (429, 503) and \
-                    any(_may_have_run(sheet, a, record.t) for a in attempts if a.t < record.t):
-                yield sheet.breach("no_repeat", record.t, f"{ident}, which is unsafe, was called harmless to repeat "
-                                   "though it may have run", ident)
+            if (
+                isinstance(record, Answered)
+                and record.status in (429, 503)
+                and any(_may_have_run(sheet, a, record.t) for a in attempts if a.t < record.t)
+            ):
+                yield sheet.breach(
+                    "no_repeat",
+                    record.t,
+                    f"{ident}, which is unsafe, was called harmless to repeat though it may have run",
+                    ident,
+                )
 
 
 def _may_have_run(sheet: _Sheet, attempt: Attempt, by_us: int) -> bool:
@@ -223,7 +248,8 @@
 
 def _drains(sheet: _Sheet) -> Iterable[Breach]:
     leaving: dict[tuple[str, str], list[tuple[int, str]]] = {
-        key: [(told.t, told.state) for told in tellings] for key, tellings in sheet.told.items()}
+        key: [(told.t, told.state) for told in tellings] for key, tellings in sheet.told.items()
+    }
     for ident, attempts in sheet.attempts.items():
         for attempt in attempts:
             told = leaving.get((attempt.sidecar, attempt.upstream), [])
@@ -235,9 +261,14 @@
                 first -= 1
             late_us = attempt.began - sheet.way_us(attempt) - told[first][0]
             if late_us > GRACE_US + SLACK_US and not sheet.halted(attempt.sidecar, told[first][0], attempt.began):
-                yield sheet.breach("drain", attempt.t, f"{ident} went to {attempt.upstream} {late_us / 1000:.0f} ms "
-                                   f"after {attempt.sidecar} was told that it is {told[place][1]}", ident,
-                                   sheet.told[attempt.sidecar, attempt.upstream][first])
+                yield sheet.breach(
+                    "drain",
+                    attempt.t,
+                    f"{ident} went to {attempt.upstream} {late_us / 1000:.0f} ms "
+                    f"after {attempt.sidecar} was told that it is {told[place][1]}",
+                    ident,
+                    sheet.told[attempt.sidecar, attempt.upstream][first],
+                )
 
 
 # Rule 4
@@ -253,15 +284,23 @@
                 booted = record.t
             if record.what != "fell_over":
                 continue
-            sent = [a for attempts in sheet.attempts.values() for a in attempts
-                    if a.upstream == uid and record.t - window_us < a.t <= record.t and a.t >= booted]
+            sent = [
+                a
+                for attempts in sheet.attempts.values()
+                for a in attempts
+                if a.upstream == uid and record.t - window_us < a.t <= record.t and a.t >= booted
+            ]
             knew = sum(a.work_us for a in sent if _knew(sheet, a, booted))
             whole = sum(a.work_us for a in sent)
             if whole and knew >= INFORMED_PART * whole:
                 lines = [*map(line_of, sorted(sent, key=lambda a: a.t)), line_of(record)]
-                yield Breach("cold", record.t, f"{uid}, started {(record.t - booted) / 1e6:.1f} s before, was pushed "
-                             f"over by {len(sent)} attempts, {knew / whole:.0%} of the work from sidecars that knew",
-                             lines)
+                yield Breach(
+                    "cold",
+                    record.t,
+                    f"{uid}, started {(record.t - booted) / 1e6:.1f} s before, was pushed "
+                    f"over by {len(sent)} attempts, {knew / whole:.0%} of the work from sidecars that knew",
+                    lines,
+                )
 
 
 def _knew(sheet: _Sheet, attempt: Attempt, booted: int) -> bool:
--- a/garnetusher/model/client.py
+++ b/garnetusher/model/client.py
@@ -27,8 +27,9 @@
             return None
         return int(self.rng.random() * patience_us)
 
-    def comes_again_us(self, now_us: int, cls: int, number: int, first_us: int, harmless: bool,
-                       retry_after_us: int) -> int | None:
+    def comes_again_us(
+        self, now_us: int, cls: int, number: int, first_us: int, harmless: bool, retry_after_us: int
+    ) -> int | None:
         """When the next try of a request that failed sets out; None: it does not. After any failure where the class
         allows, else only where it was told that trying again is harmless."""
         kind = self.experiment.classes[cls]
--- a/garnetusher/model/clock.py
+++ b/garnetusher/model/clock.py
@@ -36,8 +36,9 @@
             at_us, _, what, args = heapq.heappop(self._queue)
             here = here + 1 if at_us == self.now_us else 0
             if here > MOST_AT_ONCE:
-                raise Stall(f"time stands still at {at_us / 1e6:.6f} s: {MOST_AT_ONCE} events, the last one "
-                            f"{what.__qualname__}")
+                raise Stall(
+                    f"time stands still at {at_us / 1e6:.6f} s: {MOST_AT_ONCE} events, the last one {what.__qualname__}"
+                )
             self.now_us = at_us
             self.events += 1
             what(*args)
--- a/garnetusher/model/compare.py
+++ b/garnetusher/model/compare.py
@@ -33,10 +33,14 @@
     def __str__(self) -> str:
         if not self.shown:
             few = f", and fewer than {FEWEST} tell nothing" if self.pairs < FEWEST else ""
-            return (f"{self.name}: no difference shown ({self.a:.4g} and {self.b:.4g}; between {self.low:+.4g} and "
-                    f"{self.high:+.4g} in {self.pairs} pairs{few})")
-        return (f"{self.name}: {self.a:.4g} and {self.b:.4g}, {self.mean:+.4g} (between {self.low:+.4g} and "
-                f"{self.high:+.4g} in {self.pairs} pairs)")
+            return (
+                f"{self.name}: no difference shown ({self.a:.4g} and {self.b:.4g}; between {self.low:+.4g} and "
+                f"{self.high:+.4g} in {self.pairs} pairs{few})"
+            )
+        return (
+            f"{self.name}: {self.a:.4g} and {self.b:.4g}, {self.mean:+.4g} (between {self.low:+.4g} and "
+            f"{self.high:+.4g} in {self.pairs} pairs)"
+        )
 
 
 def difference(name: str, a: Sequence[float], b: Sequence[float]) -> Difference:
@@ -47,8 +51,9 @@
     rng = draw.stream(1, "bootstrap", name)
     means = each[rng.integers(0, len(each), (DRAWS, len(each)))].mean(axis=1)
     low, high = np.percentile(means, [50 * (1 - SURE), 100 - 50 * (1 - SURE)])
-    return Difference(name, float(np.mean(a)), float(np.mean(b)), float(each.mean()), float(low), float(high),
-                      len(each))
+    return Difference(
+        name, float(np.mean(a)), float(np.mean(b)), float(each.mean()), float(low), float(high), len(each)
+    )
 
 
 def differences(a: Sequence[dict[str, float]], b: Sequence[dict[str, float]]) -> list[Difference]:
--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -144,8 +144,9 @@
         if (outcome is Outcome.OK or owed.stream) and not owed.closed:
             owed.closed = True
             owed.answers += 1
-        return self.tell(AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us,
-                                      owed.closed, **fields))
+        return self.tell(
+            AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us, owed.closed, **fields)
+        )
 
     def whole(self, request: int) -> None:
         """The last byte of a long body has come: its time begins."""
@@ -188,8 +189,13 @@
         at_once = 0
         while True:
             due = [(at, 1, token, 0) for at, token in self.timers]
-            due += [(t.ends_us, 0, ident, n) for ident, owed in self.owed.items() if not owed.stream and not owed.coming
-                    for n, t in enumerate(owed.tries) if t.outcome is None]
+            due += [
+                (t.ends_us, 0, ident, n)
+                for ident, owed in self.owed.items()
+                if not owed.stream and not owed.coming
+                for n, t in enumerate(owed.tries)
+                if t.outcome is None
+            ]
             due = [d for d in due if d[0] <= end_us]
             if not due:
                 break
@@ -224,8 +230,11 @@
         elif isinstance(action, Probe):
             need(self.settings.probes, "contract", "a probe where none is allowed")
         else:
-            need(not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request, "contract",
-                 "a call for a list that is pushed")
+            need(
+                not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request,
+                "contract",
+                "a call for a list that is pushed",
+            )
 
     def check_send(self, send: Send) -> None:
         owed = self.owed[send.request]
@@ -246,8 +255,17 @@
         ends_us = owed.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(Try(send.upstream, entry.zone, entry.cell, self.now_us, ends_us,
-                              self.listings[send.upstream], send.timeout_us))
+        owed.tries.append(
+            Try(
+                send.upstream,
+                entry.zone,
+                entry.cell,
+                self.now_us,
+                ends_us,
+                self.listings[send.upstream],
+                send.timeout_us,
+            )
+        )
 
     def check_answer(self, answer: Refuse | Fail) -> None:
         owed = self.owed[answer.request]
@@ -269,11 +287,15 @@
                 if not owed.stream and not owed.coming and this.listing == self.listings[this.upstream]:
                     out[this.upstream] = out.get(this.upstream, 0) + 1
         for ident, server in self.balancer.servers.items():
-            streams = sum(1 for owed in self.owed.values() if owed.stream
-                          for n in owed.out() if owed.tries[n].upstream == ident)
+            streams = sum(
+                1 for owed in self.owed.values() if owed.stream for n in owed.out() if owed.tries[n].upstream == ident
+            )
             held = out.get(ident, 0)
-            need(held <= server.used <= held + streams, "slots",
-                 f"upstream {ident} has {server.used} slots taken, and {held} attempts out")
+            need(
+                held <= server.used <= held + streams,
+                "slots",
+                f"upstream {ident} has {server.used} slots taken, and {held} attempts out",
+            )
 
     # What tests look at
 
--- a/garnetusher/model/experiment.py
+++ b/garnetusher/model/experiment.py
@@ -21,14 +21,47 @@
 Count = Annotated[int, Meta(ge=1, le=10_000)]
 
 Effect = Literal["idempotent", "at_most_once"]
-What = Literal["kill", "stop", "restart", "silent", "cut", "refuse", "slow", "loss", "duplicate", "reorder",
-               "reset", "errors", "list_late", "list_lies", "burst", "power_loss", "disk_full", "disk_error",
-               "clock_jump"]
+What = Literal[
+    "kill",
+    "stop",
+    "restart",
+    "silent",
+    "cut",
+    "refuse",
+    "slow",
+    "loss",
+    "duplicate",
+    "reorder",
+    "reset",
+    "errors",
+    "list_late",
+    "list_lies",
+    "burst",
+    "power_loss",
+    "disk_full",
+    "disk_error",
+    "clock_jump",
+]
 # Kinds whose part of the product is still to come: a file that asks for one is told so, not half obeyed.
-LATER = {"power_loss": "durable", "disk_full": "durable", "disk_error": "durable", "clock_jump": "membership",
-         "duplicate": "membership", "reorder": "membership"}
-NEEDS = {"slow": "times", "loss": "share", "duplicate": "share", "reorder": "share", "reset": "share",
-         "errors": "share", "burst": "times", "list_late": "by_s", "list_lies": "share"}
+LATER = {
+    "power_loss": "durable",
+    "disk_full": "durable",
+    "disk_error": "durable",
+    "clock_jump": "membership",
+    "duplicate": "membership",
+    "reorder": "membership",
+}
+NEEDS = {
+    "slow": "times",
+    "loss": "share",
+    "duplicate": "share",
+    "reorder": "share",
+    "reset": "share",
+    "errors": "share",
+    "burst": "times",
+    "list_late": "by_s",
+    "list_lies": "share",
+}
 FOR_SIDECARS = ("kill", "stop", "restart", "silent", "cut", "loss")
 FOR_UPSTREAMS = ("kill", "stop", "restart", "silent", "cut", "refuse", "slow", "loss", "reset", "errors")
 BOUND = re.compile(r"(?P<sign><=|>=|==)\s*(?P<figure>-?\d+(\.\d+)?)")
@@ -178,15 +211,19 @@
     tenant: str | None = None  # `burst`
 
     def __post_init__(self) -> None:
-        _need(self.what not in LATER, "what", f"a fault that can be played; {self.what!r} comes with the "
-              f"{LATER.get(self.what)} part")
+        _need(
+            self.what not in LATER,
+            "what",
+            f"a fault that can be played; {self.what!r} comes with the {LATER.get(self.what)} part",
+        )
         key = NEEDS.get(self.what)
         if key is not None:
             _need(getattr(self, key) is not None, key, f"this key, which {self.what!r} needs")
         _need(self.what != "restart" or self.for_s is not None, "for_s", "this key, which 'restart' needs")
         _need(self.to is None or self.what == "cut", "to", "this key only with 'cut', and the fault is", self.what)
-        _need(not self.one_way or self.what == "cut", "one_way", "this key only with 'cut', and the fault is",
-              self.what)
+        _need(
+            not self.one_way or self.what == "cut", "one_way", "this key only with 'cut', and the fault is", self.what
+        )
 
 
 class Experiment(Struct, forbid_unknown_fields=True):
@@ -211,59 +248,101 @@
         zones = self.topology.zones
         _need(len(zones) > 0, "topology.regions", "at least one zone")
         _need(len(set(zones)) == len(zones), "topology.regions", "zones of different names", zones)
-        for key, per_zone in (("upstreams.per_zone", self.upstreams.per_zone),
-                              ("sidecars.per_zone", self.sidecars.per_zone), ("load.zones", self.load.zones)):
+        for key, per_zone in (
+            ("upstreams.per_zone", self.upstreams.per_zone),
+            ("sidecars.per_zone", self.sidecars.per_zone),
+            ("load.zones", self.load.zones),
+        ):
             for zone in per_zone:
                 _need(zone in zones, f"{key}.{zone}", f"a zone out of {', '.join(zones)}")
         for key, counts in (("upstreams", self.upstreams.per_zone), ("sidecars", self.sidecars.per_zone)):
             _need(sum(counts.values()) > 0, f"{key}.per_zone", "at least one of them")
-        _need(abs(sum(c.share for c in self.classes) - 1) < 0.011, "class.*.share", "shares that add up to 1",
-              round(sum(c.share for c in self.classes), 4))
+        _need(
+            abs(sum(c.share for c in self.classes) - 1) < 0.011,
+            "class.*.share",
+            "shares that add up to 1",
+            round(sum(c.share for c in self.classes), 4),
+        )
         names = [c.name for c in self.classes]
         _need(len(set(names)) == len(names), "class.*.name", "classes of different names", names)
-        _need(not self.tenants or abs(sum(t.share for t in self.tenants) - 1) < 0.011, "tenant.*.share",
-              "shares that add up to 1", round(sum(t.share for t in self.tenants), 4))
+        _need(
+            not self.tenants or abs(sum(t.share for t in self.tenants) - 1) < 0.011,
+            "tenant.*.share",
+            "shares that add up to 1",
+            round(sum(t.share for t in self.tenants), 4),
+        )
         for number, fault in enumerate(self.faults):
             self._check(f"fault.{number}", fault)
         for table in ("expect", "open"):
             for name, bound in getattr(self, table).items():
-                _need(BOUND.fullmatch(bound) is not None, f"{table}.{name}",
-                      "a bound such as \">= 0.9\" (<=, >= or ==, and a number)", bound)
+                _need(
+                    BOUND.fullmatch(bound) is not None,
+                    f"{table}.{name}",
+                    'a bound such as ">= 0.9" (<=, >= or ==, and a number)',
+                    bound,
+                )
 
     def _check(self, key: str, fault: Fault) -> None:
-        _need(fault.at_s < self.seconds, f"{key}.at_s", f"a time within the {self.seconds:g} s of the experiment",
-              fault.at_s)
+        _need(
+            fault.at_s < self.seconds,
+            f"{key}.at_s",
+            f"a time within the {self.seconds:g} s of the experiment",
+            fault.at_s,
+        )
         for side, place in (("where", fault.where), ("to", fault.to)):
             if place is None:
                 continue
-            for name, known in (("zone", self.topology.zones), ("region", list(self.topology.regions)),
-                                ("sidecar", sidecar_names(self)), ("upstream", upstream_names(self))):
+            for name, known in (
+                ("zone", self.topology.zones),
+                ("region", list(self.topology.regions)),
+                ("sidecar", sidecar_names(self)),
+                ("upstream", upstream_names(self)),
+            ):
                 value = getattr(place, name)
-                _need(value is None or value in known, f"{key}.{side}.{name}",
-                      f"one of {', '.join(known[:12])}{', ...' if len(known) > 12 else ''}", value)
-            _need(place.agent is None, f"{key}.{side}.agent", "a place that exists; agents come with the directory "
-                                                              "part")
+                _need(
+                    value is None or value in known,
+                    f"{key}.{side}.{name}",
+                    f"one of {', '.join(known[:12])}{', ...' if len(known) > 12 else ''}",
+                    value,
+                )
+            _need(
+                place.agent is None, f"{key}.{side}.agent", "a place that exists; agents come with the directory part"
+            )
         sidecars = fault.where.of == "sidecars" or fault.where.sidecar is not None
         if fault.what == "burst":
-            _need(fault.tenant is None or fault.tenant in [t.name for t in self.tenants], f"{key}.tenant",
-                  f"one of {', '.join(t.name for t in self.tenants)}", fault.tenant)
+            _need(
+                fault.tenant is None or fault.tenant in [t.name for t in self.tenants],
+                f"{key}.tenant",
+                f"one of {', '.join(t.name for t in self.tenants)}",
+                fault.tenant,
+            )
         elif fault.what not in ("list_late", "list_lies") and not fault.where.directory:
             kinds = FOR_SIDECARS if sidecars else FOR_UPSTREAMS
-            _need(fault.what in kinds, f"{key}.what",
-                  f"for {'sidecars' if sidecars else 'upstreams'} one of {', '.join(kinds)}", fault.what)
+            _need(
+                fault.what in kinds,
+                f"{key}.what",
+                f"for {'sidecars' if sidecars else 'upstreams'} one of {', '.join(kinds)}",
+                fault.what,
+            )
         if fault.where.directory:
             _need(fault.what in ("silent", "cut"), f"{key}.what", "for the directory one of silent, cut", fault.what)
 
 
 def upstream_names(experiment: Experiment) -> list[str]:
     """Those that are there from the start, as `fault.where.upstream` names them."""
-    return [f"u-{zone}-{number}" for zone in experiment.topology.zones
-            for number in range(experiment.upstreams.per_zone.get(zone, 0))]
+    return [
+        f"u-{zone}-{number}"
+        for zone in experiment.topology.zones
+        for number in range(experiment.upstreams.per_zone.get(zone, 0))
+    ]
 
 
 def sidecar_names(experiment: Experiment) -> list[str]:
-    return [f"{zone}-{number}" for zone in experiment.topology.zones
-            for number in range(experiment.sidecars.per_zone.get(zone, 0))]
+    return [
+        f"{zone}-{number}"
+        for zone in experiment.topology.zones
+        for number in range(experiment.sidecars.per_zone.get(zone, 0))
+    ]
 
 
 def scaled(experiment: Experiment, sidecars: int, alone: bool = False) -> Experiment:
@@ -277,9 +356,12 @@
     replace = msgspec.structs.replace
     if alone:
         return replace(experiment, sidecars=replace(experiment.sidecars, per_zone=more(experiment.sidecars.per_zone)))
-    return replace(experiment, load=replace(experiment.load, requests_per_s=experiment.load.requests_per_s * times),
-                   sidecars=replace(experiment.sidecars, per_zone=more(experiment.sidecars.per_zone)),
-                   upstreams=replace(experiment.upstreams, per_zone=more(experiment.upstreams.per_zone)))
+    return replace(
+        experiment,
+        load=replace(experiment.load, requests_per_s=experiment.load.requests_per_s * times),
+        sidecars=replace(experiment.sidecars, per_zone=more(experiment.sidecars.per_zone)),
+        upstreams=replace(experiment.upstreams, per_zone=more(experiment.upstreams.per_zone)),
+    )
 
 
 def load(path: Path | str) -> Experiment:
--- a/garnetusher/model/explore/__init__.py
+++ b/garnetusher/model/explore/__init__.py
@@ -79,7 +79,7 @@
 
 def shrink(part: Part, schedule: Schedule, broken: Broken) -> Find:
     """The smallest schedule found that breaks the same rule."""
-    search = _Search(part, structs.replace(schedule, steps=schedule.steps[:broken.step + 1]), broken)
+    search = _Search(part, structs.replace(schedule, steps=schedule.steps[: broken.step + 1]), broken)
     search.run()
     return Find(search.best, search.broken, len(schedule.steps))
 
@@ -106,7 +106,7 @@
         broken = self.part.play(schedule)
         if broken is None or broken.rule != self.broken.rule:
             return False
-        self.best = structs.replace(schedule, steps=schedule.steps[:broken.step + 1])
+        self.best = structs.replace(schedule, steps=schedule.steps[: broken.step + 1])
         self.broken = broken
         return True
 
@@ -115,7 +115,7 @@
         while True:
             place = 0
             while place < len(self.best.steps):
-                rest = self.best.steps[:place] + self.best.steps[place + size:]
+                rest = self.best.steps[:place] + self.best.steps[place + size :]
                 if not self.holds(structs.replace(self.best, steps=rest)):
                     place += size
             if size == 1:
@@ -127,8 +127,9 @@
         while place < len(self.best.steps):
             step = self.best.steps[place]
             for other in (Step(step.what), Step(step.what, step.a // 2, step.b), Step(step.what, step.a, step.b // 2)):
-                if other != step and self.holds(structs.replace(self.best, steps=[
-                        *self.best.steps[:place], other, *self.best.steps[place + 1:]])):
+                if other != step and self.holds(
+                    structs.replace(self.best, steps=[*self.best.steps[:place], other, *self.best.steps[place + 1 :]])
+                ):
                     break
             place += 1
 
--- a/garnetusher/model/explore/membership.py
+++ b/garnetusher/model/explore/membership.py
@@ -37,16 +37,30 @@
 
     def draw(self, seed: int, steps: int) -> Schedule:
         rng = random.Random(seed)
-        setup = {"nodes": rng.choice([2, 3, 3, 4, 5]), "loss": rng.choice([0, 0, 5, 30]),
-                 "doubled": rng.choice([0, 0, 20]), "keys": rng.randrange(2)}
+        setup = {
+            "nodes": rng.choice([2, 3, 3, 4, 5]),
+            "loss": rng.choice([0, 0, 5, 30]),
+            "doubled": rng.choice([0, 0, 20]),
+            "keys": rng.randrange(2),
+        }
         temper = rng.choice(TEMPERS)
         names = rng.choices(list(temper), list(temper.values()), k=rng.randint(max(4, steps // 4), steps))
         return Schedule(self.name, seed, setup, [self._step(rng, name) for name in names])
 
     def _step(self, rng: random.Random, what: str) -> Step:
         if what == "advance":
-            return Step(what, rng.choice([rng.randrange(50), rng.randrange(500), rng.randrange(500),
-                                          rng.randrange(4000), rng.randrange(10_000)]))
+            return Step(
+                what,
+                rng.choice(
+                    [
+                        rng.randrange(50),
+                        rng.randrange(500),
+                        rng.randrange(500),
+                        rng.randrange(4000),
+                        rng.randrange(10_000),
+                    ]
+                ),
+            )
         return Step(what, rng.randrange(1000), rng.randrange(1000))
 
     def simpler(self, setup: dict[str, int]) -> Iterator[dict[str, int]]:
@@ -101,8 +115,9 @@
         self.apart_us = 0  # since when some can't hear others
         self.unknown = False  # somebody has come meanwhile
         self.fair_us = 0  # until then some can't know of others that have come
-        self.members.cut = lambda a, b: (a.name, b.name) in self.one_way or \
-            self.sides.get(a.name, 0) != self.sides.get(b.name, 0)
+        self.members.cut = lambda a, b: (
+            (a.name, b.name) in self.one_way or self.sides.get(a.name, 0) != self.sides.get(b.name, 0)
+        )
         for node in self.nodes:
             self.members.start(node, self.nodes[:SEEDS])
         self.members.run(SETTLE_US)
@@ -218,8 +233,14 @@
     def news(self) -> list[str]:
         out = []
         for node in self.nodes:
-            fresh = node.said[self.told.get(node.name, 0):]
+            fresh = node.said[self.told.get(node.name, 0) :]
             self.told[node.name] = len(node.said)
-            out += [(at, f"    {at / 1e6:.3f} {node.name}: {said.event} "
-                         f"{' '.join(f'{k}={v}' for k, v in said.fields.items())}") for at, said in fresh]
+            out += [
+                (
+                    at,
+                    f"    {at / 1e6:.3f} {node.name}: {said.event} "
+                    f"{' '.join(f'{k}={v}' for k, v in said.fields.items())}",
+                )
+                for at, said in fresh
+            ]
         return [line for _, line in sorted(out)]
--- a/garnetusher/model/explore/module.py
+++ b/garnetusher/model/explore/module.py
@@ -44,10 +44,18 @@
 
     def draw(self, seed: int, steps: int) -> Schedule:
         rng = random.Random(seed)
-        setup = {"upstreams": rng.choice([1, 2, 4, 8, 20]), "zones": rng.choice([1, 2, 3]),
-                 "instances": rng.choice([1, 3, 40]), "max_attempts": rng.randint(1, 5),
-                 "second_copies": rng.randrange(2), "cancel": rng.randrange(2), "on_request": rng.randrange(2),
-                 "fee": rng.randrange(2), "regions": rng.randrange(2), "cold": rng.randrange(2)}
+        setup = {
+            "upstreams": rng.choice([1, 2, 4, 8, 20]),
+            "zones": rng.choice([1, 2, 3]),
+            "instances": rng.choice([1, 3, 40]),
+            "max_attempts": rng.randint(1, 5),
+            "second_copies": rng.randrange(2),
+            "cancel": rng.randrange(2),
+            "on_request": rng.randrange(2),
+            "fee": rng.randrange(2),
+            "regions": rng.randrange(2),
+            "cold": rng.randrange(2),
+        }
         temper = rng.choice(TEMPERS)
         names = rng.choices(list(temper), list(temper.values()), k=rng.randint(steps // 4, steps))
         return Schedule(self.name, seed, setup, [self._step(rng, name) for name in names])
@@ -120,23 +128,38 @@
     def settings(self, max_attempts: int) -> api.Settings:
         s = self.setup
         return api.Settings(
-            CLASSES, [api.Tenant("north", 20.0, 0.5), api.Tenant("south", 20.0, 0.5)], over_share_worth=0.2,
-            instances=s["instances"], tick_us=4000, max_attempts=max_attempts, cancel=bool(s["cancel"]),
-            max_retry_after_us=1_000_000, connect_timeout_us=150_000, second_copies=bool(s["second_copies"]),
-            list_on_request=bool(s["on_request"]), ask_within_us=10_000_000, cold_share=0.2, warm_up_us=WARM_UP_US,
-            overload_factor=2.5, fall_us=1_000_000, cross_zone_fee=0.02 * s["fee"],
-            regions=[0, 0, 1] if s["regions"] else [])
-
-    def entry(self, number: int, state: api.UpstreamState = api.UpstreamState.READY,
-              started_us: int = 0) -> api.Upstream:
+            CLASSES,
+            [api.Tenant("north", 20.0, 0.5), api.Tenant("south", 20.0, 0.5)],
+            over_share_worth=0.2,
+            instances=s["instances"],
+            tick_us=4000,
+            max_attempts=max_attempts,
+            cancel=bool(s["cancel"]),
+            max_retry_after_us=1_000_000,
+            connect_timeout_us=150_000,
+            second_copies=bool(s["second_copies"]),
+            list_on_request=bool(s["on_request"]),
+            ask_within_us=10_000_000,
+            cold_share=0.2,
+            warm_up_us=WARM_UP_US,
+            overload_factor=2.5,
+            fall_us=1_000_000,
+            cross_zone_fee=0.02 * s["fee"],
+            regions=[0, 0, 1] if s["regions"] else [],
+        )
+
+    def entry(
+        self, number: int, state: api.UpstreamState = api.UpstreamState.READY, started_us: int = 0
+    ) -> api.Upstream:
         number %= self.setup["upstreams"]
         zone = number % self.setup["zones"]
         return api.Upstream(100 + number, state, zone, 0, number // 2, 1.0, started_us)
 
     def begin(self) -> None:
         started_us = self.host.now_us - 1_000_000 if self.setup["cold"] else 0
-        self.host.tell_list([self.entry(n, started_us=started_us) for n in range(self.setup["upstreams"])],
-                            api.ListKind.CACHED)
+        self.host.tell_list(
+            [self.entry(n, started_us=started_us) for n in range(self.setup["upstreams"])], api.ListKind.CACHED
+        )
 
     def step(self, step: Step) -> None:
         getattr(self, step.what)(step.a, step.b)
@@ -207,8 +230,11 @@
 
     def stream(self, which: int, _: int) -> None:
         owed = self.host.owed
-        out = [(i, n) for i, n in self._out() if CLASSES[owed[i].event.class_index].stream
-               and not owed[i].stream and not owed[i].closed]
+        out = [
+            (i, n)
+            for i, n in self._out()
+            if CLASSES[owed[i].event.class_index].stream and not owed[i].stream and not owed[i].closed
+        ]
         if out:
             self.host.begin_stream(*out[which % len(out)])
 
@@ -222,8 +248,13 @@
         """New settings, classes as they are, with another limit on attempts."""
         settings = self.settings(1 + most % 5)
         self.host.settings = settings
-        self.host.tell(api.SettingsChanged(settings, api.places_before(settings.classes, settings.classes),
-                                           api.places_before(settings.tenants, settings.tenants)))
+        self.host.tell(
+            api.SettingsChanged(
+                settings,
+                api.places_before(settings.classes, settings.classes),
+                api.places_before(settings.tenants, settings.tenants),
+            )
+        )
 
     def whole(self, cls: int, _: int) -> None:
         """A request whose body is still to come."""
--- a/garnetusher/model/figures.py
+++ b/garnetusher/model/figures.py
@@ -63,8 +63,9 @@
         if isinstance(r, Asked | Unreached):
             tries[r.id] = r.request
             if r.request not in found:
-                found[r.request] = Request(r.request, r.sidecar, r.cls, r.tenant, r.first_t,
-                                           experiment.classes[r.cls].worth)
+                found[r.request] = Request(
+                    r.request, r.sidecar, r.cls, r.tenant, r.first_t, experiment.classes[r.cls].worth
+                )
         elif isinstance(r, Answered) and r.status == 200 and r.by and r.id in tries:
             request = found[tries[r.id]]
             if request.answered_us is None:
@@ -89,8 +90,15 @@
         request.worth *= over + (1 - over) * min(1.0, allowed / count)
 
 
-def figures(experiment: Experiment, plan: Plan, records: list[AnyRecord], requests: list[Request],
-            broken: int, late_share: float, not_asked: int) -> dict[str, float]:
+def figures(
+    experiment: Experiment,
+    plan: Plan,
+    records: list[AnyRecord],
+    requests: list[Request],
+    broken: int,
+    late_share: float,
+    not_asked: int,
+) -> dict[str, float]:
     """Every figure that could be measured; what had no occasion is left out."""
     out: dict[str, float] = {}
     aims = [c.aim_ms * 1000 for c in experiment.classes]
@@ -150,8 +158,9 @@
     return out
 
 
-def _times(experiment: Experiment, plan: Plan, records: list[AnyRecord], requests: list[Request],
-           aims: list[float]) -> dict[str, float]:
+def _times(
+    experiment: Experiment, plan: Plan, records: list[AnyRecord], requests: list[Request], aims: list[float]
+) -> dict[str, float]:
     """How long it took to notice, to leave and to be as before."""
     out: dict[str, float] = {}
     faulty = plan.faulty_us
@@ -193,16 +202,22 @@
         first = slice(place, place + 2)
         if asked[stretch].sum() == 0:
             continue
-        if served[stretch].sum() >= level * asked[stretch].sum() and \
-                served[first].sum() >= (level - NORMAL_WITHIN) * asked[first].sum():
+        if (
+            served[stretch].sum() >= level * asked[stretch].sum()
+            and served[first].sum() >= (level - NORMAL_WITHIN) * asked[first].sum()
+        ):
             return place
     return None
 
 
 def _lowest(asked: np.ndarray, served: np.ndarray, begin: int) -> float:
     """The least that a stretch from `begin` on is served; in calm, too, chance takes it under the mean."""
-    return float(min(served[place:place + DIP_BINS].sum() / max(1e-9, asked[place:place + DIP_BINS].sum())
-                     for place in range(begin, len(asked) - DIP_BINS)))
+    return float(
+        min(
+            served[place : place + DIP_BINS].sum() / max(1e-9, asked[place : place + DIP_BINS].sum())
+            for place in range(begin, len(asked) - DIP_BINS)
+        )
+    )
 
 
 def _leave_s(plan: Plan, span: Span, records: list[AnyRecord]) -> float | None:
@@ -211,8 +226,10 @@
     meant = set(span.parties) & {u.uid for u in plan.upstreams}
     if not meant or len(meant) == len(plan.upstreams) or span.what == "restart":
         return None
-    times = np.array([r.t for r in records if getattr(r, "upstream", "") in meant
-                      and type(r).__name__ in ("Attempt", "Held")], dtype=float)
+    times = np.array(
+        [r.t for r in records if getattr(r, "upstream", "") in meant and type(r).__name__ in ("Attempt", "Held")],
+        dtype=float,
+    )
     usual = float(((times >= span.at_us / 2) & (times < span.at_us)).sum()) / max(1, span.at_us / 2) * BIN_US
     if usual == 0:
         return None
@@ -255,11 +272,16 @@
         for r in requests:
             if zone_of[r.sidecar] == zone and 0 <= r.first_us // bin_us < count:
                 bins[r.first_us // bin_us].append(r)
-        worth[zone] = [sum(r.worth for r in b if r.served(experiment.classes[r.cls].aim_ms * 1000))
-                       / sum(r.worth for r in b) if b else None for b in bins]
+        worth[zone] = [
+            sum(r.worth for r in b if r.served(experiment.classes[r.cls].aim_ms * 1000)) / sum(r.worth for r in b)
+            if b
+            else None
+            for b in bins
+        ]
         waits = [[(r.answered_us - r.first_us) / 1000 for r in b if r.answered_us is not None] for b in bins]
-        latency[zone] = [[float(np.percentile(w, 50)), float(np.percentile(w, 99))] if w else [None, None]
-                         for w in waits]
+        latency[zone] = [
+            [float(np.percentile(w, 50)), float(np.percentile(w, 99))] if w else [None, None] for w in waits
+        ]
     return Story(zones, bin_us, worth, latency)
 
 
--- a/garnetusher/model/members.py
+++ b/garnetusher/model/members.py
@@ -46,8 +46,9 @@
 class Members:
     """The whole of it. `changed` is called with whose view changed, at what time, and how."""
 
-    def __init__(self, seed: int, floor: int = 1, loss: float = 0.0, keys: list[bytes] | None = None,
-                 clock: Clock | None = None) -> None:
+    def __init__(
+        self, seed: int, floor: int = 1, loss: float = 0.0, keys: list[bytes] | None = None, clock: Clock | None = None
+    ) -> None:
         self.clock = clock or Clock()
         self.rng = random.Random(seed)
         self.seed, self.floor, self.loss, self.keys = seed, floor, loss, keys or []
@@ -73,10 +74,10 @@
         node.boots += 1
         kept = node.kept if disk else None
         boot = max(1 + now // 1000 + self.clock_skew_us.get(node.name, 0) // 1000, kept.boot + 1 if kept else 1)
-        settings = core.Settings(node.name, "sidecar", node.zone, *node.address,
-                                 seeds=[s.address for s in seeds], replaces=replaces)
-        node.member = Member(settings, Codec(CLUSTER, self.keys), boot,
-                             hash_of(self.seed, node.name, node.boots), now)
+        settings = core.Settings(
+            node.name, "sidecar", node.zone, *node.address, seeds=[s.address for s in seeds], replaces=replaces
+        )
+        node.member = Member(settings, Codec(CLUSTER, self.keys), boot, hash_of(self.seed, node.name, node.boots), now)
         node.count, node.stopped, node.armed_us, node.ended = Count(self.floor), False, -1, ""
         node.waiting.clear()
         self.clock.at(now, self.wake, node, node.member)
@@ -166,8 +167,9 @@
 
     def present(self) -> list[Node]:
         """Those that run, are not stopped, and have joined."""
-        return [n for n in self.nodes.values()
-                if n.member is not None and n.member.phase == "present" and not n.stopped]
+        return [
+            n for n in self.nodes.values() if n.member is not None and n.member.phase == "present" and not n.stopped
+        ]
 
     def failed(self, by: Node) -> list[str]:
         return sorted(name for name, entry in self.view(by).items() if entry.state == State.FAILED)
--- a/garnetusher/model/plan.py
+++ b/garnetusher/model/plan.py
@@ -127,9 +127,10 @@
 
     def _upstreams(self) -> list[UpstreamPlan]:
         spread = self.experiment.upstreams.speed_spread
-        return [UpstreamPlan(uid, uid[2:].rpartition("-")[0],
-                             1 + spread * (2 * draw.uniform(self.seed, "speed", uid) - 1))
-                for uid in upstream_names(self.experiment)]
+        return [
+            UpstreamPlan(uid, uid[2:].rpartition("-")[0], 1 + spread * (2 * draw.uniform(self.seed, "speed", uid) - 1))
+            for uid in upstream_names(self.experiment)
+        ]
 
     def _sidecars(self) -> list[SidecarPlan]:
         e = self.experiment
@@ -152,8 +153,9 @@
     # Places
 
     def _of_zone(self, place: Place, zone: str) -> bool:
-        return ((place.zone is None or place.zone == zone)
-                and (place.region is None or self.experiment.topology.region_of(zone) == place.region))
+        return (place.zone is None or place.zone == zone) and (
+            place.region is None or self.experiment.topology.region_of(zone) == place.region
+        )
 
     def _part(self, number: int, place: Place, names: list[str]) -> list[str]:
         if place.part is None:
@@ -186,9 +188,16 @@
         if fault.what == "burst":
             uids = []
         parties = [*uids, *names, *([DIRECTORY] if fault.where.directory else [])]
-        where = ", ".join(f"{key} {value}" for key, value in
-                          (("zone", fault.where.zone), ("region", fault.where.region), ("part", fault.where.part),
-                           ("tenant", fault.tenant)) if value is not None) or ", ".join(parties[:3])
+        where = ", ".join(
+            f"{key} {value}"
+            for key, value in (
+                ("zone", fault.where.zone),
+                ("region", fault.where.region),
+                ("part", fault.where.part),
+                ("tenant", fault.tenant),
+            )
+            if value is not None
+        ) or ", ".join(parties[:3])
         self.plan.spans.append(Span(fault.what, f"{fault.what} {where}".strip(), at, until, parties))
         if fault.what == "burst":
             assert fault.times is not None
@@ -219,8 +228,9 @@
     def _to_upstream(self, upstream: UpstreamPlan, fault: Fault, at: int, until: int, end: int) -> None:
         notice = us(self.experiment.directory.notice_s)
         value = fault.times if fault.what == "slow" else fault.share
-        start, back = {"kill": ("die", "boot"), "stop": ("hang", "resume"),
-                       "refuse": ("refuse", "accept")}.get(fault.what, (fault.what, fault.what))
+        start, back = {"kill": ("die", "boot"), "stop": ("hang", "resume"), "refuse": ("refuse", "accept")}.get(
+            fault.what, (fault.what, fault.what)
+        )
         upstream.steps.append(Step(at, start, value or 0.0))
         if until < end:
             upstream.steps.append(Step(until, back, 1.0 if fault.what == "slow" else 0.0))
@@ -256,8 +266,9 @@
         for parties, sidecars in pairs:
             if parties and sidecars:
                 for when, what, value in ((at, begin, fault.share or 0.0), (until, finish, 0.0)):
-                    self.plan.links.append(LinkStep(when, what, parties, sidecars, both or from_party,
-                                                    both or not from_party, value))
+                    self.plan.links.append(
+                        LinkStep(when, what, parties, sidecars, both or from_party, both or not from_party, value)
+                    )
         if fault.what == "silent":
             end, notice = us(self.plan.seconds), us(self.experiment.directory.silent_notice_s)
             for uid in uids:
@@ -280,9 +291,13 @@
             begin = at + (until - at) * place // len(batches)
             for uid in batch:
                 old = self.upstreams[uid]
-                heir = UpstreamPlan(f"{uid}-next-{number}", old.zone,
-                                    1 + self.experiment.upstreams.speed_spread
-                                    * (2 * draw.uniform(self.seed, "speed", uid, number) - 1), begin)
+                heir = UpstreamPlan(
+                    f"{uid}-next-{number}",
+                    old.zone,
+                    1
+                    + self.experiment.upstreams.speed_spread * (2 * draw.uniform(self.seed, "speed", uid, number) - 1),
+                    begin,
+                )
                 heir.steps.append(Step(begin, "boot"))
                 self.plan.upstreams.append(heir)
                 self.upstreams[heir.uid] = heir
@@ -313,7 +328,7 @@
 
 
 def _batches(names: list[str], size: int) -> list[list[str]]:
-    return [names[i:i + size] for i in range(0, len(names), size)]
+    return [names[i : i + size] for i in range(0, len(names), size)]
 
 
 def arrivals(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> Iterator[tuple[int, int, int]]:
--- a/garnetusher/model/presence.py
+++ b/garnetusher/model/presence.py
@@ -38,8 +38,9 @@
     cpu_us: float  # of this machine, for a member and second of calm; 0 where the caller has no clock
 
 
-def play(size: int, loss: float, starved: int, seed: int, cpu_ns: Callable[[], int] = lambda: 0,
-         split: bool = True) -> Presence:
+def play(
+    size: int, loss: float, starved: int, seed: int, cpu_ns: Callable[[], int] = lambda: 0, split: bool = True
+) -> Presence:
     """One fleet through all of it."""
     members = Members(seed, loss=loss)
     nodes = [members.add(f"m{number:04}") for number in range(size)]
@@ -47,7 +48,7 @@
         members.start(node, nodes[:2])
     names = [node.name for node in nodes]
     joined = _until(members, JOIN_US, lambda: _all_see(nodes, len(names)))
-    for node in nodes[2:2 + starved]:
+    for node in nodes[2 : 2 + starved]:
         members.slow[node.name] = STARVED_US
     failed: dict[str, dict[str, int]] = {}
 
@@ -71,15 +72,32 @@
     apart = healed = -1.0
     if split:
         left = [n for n in nodes if n is not victim]
-        half = set(names[:size // 2])
+        half = set(names[: size // 2])
         members.cut = lambda a, b: (a.name in half) != (b.name in half)
         mine = [n for n in left if n.name in half]
         apart = _until(members, SPLIT_US, lambda: _all_see(mine, len(mine)))
         members.cut = lambda a, b: False
-        healed = _until(members, HEAL_US, lambda: len({n.member.view.digest for n in left if n.member}) == 1
-                        and _all_see(left, len(left)))
-    return Presence(size, loss, starved, seed, joined, round(calm[1], 1), round(calm[0], 2), _at(times, 0.5),
-                    _at(times, 0.99), len(times), accused, apart, healed, round(cost, 1))
+        healed = _until(
+            members,
+            HEAL_US,
+            lambda: len({n.member.view.digest for n in left if n.member}) == 1 and _all_see(left, len(left)),
+        )
+    return Presence(
+        size,
+        loss,
+        starved,
+        seed,
+        joined,
+        round(calm[1], 1),
+        round(calm[0], 2),
+        _at(times, 0.5),
+        _at(times, 0.99),
+        len(times),
+        accused,
+        apart,
+        healed,
+        round(cost, 1),
+    )
 
 
 def _all_see(nodes: list[Node], count: int) -> bool:
--- a/garnetusher/model/records.py
+++ b/garnetusher/model/records.py
@@ -198,8 +198,28 @@
     rss_mb: float
 
 
-AnyRecord = (Asked | Answered | Broke | Crossed | GaveUp | Quit | Extra | Unreached | Vanished | Silent | Attempt
-             | Ended | Held | Machine | Told | Listed | Process | Believed | Late | Usage)
+AnyRecord = (
+    Asked
+    | Answered
+    | Broke
+    | Crossed
+    | GaveUp
+    | Quit
+    | Extra
+    | Unreached
+    | Vanished
+    | Silent
+    | Attempt
+    | Ended
+    | Held
+    | Machine
+    | Told
+    | Listed
+    | Process
+    | Believed
+    | Late
+    | Usage
+)
 
 _ENCODER = msgspec.json.Encoder()
 _DECODER = msgspec.json.Decoder(AnyRecord)
--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -44,8 +44,15 @@
     @property
     def document(self) -> dict[str, object]:
         """What `--json` prints."""
-        return {"name": self.name, "seed": self.seed, "held": self.held, "figures": self.figures,
-                "broken": self.broken, "late": self.late, "expectations": self.expectations}
+        return {
+            "name": self.name,
+            "seed": self.seed,
+            "held": self.held,
+            "figures": self.figures,
+            "broken": self.broken,
+            "late": self.late,
+            "expectations": self.expectations,
+        }
 
     @property
     def lines(self) -> list[str]:
@@ -60,26 +67,41 @@
     @property
     def why(self) -> list[str]:
         """What keeps it from holding, a line each."""
-        lines = [f"{e.name} is {'not measured' if e.figure is None else f'{e.figure:g}'}, expected {e.bound}"
-                 for e in self.expectations if not e.held and not e.open]
+        lines = [
+            f"{e.name} is {'not measured' if e.figure is None else f'{e.figure:g}'}, expected {e.bound}"
+            for e in self.expectations
+            if not e.held and not e.open
+        ]
         rules = sorted({b.rule for b in self.broken})
-        lines += [f"rule {rule} broken {sum(b.rule == rule for b in self.broken)} times; first: "
-                  + next(b.what for b in self.broken if b.rule == rule) for rule in rules]
+        lines += [
+            f"rule {rule} broken {sum(b.rule == rule for b in self.broken)} times; first: "
+            + next(b.what for b in self.broken if b.rule == rule)
+            for rule in rules
+        ]
         if self.late:
-            lines.append(f"the lab was late in {self.figures['late_events']:.1%} of its events: this play counts for "
-                         "nothing")
+            lines.append(
+                f"the lab was late in {self.figures['late_events']:.1%} of its events: this play counts for nothing"
+            )
         return lines
 
 
-def judge(experiment: Experiment, plan: Plan, records: list[AnyRecord], events: int, late_share: float = 0.0,
-          not_asked: int = 0) -> tuple[Result, list[figures.Request]]:
+def judge(
+    experiment: Experiment,
+    plan: Plan,
+    records: list[AnyRecord],
+    events: int,
+    late_share: float = 0.0,
+    not_asked: int = 0,
+) -> tuple[Result, list[figures.Request]]:
     """The result of a play, real or in virtual time, and its requests for the report."""
     broken = checker.check(experiment, plan, records)
     requests = figures.requests_of(experiment, records)
     found = figures.figures(experiment, plan, records, requests, len(broken), late_share, not_asked)
-    lines = [Expectation(name, bound, found.get(name), holds(bound, found.get(name)), opened)
-             for opened, bounds in ((False, experiment.expect), (True, experiment.open))
-             for name, bound in bounds.items()]
+    lines = [
+        Expectation(name, bound, found.get(name), holds(bound, found.get(name)), opened)
+        for opened, bounds in ((False, experiment.expect), (True, experiment.open))
+        for name, bound in bounds.items()
+    ]
     late = late_share > LATE_SHARE
     held = not broken and not late and all(line.held or line.open for line in lines)
     return Result(experiment.name, plan.seed, held, late, found, lines, broken, events), requests
--- a/garnetusher/model/steady.py
+++ b/garnetusher/model/steady.py
@@ -18,17 +18,22 @@
 def listing(count: int, cold: bool) -> api.UpstreamsUpdated:
     """A whole list, spread over three zones; all of it old, or all of it started at
     different times of the last warm-up."""
-    return api.UpstreamsUpdated(api.ListKind.FULL, [
-        api.Upstream(i + 1, zone=i % ZONES, started_us=START_US - WARM_UP_US * 9 // 10 * i // count if cold else 0)
-        for i in range(count)])
+    return api.UpstreamsUpdated(
+        api.ListKind.FULL,
+        [
+            api.Upstream(i + 1, zone=i % ZONES, started_us=START_US - WARM_UP_US * 9 // 10 * i // count if cold else 0)
+            for i in range(count)
+        ],
+    )
 
 
 def change(whole: api.UpstreamsUpdated, number: int, of: int) -> api.UpstreamsUpdated:
     """The `number`th of so many changes of one entry, spread over the list: ready as it was, or draining."""
     entry = whole.upstreams[number * len(whole.upstreams) // of]
     state = api.UpstreamState.DRAINING if number % 2 else api.UpstreamState.READY
-    return api.UpstreamsUpdated(api.ListKind.DELTA, [
-        api.Upstream(entry.id, state, entry.zone, started_us=entry.started_us)])
+    return api.UpstreamsUpdated(
+        api.ListKind.DELTA, [api.Upstream(entry.id, state, entry.zone, started_us=entry.started_us)]
+    )
 
 
 class Steady:
@@ -37,10 +42,24 @@
     def __init__(self, seed: int) -> None:
         classes = [api.RequestClass("read", 400_000, 1_500_000, effect="idempotent")]
         self.now_us = START_US
-        self.balancer = Balancer(api.Settings(
-            classes, instances=100, max_attempts=3, max_retry_after_us=1_000_000, connect_timeout_us=200_000,
-            cancel=True, second_copies=True, cold_share=0.2, warm_up_us=WARM_UP_US, overload_factor=2.5,
-            fall_us=1_000_000, cross_zone_fee=0.02), seed, START_US)
+        self.balancer = Balancer(
+            api.Settings(
+                classes,
+                instances=100,
+                max_attempts=3,
+                max_retry_after_us=1_000_000,
+                connect_timeout_us=200_000,
+                cancel=True,
+                second_copies=True,
+                cold_share=0.2,
+                warm_up_us=WARM_UP_US,
+                overload_factor=2.5,
+                fall_us=1_000_000,
+                cross_zone_fee=0.02,
+            ),
+            seed,
+            START_US,
+        )
         self.out: deque[tuple[int, int, int, int]] = deque()  # (due, request, attempt, upstream)
         self.timer_us = 0
         self.requests = self.sent = 0
--- a/garnetusher/model/upstream.py
+++ b/garnetusher/model/upstream.py
@@ -84,8 +84,10 @@
         fell = self._weigh(now_us, work_us)
         if fell is not None:
             return [*done, fell, TurnedAway(job)]
-        if len(self.queue) >= self.figures.queue_per_core * self.figures.cores and \
-                len(self.running) >= self.figures.cores:
+        if (
+            len(self.queue) >= self.figures.queue_per_core * self.figures.cores
+            and len(self.running) >= self.figures.cores
+        ):
             return [*done, TurnedAway(job)]
         self.queue.append(_Job(job, float(work_us)))
         self._fill()
@@ -169,8 +171,9 @@
         if f.choke_times <= 1:
             return
         if self.choked_us is None:
-            self._crowded_us = None if per_core <= f.choke_at else \
-                now_us if self._crowded_us is None else self._crowded_us
+            self._crowded_us = (
+                None if per_core <= f.choke_at else now_us if self._crowded_us is None else self._crowded_us
+            )
             if self._crowded_us is not None and now_us - self._crowded_us >= f.choke_over_s * 1e6:
                 self.choked_us, self._idle_us = now_us, None
             return
--- a/garnetusher/model/world.py
+++ b/garnetusher/model/world.py
@@ -291,8 +291,9 @@
         self.settings = settings(world.experiment, world.plan, self.plan)
         self.idents: dict[str, int] = {}
         self.uids: dict[int, str] = {}
-        self.balancer = baselines.decisions(world.experiment.sidecars.policy, self.settings, seed,
-                                            EPOCH_US + world.clock.now_us)
+        self.balancer = baselines.decisions(
+            world.experiment.sidecars.policy, self.settings, seed, EPOCH_US + world.clock.now_us
+        )
         self.tell(api.UpstreamsUpdated(api.ListKind.CACHED, [self.entry(step) for step in world.listed.values()]))
         self.tell(api.TimerFired(0))
         if not self.settings.list_on_request:
@@ -379,8 +380,15 @@
             self.last += 1
             request = _Open(self.last, it, it.until_us - ANSWER_MARGIN_US)
             self.open[request.ident] = request
-            self.tell(api.RequestArrived(request.ident, EPOCH_US + request.due_us, it.cls, it.tenant,
-                                         retried=it.number > 0 and self.world.experiment.clients.marks))
+            self.tell(
+                api.RequestArrived(
+                    request.ident,
+                    EPOCH_US + request.due_us,
+                    it.cls,
+                    it.tenant,
+                    retried=it.number > 0 and self.world.experiment.clients.marks,
+                )
+            )
 
     def time_out(self, it: _Try) -> None:
         if not it.over:
@@ -404,12 +412,14 @@
             self.tell(api.RequestGone(request.ident))
 
     def again(self, it: _Try, harmless: bool, retry_after_us: int) -> None:
-        at = self.client.comes_again_us(self.world.clock.now_us, it.cls, it.number, it.first_us, harmless,
-                                        retry_after_us)
+        at = self.client.comes_again_us(
+            self.world.clock.now_us, it.cls, it.number, it.first_us, harmless, retry_after_us
+        )
         if at is not None:
             number = it.number + 1
-            self.world.clock.at(at, self.come_again,
-                                _Try(f"{it.request}.{number}", it.request, it.cls, it.tenant, it.first_us, number))
+            self.world.clock.at(
+                at, self.come_again, _Try(f"{it.request}.{number}", it.request, it.cls, it.tenant, it.first_us, number)
+            )
 
     def come_again(self, it: _Try) -> None:
         if self.asking:
@@ -503,8 +513,9 @@
         if pair.cut_in or pair.cut_out:
             self.world.clock.at(now + DIAL_TIMEOUT_US, self.dialled, request, flight, False, self.life)
         else:
-            self.world.clock.at(now + 2 * pair.way_us, self.dialled, request, flight,
-                                not self.world.machines[uid].refusing, self.life)
+            self.world.clock.at(
+                now + 2 * pair.way_us, self.dialled, request, flight, not self.world.machines[uid].refusing, self.life
+            )
 
     def dialled(self, request: _Open, flight: _Flight, came_up: bool, life: int) -> None:
         if not self.awake(self.dialled, request, flight, came_up, life) or life != self.life or flight.ended:
@@ -545,8 +556,9 @@
                     flight.line.open = False
                     pair = self.world.pairs[uid, self.name]
                     if not pair.cut_out:
-                        self.world.clock.at(self.world.clock.now_us + pair.way_us, self.back, request, flight,
-                                            api.Outcome.RESET, uid)
+                        self.world.clock.at(
+                            self.world.clock.now_us + pair.way_us, self.back, request, flight, api.Outcome.RESET, uid
+                        )
 
     def give_up(self, request: _Open, number: int, outcome: api.Outcome, life: int) -> None:
         if not self.awake(self.give_up, request, number, outcome, life) or life != self.life:
@@ -562,8 +574,7 @@
         line = flight.line
         if line is not None and flight.written:
             line.open = False
-            self.world.carry(line.upstream, self.name, True,
-                             lambda: self.world.machines[line.upstream].left(flight.n))
+            self.world.carry(line.upstream, self.name, True, lambda: self.world.machines[line.upstream].left(flight.n))
 
     def later(self, request: _Open, flight: _Flight, outcome: api.Outcome) -> None:
         """Not within the module's own call."""
@@ -579,8 +590,16 @@
         if not self.awake(self.report, request, flight, outcome, life) or life != self.life:
             return
         self.forget(request)
-        self.tell(api.AttemptEnded(request.ident, flight.number, flight.upstream, outcome,
-                                   self.world.clock.now_us - flight.sent_us, request.over))
+        self.tell(
+            api.AttemptEnded(
+                request.ident,
+                flight.number,
+                flight.upstream,
+                outcome,
+                self.world.clock.now_us - flight.sent_us,
+                request.over,
+            )
+        )
 
     def count(self) -> None:
         """What this process's member makes of the fleet by now."""
@@ -603,11 +622,15 @@
         if known is not None:
             return known
         zones = self.world.experiment.topology.zones
-        state = {"active": api.UpstreamState.READY, "leaving": api.UpstreamState.DRAINING,
-                 "left": api.UpstreamState.GONE}[step.state]
+        state = {
+            "active": api.UpstreamState.READY,
+            "leaving": api.UpstreamState.DRAINING,
+            "left": api.UpstreamState.GONE,
+        }[step.state]
         started = 0 if step.started_us == LONG_AGO else EPOCH_US + step.started_us
         return self.world.entries.setdefault(
-            key, api.Upstream(self.idents[step.uid], state, zones.index(step.zone), started_us=started))
+            key, api.Upstream(self.idents[step.uid], state, zones.index(step.zone), started_us=started)
+        )
 
     def call_list(self) -> None:
         """Ask for the list and its changes from now on, in place of an earlier call."""
@@ -623,8 +646,11 @@
 
     def list_answered(self, life: int, call: int, taken: bool) -> None:
         """The call's turn has come; or it was turned away, or has waited for too long."""
-        if not self.awake(self.list_answered, life, call, taken) or (life, call) != (self.life, self.calls) or \
-                self.list_known == call:
+        if (
+            not self.awake(self.list_answered, life, call, taken)
+            or (life, call) != (self.life, self.calls)
+            or self.list_known == call
+        ):
             return
         now = self.world.clock.now_us
         if taken:
@@ -660,11 +686,17 @@
         self.list_rng = random.Random(f"{plan.seed} list")
         topology = experiment.topology
         zones = {u.uid: u.zone for u in plan.upstreams}
-        ways = {(here, there): round(topology.one_way_ms(here, there) * 1000)
-                for here in topology.zones for there in topology.zones}
+        ways = {
+            (here, there): round(topology.one_way_ms(here, there) * 1000)
+            for here in topology.zones
+            for there in topology.zones
+        }
         homes = {s.name: s.zone for s in plan.sidecars}
-        self.pairs = _Pairs(lambda party, name: round(topology.cross_zone_ms * 1000) if party == DIRECTORY
-                            else ways[homes[name], zones[party]])
+        self.pairs = _Pairs(
+            lambda party, name: (
+                round(topology.cross_zone_ms * 1000) if party == DIRECTORY else ways[homes[name], zones[party]]
+            )
+        )
         self.entries: dict[tuple[int, str, str, int], api.Upstream] = {}  # shared by all sidecars that know it so
         self.listed = {u.uid: ListStep(0, u.uid, u.zone, "active") for u in plan.upstreams if u.from_us == 0}
         self.members = Members(plan.seed, clock=self.clock) if experiment.sidecars.membership else None
@@ -706,8 +738,9 @@
 
     def apart(self, a: Node, b: Node) -> bool:
         """A sidecar that is cut off from all that it talks to is cut off from the others, too."""
-        return any(self.pairs[DIRECTORY, node.name].cut_in and self.pairs[DIRECTORY, node.name].cut_out
-                   for node in (a, b))
+        return any(
+            self.pairs[DIRECTORY, node.name].cut_in and self.pairs[DIRECTORY, node.name].cut_out for node in (a, b)
+        )
 
     def count(self) -> None:
         for sidecar in self.sidecars.values():
@@ -771,8 +804,14 @@
         taken = self.list_free_us - now <= it.calls_waiting * takes_us
         if taken:
             self.list_free_us = max(now, self.list_free_us) + takes_us
-        self.clock.at(self.list_free_us if taken else now, self.carry, DIRECTORY, sidecar.name, False,
-                      partial(sidecar.list_answered, life, call, taken))
+        self.clock.at(
+            self.list_free_us if taken else now,
+            self.carry,
+            DIRECTORY,
+            sidecar.name,
+            False,
+            partial(sidecar.list_answered, life, call, taken),
+        )
 
     def tell(self, sidecar: Sidecar, step: ListStep) -> None:
         if sidecar.up:
@@ -788,14 +827,27 @@
     known = {known.name for known in dataclasses.fields(api.Settings)}
     later: dict[str, Any] = {"regions": [names.index(experiment.topology.region_of(zone)) for zone in zones]}
     return api.Settings(
-        classes=[api.RequestClass(c.name, int(c.aim_ms * 1000), int(c.deadline_ms * 1000), c.worth, effect=c.effect)
-                 for c in experiment.classes],
+        classes=[
+            api.RequestClass(c.name, int(c.aim_ms * 1000), int(c.deadline_ms * 1000), c.worth, effect=c.effect)
+            for c in experiment.classes
+        ],
         tenants=[api.Tenant(t.name, t.share * experiment.load.requests_per_s, t.share) for t in experiment.tenants],
-        over_share_worth=experiment.over_share_worth, instances=experiment.sidecars.told or len(plan.sidecars),
-        self_index=plan.sidecars.index(sidecar), zone=zones.index(sidecar.zone),
-        max_attempts=experiment.sidecars.max_attempts, max_retry_after_us=2_000_000,
-        connect_timeout_us=DIAL_TIMEOUT_US, cancel=True, second_copies=experiment.sidecars.second_copies,
-        cold_share=min(0.13, u.cold_share), warm_up_us=int(u.warm_up_s * 1e6), overload_factor=u.overload_factor,
-        fall_us=int(u.fall_s * 1e6), cross_zone_fee=0.022, weighted=True,
-        list_on_request=experiment.directory.mode == "on_request", ask_within_us=ASK_WITHIN_US,
-        **{name: value for name, value in later.items() if name in known})
+        over_share_worth=experiment.over_share_worth,
+        instances=experiment.sidecars.told or len(plan.sidecars),
+        self_index=plan.sidecars.index(sidecar),
+        zone=zones.index(sidecar.zone),
+        max_attempts=experiment.sidecars.max_attempts,
+        max_retry_after_us=2_000_000,
+        connect_timeout_us=DIAL_TIMEOUT_US,
+        cancel=True,
+        second_copies=experiment.sidecars.second_copies,
+        cold_share=min(0.13, u.cold_share),
+        warm_up_us=int(u.warm_up_s * 1e6),
+        overload_factor=u.overload_factor,
+        fall_us=int(u.fall_s * 1e6),
+        cross_zone_fee=0.022,
+        weighted=True,
+        list_on_request=experiment.directory.mode == "on_request",
+        ask_within_us=ASK_WITHIN_US,
+        **{name: value for name, value in later.items() if name in known},
+    )
--- a/garnetusher/policy/balance.py
+++ b/garnetusher/policy/balance.py
@@ -77,8 +77,9 @@
 
 
 class Request:
-    def __init__(self, event: api.RequestArrived, kind: Kind, party: Party | None, most_attempts: int,
-                 now_us: int) -> None:
+    def __init__(
+        self, event: api.RequestArrived, kind: Kind, party: Party | None, most_attempts: int, now_us: int
+    ) -> None:
         self.event = event
         self.kind = kind  # hazard: by its place in the settings, it would change with them
         self.party = party
@@ -186,10 +187,14 @@
         for pool in self.pools:
             pool.settings = event.settings
         kinds, parties = self.kinds, self.parties
-        self.kinds = [Kind(rules, kinds[place].mean_us if place is not None else None)
-                      for rules, place in zip(event.settings.classes, event.classes_before, strict=True)]
-        self.parties = [Party(tenant, parties[place].seen if place is not None else 0.0)
-                        for tenant, place in zip(event.settings.tenants, event.tenants_before, strict=True)]
+        self.kinds = [
+            Kind(rules, kinds[place].mean_us if place is not None else None)
+            for rules, place in zip(event.settings.classes, event.classes_before, strict=True)
+        ]
+        self.parties = [
+            Party(tenant, parties[place].seen if place is not None else 0.0)
+            for tenant, place in zip(event.settings.tenants, event.tenants_before, strict=True)
+        ]
         self.allowed_per_s = max(1.0, sum(party.allowance_per_s for party in self.parties))
         if self.settings.list_on_request != asked:
             self.ask_list_us = 0
@@ -231,7 +236,7 @@
             pool.served += self.opened_by_arrival(pool)
             pool.arrival_us = self.now_us
         server = self.draw(request)
-        for pool in self.pools[:self.pools.index(server.pool)] if server is not None else self.pools:
+        for pool in self.pools[: self.pools.index(server.pool)] if server is not None else self.pools:
             pool.short_us = self.now_us
             if pool.cohorts and not pool.all_cold():
                 # hazard: by what is served alone cold ones idle while the warm ones are full and requests refused;
@@ -307,8 +312,11 @@
         """Rule 1 and 2, the one place of final answers: one each; refused only if nothing may have run."""
         kind = request.kind.rules
         rejected = any(attempt.ended is api.Outcome.REJECTED for attempt in request.attempts)
-        harmless = not rejected and (kind.effect == "idempotent" or request.first_that_may_have_run() is None
-                                     or (kind.effect == "deduplicated" and kind.group == "all"))
+        harmless = not rejected and (
+            kind.effect == "idempotent"
+            or request.first_that_may_have_run() is None
+            or (kind.effect == "deduplicated" and kind.group == "all")
+        )
         self.close(request)
         ident, after_us = request.event.request, request.kind.mean_us
         # about one answer's time, spread lest refused clients return together
@@ -357,7 +365,8 @@
         # hazard: slots opened without need (none for two aims), by many sidecars above all, choke bursts
         # hazard: an excess that finds slots farther away leaves no request without, and near slots would only close
         elif server.window < 1.0 or attempt.sent_us - 4 * slow_us <= (
-                max(pool.short_us, self.short_us) if pool.load < ROOM else self.short_us):
+            max(pool.short_us, self.short_us) if pool.load < ROOM else self.short_us
+        ):
             server.window += min(server.window, step)
         server.window = min(max(server.window, SMALLEST_WINDOW), float(MOST_SLOTS))
         if server.window < 1.0:
@@ -388,8 +397,11 @@
             found = self.draw_slot(request, shut | doubted)
             if found is not None:
                 return found
-        missed = {number for number in {attempt.entry.zone for attempt in request.attempts}
-                  if self.zones.quiet(number, self.now_us)}
+        missed = {
+            number
+            for number in {attempt.entry.zone for attempt in request.attempts}
+            if self.zones.quiet(number, self.now_us)
+        }
         if missed:
             # hazard: to a light sidecar all tries of a request fail in a lost zone, and it never hears that
             # others answer; what a try elsewhere shows is what the zone is weighed against
@@ -401,8 +413,12 @@
     def draw_slot(self, request: Request, shut: set[int]) -> Server | None:
         nearest = self.pools.index(request.attempts[-1].server.pool) if request.out() else TIERS
         for number, pool in enumerate(self.pools):
-            if number > nearest and self.stays(request) or \
-                    number == TIERS - 1 and not self.worth_the_way(request, pool):
+            if (
+                number > nearest
+                and self.stays(request)
+                or number == TIERS - 1
+                and not self.worth_the_way(request, pool)
+            ):
                 continue
             if request.event.retried and not request.attempts and pool.admitted < RETRY_ADMITTED:
                 continue  # hazard: its client has waited before; late, it would take the place of one in time
@@ -419,8 +435,9 @@
                 return found
         return None
 
-    def pick(self, request: Request, pool: Pool, shut: set[int], used: bool | None,
-             cold: bool | None = None) -> Server | None:
+    def pick(
+        self, request: Request, pool: Pool, shut: set[int], used: bool | None, cold: bool | None = None
+    ) -> Server | None:
         """A random upstream with a slot free for it, rather one that has not had it."""
         if not request.attempts:
             return pool.pick(self.random, shut, used, cold)
@@ -545,7 +562,7 @@
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request)
-        attempts = request.attempts[event.attempt:event.attempt + 1] if request is not None else []
+        attempts = request.attempts[event.attempt : event.attempt + 1] if request is not None else []
         if request is None or not attempts or attempts[0].ended is not None:
             return
         attempt = attempts[0]
@@ -590,9 +607,13 @@
     def cancel_losers(self, request: Request, winner: int = -1) -> None:
         """An attempt that lost to its copy is work for nobody, and holds a slot that others wait for."""
         if self.settings.cancel and not request.done:
-            self.actions.extend([api.Cancel(request.event.request, number)
-                                 for number, attempt in enumerate(request.attempts)
-                                 if attempt.ended is None and number != winner])
+            self.actions.extend(
+                [
+                    api.Cancel(request.event.request, number)
+                    for number, attempt in enumerate(request.attempts)
+                    if attempt.ended is None and number != winner
+                ]
+            )
 
     def on_list(self, event: api.UpstreamsUpdated) -> None:
         if event.kind is api.ListKind.FAILED:
@@ -608,8 +629,7 @@
         started: set[int] = set()
         for entry in event.upstreams:
             server: Server | None = self.servers.get(entry.id)
-            if server is not None and (entry.state is not api.UpstreamState.READY
-                                       or entry.zone != server.entry.zone):
+            if server is not None and (entry.state is not api.UpstreamState.READY or entry.zone != server.entry.zone):
                 self.forget(server)  # rule 3: the moment we are told
                 server = None
             if entry.state is not api.UpstreamState.READY:
@@ -627,8 +647,11 @@
                     server.started_us = entry.started_us
                     server.pool.start(server, self.now_us, due)
             server.entry = entry
-        self.zones.listed({number: len(members) for pool in self.pools for number, members in pool.zones.items()},
-                          started, self.now_us)
+        self.zones.listed(
+            {number: len(members) for pool in self.pools for number, members in pool.zones.items()},
+            started,
+            self.now_us,
+        )
 
     def forget(self, server: Server) -> None:
         del self.servers[server.entry.id]
@@ -674,8 +697,13 @@
             server.pool.admitted, server.pool.load = 1.0, 0.0
         for request in list(self.requests.values()):
             last = request.attempts[-1] if request.attempts else None
-            if last is not None and last.ended is None and last.entry.zone == zone.number and self.retries >= 1.0 \
-                    and request.kind.rules.effect == "idempotent":
+            if (
+                last is not None
+                and last.ended is None
+                and last.entry.zone == zone.number
+                and self.retries >= 1.0
+                and request.kind.rules.effect == "idempotent"
+            ):
                 self.send_copy(request)
 
     def backoff_us(self) -> int:
@@ -722,11 +750,13 @@
             elif what == "late" and ident in self.requests:
                 request = self.requests[ident]
                 for attempt in request.attempts:
-                    if attempt.ended is None and not attempt.late and \
-                            self.now_us - attempt.sent_us >= self.late_us(request):
+                    if (
+                        attempt.ended is None
+                        and not attempt.late
+                        and self.now_us - attempt.sent_us >= self.late_us(request)
+                    ):
                         again = any(other.late for other in request.attempts)
                         attempt.late = True
-                        self.zones.overdue(attempt.entry.zone, attempt.entry.id, attempt.sent_us, again,
-                                           self.now_us)
+                        self.zones.overdue(attempt.entry.zone, attempt.entry.id, attempt.sent_us, again, self.now_us)
             elif what == "buffer" and self.buffer is not None and self.buffer.event.request == ident:
                 self.finish(self.buffer)
--- a/garnetusher/policy/interface.py
+++ b/garnetusher/policy/interface.py
@@ -131,13 +131,20 @@
         _require(self.max_attempts >= 1, "a max_attempts of 1 or more", self.max_attempts)
         _require(0 < self.cold_share <= 1, "a cold_share above 0, at most 1", self.cold_share)
         _require(self.overload_factor > 0, "an overload_factor above 0", self.overload_factor)
-        for name in ("zone", "tick_us", "max_retry_after_us", "connect_timeout_us", "ask_within_us",
-                     "warm_up_us", "fall_us", "cross_zone_fee"):
+        for name in (
+            "zone",
+            "tick_us",
+            "max_retry_after_us",
+            "connect_timeout_us",
+            "ask_within_us",
+            "warm_up_us",
+            "fall_us",
+            "cross_zone_fee",
+        ):
             _require(getattr(self, name) >= 0, f"a {name} of 0 or more", getattr(self, name))
 
 
-def places_before(now: Sequence[RequestClass | Tenant],
-                  before: Sequence[RequestClass | Tenant]) -> list[int | None]:
+def places_before(now: Sequence[RequestClass | Tenant], before: Sequence[RequestClass | Tenant]) -> list[int | None]:
     """Where each of these stood; classes and tenants are known by their names."""
     places = {each.name: place for place, each in enumerate(before)}
     return [places.get(each.name) for each in now]
@@ -281,9 +288,23 @@
     payload: bytes
 
 
-Event = (UpstreamsUpdated | RequestArrived | RequestWhole | DueMoved | BodyPassed | RequestGone | ClientLeft
-         | AttemptEnded | StreamStarted | ProbeEnded | SettingsChanged | ZoneOrdered | FleetChanged | TimerFired
-         | PeerMessage)
+Event = (
+    UpstreamsUpdated
+    | RequestArrived
+    | RequestWhole
+    | DueMoved
+    | BodyPassed
+    | RequestGone
+    | ClientLeft
+    | AttemptEnded
+    | StreamStarted
+    | ProbeEnded
+    | SettingsChanged
+    | ZoneOrdered
+    | FleetChanged
+    | TimerFired
+    | PeerMessage
+)
 
 
 # Actions
@@ -359,5 +380,4 @@
     text: str
 
 
-Action = (Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle
-          | TellPeer | Log)
+Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | TellPeer | Log
--- a/garnetusher/policy/slots.py
+++ b/garnetusher/policy/slots.py
@@ -26,8 +26,27 @@
 class Server:
     """What this sidecar knows of one upstream."""
 
-    __slots__ = ("bucket", "cohort", "due", "due_at", "entry", "faults", "in_use", "key", "listed", "pace", "part",
-                 "place", "pool", "rest_until_us", "rests", "started_us", "used", "weight", "window")
+    __slots__ = (
+        "bucket",
+        "cohort",
+        "due",
+        "due_at",
+        "entry",
+        "faults",
+        "in_use",
+        "key",
+        "listed",
+        "pace",
+        "part",
+        "place",
+        "pool",
+        "rest_until_us",
+        "rests",
+        "started_us",
+        "used",
+        "weight",
+        "window",
+    )
 
     def __init__(self, entry: api.Upstream, pool: Pool) -> None:
         self.entry = entry
@@ -200,7 +219,7 @@
         if free <= 0 or not server.listed:
             self.lift(server)
             return
-        server.weight = free / server.pace ** 2
+        server.weight = free / server.pace**2
         # a bucket's weights lie between half of its size, a power of two, and the whole
         key = (server.entry.zone, server.in_use, server.cohort is not None, math.frexp(server.weight)[1])
         if server.bucket is None or server.key != key:
@@ -239,8 +258,11 @@
     def free(self, shut: Container[int], used: bool | None, cold: bool | None) -> list[tuple[float, list[Server]]]:
         """The buckets, with their sizes, of those with a slot free and in no zone that is shut; `used` and `cold` ask
         for these alone."""
-        return [(math.ldexp(1.0, exponent), bucket) for (at, in_use, is_cold, exponent), bucket in self.buckets.items()
-                if at not in shut and (used is None or in_use == used) and (cold is None or is_cold == cold)]
+        return [
+            (math.ldexp(1.0, exponent), bucket)
+            for (at, in_use, is_cold, exponent), bucket in self.buckets.items()
+            if at not in shut and (used is None or in_use == used) and (cold is None or is_cold == cold)
+        ]
 
     def pick(self, rng: random.Random, shut: Container[int], used: bool | None, cold: bool | None) -> Server | None:
         """A random one of them, by weight; None if there is none."""
