--- a/garnetusher/policy/zones.py
+++ b/garnetusher/policy/zones.py
@@ -78,10 +78,17 @@
 
     def told(self, now_us: int) -> dict[str, object]:
         """For operators: its state, since when, and the figures that speak for it."""
-        return {"state": self.state.value, "by": "operator" if self.ordered else "evidence", "why": self.why,
-                "for_s": round((now_us - self.changed_us) / 1_000_000, 1), "upstreams": self.upstreams,
-                "part": STEPS[self.step] if self.state is State.RETURNING else float(self.used),
-                "misses": self.misses, "evidence": round(self.evidence, 1), "pace": round(self.pace, 2)}
+        return {
+            "state": self.state.value,
+            "by": "operator" if self.ordered else "evidence",
+            "why": self.why,
+            "for_s": round((now_us - self.changed_us) / 1_000_000, 1),
+            "upstreams": self.upstreams,
+            "part": STEPS[self.step] if self.state is State.RETURNING else float(self.used),
+            "misses": self.misses,
+            "evidence": round(self.evidence, 1),
+            "pace": round(self.pace, 2),
+        }
 
     def forget(self) -> None:
         self.suspects.clear()
@@ -92,8 +99,7 @@
 class Zones:
     """All zones, and the only place where their state changes. `changed` is told of each change."""
 
-    def __init__(self, settings: api.Settings, seed: int, now_us: int,
-                 changed: Callable[[Zone, State], None]) -> None:
+    def __init__(self, settings: api.Settings, seed: int, now_us: int, changed: Callable[[Zone, State], None]) -> None:
         self.settings = settings
         self.counted = 0  # of the fleet, as its members count each other; 0: nobody does
         self.random = random.Random(seed)  # of its own: what is drawn here must not change other draws
@@ -145,8 +151,9 @@
         """Whether an answer that came, or was overtaken, was late: how often that is so tells what lateness weighs."""
         self.late_part += (float(late) - self.late_part) / LATE_MEMORY
 
-    def failed(self, number: int, upstream: int, sent_us: int, refused: bool, known: bool, pace: float,
-               now_us: int) -> None:
+    def failed(
+        self, number: int, upstream: int, sent_us: int, refused: bool, known: bool, pace: float, now_us: int
+    ) -> None:
         """An attempt was refused, broken, answered with an error, or not answered in time, which may be `known`."""
         zone, self.now_us = self.of(number), now_us
         self.learn(zone, pace)
@@ -191,8 +198,10 @@
             return
         others = [z for z in self.zones.values() if z is not zone and z.used and z.upstreams]
         heard = [z for z in others if z.answer_us > zone.first_us and not z.suspects]
-        seen = f"{zone.misses} attempts at {len(zone.suspects)} of {zone.upstreams} upstreams failed in a row, " \
-               f"{zone.refusals} refused; one in 10^{zone.evidence:.1f} by chance"
+        seen = (
+            f"{zone.misses} attempts at {len(zone.suspects)} of {zone.upstreams} upstreams failed in a row, "
+            f"{zone.refusals} refused; one in 10^{zone.evidence:.1f} by chance"
+        )
         # hazard: in a crowd many are late together, though not by chance; but answers go on coming
         silent = 2 * zone.refusals >= zone.misses or self.now_us - zone.answer_us >= QUIET_US
         if len(zone.suspects) >= zone.needed() and zone.evidence >= EVIDENCE and heard and silent:
@@ -253,8 +262,11 @@
         """The zones that take no part in one draw."""
         if self.all_used:
             return set()
-        out = {z.number for z in self.zones.values() if not z.used and z.upstreams
-               and (z.state is State.LEFT or self.random.random() >= STEPS[z.step])}
+        out = {
+            z.number
+            for z in self.zones.values()
+            if not z.used and z.upstreams and (z.state is State.LEFT or self.random.random() >= STEPS[z.step])
+        }
         if out and not any(z.upstreams and z.number not in out for z in self.zones.values()):
             return {z.number for z in self.zones.values() if z.ordered}  # hazard: there must be somewhere to send
         return out
--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -41,9 +41,12 @@
 ENDS_BEFORE_S = 0.2  # SIGKILL, the last answers set out: time for a busy loop to write them
 
 
-async def serve(settings: config.Config, stop: asyncio.Event,
-                prepared: Callable[[Sidecar], None] = lambda sidecar: None,
-                inherited: socket.socket | None = None) -> None:
+async def serve(
+    settings: config.Config,
+    stop: asyncio.Event,
+    prepared: Callable[[Sidecar], None] = lambda sidecar: None,
+    inherited: socket.socket | None = None,
+) -> None:
     """Serve until told to stop, then answer what comes and what is open; `prepared` gets the parts."""
     sidecar = Sidecar(settings, inherited)
     server, lifecycle, discovery = sidecar.server, sidecar.lifecycle, sidecar.discovery
@@ -51,8 +54,14 @@
     prepared(sidecar)
     members = await with_members(sidecar)
     if settings.admin is not None:
-        await Admin(operators_calls(sidecar) | ({b"/_members": Route(b"GET", lambda query: (
-            True, json.dumps(members.tell())))} if members is not None else {})).listen(settings.admin)
+        await Admin(
+            operators_calls(sidecar)
+            | (
+                {b"/_members": Route(b"GET", lambda query: (True, json.dumps(members.tell())))}
+                if members is not None
+                else {}
+            )
+        ).listen(settings.admin)
     if inherited is not None:
         await take_over(discovery, stop)
     lifecycle.start()
@@ -134,8 +143,12 @@
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
-    await serve(settings, stop,
-                lambda sidecar: loop.add_signal_handler(signal.SIGHUP, Reloader(path, sidecar.take).signal), inherited)
+    await serve(
+        settings,
+        stop,
+        lambda sidecar: loop.add_signal_handler(signal.SIGHUP, Reloader(path, sidecar.take).signal),
+        inherited,
+    )
 
 
 def main() -> int:
--- a/garnetusher/sidecar/body.py
+++ b/garnetusher/sidecar/body.py
@@ -80,8 +80,9 @@
 
     `flow` tells the client's side whether to read on, `passed` that what is held was given up."""
 
-    def __init__(self, held: bytes, length: int | None, flow: Callable[[bool], None],
-                 passed: Callable[[], None]) -> None:
+    def __init__(
+        self, held: bytes, length: int | None, flow: Callable[[bool], None], passed: Callable[[], None]
+    ) -> None:
         self.held = bytearray(held)
         self.length = length
         self.flow = flow
--- a/garnetusher/sidecar/catalogue.py
+++ b/garnetusher/sidecar/catalogue.py
@@ -5,9 +5,21 @@
 from garnetusher.policy.interface import Settings
 from garnetusher.sidecar.request import Call, clock_us
 
-OWN_HEADERS = frozenset((  # of this connection, or written anew for each attempt
-    b"host", b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"upgrade", b"expect",
-    b"content-length", b"transfer-encoding", b"x-deadline-ms"))
+OWN_HEADERS = frozenset(
+    (  # of this connection, or written anew for each attempt
+        b"host",
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+        b"transfer-encoding",
+        b"x-deadline-ms",
+    )
+)
 
 
 class Reject(Exception):
@@ -53,7 +65,11 @@
         key = found.get(b"x-key")
         cost = found.get(b"x-cost-hint")
         return Call(
-            method, target, [(n, v) for n, v in headers if n.lower() not in OWN_HEADERS], b"", clock_us(),
+            method,
+            target,
+            [(n, v) for n, v in headers if n.lower() not in OWN_HEADERS],
+            b"",
+            clock_us(),
             deadline_us=1000 * whole_number(found.get(b"x-deadline-ms", b""), "X-Deadline-Ms"),
             class_index=index,
             tenant=self.tenants.get(found.get(b"x-tenant", b""), len(self.tenants)),  # beyond all: it is none of them
--- a/garnetusher/sidecar/config.py
+++ b/garnetusher/sidecar/config.py
@@ -103,7 +103,7 @@
     key = missing(before.raw, after.raw)
     if key:
         raise ValueError(f"the key {key} is missing")
-    here, names = after.zones[after.settings.zone:after.settings.zone + 1], after.zones
+    here, names = after.zones[after.settings.zone : after.settings.zone + 1], after.zones
     regions = dict(zip(names, after.settings.regions, strict=False))
     after.zones = before.zones + [name for name in names if name not in before.zones]
     after.settings.zone = after.zones.index(here[0]) if here else after.settings.zone
--- a/garnetusher/sidecar/discovery.py
+++ b/garnetusher/sidecar/discovery.py
@@ -75,10 +75,24 @@
             return [lines]
         if lines["all"]:
             listed = {line["uid"] for line in targets}
-            targets = [{"uid": uid, "endpoint": "0.0.0.0:1", "az": "", "model": "", "pod_group": 0, "state": "left",
-                        "capacity_hint": 1.0, "boot_ms": 0} for uid in self.idents if uid not in listed] + targets
-        return [{"rev": lines["rev"], "all": False, "targets": targets[i:i + PIECE]}
-                for i in range(0, len(targets), PIECE)]
+            targets = [
+                {
+                    "uid": uid,
+                    "endpoint": "0.0.0.0:1",
+                    "az": "",
+                    "model": "",
+                    "pod_group": 0,
+                    "state": "left",
+                    "capacity_hint": 1.0,
+                    "boot_ms": 0,
+                }
+                for uid in self.idents
+                if uid not in listed
+            ] + targets
+        return [
+            {"rev": lines["rev"], "all": False, "targets": targets[i : i + PIECE]}
+            for i in range(0, len(targets), PIECE)
+        ]
 
     def check(self, lines: Any) -> None:
         """Raises on what is malformed in a part of a list, and takes nothing of it."""
@@ -127,8 +141,10 @@
             transport.abort()
             return
         host, port = self.discovery.address
-        transport.write(b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n"
-                        % (self.discovery.version, host.encode(), port))
+        transport.write(
+            b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n"
+            % (self.discovery.version, host.encode(), port)
+        )
 
     @property
     def replaced(self) -> bool:
--- a/garnetusher/sidecar/host.py
+++ b/garnetusher/sidecar/host.py
@@ -62,8 +62,13 @@
         """The operator has replaced the settings."""
         before, self.settings = self.settings, settings
         self.gate.settings = settings
-        self._tell(api.SettingsChanged(settings, api.places_before(settings.classes, before.classes),
-                                       api.places_before(settings.tenants, before.tenants)))
+        self._tell(
+            api.SettingsChanged(
+                settings,
+                api.places_before(settings.classes, before.classes),
+                api.places_before(settings.tenants, before.tenants),
+            )
+        )
 
     def end_by(self, at_us: int) -> None:
         """This process ends: what has no answer by then gets one then. Hazard: a client whose time is longer than the
@@ -84,14 +89,31 @@
     def arrived(self, call: Call, asker: Asker, whole: bool = True) -> int:
         """A request has been taken; `asker` gets its one answer unless the client goes first."""
         self.last_ident += 1
-        request = Request(self.last_ident, call, self._due_us(call), asker, whole,
-                          self.settings.classes[call.class_index], self.settings.max_attempts)
+        request = Request(
+            self.last_ident,
+            call,
+            self._due_us(call),
+            asker,
+            whole,
+            self.settings.classes[call.class_index],
+            self.settings.max_attempts,
+        )
         self.requests[request.ident] = request
         self.trace.note("taken", request.ident, reason=call.name)
         if whole:
             self._set_due(request, request.due_us)
-        self._tell(api.RequestArrived(request.ident, request.due_us, call.class_index, call.tenant, call.key,
-                                      call.cost_us, call.retried, whole=whole))
+        self._tell(
+            api.RequestArrived(
+                request.ident,
+                request.due_us,
+                call.class_index,
+                call.tenant,
+                call.key,
+                call.cost_us,
+                call.retried,
+                whole=whole,
+            )
+        )
         return request.ident
 
     def whole(self, ident: int, arrived_us: int) -> None:
@@ -169,8 +191,10 @@
 
     def zones(self, names: list[str]) -> list[dict[str, object]]:
         """What the module believes of each zone, and why."""
-        return [{"zone": names[z.number] if z.number < len(names) else str(z.number)} | z.told(clock_us())
-                for z in sorted(self.balancer.zones.zones.values(), key=lambda z: z.number)]
+        return [
+            {"zone": names[z.number] if z.number < len(names) else str(z.number)} | z.told(clock_us())
+            for z in sorted(self.balancer.zones.zones.values(), key=lambda z: z.number)
+        ]
 
     def order_zone(self, zone: int, leave: bool) -> str:
         """An operator's order; why it is not followed, or ""."""
@@ -311,8 +335,14 @@
             return  # over, and the module has been told
         now_us = clock_us()
         number = len(request.attempts)
-        attempt = Attempt(action.upstream, now_us, self.addresses.get(action.upstream), timeout_us=action.timeout_us,
-                          start_by_us=action.start_by_us, entry=self.entries.get(action.upstream))
+        attempt = Attempt(
+            action.upstream,
+            now_us,
+            self.addresses.get(action.upstream),
+            timeout_us=action.timeout_us,
+            start_by_us=action.start_by_us,
+            entry=self.entries.get(action.upstream),
+        )
         request.attempts.append(attempt)
         if not self.gate.may_choose(request, number, now_us) or attempt.address is None or action.timeout_us < 0:
             self._end_attempt(request, number, Result(api.Outcome.NOT_SENT))
@@ -320,9 +350,12 @@
         if request.whole:
             self._time(request, number)
         attempt.flight = self.upstreams.start(
-            attempt.address, request.call, lambda: self._permission(request, number),
+            attempt.address,
+            request.call,
+            lambda: self._permission(request, number),
             lambda result: self._end_attempt(request, number, result),
-            lambda head, source: self._began(request, number, head, source))
+            lambda head, source: self._began(request, number, head, source),
+        )
         if action.start_by_us:
             self._at(action.start_by_us, self._take_back, request, number)
 
@@ -341,8 +374,7 @@
         attempt = request.attempts[number]
         if attempt.timer is not None:
             attempt.timer.cancel()
-        due_us = min(request.due_us, attempt.sent_us + attempt.timeout_us) if attempt.timeout_us \
-            else request.due_us
+        due_us = min(request.due_us, attempt.sent_us + attempt.timeout_us) if attempt.timeout_us else request.due_us
         attempt.timer = self._at(due_us, self._timed_out, request, number)
 
     def _began(self, request: Request, number: int, head: Head, source: Source) -> Sink | None:
@@ -393,8 +425,7 @@
             self._answer(request.ident, Answer(Verdict.SERVED, result.body, result.content_type))
         elapsed_us = clock_us() - attempt.sent_us
         self._drop_if_done(request)
-        self._tell(api.AttemptEnded(request.ident, number, attempt.upstream, result.outcome, elapsed_us,
-                                    request.over))
+        self._tell(api.AttemptEnded(request.ident, number, attempt.upstream, result.outcome, elapsed_us, request.over))
 
     def _forget(self, ident: int) -> None:
         address = self.addresses.pop(ident, None)
--- a/garnetusher/sidecar/logs.py
+++ b/garnetusher/sidecar/logs.py
@@ -40,7 +40,7 @@
         line = self.format(record)
         if self.dropped:
             line = f"({self.dropped} lines are missing here)\n{line}"
-        data = line.encode(errors="backslashreplace")[:LONGEST_LINE - 1] + b"\n"
+        data = line.encode(errors="backslashreplace")[: LONGEST_LINE - 1] + b"\n"
         try:
             self.dropped = 0 if self.takes_more() and os.write(self.descriptor, data) else self.dropped + 1
         except OSError:  # a full disk, an end without a reader: no log is worth the process
--- a/garnetusher/sidecar/members.py
+++ b/garnetusher/sidecar/members.py
@@ -69,9 +69,17 @@
             keys = keys_of(Path(raw["key_file"]).read_text())
         except ValueError as error:
             raise ValueError(f"fleet.membership.key_file: {raw['key_file']}: {error}") from None
-    return Switch(name, zone, raw["cluster"], address(raw["listen"], "listen"),
-                  [address(seed, f"seeds.{place}") for place, seed in enumerate(seeds)], floor, keys,
-                  bool(raw.get("replaces", False)), str(raw.get("kind", "sidecar")))
+    return Switch(
+        name,
+        zone,
+        raw["cluster"],
+        address(raw["listen"], "listen"),
+        [address(seed, f"seeds.{place}") for place, seed in enumerate(seeds)],
+        floor,
+        keys,
+        bool(raw.get("replaces", False)),
+        str(raw.get("kind", "sidecar")),
+    )
 
 
 class Members:
@@ -90,8 +98,13 @@
         it = self.it
         # a later process has a later boot; where a clock has gone back the others tell it to go higher
         boot = time.time_ns() // 1_000_000
-        return Member(Settings(it.name, it.kind, it.zone, *own, seeds=it.seeds, replaces=it.replaces), self.codec, boot,
-                      boot ^ hash_of(it.name), now_us)
+        return Member(
+            Settings(it.name, it.kind, it.zone, *own, seeds=it.seeds, replaces=it.replaces),
+            self.codec,
+            boot,
+            boot ^ hash_of(it.name),
+            now_us,
+        )
 
     async def open(self) -> Address:
         """Bind and begin to join; raises OSError."""
@@ -135,18 +148,37 @@
             return {"phase": "joining", "members": []}
         now_us, view = clock_us(), member.view
         return {
-            "phase": member.phase, "why": self.why if member.phase == "stopped" else "", "boot": member.boot,
-            "incarnation": member.incarnation, "health": member.health, "cluster": self.it.cluster,
-            "instances": share.instances if share else 0, "trusted": bool(share and share.trusted),
+            "phase": member.phase,
+            "why": self.why if member.phase == "stopped" else "",
+            "boot": member.boot,
+            "incarnation": member.incarnation,
+            "health": member.health,
+            "cluster": self.it.cluster,
+            "instances": share.instances if share else 0,
+            "trusted": bool(share and share.trusted),
             "agreed": member.agreed,
-            "disputes": [{"with": name, "for_s": round((now_us - d.since_us) / 1e6, 1), "on": member.differs}
-                         for name, d in member.disputed().items()],
+            "disputes": [
+                {"with": name, "for_s": round((now_us - d.since_us) / 1e6, 1), "on": member.differs}
+                for name, d in member.disputed().items()
+            ],
             "dropped": dict(sorted((self.codec.dropped + member.counted).items())),
-            "bytes_in": self.shell.bytes_in, "bytes_out": self.shell.bytes_out,
-            "members": [{"name": e.name, "kind": e.kind, "zone": e.zone, "address": f"{e.host}:{e.port}",
-                         "state": State(e.state).name.lower(), "boot": e.boot, "incarnation": e.incarnation,
-                         "by": e.by, "for_s": round((now_us - view.since_us[e.name]) / 1e6, 1)}
-                        for e in sorted(view.entries.values(), key=lambda e: e.name)]}
+            "bytes_in": self.shell.bytes_in,
+            "bytes_out": self.shell.bytes_out,
+            "members": [
+                {
+                    "name": e.name,
+                    "kind": e.kind,
+                    "zone": e.zone,
+                    "address": f"{e.host}:{e.port}",
+                    "state": State(e.state).name.lower(),
+                    "boot": e.boot,
+                    "incarnation": e.incarnation,
+                    "by": e.by,
+                    "for_s": round((now_us - view.since_us[e.name]) / 1e6, 1),
+                }
+                for e in sorted(view.entries.values(), key=lambda e: e.name)
+            ],
+        }
 
     async def leave(self) -> None:
         """Say so to the others; the decisions keep the last number."""
--- a/garnetusher/sidecar/operators.py
+++ b/garnetusher/sidecar/operators.py
@@ -42,12 +42,22 @@
             if name not in names:
                 return False, f"expected ?zone= and one of {', '.join(names)}, got {name!r}"
             objection = server.host.order_zone(names.index(name), leave)
-            return not objection, f"zone {name} is not left: {objection}" if objection else \
-                f"zone {name} is {'left' if leave else 'returned to'} by an operator's order"
+            return (
+                not objection,
+                f"zone {name} is not left: {objection}"
+                if objection
+                else f"zone {name} is {'left' if leave else 'returned to'} by an operator's order",
+            )
 
         return call
 
-    return {b"/_ready": Route(b"GET", ready), b"/_lameduck/on": Route(b"POST", drain),
-            b"/_lameduck/off": Route(b"POST", undrain), b"/_zones": Route(b"GET", zones),
-            b"/_trace": Route(b"GET", trace), b"/_counters": Route(b"GET", counters),
-            b"/_zone/leave": Route(b"POST", order(True)), b"/_zone/return": Route(b"POST", order(False))}
+    return {
+        b"/_ready": Route(b"GET", ready),
+        b"/_lameduck/on": Route(b"POST", drain),
+        b"/_lameduck/off": Route(b"POST", undrain),
+        b"/_zones": Route(b"GET", zones),
+        b"/_trace": Route(b"GET", trace),
+        b"/_counters": Route(b"GET", counters),
+        b"/_zone/leave": Route(b"POST", order(True)),
+        b"/_zone/return": Route(b"POST", order(False)),
+    }
--- a/garnetusher/sidecar/request.py
+++ b/garnetusher/sidecar/request.py
@@ -127,8 +127,14 @@
 class Upstreams(Protocol):
     """The side of the upstreams."""
 
-    def start(self, address: tuple[str, int], call: Call, permission: Permission, ended: Callable[[Result], None],
-              began: Callable[[Head, Source], Sink | None]) -> Flight:
+    def start(
+        self,
+        address: tuple[str, int],
+        call: Call,
+        permission: Permission,
+        ended: Callable[[Result], None],
+        began: Callable[[Head, Source], Sink | None],
+    ) -> Flight:
         """Begin an attempt. `permission` is asked when its first byte is to be written. `ended` is called once,
         later, unless the attempt is given up first; before it `began`, where the answer is a long one, which tells
         where it goes if anybody still wants it."""
--- a/garnetusher/sidecar/server.py
+++ b/garnetusher/sidecar/server.py
@@ -49,9 +49,18 @@
 SET_UP_US = 20_000  # what is read so soon after a connection was set up, or after another piece, may have come with it
 MOST_HELD_US = 500_000  # of a body that streams on and on after a hold-up, so much is what had come in it
 LINGER_S = 1.0  # how long a connection that is to end stays for its client to read what it was told
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-           408: b"Request Timeout", 413: b"Content Too Large", 417: b"Expectation Failed",
-           500: b"Internal Server Error", 501: b"Not Implemented", 503: b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    417: b"Expectation Failed",
+    500: b"Internal Server Error",
+    501: b"Not Implemented",
+    503: b"Service Unavailable",
+}
 
 
 class Client(Reading):
@@ -399,8 +408,7 @@
         assert self.transport is not None
         self.drop()
         if self.extra and not self.last:
-            self.transport.write(
-                b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+            self.transport.write(b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
         if self.last or self.extra:
             self.end()
         else:
@@ -486,8 +494,11 @@
     def out_of_time(self, now_us: int) -> bool:
         """Whether a body that waits whole has to be answered before the next look. No upstream has had all of it."""
         since_us = self.waits_whole_since_us()
-        return bool(since_us) and self.call is not None and \
-            now_us + int(CHECK_S * 1e6) > since_us + self.call.deadline_us - ANSWER_MARGIN_US
+        return (
+            bool(since_us)
+            and self.call is not None
+            and now_us + int(CHECK_S * 1e6) > since_us + self.call.deadline_us - ANSWER_MARGIN_US
+        )
 
     @property
     def unproven(self) -> bool:
@@ -542,8 +553,9 @@
 class Server:
     """All connections of the application."""
 
-    def __init__(self, host: Host, settings: Settings, most_clients: int, lifecycle: Lifecycle,
-                 room: int = 64 * 1024 * 1024) -> None:
+    def __init__(
+        self, host: Host, settings: Settings, most_clients: int, lifecycle: Lifecycle, room: int = 64 * 1024 * 1024
+    ) -> None:
         self.host = host
         self.lifecycle = lifecycle
         self.room = Room(room)
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -58,5 +58,7 @@
         if settings.settings.list_on_request != before.settings.list_on_request:
             self.discovery.kept = not settings.settings.list_on_request
             self.discovery.subscribe(self.discovery.kept)
-        log.info("the configuration is taken anew, with the classes %s",
-                 ", ".join(kind.name for kind in settings.settings.classes))
+        log.info(
+            "the configuration is taken anew, with the classes %s",
+            ", ".join(kind.name for kind in settings.settings.classes),
+        )
--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -26,8 +26,16 @@
 
 # errors of this machine: what they stop may be tried again, and they are no evidence against anybody else
 SHORTAGES = frozenset((errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM))
-OWN_ERRORS = SHORTAGES | {errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.ENETUNREACH, errno.ENETDOWN,
-                          errno.EACCES, errno.EPERM, errno.EINTR}
+OWN_ERRORS = SHORTAGES | {
+    errno.EADDRNOTAVAIL,
+    errno.EADDRINUSE,
+    errno.EAGAIN,
+    errno.ENETUNREACH,
+    errno.ENETDOWN,
+    errno.EACCES,
+    errno.EPERM,
+    errno.EINTR,
+}
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # lingering for no time
 
 
--- a/garnetusher/sidecar/trace.py
+++ b/garnetusher/sidecar/trace.py
@@ -27,8 +27,11 @@
 
     def shown(self) -> dict[str, object]:
         """Without what does not apply."""
-        return {name: value for name, value in self._asdict().items() if value not in (-1, "") and
-                (name, value) != ("request", 0)}
+        return {
+            name: value
+            for name, value in self._asdict().items()
+            if value not in (-1, "") and (name, value) != ("request", 0)
+        }
 
 
 class Trace:
@@ -59,5 +62,11 @@
         self.note("violation", request, attempt, upstream, rule)
         self.count(f"violation: {rule}")
         steps = [event.shown() for event in self.of_request(request)[-TOLD_EVENTS:]]
-        log.error("rule violated: %s: request %d attempt %d upstream %d: %s", rule, request, attempt, upstream,
-                  json.dumps(steps))
+        log.error(
+            "rule violated: %s: request %d attempt %d upstream %d: %s",
+            rule,
+            request,
+            attempt,
+            upstream,
+            json.dumps(steps),
+        )
--- a/garnetusher/sidecar/upstreams.py
+++ b/garnetusher/sidecar/upstreams.py
@@ -86,8 +86,15 @@
 class Attempt:
     """One attempt: it has a connection, or waits until its connection is up."""
 
-    def __init__(self, pool: Pool, address: Address, call: Call, permission: Permission,
-                 ended: Callable[[Result], None], began: Callable[[Head, Source], Sink | None]) -> None:
+    def __init__(
+        self,
+        pool: Pool,
+        address: Address,
+        call: Call,
+        permission: Permission,
+        ended: Callable[[Result], None],
+        began: Callable[[Head, Source], Sink | None],
+    ) -> None:
         self.pool = pool
         self.address = address
         self.call = call
@@ -437,8 +444,14 @@
             self.trust = Trust(longest_us)
         self.dial_timeout_us = dial_timeout_us
 
-    def start(self, address: Address, call: Call, permission: Permission, ended: Callable[[Result], None],
-              began: Callable[[Head, Source], Sink | None]) -> Attempt:
+    def start(
+        self,
+        address: Address,
+        call: Call,
+        permission: Permission,
+        ended: Callable[[Result], None],
+        began: Callable[[Head, Source], Sink | None],
+    ) -> Attempt:
         attempt = Attempt(self, address, call, permission, ended, began)
         now_us = clock_us()
         oldest_us = now_us - self.trust.limit_us()
--- a/garnetusher/simulator/protocol.py
+++ b/garnetusher/simulator/protocol.py
@@ -28,15 +28,26 @@
 _U32 = struct.Struct("<I")
 
 _OUTCOMES = {
-    0: api.Outcome.OK, 5: api.Outcome.ERROR, 11: api.Outcome.FULL, 110: api.Outcome.TIMEOUT,
-    111: api.Outcome.CONNECT_FAILED, 104: api.Outcome.RESET, 125: api.Outcome.CANCELLED,
+    0: api.Outcome.OK,
+    5: api.Outcome.ERROR,
+    11: api.Outcome.FULL,
+    110: api.Outcome.TIMEOUT,
+    111: api.Outcome.CONNECT_FAILED,
+    104: api.Outcome.RESET,
+    125: api.Outcome.CANCELLED,
     114: api.Outcome.NOT_SENT,
 }
 _STATES = {0: api.UpstreamState.GONE, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
 _LIST_KINDS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
 # Load report values: the wire's names and ours; a name not known here is kept as it is.
-_REPORT_NAMES = {"rif": "in_flight", "q": "queued", "busy": "utilization", "lat_ms": "latency_ms",
-                 "rate": "served_per_s", "fail_rate": "errors_per_s"}
+_REPORT_NAMES = {
+    "rif": "in_flight",
+    "q": "queued",
+    "busy": "utilization",
+    "lat_ms": "latency_ms",
+    "rate": "served_per_s",
+    "fail_rate": "errors_per_s",
+}
 _U32_MAX = 0xFFFFFFFF
 V = TypeVar("V")
 
@@ -102,7 +113,7 @@
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
-        piece = self.data[self.at:end]
+        piece = self.data[self.at : end]
         self.at = end
         return piece
 
@@ -118,13 +129,12 @@
     def read_list(self) -> None:
         number, count = self.fields(_LIST_HEAD)
         entries = []
-        for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(
-            self.take(_ENTRY.size * count)
-        ):
+        for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(self.take(_ENTRY.size * count)):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
-            entries.append(api.Upstream(upstream, _known(_STATES, state, "upstream condition"), zone, kind,
-                                        cell, weight, started))
+            entries.append(
+                api.Upstream(upstream, _known(_STATES, state, "upstream condition"), zone, kind, cell, weight, started)
+            )
         self.lists[number] = entries
 
 
@@ -156,14 +166,16 @@
 
 def _accept(frame: Decoder) -> Record:
     request, class_index, tenant, key, cost, marks, due = frame.fields(_ACCEPT)
-    return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
-                              bool(marks & 2), bool(marks & 4))
+    return api.RequestArrived(
+        request, due, class_index, tenant, key, cost if marks & 1 else 0, bool(marks & 2), bool(marks & 4)
+    )
 
 
 def _completed(frame: Decoder) -> Record:
     request, attempt, upstream, verdict, spent, last, count = frame.fields(_COMPLETED)
-    return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
-                            bool(last), frame.floats(count))
+    return api.AttemptEnded(
+        request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent, bool(last), frame.floats(count)
+    )
 
 
 def _begun(frame: Decoder) -> Record:
@@ -182,10 +194,16 @@
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
-    10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
+    10: _completed,
+    20: _begun,
+    30: _datagram,
+    40: _stopped,
     50: lambda frame: api.TimerFired(frame.fields(_U32)[0]),
     60: lambda frame: api.RequestGone(frame.fields(_U32)[0]),
-    70: _accept, 80: _members, 90: _health, 100: _started,
+    70: _accept,
+    80: _members,
+    90: _health,
+    100: _started,
 }
 
 
@@ -286,8 +304,9 @@
 
 
 def _tenant(options: _Options, at: str) -> api.Tenant:
-    return api.Tenant(options.text(at + "name"), options.number(at + "allowance-per-s"),
-                      options.number(at + "share", "0"))
+    return api.Tenant(
+        options.text(at + "name"), options.number(at + "allowance-per-s"), options.number(at + "share", "0")
+    )
 
 
 def parse_settings(text: str) -> api.Settings:
@@ -330,8 +349,7 @@
             overload_factor=o.number("invariants.overload-factor"),
             fall_us=o.whole("invariants.fall"),
             cross_zone_fee=o.number("fees.cross-zone", "0"),
-            report_names=[_REPORT_NAMES.get(name, name)
-                          for name in o.text("report.names", "").split(",") if name],
+            report_names=[_REPORT_NAMES.get(name, name) for name in o.text("report.names", "").split(",") if name],
             weighted=o.text("weights", "none") != "none",
         )
     except ValueError as error:
--- a/tests/crossing_player.py
+++ b/tests/crossing_player.py
@@ -17,8 +17,12 @@
 
 SETTLED_ROUNDS = 40  # of the loop, in which what was told is taken and a connection on this machine comes up
 OPEN, SERVED, BEGUN, FAILED, NOT_RUN, BROKEN = "open", "served", "begun", "failed", "not run", "broken"
-BEGINNINGS = {SERVED: b"HTTP/1.1 200 OK\r\n", BEGUN: b"HTTP/1.1 200 OK\r\n", FAILED: b"HTTP/1.1 500 Oops\r\n",
-              NOT_RUN: b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n"}
+BEGINNINGS = {
+    SERVED: b"HTTP/1.1 200 OK\r\n",
+    BEGUN: b"HTTP/1.1 200 OK\r\n",
+    FAILED: b"HTTP/1.1 500 Oops\r\n",
+    NOT_RUN: b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n",
+}
 LONG = 100_000  # bytes, more than is held of a body or of an answer
 
 
@@ -113,8 +117,9 @@
 
     async def play(self, steps: int) -> None:
         known = listing(*(entry(place.uid, place.port) for place in self.places))
-        async with sidecar(known=known, discovery=self.discovery, cancel=True,
-                           second_copies=self.dice.random() < 0.5) as it:
+        async with sidecar(
+            known=known, discovery=self.discovery, cancel=True, second_copies=self.dice.random() < 0.5
+        ) as it:
             await self.discovery.watched()
             try:
                 for number in range(steps):
@@ -173,8 +178,10 @@
             it.stop.set()
             self.stopped = True
             return
-        what = self.dice.choices((self.call, self.go_on, self.say_more, self.leave, self.answer_one, self.tell,
-                                  self.stray), (7, 3, 4, 3, 8, 3, 1))[0]
+        what = self.dice.choices(
+            (self.call, self.go_on, self.say_more, self.leave, self.answer_one, self.tell, self.stray),
+            (7, 3, 4, 3, 8, 3, 1),
+        )[0]
         what(it)
 
     def call(self, it: Sidecar) -> None:
@@ -186,8 +193,11 @@
 
     def go_on(self, it: Sidecar) -> None:
         """Another request on a connection that is at rest."""
-        resting = [call for call in self.calls if call.left_round < 0 and not call.over and not call.ended
-                   and whole_message(call.data) is not None]
+        resting = [
+            call
+            for call in self.calls
+            if call.left_round < 0 and not call.over and not call.ended and whole_message(call.data) is not None
+        ]
         if resting:
             call = self.dice.choice(resting)
             call.over = True
@@ -229,8 +239,12 @@
             call.sock.close()
 
     def open(self) -> list[tuple[Place, Came]]:
-        return [(place, came) for place in self.places for came in place.came
-                if came.state in (OPEN, BEGUN) and came.line.open]
+        return [
+            (place, came)
+            for place in self.places
+            for came in place.came
+            if came.state in (OPEN, BEGUN) and came.line.open
+        ]
 
     def answer_one(self, it: Sidecar) -> None:
         if there := self.open():
@@ -271,8 +285,14 @@
         place.drained_round = self.round
         self.rev += 1
         self.note(f"{place.uid} drains, {new.uid} is there")
-        self.discovery.line(listing(entry(place.uid, place.port, self.dice.choice(("leaving", "left"))),
-                                    entry(new.uid, new.port), rev=self.rev, full=False))
+        self.discovery.line(
+            listing(
+                entry(place.uid, place.port, self.dice.choice(("leaving", "left"))),
+                entry(new.uid, new.port),
+                rev=self.rev,
+                full=False,
+            )
+        )
 
     # What comes, and what must hold
 
@@ -302,8 +322,10 @@
         if data and (answer := whole_message(call.data)) is not None:
             head, body, more = answer
             self.need(not more, f"{call.ident} has a second answer: {more[:90]!r}")
-            self.need(b" 200 " not in head[:16] or body in (body_of(call.ident, False), body_of(call.ident, True)),
-                      f"{call.ident} was given {body[:90]!r}")
+            self.need(
+                b" 200 " not in head[:16] or body in (body_of(call.ident, False), body_of(call.ident, True)),
+                f"{call.ident} was given {body[:90]!r}",
+            )
 
     def look_at(self, place: Place, line: Line) -> None:
         try:
@@ -326,12 +348,18 @@
 
     def check_came(self, place: Place, came: Came, body: bytes) -> None:
         call = next(call for call in self.calls if call.ident == came.ident)
-        self.need(call.kind == "read" or body in (body_of(call.ident, False), body_of(call.ident, True)),
-                  f"{came.ident} came with {body[:90]!r}")
+        self.need(
+            call.kind == "read" or body in (body_of(call.ident, False), body_of(call.ident, True)),
+            f"{came.ident} came with {body[:90]!r}",
+        )
         long = len(body) > LONG // 2  # its first byte may have come before
-        self.need(long or place.drained_round < 0 or came.round <= place.drained_round + SETTLED_ROUNDS,
-                  f"{came.ident} came to {place.uid}, which drains")
-        self.need(call.left_round < 0 or came.round <= call.left_round + SETTLED_ROUNDS,
-                  f"{came.ident} was sent on though its client had left")
+        self.need(
+            long or place.drained_round < 0 or came.round <= place.drained_round + SETTLED_ROUNDS,
+            f"{came.ident} came to {place.uid}, which drains",
+        )
+        self.need(
+            call.left_round < 0 or came.round <= call.left_round + SETTLED_ROUNDS,
+            f"{came.ident} was sent on though its client had left",
+        )
         ran = [each.state for each in self.came(came.ident) if each.state != NOT_RUN]
         self.need(call.kind != "pay" or len(ran) == 1, f"{came.ident} has run twice: {ran}")
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -133,9 +133,22 @@
     server.Client.check = lambda self, now_us: None  # type: ignore[method-assign]
 
 
-MISDEEDS = {deed.__name__: deed for deed in (
-    answers_twice, repeats_unsafe, sends_to_drained, pushes_cold_over, holds_back, loses_requests, sends_for_who_left,
-    tells_more_time, refuses_what_ran, dies, leaves_strangers_waiting)}
+MISDEEDS = {
+    deed.__name__: deed
+    for deed in (
+        answers_twice,
+        repeats_unsafe,
+        sends_to_drained,
+        pushes_cold_over,
+        holds_back,
+        loses_requests,
+        sends_for_who_left,
+        tells_more_time,
+        refuses_what_ran,
+        dies,
+        leaves_strangers_waiting,
+    )
+}
 
 if __name__ == "__main__":
     MISDEEDS[sys.argv[1]]()
--- a/tests/machine.py
+++ b/tests/machine.py
@@ -57,8 +57,9 @@
 
 
 @contextlib.asynccontextmanager
-async def machine(folder: Path, wall_step_s: float = 0.0, failing: tuple[Call, int, int] | None = None,
-                  **config: Any) -> AsyncIterator[Machine]:
+async def machine(
+    folder: Path, wall_step_s: float = 0.0, failing: tuple[Call, int, int] | None = None, **config: Any
+) -> AsyncIterator[Machine]:
     """The program as the deploy file starts it, ready for clients; `failing` is a call that fails from its start on,
     the error, and how many times."""
     path = configuration(folder, **config)
--- a/tests/net.py
+++ b/tests/net.py
@@ -28,8 +28,15 @@
     return [
         RequestClass("read", aim_us=1_000_000, deadline_us=20_000_000, late_worth=0.5),
         RequestClass("pay", aim_us=1_000_000, deadline_us=20_000_000, late_worth=0.5, effect="at_most_once"),
-        RequestClass("mark", aim_us=1_000_000, deadline_us=20_000_000, late_worth=0.5,
-                     effect="deduplicated", group="cell", memory_us=20_000_000),
+        RequestClass(
+            "mark",
+            aim_us=1_000_000,
+            deadline_us=20_000_000,
+            late_worth=0.5,
+            effect="deduplicated",
+            group="cell",
+            memory_us=20_000_000,
+        ),
     ]
 
 
@@ -76,8 +83,10 @@
 
 def answering(*answers: bytes) -> Script:
     """Gives these answers in turn, the last one ever after; an empty one breaks the connection."""
-    async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                     writer: asyncio.StreamWriter) -> None:
+
+    async def script(
+        upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         answer = answers[min(number, len(answers) - 1)]
         if not answer:
             writer.transport.abort()
@@ -88,15 +97,22 @@
     return script
 
 
-async def silent(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                 writer: asyncio.StreamWriter) -> None:
+async def silent(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.read()
     raise ConnectionResetError
 
 
 def entry(uid: str, port: int, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
-    return {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "a", "model": "m", "pod_group": 1,
-            "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms}
+    return {
+        "uid": uid,
+        "endpoint": f"127.0.0.1:{port}",
+        "az": "a",
+        "model": "m",
+        "pod_group": 1,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": boot_ms,
+    }
 
 
 def listing(*entries: dict[str, Any], rev: int = 1, full: bool = True) -> dict[str, Any]:
@@ -166,13 +182,16 @@
     return free_ports(1)[0]
 
 
-def request(kind: str = "read", ident: str = "1", body: bytes = b"", deadline_ms: object = 15_000,
-            extra: str = "") -> bytes:
+def request(
+    kind: str = "read", ident: str = "1", body: bytes = b"", deadline_ms: object = 15_000, extra: str = ""
+) -> bytes:
     method = "GET" if kind == "read" else "POST"
     key = "Idempotency-Key: k\r\n" if kind == "mark" else ""
     length = "" if kind == "read" else f"Content-Length: {len(body)}\r\n"
-    return (f"{method} /{kind}/it?x=1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {ident}\r\n"
-            f"X-Class: {kind}\r\nX-Deadline-Ms: {deadline_ms}\r\n{key}{length}{extra}\r\n").encode() + body
+    return (
+        f"{method} /{kind}/it?x=1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {ident}\r\n"
+        f"X-Class: {kind}\r\nX-Deadline-Ms: {deadline_ms}\r\n{key}{length}{extra}\r\n"
+    ).encode() + body
 
 
 async def listening(port: int, alive: Callable[[], bool] = lambda: True) -> None:
@@ -216,22 +235,41 @@
 
 
 @asynccontextmanager
-async def sidecar(*upstreams: Upstream, discovery: Discovery | None = None, idle_us: int = 60_000_000,
-                  known: dict[str, Any] | None = None, inherited: socket.socket | None = None,
-                  **changes: Any) -> AsyncIterator[Sidecar]:
+async def sidecar(
+    *upstreams: Upstream,
+    discovery: Discovery | None = None,
+    idle_us: int = 60_000_000,
+    known: dict[str, Any] | None = None,
+    inherited: socket.socket | None = None,
+    **changes: Any,
+) -> AsyncIterator[Sidecar]:
     """A sidecar whose known list holds these upstreams; with `inherited` one that may not be ready yet."""
     for upstream in upstreams:
         await upstream.start()
     if discovery is not None:
         await discovery.start()
-    values: dict[str, Any] = {"classes": classes(), "max_attempts": 4, "connect_timeout_us": 10_000_000,
-                              "max_retry_after_us": 1_000_000, "list_on_request": discovery is not None,
-                              "ask_within_us": 10_000_000}
+    values: dict[str, Any] = {
+        "classes": classes(),
+        "max_attempts": 4,
+        "connect_timeout_us": 10_000_000,
+        "max_retry_after_us": 1_000_000,
+        "list_on_request": discovery is not None,
+        "ask_within_us": 10_000_000,
+    }
     known = known or listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     (port, admin_port), stop = free_ports(2), asyncio.Event()
-    config = Config(listen=("127.0.0.1", port), discovery=("127.0.0.1", discovery.port if discovery else 1),
-                    seed=1, sockets=200, settings=Settings(**(values | changes)), zones=["a"], kinds=["m"],
-                    idle_us=idle_us, known=known, admin=("127.0.0.1", admin_port))
+    config = Config(
+        listen=("127.0.0.1", port),
+        discovery=("127.0.0.1", discovery.port if discovery else 1),
+        seed=1,
+        sockets=200,
+        settings=Settings(**(values | changes)),
+        zones=["a"],
+        kinds=["m"],
+        idle_us=idle_us,
+        known=known,
+        admin=("127.0.0.1", admin_port),
+    )
     if inherited is not None:
         port = inherited.getsockname()[1]
     task = asyncio.create_task(serve(config, stop, inherited=inherited and inherited.dup()))
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -19,9 +19,14 @@
 def test_times_to_leave_and_false_leaves_are_told_apart() -> None:
     it = experiment.load(ROOT / "experiments" / "zone-silent.toml")  # pacheco, from 8 to 18 s
     made = plan.make(it, 1)
-    lines = [("pacheco-0", "pacheco", 8.2, "left"), ("pacheco-1", "pacheco", 8.6, "left"),
-             ("ezeiza-0", "pacheco", 11.0, "left"), ("ezeiza-0", "barracas", 12.0, "left"),
-             ("pacheco-0", "pacheco", 19.0, "returning"), ("pacheco-0", "pacheco", 21.0, "near")]
+    lines = [
+        ("pacheco-0", "pacheco", 8.2, "left"),
+        ("pacheco-1", "pacheco", 8.6, "left"),
+        ("ezeiza-0", "pacheco", 11.0, "left"),
+        ("ezeiza-0", "barracas", 12.0, "left"),
+        ("pacheco-0", "pacheco", 19.0, "returning"),
+        ("pacheco-0", "pacheco", 21.0, "near"),
+    ]
     told = []
     for name, zone, at_s, state in lines:
         line = f"INFO zone {it.topology.zones.index(zone)}: near -> {state}: why"
@@ -43,8 +48,9 @@
     return status, out.out + out.err
 
 
-def test_an_earlier_trees_decisions_are_played(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                               capfd: pytest.CaptureFixture[str]) -> None:
+def test_an_earlier_trees_decisions_are_played(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
+) -> None:
     (tmp_path / "small.toml").write_text(text(seconds=2))
     tree = tmp_path / "tree" / "garnetusher" / "policy"
     tree.mkdir(parents=True)
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -16,15 +16,17 @@
 
     def __init__(self, wrong_s: float = 0.0) -> None:
         self.passed_s, self.wrong_s = 0.0, wrong_s
-        self.times = BootTimes(lambda: int((UP_S + self.passed_s) * 1e6),
-                               lambda: int((TRUE_S + self.passed_s + self.wrong_s) * 1e6))
+        self.times = BootTimes(
+            lambda: int((UP_S + self.passed_s) * 1e6), lambda: int((TRUE_S + self.passed_s + self.wrong_s) * 1e6)
+        )
 
     def ages_s(self, **started_s: float) -> dict[str, float]:
         """How old upstreams seem that one list names, by when they truly started since this process did."""
         starts_ms = {uid: int((TRUE_S + at) * 1000) for uid, at in started_s.items()}
         self.times.observe(starts_ms.values())
-        return {uid: round(self.passed_s + UP_S - self.times.started_us(uid, ms) / 1e6, 3)
-                for uid, ms in starts_ms.items()}
+        return {
+            uid: round(self.passed_s + UP_S - self.times.started_us(uid, ms) / 1e6, 3) for uid, ms in starts_ms.items()
+        }
 
 
 @pytest.mark.parametrize("wrong_s", [0.0, 10.0, HOUR_S])
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -26,9 +26,15 @@
 def test_events_about_what_is_unknown_change_nothing() -> None:
     world = World()
     world.tell_list(upstreams(3))
-    for event in (AttemptEnded(77, 0, 100, Outcome.OK, 5, True), RequestGone(77), TimerFired(123456),
-                  StreamStarted(77, 0, 100, 5), ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
-                  PeerMessage(1, b"hi"), UpstreamsUpdated(Kind.FAILED)):
+    for event in (
+        AttemptEnded(77, 0, 100, Outcome.OK, 5, True),
+        RequestGone(77),
+        TimerFired(123456),
+        StreamStarted(77, 0, 100, 5),
+        ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
+        PeerMessage(1, b"hi"),
+        UpstreamsUpdated(Kind.FAILED),
+    ):
         assert world.tell(event) == []
     assert world.sends(world.arrive(0))
 
@@ -74,19 +80,22 @@
     assert told[0] == told[1] != told[2]
 
 
-@pytest.mark.parametrize(("make", "words"), [
-    (lambda: RequestClass("x", 0, 10), "aim_us above 0"),
-    (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
-    (lambda: RequestClass("x", 10, 10, effect="maybe"), "idempotent, deduplicated, at_most_once"),
-    (lambda: RequestClass("x", 10, 10, group="planet"), "all, zone, cell"),
-    (lambda: RequestClass("x", 10, 10, late_worth=2), "late_worth from 0 to 1"),
-    (lambda: Tenant("t", -1), "allowance_per_s of 0 or more"),
-    (lambda: settings(max_attempts=-1), "max_attempts of 1 or more"),
-    (lambda: settings(instances=0), "instances of 1 or more"),
-    (lambda: settings(cold_share=0), "cold_share above 0"),
-    (lambda: settings(warm_up_us=-5), "warm_up_us of 0 or more"),
-    (lambda: settings(classes=[]), "at least one request class"),
-])
+@pytest.mark.parametrize(
+    ("make", "words"),
+    [
+        (lambda: RequestClass("x", 0, 10), "aim_us above 0"),
+        (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
+        (lambda: RequestClass("x", 10, 10, effect="maybe"), "idempotent, deduplicated, at_most_once"),
+        (lambda: RequestClass("x", 10, 10, group="planet"), "all, zone, cell"),
+        (lambda: RequestClass("x", 10, 10, late_worth=2), "late_worth from 0 to 1"),
+        (lambda: Tenant("t", -1), "allowance_per_s of 0 or more"),
+        (lambda: settings(max_attempts=-1), "max_attempts of 1 or more"),
+        (lambda: settings(instances=0), "instances of 1 or more"),
+        (lambda: settings(cold_share=0), "cold_share above 0"),
+        (lambda: settings(warm_up_us=-5), "warm_up_us of 0 or more"),
+        (lambda: settings(classes=[]), "at least one request class"),
+    ],
+)
 def test_misuse_says_what_was_expected(make: object, words: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
         make()  # type: ignore[operator]
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -23,8 +23,9 @@
     async def test() -> None:
         go = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             await go.wait()
             writer.write(OK)
 
@@ -68,8 +69,9 @@
     async def test() -> None:
         go = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(answer[:-1])
             await go.wait()
             writer.write(answer[-1:])
@@ -94,8 +96,9 @@
     async def test() -> None:
         go = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             await go.wait()
             writer.transport.abort()
             raise ConnectionResetError
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -63,7 +63,8 @@
 
 
 def test_the_first_request_of_a_connection_that_rested_is_served_though_its_time_is_just_up(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         resting: list[socket.socket] = []
         check = Server.check
--- a/tests/test_crossing_long.py
+++ b/tests/test_crossing_long.py
@@ -46,6 +46,7 @@
 @pytest.mark.parametrize("how", ["malformed", "stalls", "leaves"])
 def test_nothing_is_written_into_an_answer_that_has_begun(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What goes wrong with the rest of its body then ends the answer in a way that its client can tell."""
+
     async def test() -> None:
         async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -36,8 +36,9 @@
         other, discovery = Upstream(answering(OK)), Discovery()
         await other.start()
         with never_up() as port:
-            async with sidecar(known=listing(entry("u0", port)), discovery=discovery,
-                               connect_timeout_us=60_000_000) as it:
+            async with sidecar(
+                known=listing(entry("u0", port)), discovery=discovery, connect_timeout_us=60_000_000
+            ) as it:
                 await discovery.watched()
                 reader, writer = await it.connect()
                 writer.write(request("pay", body=b"b"))
@@ -53,12 +54,17 @@
 
 def test_what_waits_for_a_connection_to_an_upstream_that_starts_anew_goes_elsewhere() -> None:
     """It was chosen as a warm one; the connection would come up to a cold one."""
+
     async def test() -> None:
         other, discovery = Upstream(answering(OK)), Discovery()
         await other.start()
         with never_up() as port:
-            async with sidecar(known=listing(entry("u0", port)), discovery=discovery, warm_up_us=60_000_000,
-                               connect_timeout_us=60_000_000) as it:
+            async with sidecar(
+                known=listing(entry("u0", port)),
+                discovery=discovery,
+                warm_up_us=60_000_000,
+                connect_timeout_us=60_000_000,
+            ) as it:
                 await discovery.watched()
                 reader, writer = await it.connect()
                 writer.write(request("pay", body=b"b"))
@@ -102,8 +108,9 @@
     async def test() -> None:
         discovery = Discovery()
         with never_up() as port:
-            async with sidecar(known=listing(entry("u0", port)), discovery=discovery,
-                               connect_timeout_us=60_000_000) as it:
+            async with sidecar(
+                known=listing(entry("u0", port)), discovery=discovery, connect_timeout_us=60_000_000
+            ) as it:
                 await discovery.watched()
                 reader, writer = await it.connect()
                 writer.write(request("pay", body=b"b", deadline_ms=60_000))
@@ -119,22 +126,28 @@
 @pytest.mark.parametrize(("group", "expected"), [("all", 503), ("cell", 500)])
 def test_a_repeat_that_waits_for_a_connection_is_not_sent_once_the_memory_is_over(group: str, expected: int) -> None:
     """It is answered then, and not when its own time is up after 15 s."""
-    kind = RequestClass("mark", aim_us=20_000_000, deadline_us=20_000_000, effect="deduplicated", group=group,
-                        memory_us=1_000_000)
+    kind = RequestClass(
+        "mark", aim_us=20_000_000, deadline_us=20_000_000, effect="deduplicated", group=group, memory_us=1_000_000
+    )
 
     async def test() -> None:
         go, discovery = asyncio.Event(), Discovery()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             await go.wait()
             writer.write(ERROR)
 
         first = Upstream(script)
         await first.start()
         with never_up() as port:
-            async with sidecar(known=listing(entry("u0", first.port)), discovery=discovery, classes=[kind],
-                               connect_timeout_us=60_000_000) as it:
+            async with sidecar(
+                known=listing(entry("u0", first.port)),
+                discovery=discovery,
+                classes=[kind],
+                connect_timeout_us=60_000_000,
+            ) as it:
                 await discovery.watched()
                 asked = asyncio.create_task(it.ask(request("mark", body=b"b")))
                 await until(lambda: len(first.requests) == 1)
@@ -167,16 +180,18 @@
 
 
 @pytest.mark.parametrize("strays", [True, False])
-def test_a_late_second_answer_is_not_taken_for_that_to_the_next_request(monkeypatch: pytest.MonkeyPatch,
-                                                                        strays: bool) -> None:
+def test_a_late_second_answer_is_not_taken_for_that_to_the_next_request(
+    monkeypatch: pytest.MonkeyPatch, strays: bool
+) -> None:
     monkeypatch.setattr(upstreams_module, "SETTLE_US", 3_000_000)  # no busy machine is slower than that
 
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
         late = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             writers.append(writer)
             if number:
                 await late.wait()
@@ -238,8 +253,9 @@
 
 def test_an_answer_that_comes_with_its_time_out_counts_once() -> None:
     async def test() -> None:
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(OK)
             if number == 0:
                 time.sleep(0.5)  # the loop stands still: answer and time-out are both there in its next round
@@ -278,8 +294,9 @@
     async def test() -> None:
         closed = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(OK)
             if number == 0:
                 await asyncio.sleep(0.1)  # the answer is taken, and the connection is idle
@@ -300,8 +317,9 @@
 @pytest.mark.parametrize("kind", ["pay", "read"])
 def test_an_upstream_that_closes_as_it_is_sent_to_costs_what_may_not_be_repeated_only(kind: str) -> None:
     async def test() -> None:
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             if total() == 2:
                 writer.transport.abort()  # the connection was used again, and had just been closed over there
                 raise ConnectionResetError
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -50,9 +50,17 @@
     for place, kind in enumerate(kinds):
         for number, tenant in enumerate(tenants):
             method = b"GET" if kind.effect == "idempotent" else b"POST"
-            call = catalogue.call(method, f"/{kind.name}/a/b?c=/x".encode(), [
-                (b"X-Request-Id", b"1"), (b"X-Deadline-Ms", b"9"), (b"Idempotency-Key", b"k"),
-                (b"X-Class", kind.name.encode()), (b"X-Tenant", tenant.name.encode())])
+            call = catalogue.call(
+                method,
+                f"/{kind.name}/a/b?c=/x".encode(),
+                [
+                    (b"X-Request-Id", b"1"),
+                    (b"X-Deadline-Ms", b"9"),
+                    (b"Idempotency-Key", b"k"),
+                    (b"X-Class", kind.name.encode()),
+                    (b"X-Tenant", tenant.name.encode()),
+                ],
+            )
             assert (call.class_index, call.tenant) == (place, number)
 
 
@@ -64,8 +72,12 @@
     text = {str(path.relative_to(ROOT)): path.read_text() for path in files}
     assert len(SITES) >= 2 and len(text) > 10
     for site in SITES:
-        names = [site["name"], *(each["name"] for each in site["class"]), *(each["name"] for each in site["tenant"]),
-                 *site["net"]["zones"]]
+        names = [
+            site["name"],
+            *(each["name"] for each in site["class"]),
+            *(each["name"] for each in site["tenant"]),
+            *site["net"]["zones"],
+        ]
         # one or two letters, or a plain word of the protocol, name nothing
         telling = [name for name in names if len(name) > 2 and name not in ("post", "fetch", "store", "east", "west")]
         assert len(telling) >= 3
@@ -82,8 +94,10 @@
         world.arrive(tenant=1)
     held = next(iter(world.balancer.requests.values()))
     seen = world.balancer.parties[1].seen
-    after = settings(tenants=[TENANTS[1], Tenant("b-", 1.0), TENANTS[0]],
-                     classes=[kinds[2], RequestClass("read", 200_000, 900_000, effect="at_most_once"), kinds[1]])
+    after = settings(
+        tenants=[TENANTS[1], Tenant("b-", 1.0), TENANTS[0]],
+        classes=[kinds[2], RequestClass("read", 200_000, 900_000, effect="at_most_once"), kinds[1]],
+    )
     world.tell(SettingsChanged(after, places_before(after.classes, kinds), places_before(after.tenants, TENANTS)))
     assert [party.seen for party in world.balancer.parties] == [seen, 0.0, 0.0]
     assert held.kind.rules is not after.classes[1] and held.kind.rules.effect == "idempotent"
--- a/tests/test_crossing_stop.py
+++ b/tests/test_crossing_stop.py
@@ -34,8 +34,11 @@
 LONG_US = 20_000_000  # deadlines far beyond the 3.7 s after which SIGKILL comes at the soonest
 PATIENT: dict[str, Any] = SETTINGS | {
     "bounds": SETTINGS["bounds"] | {"dial-timeout": LONG_US, "second-copies": False, "max-retry-after": 2_000_000},
-    "request-classes": [{"name": name, "aim": LONG_US, "deadline": LONG_US, "effect": effect, "worth": 1.0}
-                        for name, effect in (("pay", "at_most_once"), ("read", "idempotent"))]}
+    "request-classes": [
+        {"name": name, "aim": LONG_US, "deadline": LONG_US, "effect": effect, "worth": 1.0}
+        for name, effect in (("pay", "at_most_once"), ("read", "idempotent"))
+    ],
+}
 
 
 @contextlib.contextmanager
@@ -66,8 +69,9 @@
 
 
 @contextlib.asynccontextmanager
-async def running(folder: Path, *ports: int, settings: dict[str, Any] = PATIENT) -> AsyncIterator[
-        tuple[Popen[bytes], Any]]:
+async def running(
+    folder: Path, *ports: int, settings: dict[str, Any] = PATIENT
+) -> AsyncIterator[tuple[Popen[bytes], Any]]:
     """The program beside upstreams at these ports, and a way to send it something on a connection of its own."""
     path = configuration(folder, settings=settings, known=listing(*(entry(f"u{p}", p) for p in ports)))
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
@@ -127,8 +131,9 @@
     async def test() -> None:
         on = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * (size - 30_000))
             if size == 100_000:
                 await on.wait()
@@ -151,14 +156,22 @@
     run(test)
 
 
-@pytest.mark.parametrize("signals", [(signal.SIGTERM, signal.SIGTERM), (signal.SIGHUP, signal.SIGTERM),
-                                     (signal.SIGTERM, signal.SIGHUP), (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM)])
+@pytest.mark.parametrize(
+    "signals",
+    [
+        (signal.SIGTERM, signal.SIGTERM),
+        (signal.SIGHUP, signal.SIGTERM),
+        (signal.SIGTERM, signal.SIGHUP),
+        (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM),
+    ],
+)
 def test_signals_that_cross_leave_what_is_out_alone(tmp_path: Path, signals: tuple[signal.Signals, ...]) -> None:
     async def test() -> None:
         go = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             await go.wait()
             writer.write(OK)
 
@@ -195,8 +208,11 @@
 
 
 def test_short_deadlines_bring_the_last_answers_forward(tmp_path: Path) -> None:
-    short: dict[str, Any] = SETTINGS | {"request-classes": [
-        {"name": "pay", "aim": 200_000, "deadline": 300_000, "effect": "at_most_once", "worth": 1.0}]}
+    short: dict[str, Any] = SETTINGS | {
+        "request-classes": [
+            {"name": "pay", "aim": 200_000, "deadline": 300_000, "effect": "at_most_once", "worth": 1.0}
+        ]
+    }
 
     async def test() -> None:
         upstream = Upstream(answering(b"never"))
--- a/tests/test_crossing_watch.py
+++ b/tests/test_crossing_watch.py
@@ -94,7 +94,7 @@
         watch = bench.watch()
         watch.data_received(HEAD)
         for start in range(0, len(data), size):
-            watch.data_received(piece(data[start:start + size]))
+            watch.data_received(piece(data[start : start + size]))
         ready, draining = UpstreamState.READY, UpstreamState.DRAINING
         assert bench.told == [(3, [("u{0}", ready), ("u1", ready)]), (4, [("u1", draining)]), (5, [])]
         assert bench.watch() is watch
@@ -103,8 +103,18 @@
     run(test)
 
 
-@pytest.mark.parametrize("data", [b"garbage\n", b"[1]\n", b'{"rev": 4, "targets": [\n\n', b'{"rev": 4,, }\n', b"7\n",
-                                  b'{\n"rev": 4\n}\n', b'{"rev": 4, "all": true, "targets": [{"uid": "x\n\n'])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"garbage\n",
+        b"[1]\n",
+        b'{"rev": 4, "targets": [\n\n',
+        b'{"rev": 4,, }\n',
+        b"7\n",
+        b'{\n"rev": 4\n}\n',
+        b'{"rev": 4, "all": true, "targets": [{"uid": "x\n\n',
+    ],
+)
 def test_what_is_no_list_changes_nothing_and_the_next_good_one_is_taken(data: bytes) -> None:
     async def test() -> None:
         bench = Bench()
@@ -238,8 +248,17 @@
     run(test)
 
 
-@pytest.mark.parametrize("said", [b"", HEAD[:20], HEAD, HEAD + b'8\r\n{"rev": ', HEAD + piece(b"\n"),
-                                  HEAD + piece(lines(listing(entry("u0", 1), rev=3)))])
+@pytest.mark.parametrize(
+    "said",
+    [
+        b"",
+        HEAD[:20],
+        HEAD,
+        HEAD + b'8\r\n{"rev": ',
+        HEAD + piece(b"\n"),
+        HEAD + piece(lines(listing(entry("u0", 1), rev=3))),
+    ],
+)
 def test_wherever_a_watch_falls_silent_it_is_called_for_twice_in_time(said: bytes) -> None:
     async def test() -> None:
         bench, loop = Bench(), DrivenLoop()
@@ -306,6 +325,7 @@
 
 def test_a_silent_watch_that_was_asked_for_is_opened_anew_in_time_and_the_module_told_if_that_fails() -> None:
     """However late the module of a large fleet would call: silence has one clock."""
+
     async def test() -> None:
         told: list[ListKind] = []
         bench, loop = Bench(), DrivenLoop()
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -26,8 +26,7 @@
 
 def start(sim: str, data: bytes) -> subprocess.CompletedProcess[bytes]:
     plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
-    return subprocess.run(["/bin/sh", "-c", sim], cwd=ROOT, input=data, capture_output=True, timeout=60,
-                          env=plain)
+    return subprocess.run(["/bin/sh", "-c", sim], cwd=ROOT, input=data, capture_output=True, timeout=60, env=plain)
 
 
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
@@ -59,8 +58,12 @@
     plain = {0, 1, 2, 4, 8, 20, 0.02, 0.1, 0.2, 0.25, 0.3, 0.5, 1_000_000}  # fit nobody
     tree = ast.parse("".join((ROOT / name).read_text() for name in DEPLOY["policy"]))
     bodies = [node for node in tree.body if isinstance(node, ast.ClassDef)]
-    figures = {node.value for body in bodies for node in ast.walk(body)
-               if isinstance(node, ast.Constant) and type(node.value) in (int, float)}
+    figures = {
+        node.value
+        for body in bodies
+        for node in ast.walk(body)
+        if isinstance(node, ast.Constant) and type(node.value) in (int, float)
+    }
     assert figures - plain == set()
     assert "deployment" not in ast.dump(tree).lower()
 
@@ -71,18 +74,27 @@
 
 
 def test_the_package_needs_the_standard_library_only() -> None:
-    code = ("import sys, garnetusher.simulator.__main__; print(*sorted({'.'.join(m.split('.')[:2])"
-            " if m.startswith('garnetusher.') else m.split('.')[0] for m in sys.modules}))")
-    found = subprocess.run([sys.executable, "-S", "-c", code], cwd=ROOT, capture_output=True, text=True,
-                           check=True, timeout=60).stdout.split()
+    code = (
+        "import sys, garnetusher.simulator.__main__; print(*sorted({'.'.join(m.split('.')[:2])"
+        " if m.startswith('garnetusher.') else m.split('.')[0] for m in sys.modules}))"
+    )
+    found = subprocess.run(
+        [sys.executable, "-S", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
+    ).stdout.split()
     assert set(found) - set(sys.stdlib_module_names) <= {
-        "garnetusher", "garnetusher.policy", "garnetusher.simulator", "__main__", "sitecustomize"}
+        "garnetusher",
+        "garnetusher.policy",
+        "garnetusher.simulator",
+        "__main__",
+        "sitecustomize",
+    }
 
 
 def test_the_readme_example_runs_as_written() -> None:
     text = (ROOT / "README.md").read_text()
     example = text.split("```python\n")[1].split("```")[0]
-    done = subprocess.run([sys.executable, "-c", example], cwd=ROOT, capture_output=True, text=True,
-                          timeout=60, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", example], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
+    )
     shown = text.split("It prints:\n\n```\n")[1].split("```")[0]
     assert done.stdout == shown
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -24,9 +24,14 @@
     found = {}
     for server in balancer.servers.values():
         free = pool.open_slots(server, balancer.now_us) - server.used
-        if server.pool is pool and free > 0 and server.entry.zone not in shut and used in (None, server.in_use) \
-                and cold in (None, server.cohort is not None):
-            found[server.entry.id] = free / server.pace ** 2
+        if (
+            server.pool is pool
+            and free > 0
+            and server.entry.zone not in shut
+            and used in (None, server.in_use)
+            and cold in (None, server.cohort is not None)
+        ):
+            found[server.entry.id] = free / server.pace**2
     return found
 
 
@@ -55,15 +60,28 @@
             world.arrive(rng.randrange(3))
         elif what < 0.8 and out:
             ident, number = rng.choice(out)
-            world.end(ident, number, rng.choice([api.Outcome.OK] * 6 + [api.Outcome.ERROR, api.Outcome.FULL,
-                                                                       api.Outcome.RESET, api.Outcome.CONNECT_FAILED,
-                                                                       api.Outcome.NOT_SENT, api.Outcome.REJECTED]))
+            world.end(
+                ident,
+                number,
+                rng.choice(
+                    [api.Outcome.OK] * 6
+                    + [
+                        api.Outcome.ERROR,
+                        api.Outcome.FULL,
+                        api.Outcome.RESET,
+                        api.Outcome.CONNECT_FAILED,
+                        api.Outcome.NOT_SENT,
+                        api.Outcome.REJECTED,
+                    ]
+                ),
+            )
         elif what < 0.88:
             ident = rng.choice(list(entries))
             state = rng.choice([api.UpstreamState.READY] * 3 + [api.UpstreamState.DRAINING, api.UpstreamState.GONE])
             started = rng.choice([entries[ident].started_us, world.now_us - rng.randrange(25_000_000)])
-            entries[ident] = api.Upstream(ident, state, entries[ident].zone, cell=entries[ident].cell,
-                                          started_us=started)
+            entries[ident] = api.Upstream(
+                ident, state, entries[ident].zone, cell=entries[ident].cell, started_us=started
+            )
             world.tell_list([entries[ident]], api.ListKind.DELTA)
         elif what < 0.9:
             world.tell_list([e for e in entries.values() if e.state is api.UpstreamState.READY])
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -20,12 +20,14 @@
 def keeps_a_slot(patch: pytest.MonkeyPatch) -> None:
     """The slot of an attempt whose connection broke is not freed."""
     free = Balancer.free_slot
-    patch.setattr(Balancer, "free_slot",
-                  lambda self, attempt: attempt.ended is api.Outcome.RESET or free(self, attempt))
+    patch.setattr(
+        Balancer, "free_slot", lambda self, attempt: attempt.ended is api.Outcome.RESET or free(self, attempt)
+    )
 
 
 def repeats_after_a_reset(patch: pytest.MonkeyPatch) -> None:
     """An attempt whose connection broke is taken for one that never ran."""
+
     def first(self: Request) -> Attempt | None:
         never = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.RESET)
         return next((attempt for attempt in self.attempts if attempt.ended not in never), None)
@@ -38,8 +40,11 @@
     arm = Balancer.arm
 
     def once(self: Balancer) -> None:
-        if not any(isinstance(action, api.SetTimer) for action in self.actions) and self.armed_us == 0 \
-                and not getattr(self, "armed_once", False):
+        if (
+            not any(isinstance(action, api.SetTimer) for action in self.actions)
+            and self.armed_us == 0
+            and not getattr(self, "armed_once", False)
+        ):
             arm(self)
             self.armed_once = self.armed_us > 0  # type: ignore[attr-defined]
 
@@ -58,11 +63,18 @@
     raise AssertionError(f"nothing found in {len(seeds)} schedules")
 
 
-@pytest.mark.parametrize("bug, rule", [(keeps_a_slot, "slots"), (repeats_after_a_reset, "rule 2"),
-                                       (arms_no_second_timer, "rule 1"), (sends_on_for_who_has_left, "left")])
+@pytest.mark.parametrize(
+    "bug, rule",
+    [
+        (keeps_a_slot, "slots"),
+        (repeats_after_a_reset, "rule 2"),
+        (arms_no_second_timer, "rule 1"),
+        (sends_on_for_who_has_left, "left"),
+    ],
+)
 def test_a_seeded_bug_is_found_made_small_and_played_again(
-        bug: Callable[[pytest.MonkeyPatch], None], rule: str, tmp_path: Path,
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    bug: Callable[[pytest.MonkeyPatch], None], rule: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     with monkeypatch.context() as patch:
         bug(patch)
         find = first_find(range(1, FOUND_WITHIN))
@@ -75,7 +87,8 @@
 
 
 def test_the_module_breaks_nothing_and_a_schedule_is_its_seed(
-        capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
     status, out, _ = call(capsys, monkeypatch, "model", "explore", "module", "--seeds", "1:500", "--out", str(tmp_path))
     assert (status, list(tmp_path.iterdir())) == (0, []), out
     assert out.startswith("module: 500 schedules")
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -57,8 +57,14 @@
 
 
 @pytest.mark.parametrize(("old", "new", "words"), BAD)
-def test_a_bad_file_is_told_in_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str],
-                                        monkeypatch: pytest.MonkeyPatch, old: str, new: str, words: list[str]) -> None:
+def test_a_bad_file_is_told_in_one_line(
+    tmp_path: Path,
+    capsys: pytest.CaptureFixture[str],
+    monkeypatch: pytest.MonkeyPatch,
+    old: str,
+    new: str,
+    words: list[str],
+) -> None:
     whole = text(more="{{more}}".format())
     assert old in whole
     path = tmp_path / "bad.toml"
@@ -69,23 +75,28 @@
     assert not (tmp_path / "out").exists()
 
 
-@pytest.mark.parametrize(("words", "said"), [
-    (["lab", "run", "no-such.toml"], "no-such.toml: can't be read"),
-    (["lab", "run"], "Missing argument"),
-    (["lab", "run", "experiments/calm.toml", "--sed", "1"], "--seed"),
-    (["laboratory"], "No such command"),
-    (["lab", "compare", "experiments/calm.toml", "--tree", "."], "expected two of them"),
-    (["lab", "run", "experiments/calm.toml", "--out", "docs"], "expected a new or empty folder"),
-])
-def test_a_wrong_call_is_told_in_one_line(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch,
-                                          words: list[str], said: str) -> None:
+@pytest.mark.parametrize(
+    ("words", "said"),
+    [
+        (["lab", "run", "no-such.toml"], "no-such.toml: can't be read"),
+        (["lab", "run"], "Missing argument"),
+        (["lab", "run", "experiments/calm.toml", "--sed", "1"], "--seed"),
+        (["laboratory"], "No such command"),
+        (["lab", "compare", "experiments/calm.toml", "--tree", "."], "expected two of them"),
+        (["lab", "run", "experiments/calm.toml", "--out", "docs"], "expected a new or empty folder"),
+    ],
+)
+def test_a_wrong_call_is_told_in_one_line(
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, words: list[str], said: str
+) -> None:
     monkeypatch.chdir(ROOT)
     status, _, err = call(capsys, monkeypatch, *words)
     assert status == 2 and said in err and len(err.splitlines()) == 1
 
 
-def test_every_experiment_of_the_library_is_good(capsys: pytest.CaptureFixture[str],
-                                                 monkeypatch: pytest.MonkeyPatch) -> None:
+def test_every_experiment_of_the_library_is_good(
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     files = sorted((ROOT / "experiments").glob("*.toml"))
     assert len(files) >= 10
     for path in files:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -13,8 +13,10 @@
 from garnetusher.sidecar.trace import LAST_EVENTS, Trace
 
 NOW_US = 10_000_000
-KINDS = {effect: RequestClass(effect, aim_us=500_000, deadline_us=1_000_000, effect=effect, group="cell",
-                              memory_us=400_000) for effect in ("idempotent", "deduplicated", "at_most_once")}
+KINDS = {
+    effect: RequestClass(effect, aim_us=500_000, deadline_us=1_000_000, effect=effect, group="cell", memory_us=400_000)
+    for effect in ("idempotent", "deduplicated", "at_most_once")
+}
 HERE = ("127.0.0.1", 1)
 
 
@@ -73,9 +75,19 @@
     assert not case.gate.trace.counts
 
 
-@pytest.mark.parametrize("denial", [
-    Denial.REQUEST_OVER, Denial.ANSWER_BEGUN, Denial.CLIENT_LEFT, Denial.TIME_OVER, Denial.WINDOW_OVER,
-    Denial.ENDPOINT_CHANGED, Denial.TOO_MANY, Denial.STILL_OUT])
+@pytest.mark.parametrize(
+    "denial",
+    [
+        Denial.REQUEST_OVER,
+        Denial.ANSWER_BEGUN,
+        Denial.CLIENT_LEFT,
+        Denial.TIME_OVER,
+        Denial.WINDOW_OVER,
+        Denial.ENDPOINT_CHANGED,
+        Denial.TOO_MANY,
+        Denial.STILL_OUT,
+    ],
+)
 def test_what_has_happened_since_the_choice_is_denied_and_counted(denial: Denial) -> None:
     case = Case()
     attempt = case.request.attempts[0]
@@ -112,9 +124,16 @@
     assert case.asked() is Denial.ENDPOINT_CHANGED
 
 
-@pytest.mark.parametrize(("effect", "upstream", "outcome"), [
-    ("idempotent", 3, Outcome.RESET), ("at_most_once", 1, Outcome.FULL), ("at_most_once", 1, Outcome.CONNECT_FAILED),
-    ("deduplicated", 1, Outcome.TIMEOUT), ("deduplicated", 3, Outcome.FULL)])
+@pytest.mark.parametrize(
+    ("effect", "upstream", "outcome"),
+    [
+        ("idempotent", 3, Outcome.RESET),
+        ("at_most_once", 1, Outcome.FULL),
+        ("at_most_once", 1, Outcome.CONNECT_FAILED),
+        ("deduplicated", 1, Outcome.TIMEOUT),
+        ("deduplicated", 3, Outcome.FULL),
+    ],
+)
 def test_a_repeat_that_its_class_allows_may_be_written(effect: str, upstream: int, outcome: Outcome) -> None:
     case = Case(effect)
     case.earlier(upstream, outcome)
@@ -122,9 +141,16 @@
 
 
 @pytest.mark.violates
-@pytest.mark.parametrize(("effect", "upstream", "outcome"), [
-    ("at_most_once", 1, Outcome.RESET), ("at_most_once", 1, Outcome.TIMEOUT), ("at_most_once", 1, None),
-    ("deduplicated", 3, Outcome.RESET), ("deduplicated", 2, None)])
+@pytest.mark.parametrize(
+    ("effect", "upstream", "outcome"),
+    [
+        ("at_most_once", 1, Outcome.RESET),
+        ("at_most_once", 1, Outcome.TIMEOUT),
+        ("at_most_once", 1, None),
+        ("deduplicated", 3, Outcome.RESET),
+        ("deduplicated", 2, None),
+    ],
+)
 def test_a_repeat_of_what_may_have_run_is_a_violation(effect: str, upstream: int, outcome: Outcome | None) -> None:
     case = Case(effect)
     case.earlier(upstream, outcome)
@@ -169,5 +195,11 @@
     assert len(trace.events) == LAST_EVENTS and trace.find("r1") == []
     last = trace.find(f"r{LAST_EVENTS - 1}")
     assert [event.what for event in last] == ["taken", "ended"]
-    assert last[1].shown() == {"at_us": last[1].at_us, "what": "ended", "request": LAST_EVENTS - 1, "attempt": 0,
-                               "upstream": 3, "reason": "ok"}
+    assert last[1].shown() == {
+        "at_us": last[1].at_us,
+        "what": "ended",
+        "request": LAST_EVENTS - 1,
+        "attempt": 0,
+        "upstream": 3,
+        "reason": "ok",
+    }
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -17,14 +17,24 @@
 
 
 def call(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "garnetusher", "model", *words], cwd=ROOT, capture_output=True,
-                          text=True, timeout=120, env=os.environ | {"PYTHONHASHSEED": "5"})
+    return subprocess.run(
+        [sys.executable, "-m", "garnetusher", "model", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+        env=os.environ | {"PYTHONHASHSEED": "5"},
+    )
 
 
 def test_a_curve_has_a_point_for_each_size_and_policy_and_a_plot_for_each_cost(tmp_path: Path) -> None:
     points = curves.measure(small(), [2, 8], ["slots", "random"], "sidecars", range(1, 3), lambda what, part: None)
     assert [(p.policy, p.sidecars, p.upstreams) for p in points] == [
-        ("slots", 2, 6), ("slots", 8, 6), ("random", 2, 6), ("random", 8, 6)]
+        ("slots", 2, 6),
+        ("slots", 8, 6),
+        ("random", 2, 6),
+        ("random", 8, 6),
+    ]
     few, many = points[0].figures, points[1].figures
     assert many["connections_per_request"] > few["connections_per_request"]  # each keeps its own
     assert few["decision_us"] > 0 and few["list_calls_a_sidecar"] == many["list_calls_a_sidecar"] == 1
@@ -45,19 +55,22 @@
         folders[-1].mkdir()
         result.write(found, folders[-1] / "result.json")
     for which, apart in ((folders[:1], False), (folders[::2], False), (folders, True)):
-        row, = fidelity.measure(fidelity.pairs(which, tmp_path), lambda what, part: None)
+        (row,) = fidelity.measure(fidelity.pairs(which, tmp_path), lambda what, part: None)
         assert row.close != apart and row.seeds == ([1, 2] if apart else [1])
         assert row.real["refused"] == row.virtual["refused"]
     done = call("fidelity", *map(str, folders), "--library", str(tmp_path))
     assert done.returncode == 1 and "0.1000 !" in done.stdout
 
 
-@pytest.mark.parametrize(("words", "told"), [
-    (("curve", "experiments/fleet.toml", "--policy", "best"), "--policy best: expected one of"),
-    (("curve", "experiments/fleet.toml", "--grow", "all"), "--grow all: expected one of"),
-    (("curve", "experiments/fleet.toml", "--seeds", "3"), "--seeds: expected A:B"),
-    (("fidelity", "nowhere"), "nowhere/result.json"),
-])
+@pytest.mark.parametrize(
+    ("words", "told"),
+    [
+        (("curve", "experiments/fleet.toml", "--policy", "best"), "--policy best: expected one of"),
+        (("curve", "experiments/fleet.toml", "--grow", "all"), "--grow all: expected one of"),
+        (("curve", "experiments/fleet.toml", "--seeds", "3"), "--seeds: expected A:B"),
+        (("fidelity", "nowhere"), "nowhere/result.json"),
+    ],
+)
 def test_a_wrong_call_is_told_in_a_line(words: tuple[str, ...], told: str) -> None:
     done = call(*words)
     assert done.returncode == 2 and told in done.stderr and len(done.stderr.splitlines()) == 1
@@ -65,7 +78,16 @@
 
 def test_a_curve_is_one_document_where_that_is_asked_for(tmp_path: Path) -> None:
     (tmp_path / "small.toml").write_text(text(seconds=1))
-    done = call("curve", str(tmp_path / "small.toml"), "--sidecars", "2", "--seeds", "1:1", "--out",
-                str(tmp_path / "out"), "--json")
+    done = call(
+        "curve",
+        str(tmp_path / "small.toml"),
+        "--sidecars",
+        "2",
+        "--seeds",
+        "1:1",
+        "--out",
+        str(tmp_path / "out"),
+        "--json",
+    )
     found = json.loads(done.stdout)
     assert found["points"][0]["sidecars"] == 2 and all(Path(path).is_file() for path in found["plots"])
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -28,14 +28,18 @@
     for name in ("conftest.py", "known_red.py", "__init__.py"):
         shutil.copy(here / name, tests / name)
     (tests / "test_it.py").write_text(TESTS)
-    (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\npythonpath = .\n"
-                                       "addopts = -q -p no:cacheprovider\n")
+    (folder / "pytest.ini").write_text(
+        "[pytest]\ntestpaths = tests\npythonpath = .\naddopts = -q -p no:cacheprovider\n"
+    )
     (folder / "KNOWN-RED.txt").write_text("".join(line + "\n" for line in lines))
     return subprocess.run([sys.executable, "-m", "pytest"], cwd=folder, capture_output=True, text=True, check=False)
 
 
-ALL_RED = ("tests/test_it.py::test_bad | a cause | issue 1", "tests/test_it.py::test_worse | a cause | issue 2",
-           "tests/test_it.py::test_each | a cause | issue 3")
+ALL_RED = (
+    "tests/test_it.py::test_bad | a cause | issue 1",
+    "tests/test_it.py::test_worse | a cause | issue 2",
+    "tests/test_it.py::test_each | a cause | issue 3",
+)
 
 
 def test_what_is_listed_may_fail_and_is_printed(tmp_path: Path) -> None:
@@ -50,11 +54,14 @@
     assert done.returncode == 1 and "2 failed, 1 passed, 2 xfailed" in done.stdout
 
 
-@pytest.mark.parametrize(("line", "complaint"), [
-    ("tests/test_it.py::test_good | a cause | issue 1", "XPASS(strict)"),
-    ("tests/test_it.py::test_gone | a cause | issue 1", "no such test: tests/test_it.py::test_gone"),
-    ("tests/test_it.py::test_bad | no issue", "expected 'path::test | cause | issue'"),
-])
+@pytest.mark.parametrize(
+    ("line", "complaint"),
+    [
+        ("tests/test_it.py::test_good | a cause | issue 1", "XPASS(strict)"),
+        ("tests/test_it.py::test_gone | a cause | issue 1", "no such test: tests/test_it.py::test_gone"),
+        ("tests/test_it.py::test_bad | no issue", "expected 'path::test | cause | issue'"),
+    ],
+)
 def test_a_line_that_is_wrong_fails_the_run(tmp_path: Path, line: str, complaint: str) -> None:
     done = run(tmp_path, *ALL_RED[1:], line)
     assert done.returncode != 0 and complaint in done.stdout + done.stderr
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -45,8 +45,14 @@
 
 
 def lab(*words: str, **more: Any) -> subprocess.Popen[str]:
-    return subprocess.Popen([sys.executable, "-m", "garnetusher", "lab", *words], cwd=ROOT, text=True,
-                            stdout=subprocess.PIPE, stderr=subprocess.PIPE, **more)
+    return subprocess.Popen(
+        [sys.executable, "-m", "garnetusher", "lab", *words],
+        cwd=ROOT,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        **more,
+    )
 
 
 def family(pid: int) -> list[Any]:
@@ -71,7 +77,8 @@
     assert [e["open"] for e in document["expectations"]] == [False, False, True]
     page = (out / "report.html").read_text()
     assert page.count("<svg") == 3 and "http://" not in page.replace("http://www.w3.org", "").replace(
-        "http://purl.org", "").replace("http://creativecommons.org", "").replace("http://matplotlib.org", "")
+        "http://purl.org", ""
+    ).replace("http://creativecommons.org", "").replace("http://matplotlib.org", "")
     lines = list(records.read(out / "events.jsonl"))
     assert [r.t for r in lines] == sorted(r.t for r in lines)
     assert (out / "latency.hlog").read_text().count("Tag=publish") >= 2
@@ -112,8 +119,14 @@
     """A shell without job control starts what it runs in the background so, and the disposition is inherited."""
     file, log = tmp_path / "it.toml", tmp_path / "out" / "lab.log"
     file.write_text(text(seconds=60, more='[[fault]]\nat_s = 0.2\nwhat = "stop"\nwhere = { sidecar = "a-0" }'))
-    process = lab("run", str(file), "--out", str(log.parent), start_new_session=True,
-                  preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_IGN))
+    process = lab(
+        "run",
+        str(file),
+        "--out",
+        str(log.parent),
+        start_new_session=True,
+        preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_IGN),
+    )
     try:
         while not (log.exists() and "lab.fault.applied" in log.read_text()):
             assert process.poll() is None
@@ -150,11 +163,23 @@
 OCCASIONS = {
     "answers_twice": ("one_answer", {}),
     "repeats_unsafe": ("no_repeat", {"more": '[[fault]]\nat_s = 0\nwhat = "errors"\nshare = 0.3'}),
-    "sends_to_drained": ("drain", {"seconds": 5, "more": '[[fault]]\nat_s = 0.3\nfor_s = 1\nwhat = "restart"\n'
-                                   'where = { zone = "b" }\nbatch = 0.5\ndrain_s = 3'}),
-    "pushes_cold_over": ("cold", {"seconds": 5, "load": 240, "machine": "fall_s = 1",
-                                  "more": '[[fault]]\nat_s = 0.5\nfor_s = 1\n'
-                                  'what = "kill"\nwhere = { zone = "b" }'}),
+    "sends_to_drained": (
+        "drain",
+        {
+            "seconds": 5,
+            "more": '[[fault]]\nat_s = 0.3\nfor_s = 1\nwhat = "restart"\n'
+            'where = { zone = "b" }\nbatch = 0.5\ndrain_s = 3',
+        },
+    ),
+    "pushes_cold_over": (
+        "cold",
+        {
+            "seconds": 5,
+            "load": 240,
+            "machine": "fall_s = 1",
+            "more": '[[fault]]\nat_s = 0.5\nfor_s = 1\nwhat = "kill"\nwhere = { zone = "b" }',
+        },
+    ),
     "holds_back": ("held_back", {"load": 700}),
 }
 
@@ -166,8 +191,11 @@
     (tmp_path / "bad").mkdir()
     (tmp_path / "good").mkdir()
     subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True, timeout=600)
-    bad = breaches(tmp_path / "bad", it,
-                   f"cd {ROOT}; {DEPLOY['run'].replace('garnetusher.sidecar', f'tests.faulty.misdeeds {deed}')}")
+    bad = breaches(
+        tmp_path / "bad",
+        it,
+        f"cd {ROOT}; {DEPLOY['run'].replace('garnetusher.sidecar', f'tests.faulty.misdeeds {deed}')}",
+    )
     assert {b.rule for b in bad} == {rule} and all(b.lines for b in bad)
     assert breaches(tmp_path / "good", it, f"cd {ROOT}; {DEPLOY['run']}") == []
 
@@ -185,28 +213,48 @@
 SERVED = (Ended(1_030_000, 1, "a-0.1", "u-a-0", "a-0", "served"), Answered(1_031_000, "a-0.1", "a-0", 200, "u-a-0"))
 
 
-@pytest.mark.parametrize(("lines", "rules"), [
-    ((ASKED, SENT, *SERVED), []),
-    ((ASKED, SENT, SERVED[0], Answered(1_031_000, "a-0.1", "a-0", 200, "u-b-0")), ["one_answer"]),
-    ((ASKED, SENT, SERVED[0], Answered(2_400_000, "a-0.1", "a-0", 200, "u-a-0")), []),
-    ((ASKED, SENT, SERVED[0], Answered(2_600_000, "a-0.1", "a-0", 200, "u-a-0")), ["one_answer"]),
-    ((ASKED, records.Silent(2_600_000, "a-0.1", "a-0")), ["one_answer"]),
-    ((ASKED, records.Broke(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
-    ((ASKED, records.Process(1_100_000, "a-0", "killed"), records.Broke(1_200_000, "a-0.1", "a-0")), []),
-    ((ASKED, records.Process(1_100_000, "a-0", "term"), records.Broke(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
-    ((ASKED, SENT, *SERVED, records.Extra(1_040_000, "a-0.1", "a-0")), ["one_answer"]),
-    ((ASKED, Answered(1_500_000, "a-0.1", "a-0", 503)), []),
-    ((ASKED, Answered(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
-    ((SENT,), ["no_repeat"]),
-    ((ASKED, SENT, SERVED[0], Answered(1_031_000, "a-0.1", "a-0", 503)), ["no_repeat"]),
-    ((ASKED, SENT, Ended(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "turned_away"),
-      Answered(1_003_000, "a-0.1", "a-0", 503)), []),
-    ((ASKED, SENT, Ended(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "reset"),
-      Attempt(1_005_000, 1, "a-0.1", "u-b-0", "a-0", 1_005_000, 20_000)), ["no_repeat"]),
-    ((Told(0, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), []),
-    ((Told(-100_000, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), ["drain"]),
-    ((Told(-100_000, "a-0", "u-a-0", "leaving"), Told(900_000, "a-0", "u-a-0", "active"), ASKED, SENT, *SERVED), []),
-])
+@pytest.mark.parametrize(
+    ("lines", "rules"),
+    [
+        ((ASKED, SENT, *SERVED), []),
+        ((ASKED, SENT, SERVED[0], Answered(1_031_000, "a-0.1", "a-0", 200, "u-b-0")), ["one_answer"]),
+        ((ASKED, SENT, SERVED[0], Answered(2_400_000, "a-0.1", "a-0", 200, "u-a-0")), []),
+        ((ASKED, SENT, SERVED[0], Answered(2_600_000, "a-0.1", "a-0", 200, "u-a-0")), ["one_answer"]),
+        ((ASKED, records.Silent(2_600_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((ASKED, records.Broke(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((ASKED, records.Process(1_100_000, "a-0", "killed"), records.Broke(1_200_000, "a-0.1", "a-0")), []),
+        ((ASKED, records.Process(1_100_000, "a-0", "term"), records.Broke(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((ASKED, SENT, *SERVED, records.Extra(1_040_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((ASKED, Answered(1_500_000, "a-0.1", "a-0", 503)), []),
+        ((ASKED, Answered(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
+        ((SENT,), ["no_repeat"]),
+        ((ASKED, SENT, SERVED[0], Answered(1_031_000, "a-0.1", "a-0", 503)), ["no_repeat"]),
+        (
+            (
+                ASKED,
+                SENT,
+                Ended(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "turned_away"),
+                Answered(1_003_000, "a-0.1", "a-0", 503),
+            ),
+            [],
+        ),
+        (
+            (
+                ASKED,
+                SENT,
+                Ended(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "reset"),
+                Attempt(1_005_000, 1, "a-0.1", "u-b-0", "a-0", 1_005_000, 20_000),
+            ),
+            ["no_repeat"],
+        ),
+        ((Told(0, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), []),
+        ((Told(-100_000, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), ["drain"]),
+        (
+            (Told(-100_000, "a-0", "u-a-0", "leaving"), Told(900_000, "a-0", "u-a-0", "active"), ASKED, SENT, *SERVED),
+            [],
+        ),
+    ],
+)
 def test_a_rule_is_judged_by_its_words(lines: tuple[records.AnyRecord, ...], rules: list[str]) -> None:
     assert verdicts(*lines) == rules
 
@@ -215,11 +263,18 @@
     it = small()
     late = Asked(1_000_000, "a-0.2", "a-0.2", "a-0", 0, 0, 650_000, 1_900_000)  # the lab was late with it
     again = Asked(1_500_000, "a-0.1.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_200_000)
-    found = figures.requests_of(it, [
-        ASKED, late, Answered(1_010_000, "a-0.2", "a-0", 200, "u-a-0"), again,
-        Answered(1_390_000, "a-0.1.1", "a-0", 200, "u-a-0"), Answered(1_395_000, "a-0.1", "a-0", 200, "u-b-0")])
-    assert [(r.ident, r.worth, r.answered_us) for r in found] == [("a-0.2", 1.0, 1_010_000),
-                                                                   ("a-0.1", 3.0, 1_390_000)]
+    found = figures.requests_of(
+        it,
+        [
+            ASKED,
+            late,
+            Answered(1_010_000, "a-0.2", "a-0", 200, "u-a-0"),
+            again,
+            Answered(1_390_000, "a-0.1.1", "a-0", 200, "u-a-0"),
+            Answered(1_395_000, "a-0.1", "a-0", 200, "u-b-0"),
+        ],
+    )
+    assert [(r.ident, r.worth, r.answered_us) for r in found] == [("a-0.2", 1.0, 1_010_000), ("a-0.1", 3.0, 1_390_000)]
     assert [r.served(it.classes[r.cls].aim_ms * 1000) for r in found] == [False, True]
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -28,8 +28,13 @@
     "garnetusher.membership": {"garnetusher.membership"},
     "garnetusher.model": {"garnetusher.policy", "garnetusher.config", "garnetusher.membership", "garnetusher.model"},
     "garnetusher.cli": {"garnetusher.config", "garnetusher.logs", "garnetusher.model", "garnetusher.cli"},
-    "garnetusher.lab": {"garnetusher.config", "garnetusher.logs", "garnetusher.model", "garnetusher.cli",
-                        "garnetusher.lab"},
+    "garnetusher.lab": {
+        "garnetusher.config",
+        "garnetusher.logs",
+        "garnetusher.model",
+        "garnetusher.cli",
+        "garnetusher.lab",
+    },
 }
 BUILT_IN = {"cython_runtime", "_cython_3_3_0"}  # modules that httptools makes for itself
 NOT_IN_A_CORE = {"asyncio", "socket", "threading", "subprocess", "time", "os", "selectors"}
@@ -60,27 +65,42 @@
         part = next((p for p in ALLOWED if below(module, p)), None)
         for name in imported(path):
             ours = below(name, "garnetusher")
-            if part is not None and ours and name != "garnetusher" and \
-                    not any(below(name, allowed) or below(allowed, name) for allowed in ALLOWED[part]):
+            if (
+                part is not None
+                and ours
+                and name != "garnetusher"
+                and not any(below(name, allowed) or below(allowed, name) for allowed in ALLOWED[part])
+            ):
                 wrong.append(f"{module} imports {name}")
     assert wrong == []
 
 
 def test_a_core_has_no_clock_and_no_socket() -> None:
-    wrong = [f"{module} imports {name}" for module, path in modules()
-             if below(module, "garnetusher.model") or (below(module, "garnetusher.membership") and path.stem != "shell")
-             for name in imported(path) & NOT_IN_A_CORE]
+    wrong = [
+        f"{module} imports {name}"
+        for module, path in modules()
+        if below(module, "garnetusher.model") or (below(module, "garnetusher.membership") and path.stem != "shell")
+        for name in imported(path) & NOT_IN_A_CORE
+    ]
     assert wrong == []
 
 
 def test_run_imports_what_it_did() -> None:
-    code = ("import sys; before = set(sys.modules); import garnetusher.sidecar.__main__; "
-            "print(*sorted({'.'.join(m.split('.')[:2]) if m.startswith('garnetusher.') else m.split('.')[0]"
-            " for m in set(sys.modules) - before}))")
-    found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
-                           timeout=60).stdout.split()
+    code = (
+        "import sys; before = set(sys.modules); import garnetusher.sidecar.__main__; "
+        "print(*sorted({'.'.join(m.split('.')[:2]) if m.startswith('garnetusher.') else m.split('.')[0]"
+        " for m in set(sys.modules) - before}))"
+    )
+    found = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
+    ).stdout.split()
     assert set(found) - set(sys.stdlib_module_names) - BUILT_IN == {
-        "garnetusher", "garnetusher.policy", "garnetusher.sidecar", "garnetusher.simulator", "httptools"}
+        "garnetusher",
+        "garnetusher.policy",
+        "garnetusher.sidecar",
+        "garnetusher.simulator",
+        "httptools",
+    }
     assert (ROOT / "requirements.txt").read_text() == "httptools==0.9.0\n"
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -82,8 +82,11 @@
         loop, made = asyncio.get_running_loop(), {}
         for name in ("x", "y", "z"):
             made[name] = await loop.create_datagram_endpoint(Member, local_addr=(HOST, 0))
-        relay = Relay(Clockwork("test", Journal(tmp_path / "x")),
-                      {name: transport.get_extra_info("sockname") for name, (transport, _) in made.items()}, 1)
+        relay = Relay(
+            Clockwork("test", Journal(tmp_path / "x")),
+            {name: transport.get_extra_info("sockname") for name, (transport, _) in made.items()},
+            1,
+        )
         await relay.open(HOST)
         relay.weather["x", "y"].loss, relay.weather["x", "y"].duplicate = 0.25, 0.5
         relay.weather["x", "z"].cut = 1
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -171,8 +171,16 @@
 
 
 def entry(uid: str, state: str = "active") -> dict[str, object]:
-    return {"uid": uid, "endpoint": "127.0.0.1:9", "az": "a", "model": "m", "pod_group": 0, "state": state,
-            "capacity_hint": 1.0, "boot_ms": 0}
+    return {
+        "uid": uid,
+        "endpoint": "127.0.0.1:9",
+        "az": "a",
+        "model": "m",
+        "pod_group": 0,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": 0,
+    }
 
 
 def test_a_long_list_is_taken_in_pieces_and_nothing_of_it_is_lost() -> None:
@@ -192,7 +200,7 @@
         states = {e.id: e.state for event in heard for e in event.upstreams}
         assert all(states[ident] is UpstreamState.GONE for ident in old)
         assert sum(state is UpstreamState.READY for state in states.values()) == 3 * PIECE - 1
-        discovery.changed({"rev": 4, "all": True, "targets": whole[:2 * PIECE]})
+        discovery.changed({"rev": 4, "all": True, "targets": whole[: 2 * PIECE]})
         discovery.changed({"rev": 5, "all": True, "targets": whole[:1]})  # overtakes what is not yet taken
         assert discovery.version == 5 and not discovery.pieces
         assert heard[-1].kind is ListKind.FULL and len(heard[-1].upstreams) == 1
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -57,8 +57,9 @@
 
 def pieces(data: bytes, size: int, extra: bytes = b"") -> bytes:
     """Chunks of such a size, each with an extension."""
-    return b"".join(b"%x%s\r\n%s\r\n" % (len(data[at:at + size]), extra, data[at:at + size])
-                    for at in range(0, len(data), size))
+    return b"".join(
+        b"%x%s\r\n%s\r\n" % (len(data[at : at + size]), extra, data[at : at + size]) for at in range(0, len(data), size)
+    )
 
 
 async def read_body(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
@@ -80,16 +81,21 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Not-Run\r\n\r\n"
 
 
-@pytest.mark.parametrize(("answer", "body"), [
-    (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG, LONG),
-    (CHUNKED + pieces(LONG, 999, b";a=b") + b"0\r\nX-Not-Run: 1\r\n\r\n", LONG),
-    (CHUNKED + pieces(LONG[:5000], 1, b";a=\"b c\"") + b"0\r\nX-Sum: 1\r\n\r\n", LONG[:5000]),
-    (b"HTTP/1.1 200 OK\r\n\r\n" + LONG, LONG),
-    (b"HTTP/1.0 200 Fine\r\n\r\n" + LONG[:100], LONG[:100]),
-    (b"HTTP/1.1 200\r\nConnection: close\r\n\r\n", b""),
-    (b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + CHUNKED
-     + b"0\r\n\r\n", b""),
-])
+@pytest.mark.parametrize(
+    ("answer", "body"),
+    [
+        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG, LONG),
+        (CHUNKED + pieces(LONG, 999, b";a=b") + b"0\r\nX-Not-Run: 1\r\n\r\n", LONG),
+        (CHUNKED + pieces(LONG[:5000], 1, b';a="b c"') + b"0\r\nX-Sum: 1\r\n\r\n", LONG[:5000]),
+        (b"HTTP/1.1 200 OK\r\n\r\n" + LONG, LONG),
+        (b"HTTP/1.0 200 Fine\r\n\r\n" + LONG[:100], LONG[:100]),
+        (b"HTTP/1.1 200\r\nConnection: close\r\n\r\n", b""),
+        (
+            b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + CHUNKED + b"0\r\n\r\n",
+            b"",
+        ),
+    ],
+)
 def test_every_form_of_answer_comes_back_unchanged(answer: bytes, body: bytes) -> None:
     async def test() -> None:
         async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -157,10 +163,8 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "pay"])
-@pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n",
-                                  CHUNKED + b"20000\r\n"])
-def test_a_long_answer_that_breaks_off_is_seen_not_to_be_whole_and_not_asked_for_again(kind: str,
-                                                                                      head: bytes) -> None:
+@pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", CHUNKED + b"20000\r\n"])
+def test_a_long_answer_that_breaks_off_is_seen_not_to_be_whole_and_not_asked_for_again(kind: str, head: bytes) -> None:
     async def test() -> None:
         requests = []
 
@@ -308,8 +312,7 @@
     run(test)
 
 
-def test_a_client_that_stops_in_a_long_body_is_told_and_its_request_never_runs(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_stops_in_a_long_body_is_told_and_its_request_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "LONGEST_READ_US", 300_000)
     monkeypatch.setattr(server_module, "MOST_AHEAD_US", 500_000)
 
@@ -345,7 +348,7 @@
         async with sidecar(Raw(play)) as it:
             reader, writer = await it.connect()
             whole = upload(LONG, 4000)
-            writer.write(whole[:whole.index(b"fa0;x", 200_000)] + bad)
+            writer.write(whole[: whole.index(b"fa0;x", 200_000)] + bad)
             assert status(await read_message(reader)) == 400
             await ended.wait()
             writer.close()
@@ -516,7 +519,8 @@
         whole = json.loads(path.read_text())
         whole["settings"]["request-classes"] = [
             {"name": name, "aim": 9_000_000, "deadline": 19_000_000, "effect": effect, "worth": 1.0}
-            for name, effect in (("read", "idempotent"), ("pay", "at_most_once"))]
+            for name, effect in (("read", "idempotent"), ("pay", "at_most_once"))
+        ]
         path.write_text(json.dumps(whole))
         host, port = whole["listen"].split(":")
         writers = []
@@ -599,8 +603,7 @@
     run(test)
 
 
-def test_an_upstream_that_takes_no_more_of_a_long_body_has_not_begun_with_it(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_upstream_that_takes_no_more_of_a_long_body_has_not_begun_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "STALL_US", 500_000)
 
     async def test() -> None:
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -27,8 +27,11 @@
 BOUNDS = SETTINGS["bounds"] | {"dial-timeout": 3_000_000}
 PATIENT: dict[str, Any] = SETTINGS | {
     "bounds": BOUNDS | {"second-copies": False},
-    "request-classes": [{"name": name, "aim": 1_400_000, "deadline": 1_500_000, "effect": effect, "worth": 1.0}
-                        for name, effect in (("pay", "at_most_once"), ("read", "idempotent"))]}
+    "request-classes": [
+        {"name": name, "aim": 1_400_000, "deadline": 1_500_000, "effect": effect, "worth": 1.0}
+        for name, effect in (("pay", "at_most_once"), ("read", "idempotent"))
+    ],
+}
 
 
 @contextlib.contextmanager
@@ -74,8 +77,9 @@
     return head, time.monotonic() - asked_at
 
 
-@pytest.mark.parametrize("data", [request("read", deadline_ms=1500), request("pay", "1", b"x" * 150_000, 1500)],
-                         ids=["short", "long body"])
+@pytest.mark.parametrize(
+    "data", [request("read", deadline_ms=1500), request("pay", "1", b"x" * 150_000, 1500)], ids=["short", "long body"]
+)
 def test_the_time_told_to_an_upstream_is_what_is_left_when_it_is_written(tmp_path: Path, data: bytes) -> None:
     async def test() -> None:
         head, after_s = await head_of_a_late_attempt(tmp_path, data)
@@ -142,6 +146,7 @@
 async def not_long(folder: Path, error: int) -> None:
     assert await served_after_s(folder, error) < 0.6
 
+
 def test_who_comes_while_accept_fails_at_the_end_of_the_process_is_answered(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = Upstream(answering(OK))
@@ -170,20 +175,26 @@
 
 def cold_settings(**bounds: Any) -> dict[str, Any]:
     """As above, with upstreams that are cold for long."""
-    rules = PATIENT["invariants"] | {"cold-share": 0.13, "warm-up": 24_000_000, "overload-factor": 3.0,
-                                     "fall": 3_000_000}
+    rules = PATIENT["invariants"] | {
+        "cold-share": 0.13,
+        "warm-up": 24_000_000,
+        "overload-factor": 3.0,
+        "fall": 3_000_000,
+    }
     return PATIENT | {"invariants": rules, "registry-mode": "pushed", "bounds": PATIENT["bounds"] | bounds}
 
 
 @pytest.mark.parametrize("step_s", [0.0, 10.0, 3600.0, -3600.0])
-def test_an_upstream_that_has_just_started_counts_as_cold_whatever_the_wall_clock_says(tmp_path: Path,
-                                                                                       step_s: float) -> None:
+def test_an_upstream_that_has_just_started_counts_as_cold_whatever_the_wall_clock_says(
+    tmp_path: Path, step_s: float
+) -> None:
     async def test() -> None:
         warm, cold = Upstream(answering(OK)), Upstream(answering(OK))
         await warm.start()
         await cold.start()
-        known = listing(entry("w0", warm.port), entry("w1", warm.port),
-                        entry("cold", cold.port, boot_ms=int(time.time() * 1000)))
+        known = listing(
+            entry("w0", warm.port), entry("w1", warm.port), entry("cold", cold.port, boot_ms=int(time.time() * 1000))
+        )
         async with machine(tmp_path, step_s, settings=cold_settings(), known=known) as it:
             reader, writer = await it.connect()
             for number in range(90):
@@ -206,6 +217,7 @@
 @pytest.mark.parametrize("trouble", ["half written", "no descriptor left"])
 def test_a_new_file_that_can_not_be_read_yet_is_read_again(tmp_path: Path, trouble: str) -> None:
     """The old address of discovery takes nobody any more: not to follow would be to miss each drain from now on."""
+
     async def test() -> None:
         old, new = Discovery(), Discovery()
         await old.start()
@@ -230,6 +242,7 @@
 
 def test_a_connection_that_can_not_be_shut_down_costs_no_slot(tmp_path: Path) -> None:
     """Its answer has been written; the upstream's slot is free again, and so is the end of the process."""
+
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
@@ -244,8 +257,9 @@
 
 
 @pytest.mark.parametrize("body", [b"b", b"x" * 150_000], ids=["short", "long body"])
-def test_what_came_on_a_new_connection_while_the_program_was_held_up_has_less_time_left(tmp_path: Path,
-                                                                                        body: bytes) -> None:
+def test_what_came_on_a_new_connection_while_the_program_was_held_up_has_less_time_left(
+    tmp_path: Path, body: bytes
+) -> None:
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
@@ -284,10 +298,12 @@
     run(test)
 
 
-@pytest.mark.parametrize(("call", "error"), [(Call.ACCEPT, errno.ENONET), (Call.ACCEPT, errno.EAGAIN),
-                                             (Call.SEND, errno.ENOBUFS)])
-def test_what_could_not_be_accepted_or_sent_for_a_while_is_told_the_time_that_is_left(tmp_path: Path, call: Call,
-                                                                                      error: int) -> None:
+@pytest.mark.parametrize(
+    ("call", "error"), [(Call.ACCEPT, errno.ENONET), (Call.ACCEPT, errno.EAGAIN), (Call.SEND, errno.ENOBUFS)]
+)
+def test_what_could_not_be_accepted_or_sent_for_a_while_is_told_the_time_that_is_left(
+    tmp_path: Path, call: Call, error: int
+) -> None:
     async def test() -> None:
         assert await told_after(tmp_path, call, error) <= 1100 + SLACK_MS
 
@@ -298,8 +314,9 @@
     """The program serves, though a call fails ten times at its start."""
     upstream = Upstream(answering(OK))
     await upstream.start()
-    async with machine(folder, failing=(call, error, 10), settings=PATIENT,
-                       known=listing(entry("u", upstream.port))) as it:
+    async with machine(
+        folder, failing=(call, error, 10), settings=PATIENT, known=listing(entry("u", upstream.port))
+    ) as it:
         assert await it.ask(request("pay", "1", b"b", 1500)) == 200
         assert it.faults.hits(call) == 10
     upstream.stop()
@@ -310,14 +327,16 @@
     run(lambda: starts(tmp_path, call, errno.EMFILE))
 
 
-@pytest.mark.parametrize(("call", "error"), [(Call.SOCKET, errno.ENFILE), (Call.BIND, errno.EADDRINUSE),
-                                             (Call.EPOLL_CTL, errno.ENOMEM)])
+@pytest.mark.parametrize(
+    ("call", "error"), [(Call.SOCKET, errno.ENFILE), (Call.BIND, errno.EADDRINUSE), (Call.EPOLL_CTL, errno.ENOMEM)]
+)
 def test_a_start_that_can_not_listen_for_a_moment_is_a_start(tmp_path: Path, call: Call, error: int) -> None:
     run(lambda: starts(tmp_path, call, error))
 
 
 def test_a_log_that_nobody_reads_holds_nothing_up(tmp_path: Path) -> None:
     """Its pipe holds 64 KiB; what does not fit is left out."""
+
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -35,8 +35,17 @@
             admin = f"127.0.0.1:{free_port()}"
             path = configuration(place, name=f"n{number}", admin=admin, fleet={"membership": membership})
             with (place / "log").open("wb") as log:
-                running.append((subprocess.Popen([sys.executable, "-m", "garnetusher.sidecar"], cwd=ROOT, stderr=log,
-                                                 env=os.environ | {"BALANCER_CONFIG": str(path)}), admin))
+                running.append(
+                    (
+                        subprocess.Popen(
+                            [sys.executable, "-m", "garnetusher.sidecar"],
+                            cwd=ROOT,
+                            stderr=log,
+                            env=os.environ | {"BALANCER_CONFIG": str(path)},
+                        ),
+                        admin,
+                    )
+                )
         yield running
     finally:
         for process, _ in running:
@@ -45,8 +54,13 @@
 
 
 def seen(at: str) -> dict[str, Any]:
-    done = subprocess.run([sys.executable, "-m", "garnetusher", "members", "--at", at, "--json"], cwd=ROOT,
-                          capture_output=True, text=True, timeout=30)
+    done = subprocess.run(
+        [sys.executable, "-m", "garnetusher", "members", "--at", at, "--json"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=30,
+    )
     return json.loads(done.stdout) if done.returncode == 0 else {"phase": done.stderr, "members": []}
 
 
@@ -65,8 +79,9 @@
 def test_sidecars_count_each_other_through_a_kill_and_a_farewell(tmp_path: Path) -> None:
     ports = [free_port() for _ in range(3)]
     seeds = [f"127.0.0.1:{port}" for port in ports[:2]]
-    with sidecars(tmp_path, [{"cluster": "test", "listen": f"127.0.0.1:{port}", "seeds": seeds}
-                             for port in ports]) as running:
+    with sidecars(
+        tmp_path, [{"cluster": "test", "listen": f"127.0.0.1:{port}", "seeds": seeds} for port in ports]
+    ) as running:
         admin = running[0][1]
         whole = until(admin, lambda found: states(found) == ["present"] * 3 and found["agreed"])
         assert whole["instances"] == 3 and [m["name"] for m in whole["members"]] == ["n0", "n1", "n2"]
@@ -86,13 +101,18 @@
         assert "fleet.membership.listen: expected host:port" in (tmp_path / "0" / "log").read_text()
 
 
-@pytest.mark.parametrize(("raw", "key"), [
-    ([], ""), ({"listen": "h:1"}, ".cluster"), ({"cluster": "c"}, ".listen"),
-    ({"cluster": "c", "listen": "h:1", "seeds": "h:2"}, ".seeds"),
-    ({"cluster": "c", "listen": "h:1", "seeds": ["h"]}, ".seeds.0"),
-    ({"cluster": "c", "listen": "h:1", "floor": 0}, ".floor"),
-    ({"cluster": "c", "listen": "h:1", "flor": 2}, ".flor"),
-])
+@pytest.mark.parametrize(
+    ("raw", "key"),
+    [
+        ([], ""),
+        ({"listen": "h:1"}, ".cluster"),
+        ({"cluster": "c"}, ".listen"),
+        ({"cluster": "c", "listen": "h:1", "seeds": "h:2"}, ".seeds"),
+        ({"cluster": "c", "listen": "h:1", "seeds": ["h"]}, ".seeds.0"),
+        ({"cluster": "c", "listen": "h:1", "floor": 0}, ".floor"),
+        ({"cluster": "c", "listen": "h:1", "flor": 2}, ".flor"),
+    ],
+)
 def test_a_wrong_switch_names_its_key(raw: Any, key: str) -> None:
     with pytest.raises(ValueError, match=f"^fleet.membership{key}: expected"):
         switch(raw, "n", "z")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -226,8 +226,12 @@
 
         def member(number: int) -> Callable[[tuple[str, int], int], Member]:
             return lambda address, now_us: Member(
-                core.Settings(f"p{number}", "sidecar", "z", *address, seeds=list(seeds)), Codec("test"), 1, number,
-                now_us)
+                core.Settings(f"p{number}", "sidecar", "z", *address, seeds=list(seeds)),
+                Codec("test"),
+                1,
+                number,
+                now_us,
+            )
 
         for number in range(4):
             shells.append(Shell(member(number), told.append))
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -16,8 +16,14 @@
 from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream, budget_us
 from tests.experiment import ROOT, small
 
-STEPS = st.lists(st.tuples(st.sampled_from(["arrive", "cancel", "hang", "resume", "slow", "die", "boot", "wait"]),
-                           st.integers(0, 400_000), st.integers(1, 300_000)), max_size=60)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["arrive", "cancel", "hang", "resume", "slow", "die", "boot", "wait"]),
+        st.integers(0, 400_000),
+        st.integers(1, 300_000),
+    ),
+    max_size=60,
+)
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
@@ -92,8 +98,9 @@
 
 
 def test_a_cold_machine_falls_at_its_budget_and_not_before() -> None:
-    figures = Upstreams(per_zone={}, cores=2, cold_share=0.2, warm_up_s=20, fall_s=2, overload_factor=3,
-                        queue_per_core=10_000)
+    figures = Upstreams(
+        per_zone={}, cores=2, cold_share=0.2, warm_up_s=20, fall_s=2, overload_factor=3, queue_per_core=10_000
+    )
     for share, falls in ((0.97, False), (1.25, True)):
         machine = Upstream(figures, 1.0)
         machine.boot(1_000_000)
@@ -106,8 +113,10 @@
 
 
 @settings(max_examples=80, deadline=None, derandomize=True)
-@given(st.integers(0, 10**6), st.lists(st.tuples(st.sampled_from(["send", "wait", "cut", "mend"]),
-                                                 st.integers(0, 50_000)), max_size=60))
+@given(
+    st.integers(0, 10**6),
+    st.lists(st.tuples(st.sampled_from(["send", "wait", "cut", "mend"]), st.integers(0, 50_000)), max_size=60),
+)
 def test_a_stream_comes_whole_and_in_order(seed: int, steps: list[tuple[str, int]]) -> None:
     weather = Weather(delay_us=2_000, jitter=0.5, loss=0.1, bytes_per_s=1e6)
     link, now, sent, came = StreamLink(weather, random.Random(seed)), 0, b"", b""
@@ -142,13 +151,16 @@
 
 
 def digest(seed: int) -> str:
-    code = ("import hashlib; from garnetusher.model import experiment, plan; "
-            f"e = experiment.load('experiments/rolling-upstreams.toml'); p = plan.make(e, {seed}); "
-            "import msgspec; a = [list(plan.arrivals(e, p, s))[:200] for s in p.sidecars]; "
-            "print(hashlib.sha256(msgspec.json.encode([p, a])).hexdigest())")
+    code = (
+        "import hashlib; from garnetusher.model import experiment, plan; "
+        f"e = experiment.load('experiments/rolling-upstreams.toml'); p = plan.make(e, {seed}); "
+        "import msgspec; a = [list(plan.arrivals(e, p, s))[:200] for s in p.sidecars]; "
+        "print(hashlib.sha256(msgspec.json.encode([p, a])).hexdigest())"
+    )
     told = os.environ | {"PYTHONHASHSEED": str(random.randrange(1000))}
-    return subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
-                          timeout=60, env=told).stdout
+    return subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60, env=told
+    ).stdout
 
 
 def test_a_plan_is_told_by_its_seed_alone() -> None:
@@ -170,13 +182,17 @@
     it = small(more='[[fault]]\nat_s = 0.5\nfor_s = 1.5\nwhat = "silent"\nreturns = "cold"\nwhere = { zone = "b" }')
     made = plan.make(it, 1)
     assert [link.at_us for link in made.links] == [500_000, 2_000_000]
-    assert [[(s.at_us, s.what) for s in u.steps] for u in made.upstreams if u.steps] == \
-        [[(500_001, "vanish"), (2_000_000, "boot")]] * 3
+    assert [[(s.at_us, s.what) for s in u.steps] for u in made.upstreams if u.steps] == [
+        [(500_001, "vanish"), (2_000_000, "boot")]
+    ] * 3
 
 
 def test_arrivals_keep_their_rate_and_a_burst_is_its_tenants_alone() -> None:
-    it = small(seconds=60, more='[[tenant]]\nname = "x"\nshare = 0.5\n[[tenant]]\nname = "y"\nshare = 0.5\n'
-               '[[fault]]\nat_s = 20\nfor_s = 20\nwhat = "burst"\ntimes = 3\ntenant = "y"')
+    it = small(
+        seconds=60,
+        more='[[tenant]]\nname = "x"\nshare = 0.5\n[[tenant]]\nname = "y"\nshare = 0.5\n'
+        '[[fault]]\nat_s = 20\nfor_s = 20\nwhat = "burst"\ntimes = 3\ntenant = "y"',
+    )
     made = plan.make(it, 3)
     seen = [a for s in made.sidecars for a in plan.arrivals(it, made, s)]
     calm = [a for a in seen if not 20e6 <= a[0] < 40e6]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -89,18 +89,21 @@
     run(test)
 
 
-@pytest.mark.parametrize(("data", "expected"), [
-    (b"GET /unknown HTTP/1.1\r\n\r\n", 404),
-    (b"GET /read/it HTTP/1.1\r\nX-Request-Id: 1\r\nX-Deadline-Ms: 100\r\n\r\n", 404),
-    (b"POST /_ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
-    (b"GET /_lameduck/on HTTP/1.1\r\n\r\n", 405),
-    (b"noise\r\n\r\n", 400),
-    (b"\x00\xff\r\n\r\n", 400),
-    (b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n", 400),
-    (b"GET /_ready HTTP/1.1\r\nX-Endless: " + b"x" * 9000, 413),
-    (b"GET /_ready?x=1 HTTP/1.1\r\nHost: x\r\n\r\n", 200),
-    (b"POST /_lameduck/off HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200),
-])
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (b"GET /unknown HTTP/1.1\r\n\r\n", 404),
+        (b"GET /read/it HTTP/1.1\r\nX-Request-Id: 1\r\nX-Deadline-Ms: 100\r\n\r\n", 404),
+        (b"POST /_ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
+        (b"GET /_lameduck/on HTTP/1.1\r\n\r\n", 405),
+        (b"noise\r\n\r\n", 400),
+        (b"\x00\xff\r\n\r\n", 400),
+        (b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n", 400),
+        (b"GET /_ready HTTP/1.1\r\nX-Endless: " + b"x" * 9000, 413),
+        (b"GET /_ready?x=1 HTTP/1.1\r\nHost: x\r\n\r\n", 200),
+        (b"POST /_lameduck/off HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200),
+    ],
+)
 def test_a_call_that_is_not_one_gets_an_error_and_changes_nothing(data: bytes, expected: int) -> None:
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -38,22 +38,46 @@
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 SETTINGS: dict[str, Any] = {
-    "accounts": [], "areas": ["a", "b"], "granularity": 5000,
-    "bounds": {"conn-idle": 5000000, "dial-timeout": 200000, "most-tries": 4, "cancel": True, "probes": True,
-               "retry-after": True, "second-copies": True},
-    "instances": 3, "invariants": {"ask-within": 10000000, "cold-share": 0.32, "fall": 2000000,
-    "overload-factor": 2.5, "warm-up": 8900000}, "kinds": ["m"], "locality": 1, "registry-mode": "on_request",
-    "report": {"how": "probe", "names": ["rif", "q"]}, "weights": "nominal",
-    "request-classes": [{"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "at_most_once",
-                         "worth": 10.0}],
+    "accounts": [],
+    "areas": ["a", "b"],
+    "granularity": 5000,
+    "bounds": {
+        "conn-idle": 5000000,
+        "dial-timeout": 200000,
+        "most-tries": 4,
+        "cancel": True,
+        "probes": True,
+        "retry-after": True,
+        "second-copies": True,
+    },
+    "instances": 3,
+    "invariants": {
+        "ask-within": 10000000,
+        "cold-share": 0.32,
+        "fall": 2000000,
+        "overload-factor": 2.5,
+        "warm-up": 8900000,
+    },
+    "kinds": ["m"],
+    "locality": 1,
+    "registry-mode": "on_request",
+    "report": {"how": "probe", "names": ["rif", "q"]},
+    "weights": "nominal",
+    "request-classes": [{"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "at_most_once", "worth": 10.0}],
 }
 
 
 def configuration(folder: Path, **changes: Any) -> Path:
     path = folder / "config.json"
-    whole = {"name": "n0", "listen": f"127.0.0.1:{free_port()}", "discovery": "127.0.0.1:1", "seed": "8c1f",
-             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS,
-             "known": listing(entry("u", 1))}
+    whole = {
+        "name": "n0",
+        "listen": f"127.0.0.1:{free_port()}",
+        "discovery": "127.0.0.1:1",
+        "seed": "8c1f",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": SETTINGS,
+        "known": listing(entry("u", 1)),
+    }
     path.write_text(json.dumps(whole | changes))
     return path
 
@@ -63,9 +87,13 @@
     """The running program, which is told more by its environment and keeps these descriptors."""
     subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True, timeout=600)
     plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
-    process = subprocess.Popen(["/bin/sh", "-c", DEPLOY["run"]], cwd=ROOT, stderr=subprocess.PIPE,
-                               pass_fds=keep,
-                               env=plain | {"BALANCER_CONFIG": str(path)} | told)
+    process = subprocess.Popen(
+        ["/bin/sh", "-c", DEPLOY["run"]],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        pass_fds=keep,
+        env=plain | {"BALANCER_CONFIG": str(path)} | told,
+    )
     try:
         yield process
     finally:
@@ -157,15 +185,40 @@
 
 
 BROKEN: list[tuple[str, Any]] = [
-    *[(path, None) for path in (
-        "listen", "discovery", "seed", "limits", "settings", "name", "settings.request-classes",
-        "settings.bounds", "settings.bounds.most-tries", "settings.bounds.conn-idle", "settings.locality",
-        "settings.registry-mode", "settings.invariants.ask-within", "settings.request-classes.0.deadline",
-        "settings.request-classes.0.name", "settings.request-classes.0.effect", "limits.memory_mb")],
-    *[(path, value) for path in ("settings.request-classes.0.deadline", "settings.bounds.most-tries")
-      for value in list[object]((0, -1, "many", "3", True, [], {}, 1e999, float("nan")))],
-    ("settings.request-classes", []), ("settings.request-classes", {}), ("settings", []), ("settings", 5),
-    ("discovery", "nowhere"), ("settings.areas", None), ("settings.bounds.conn-idle", float("inf")),
+    *[
+        (path, None)
+        for path in (
+            "listen",
+            "discovery",
+            "seed",
+            "limits",
+            "settings",
+            "name",
+            "settings.request-classes",
+            "settings.bounds",
+            "settings.bounds.most-tries",
+            "settings.bounds.conn-idle",
+            "settings.locality",
+            "settings.registry-mode",
+            "settings.invariants.ask-within",
+            "settings.request-classes.0.deadline",
+            "settings.request-classes.0.name",
+            "settings.request-classes.0.effect",
+            "limits.memory_mb",
+        )
+    ],
+    *[
+        (path, value)
+        for path in ("settings.request-classes.0.deadline", "settings.bounds.most-tries")
+        for value in list[object]((0, -1, "many", "3", True, [], {}, 1e999, float("nan")))
+    ],
+    ("settings.request-classes", []),
+    ("settings.request-classes", {}),
+    ("settings", []),
+    ("settings", 5),
+    ("discovery", "nowhere"),
+    ("settings.areas", None),
+    ("settings.bounds.conn-idle", float("inf")),
     ("settings.request-classes", 2 * SETTINGS["request-classes"]),
 ]
 
@@ -207,9 +260,14 @@
         file = configuration(tmp_path)
         whole = json.loads(file.read_text())
         sidecar = Sidecar(load(str(file)))
-        new = with_value(whole, "settings.request-classes", [
-            {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent", "worth": 1.0},
-            {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "deduplicated", "worth": 10.0}])
+        new = with_value(
+            whole,
+            "settings.request-classes",
+            [
+                {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent", "worth": 1.0},
+                {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "deduplicated", "worth": 10.0},
+            ],
+        )
         new = with_value(new, "settings.bounds.most-tries", 2)
         new = with_value(new, "settings.bounds.conn-idle", 900000)
         file.write_text(json.dumps(without(new, "known") | {"discovery": "127.0.0.1:2"}))
@@ -227,8 +285,9 @@
     async def test() -> None:
         held = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             if number == 0:
                 await held.wait()
             writer.write(OK)
@@ -255,8 +314,7 @@
                 assert await ask("read") == 404
                 under_way = asyncio.create_task(ask("pay"))
                 await until(lambda: len(upstream.requests) == 1)
-                read = {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent",
-                        "worth": 1.0}
+                read = {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent", "worth": 1.0}
                 path.write_text(json.dumps(with_value(slow, "settings.request-classes", [read])))
                 process.send_signal(signal.SIGHUP)
                 while await ask("read") != 200:
@@ -272,8 +330,7 @@
 
 
 def test_sigterm_under_load_leaves_nothing_that_ran_without_its_answer(tmp_path: Path) -> None:
-    async def slow(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                   writer: asyncio.StreamWriter) -> None:
+    async def slow(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.05)
         writer.write(OK)
 
@@ -314,16 +371,18 @@
                 assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
         for upstream in upstreams:
             upstream.stop()
-        ran = {head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0].decode()
-               for upstream in upstreams for head, _ in upstream.requests}
+        ran = {
+            head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0].decode()
+            for upstream in upstreams
+            for head, _ in upstream.requests
+        }
         assert ran and ran <= answered
 
     asyncio.run(test())
 
 
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
-def test_a_configuration_that_can_not_be_read_ends_it_with_one_line(tmp_path: Path,
-                                                                    changes: dict[str, Any]) -> None:
+def test_a_configuration_that_can_not_be_read_ends_it_with_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
     with program(configuration(tmp_path, **changes)) as process:
         _, errors = process.communicate(timeout=PATIENCE_S)
         assert process.returncode == 2 and len(errors.splitlines()) == 1
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -96,8 +96,10 @@
         upstream, second = Upstream(answering(OK)), Upstream(answering(OK))
         old_discovery, new_discovery = Discovery(), Discovery()
         with held_socket() as held:
-            async with (sidecar(upstream, discovery=old_discovery, inherited=held) as old,
-                        sidecar(second, discovery=new_discovery, inherited=held) as new):
+            async with (
+                sidecar(upstream, discovery=old_discovery, inherited=held) as old,
+                sidecar(second, discovery=new_discovery, inherited=held) as new,
+            ):
                 await old_discovery.watched()
                 old_discovery.line(listing(rev=1, full=False))
                 reader, writer = await old.connect()
@@ -157,10 +159,10 @@
         with held_socket() as held:
             keep, port = held.fileno(), held.getsockname()[1]
             first, second = free_ports(2)
-            with (program(path, (keep,), BALANCER_SOCKET_FD=str(keep),
-                          BALANCER_ADMIN=f"127.0.0.1:{first}") as old,
-                  program(path, (keep,), BALANCER_SOCKET_FD=str(keep),
-                          BALANCER_ADMIN=f"127.0.0.1:{second}") as new):
+            with (
+                program(path, (keep,), BALANCER_SOCKET_FD=str(keep), BALANCER_ADMIN=f"127.0.0.1:{first}") as old,
+                program(path, (keep,), BALANCER_SOCKET_FD=str(keep), BALANCER_ADMIN=f"127.0.0.1:{second}") as new,
+            ):
                 async with asyncio.timeout(PATIENCE_S):
                     while not (await ready(first) and await ready(second)):
                         await asyncio.sleep(0.02)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,18 +38,27 @@
     st.tuples(st.just("stream"), st.integers(0, 50), st.just(0)),
 )
 
-CONFIGS = st.fixed_dictionaries({
-    "second_copies": st.booleans(), "list_on_request": st.booleans(), "cancel": st.booleans(),
-    "max_attempts": st.integers(1, 5), "instances": st.integers(1, 8), "retry_after": st.booleans(),
-    "ask_within_us": st.sampled_from([0, 10_000_000]), "probes": st.booleans(),
-    "report_names": st.sampled_from([[], ["utilization"], ["in_flight", "queued", "latency_ms"]]),
-})
+CONFIGS = st.fixed_dictionaries(
+    {
+        "second_copies": st.booleans(),
+        "list_on_request": st.booleans(),
+        "cancel": st.booleans(),
+        "max_attempts": st.integers(1, 5),
+        "instances": st.integers(1, 8),
+        "retry_after": st.booleans(),
+        "ask_within_us": st.sampled_from([0, 10_000_000]),
+        "probes": st.booleans(),
+        "report_names": st.sampled_from([[], ["utilization"], ["in_flight", "queued", "latency_ms"]]),
+    }
+)
 
 
 def many_classes() -> list[RequestClass]:
-    return [*classes(),
-            RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", memory_us=400_000),
-            RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True)]
+    return [
+        *classes(),
+        RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", memory_us=400_000),
+        RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True),
+    ]
 
 
 def play(world: World, step: tuple[str, int, object]) -> None:
@@ -78,17 +87,22 @@
         assert isinstance(extra, Outcome)
         world.end(*open_tries[number % len(open_tries)], extra)
     elif what == "stream":
-        streams = [(i, n) for i, n in open_tries
-                   if world.settings.classes[world.owed[i].event.class_index].stream
-                   and not world.owed[i].stream and not world.owed[i].closed]
+        streams = [
+            (i, n)
+            for i, n in open_tries
+            if world.settings.classes[world.owed[i].event.class_index].stream
+            and not world.owed[i].stream
+            and not world.owed[i].closed
+        ]
         if streams:
             world.begin_stream(*streams[number % len(streams)])
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_no_rule_is_broken_whatever_happens(config: dict[str, object], seed: int,
-                                            steps: list[tuple[str, int, object]]) -> None:
+def test_no_rule_is_broken_whatever_happens(
+    config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
+) -> None:
     world = World(settings(classes=many_classes(), **config), seed)
     world.tell_list(upstreams(6), ListKind.CACHED)
     for step in steps:
@@ -102,8 +116,9 @@
     world = World(settings(classes=many_classes(), **config), seed)
     world.tell_list(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
-        kind = dice.choices(["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
-                            [50, 40, 10, 1, 1, 1, 1, 1])[0]
+        kind = dice.choices(
+            ["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"], [50, 40, 10, 1, 1, 1, 1, 1]
+        )[0]
         extra: object = 0
         number = dice.randrange(50)
         if kind == "arrive":
@@ -123,8 +138,11 @@
 def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
-            "second_copies": seed % 2 == 0, "list_on_request": seed % 3 == 0, "ask_within_us": 10_000_000,
-            "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3], "probes": seed % 4 == 0,
+            "second_copies": seed % 2 == 0,
+            "list_on_request": seed % 3 == 0,
+            "ask_within_us": 10_000_000,
+            "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3],
+            "probes": seed % 4 == 0,
         }
         assert busy_day(config, seed) == busy_day(config, seed)
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -60,8 +60,9 @@
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n"
-                                      b"\x00\xff\r\n\r\n"))
+        upstream = Upstream(
+            answering(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
+        )
         async with sidecar(upstream) as it:
             head, body = await it.ask(request("mark", "77", b"\x00body\r\n"))
         assert status((head, body)) == 200 and body == b"\x00\xff\r\n\r\n" and b"Content-Type: a/b" in head
@@ -74,24 +75,27 @@
     run(test)
 
 
-@pytest.mark.parametrize(("first", "expected", "attempts"), [
-    (NOT_RUN, 200, 2),  # never ran: an unsafe request may go again
-    (ERROR, 500, 1),
-    (BARE_503, 500, 1),  # it may have run; passing it on would be a refusal
-    (b"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", 200, 2),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 500, 1),
-    (b"", 500, 1),
-    (b"noise\r\n\r\n", 500, 1),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"x" * 70_000, 500, 1),
-    (b"HTTP/1.1 200 OK\r\nX-Endless: " + b"x" * 1_100_000, 500, 1),
-    (OK.replace(b"\r\n", b"\r\n" + b"X-Pad: pppp\r\n" * 10_000, 1), 500, 1),
-    (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200, 1),
-])
-def test_an_unsafe_request_is_repeated_only_if_it_never_ran(first: bytes, expected: int,
-                                                            attempts: int) -> None:
+@pytest.mark.parametrize(
+    ("first", "expected", "attempts"),
+    [
+        (NOT_RUN, 200, 2),  # never ran: an unsafe request may go again
+        (ERROR, 500, 1),
+        (BARE_503, 500, 1),  # it may have run; passing it on would be a refusal
+        (b"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", 200, 2),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 500, 1),
+        (b"", 500, 1),
+        (b"noise\r\n\r\n", 500, 1),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"x" * 70_000, 500, 1),
+        (b"HTTP/1.1 200 OK\r\nX-Endless: " + b"x" * 1_100_000, 500, 1),
+        (OK.replace(b"\r\n", b"\r\n" + b"X-Pad: pppp\r\n" * 10_000, 1), 500, 1),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200, 1),
+    ],
+)
+def test_an_unsafe_request_is_repeated_only_if_it_never_ran(first: bytes, expected: int, attempts: int) -> None:
     async def test() -> None:
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             if total() > 1:
                 writer.write(OK)
                 return
@@ -149,8 +153,7 @@
     run(test)
 
 
-def test_a_module_that_stumbles_or_forgets_leaves_nobody_without_an_answer(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_module_that_stumbles_or_forgets_leaves_nobody_without_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     handle = Balancer.handle
 
     def stumbling(self: Balancer, now_us: int, event: Event) -> list[Any]:
@@ -175,8 +178,9 @@
     async def test() -> None:
         held = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             if number == 0:
                 await held.wait()
                 writer.write(NOT_RUN)
@@ -265,8 +269,9 @@
     async def test() -> None:
         ended = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(OK)
             if not await reader.read(1):
                 ended.set()
@@ -312,26 +317,28 @@
 # Bad input
 
 
-@pytest.mark.parametrize(("data", "expected"), [
-    (b"noise\r\n\r\n", 400),
-    (request("read").replace(b"read", b"gone"), 404),
-    (request("read", extra="X-Class: pay\r\n"), 404),
-    (request("read", ident=""), 400),
-    (request("read", deadline_ms="soon"), 400),
-    (request("read", deadline_ms=-5), 400),
-    (request("mark").replace(b"Idempotency-Key", b"Other"), 400),
-    (request("pay").replace(b"POST", b"GET"), 400),
-    (request("pay").replace(b"Content-Length: 0", b"Transfer-Encoding: gzip, chunked") + b"0\r\n\r\n", 501),
-    (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),
-    (request("pay", extra="Content-Length: 1\r\n"), 400),
-    (request("pay").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"x\r\n\r\n", 400),
-    (request("pay", extra="Expect: a-wonder\r\n"), 417),
-    (request("pay").replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
-    (request("pay").replace(b"Content-Length: 0", b"Content-Length: 33554433"), 413),
-    (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
-])
-def test_input_that_is_not_taken_gets_an_error_and_the_end_of_its_connection(data: bytes,
-                                                                             expected: int) -> None:
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (b"noise\r\n\r\n", 400),
+        (request("read").replace(b"read", b"gone"), 404),
+        (request("read", extra="X-Class: pay\r\n"), 404),
+        (request("read", ident=""), 400),
+        (request("read", deadline_ms="soon"), 400),
+        (request("read", deadline_ms=-5), 400),
+        (request("mark").replace(b"Idempotency-Key", b"Other"), 400),
+        (request("pay").replace(b"POST", b"GET"), 400),
+        (request("pay").replace(b"Content-Length: 0", b"Transfer-Encoding: gzip, chunked") + b"0\r\n\r\n", 501),
+        (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),
+        (request("pay", extra="Content-Length: 1\r\n"), 400),
+        (request("pay").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"x\r\n\r\n", 400),
+        (request("pay", extra="Expect: a-wonder\r\n"), 417),
+        (request("pay").replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
+        (request("pay").replace(b"Content-Length: 0", b"Content-Length: 33554433"), 413),
+        (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
+    ],
+)
+def test_input_that_is_not_taken_gets_an_error_and_the_end_of_its_connection(data: bytes, expected: int) -> None:
     async def test() -> None:
         upstream = Upstream(answering(OK))
         async with sidecar(upstream) as it:
@@ -637,8 +644,9 @@
     async def test() -> None:
         held = asyncio.Event()
 
-        async def script(upstream: Upstream, number: int, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             await held.wait()
             writer.write(OK)
 
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -13,20 +13,30 @@
 from garnetusher.simulator import protocol
 from tests.options import OPTIONS
 
-LIST = ("6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
-        " f211902c 01 00 0000 01 0000c03f 20145d0000000000")
+LIST = (
+    "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
+    " f211902c 01 00 0000 01 0000c03f 20145d0000000000"
+)
 FIRST, SECOND, TICKET, OTHER = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
 EVENTS: list[tuple[str, protocol.Record]] = [
-    (LIST + "50 0300 02 29000000 00000000", api.UpstreamsUpdated(api.ListKind.CACHED, [
-        api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41)),
-    ("46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
-     api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000)),
+    (
+        LIST + "50 0300 02 29000000 00000000",
+        api.UpstreamsUpdated(
+            api.ListKind.CACHED, [api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41
+        ),
+    ),
+    (
+        "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
+        api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
+    ),
     ("28 0300", protocol.InstanceStopped()),
     ("32 0300 4d000000", api.TimerFired(77)),
     ("3c 0300 192b6f0e", api.RequestGone(OTHER)),
-    ("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
-     api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True)),
+    (
+        "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
+        api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True),
+    ),
     ("1e 0300 0200 0400 68692037", api.PeerMessage(2, b"hi 7")),
     ("14 0300 c4913a5d 00 22240000 074a1203", api.StreamStarted(TICKET, 0, FIRST, 9250)),
     ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND, api.Outcome.OK, 1400)),
@@ -48,9 +58,11 @@
 ]
 
 EMPTY = "00000000 00000000 5a5c800000000000"
-THREE = ("2f000000 03000000 5a5c800000000000"
-         "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
-         "32 0300 4d000000 3c 0500 192b6f0e")
+THREE = (
+    "2f000000 03000000 5a5c800000000000"
+    "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
+    "32 0300 4d000000 3c 0500 192b6f0e"
+)
 
 
 def power_on(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
@@ -84,13 +96,16 @@
 def test_the_documented_frames() -> None:
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
     events = list(protocol.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
-    assert [(i, type(e).__name__) for i, e in events] == [
-        (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
-    records = [protocol.encode(3, ACTIONS[0][1]), protocol.encode(3, ACTIONS[6][1]), bytes.fromhex(
-        "78 0500 1100 74776f2073657276657273206b6e6f776e")]
+    assert [(i, type(e).__name__) for i, e in events] == [(3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
+    records = [
+        protocol.encode(3, ACTIONS[0][1]),
+        protocol.encode(3, ACTIONS[6][1]),
+        bytes.fromhex("78 0500 1100 74776f2073657276657273206b6e6f776e"),
+    ]
     assert protocol.reply(records) == bytes.fromhex(
         "34000000 03000000 14 0300 c4913a5d 074a1203 80380100 1e 0300 7afd870000000000 4d000000"
-        "78 0500 1100 74776f2073657276657273206b6e6f776e")
+        "78 0500 1100 74776f2073657276657273206b6e6f776e"
+    )
 
 
 def test_a_request_goes_through_the_adapter() -> None:
@@ -120,25 +135,29 @@
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
 
 
-@pytest.mark.parametrize(("data", "words"), [
-    (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
-    (bytes.fromhex(EMPTY) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
-    (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
-    (batch([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
-    (struct.pack("<IIQ", 3, 0, 5) + b"abc", "3 bytes left over"),
-    (batch([bytes.fromhex("50 0300 02 29000000 05000000")]), "upstream list 5 was never sent"),
-    (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 6300 44480000 01 00")]), "unknown outcome 99"),
-    (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 01 0000c07f")]), "finite"),
-    (batch([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
-     "unknown upstream condition 9"),
-    (batch([power_on("instances=3\nnonsense")]), "settings line 2: expected path=value"),
-    (batch([power_on(OPTIONS.replace("instances=3", "instances=many"))]),
-     "setting instances: expected a number"),
-    (batch([power_on(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
-    (batch([power_on(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
-    (batch([power_on(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
-    (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
-])
+@pytest.mark.parametrize(
+    ("data", "words"),
+    [
+        (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
+        (bytes.fromhex(EMPTY) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
+        (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
+        (batch([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
+        (struct.pack("<IIQ", 3, 0, 5) + b"abc", "3 bytes left over"),
+        (batch([bytes.fromhex("50 0300 02 29000000 05000000")]), "upstream list 5 was never sent"),
+        (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 6300 44480000 01 00")]), "unknown outcome 99"),
+        (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 01 0000c07f")]), "finite"),
+        (
+            batch([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
+            "unknown upstream condition 9",
+        ),
+        (batch([power_on("instances=3\nnonsense")]), "settings line 2: expected path=value"),
+        (batch([power_on(OPTIONS.replace("instances=3", "instances=many"))]), "setting instances: expected a number"),
+        (batch([power_on(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
+        (batch([power_on(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
+        (batch([power_on(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
+        (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
+    ],
+)
 def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
     with pytest.raises(protocol.WireError) as caught:
         serve(data)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -174,9 +174,12 @@
         if any(send.upstream < 100 for send in world.sends(request)):
             world.end(request, 0, Outcome.OK)
         world.advance(20_000)
-        late = [(owed.event.request, number) for owed in world.owed.values()
-                for number, attempt in enumerate(owed.tries)
-                if attempt.outcome is None and world.now_us >= attempt.sent_us + 280_000]
+        late = [
+            (owed.event.request, number)
+            for owed in world.owed.values()
+            for number, attempt in enumerate(owed.tries)
+            if attempt.outcome is None and world.now_us >= attempt.sent_us + 280_000
+        ]
         for ident, number in late:
             world.end(ident, number, Outcome.OK)
     return sum(1 for s in world.sends() if s.upstream < 100)
@@ -199,8 +202,12 @@
     for _ in range(5_000_000 // every_us):
         world.arrive(READ)
         world.advance(every_us)
-        late = [(ident, number) for ident, owed in world.owed.items() for number in owed.out()
-                if world.now_us >= owed.tries[number].sent_us + 100_000]
+        late = [
+            (ident, number)
+            for ident, owed in world.owed.items()
+            for number in owed.out()
+            if world.now_us >= owed.tries[number].sent_us + 100_000
+        ]
         for ident, number in late:
             world.end(ident, number, Outcome.OK)
     return len(world.sends())
@@ -220,8 +227,12 @@
     for _ in range(240):  # forty a second: the two warm ones take six at a time
         world.arrive(READ)
         world.advance(25_000)
-        late = [(ident, number) for ident, owed in world.owed.items() for number in owed.out()
-                if world.now_us >= owed.tries[number].sent_us + 140_000]
+        late = [
+            (ident, number)
+            for ident, owed in world.owed.items()
+            for number in owed.out()
+            if world.now_us >= owed.tries[number].sent_us + 140_000
+        ]
         for ident, number in late:
             world.end(ident, number, Outcome.OK)
     assert sum(send.upstream < 100 for send in world.sends()) >= 62  # 70; 54 where only what is served counts
@@ -253,8 +264,14 @@
     assert not world.sends(request)
 
 
-def churn(world: World, steps: int, bad: int | None = None, fault: Outcome = Outcome.FULL,
-          class_index: int = READ, took_us: int = 10_000) -> None:
+def churn(
+    world: World,
+    steps: int,
+    bad: int | None = None,
+    fault: Outcome = Outcome.FULL,
+    class_index: int = READ,
+    took_us: int = 10_000,
+) -> None:
     """A request a step; whatever is out ends at the step's end, with `fault` at the upstream `bad`."""
     for _ in range(steps):
         world.arrive(class_index)
@@ -725,8 +742,9 @@
     assert world.balancer.servers[100].used == 0 and world.balancer.servers[100].pace <= pace
 
 
-@pytest.mark.parametrize(("outcome", "answer"), [(Outcome.CONNECT_FAILED, Refuse), (Outcome.FULL, Refuse),
-                                                 (Outcome.RESET, Fail)])
+@pytest.mark.parametrize(
+    ("outcome", "answer"), [(Outcome.CONNECT_FAILED, Refuse), (Outcome.FULL, Refuse), (Outcome.RESET, Fail)]
+)
 def test_a_body_that_has_passed_is_not_sent_again(outcome: Outcome, answer: type) -> None:
     world = ready_world()
     request = coming(world, PAY)
@@ -773,8 +791,13 @@
 
 def retune(world: World, **changes: object) -> None:
     before, world.settings = world.settings, settings(**changes)
-    world.tell(SettingsChanged(world.settings, places_before(world.settings.classes, before.classes),
-                               places_before(world.settings.tenants, before.tenants)))
+    world.tell(
+        SettingsChanged(
+            world.settings,
+            places_before(world.settings.classes, before.classes),
+            places_before(world.settings.tenants, before.tenants),
+        )
+    )
 
 
 def test_a_request_under_way_keeps_its_class_when_the_classes_change_places() -> None:
@@ -782,8 +805,9 @@
     unsafe, safe = world.arrive(PAY), world.arrive(READ)
     retune(world, classes=list(reversed(settings().classes)))
     for request in (unsafe, safe):
-        world.balancer.handle(world.now_us, AttemptEnded(
-            request, 0, world.owed[request].tries[0].upstream, Outcome.ERROR, 1000))
+        world.balancer.handle(
+            world.now_us, AttemptEnded(request, 0, world.owed[request].tries[0].upstream, Outcome.ERROR, 1000)
+        )
     assert world.balancer.requests.keys() == {safe}  # sent again; the unsafe one has failed
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -23,10 +23,21 @@
 
 def small(*troubles: Trouble, seconds: float = 3.0, rate_per_s: float = 12.0) -> Plan:
     """Two sidecars for a few seconds."""
-    classes = [Class("read", "idempotent", 1000), Class("publish", "at_most_once", 1000),
-               Class("mark", "deduplicated", 1000, "zone")]
-    return Plan(7, seconds, sidecars=2, upstreams=4, rate_per_s=rate_per_s, service_ms=5.0, classes=classes,
-                troubles=list(troubles))
+    classes = [
+        Class("read", "idempotent", 1000),
+        Class("publish", "at_most_once", 1000),
+        Class("mark", "deduplicated", 1000, "zone"),
+    ]
+    return Plan(
+        7,
+        seconds,
+        sidecars=2,
+        upstreams=4,
+        rate_per_s=rate_per_s,
+        service_ms=5.0,
+        classes=classes,
+        troubles=list(troubles),
+    )
 
 
 # Plans
@@ -82,34 +93,42 @@
     return Attempt(**(values | changes))
 
 
-def verdicts(request: Request, *attempts: Attempt, changes: tuple[Change, ...] = (), steps: tuple[Step, ...] = (),
-             strangers: tuple[tuple[int, float, float], ...] = ()) -> set[str]:
+def verdicts(
+    request: Request,
+    *attempts: Attempt,
+    changes: tuple[Change, ...] = (),
+    steps: tuple[Step, ...] = (),
+    strangers: tuple[tuple[int, float, float], ...] = (),
+) -> set[str]:
     records = Records({request.ident: request}, list(attempts), list(changes), list(steps), list(strangers))
     return {breach.rule for breach in Judge(small(), records, []).judge()}
 
 
-@pytest.mark.parametrize(("request_", "attempts", "expected"), [
-    (ASKED, (SENT,), set()),
-    (with_request(end=End.SILENT, ended_s=11.8), (SENT,), {"lost"}),
-    (with_request(end=End.SERVED, ended_s=11.7), (SENT,), {"lost"}),
-    (with_request(end=End.SERVED, ended_s=11.4), (SENT,), set()),
-    (with_request(end=End.CLOSED), (), {"lost"}),
-    (with_request(end=End.CLOSED, new_connection=False), (), set()),
-    (with_request(end=End.CLOSED, new_connection=False), (SENT,), {"lost"}),
-    (with_request(end=End.FAILED), (SENT, with_attempt(first_byte_s=10.1)), {"duplicate"}),
-    (with_request(end=End.REFUSED), (SENT,), {"duplicate"}),
-    (with_request(end=End.REFUSED), (with_attempt(turned_away=True),), set()),
-    (with_request(end=End.REFUSED), (with_attempt(whole_s=0.0),), set()),
-    (with_request(kind="read", end=End.REFUSED), (SENT, with_attempt(first_byte_s=10.1)), set()),
-    (with_request(kind="mark"), (SENT, with_attempt(first_byte_s=10.1, upstream=1)), set()),
-    (with_request(kind="mark"), (SENT, with_attempt(first_byte_s=10.1, upstream=2)), {"duplicate"}),
-    (with_request(kind="mark", deadline_s=9.0), (SENT, with_attempt(first_byte_s=13.0)), {"duplicate"}),
-    (with_request(kind="read"), tuple(with_attempt(first_byte_s=10 + n / 100) for n in range(4)), {"attempts"}),
-    (with_request(left_s=10.1, end=End.CLOSED), (with_attempt(first_byte_s=10.15),), set()),
-    (with_request(left_s=10.1, end=End.CLOSED), (with_attempt(first_byte_s=10.3, told_s=0.5),), {"left"}),
-    (ASKED, (with_attempt(first_byte_s=10.5),), {"told"}),
-    (ASKED, (with_attempt(first_byte_s=10.5, queued=True),), set()),
-])
+@pytest.mark.parametrize(
+    ("request_", "attempts", "expected"),
+    [
+        (ASKED, (SENT,), set()),
+        (with_request(end=End.SILENT, ended_s=11.8), (SENT,), {"lost"}),
+        (with_request(end=End.SERVED, ended_s=11.7), (SENT,), {"lost"}),
+        (with_request(end=End.SERVED, ended_s=11.4), (SENT,), set()),
+        (with_request(end=End.CLOSED), (), {"lost"}),
+        (with_request(end=End.CLOSED, new_connection=False), (), set()),
+        (with_request(end=End.CLOSED, new_connection=False), (SENT,), {"lost"}),
+        (with_request(end=End.FAILED), (SENT, with_attempt(first_byte_s=10.1)), {"duplicate"}),
+        (with_request(end=End.REFUSED), (SENT,), {"duplicate"}),
+        (with_request(end=End.REFUSED), (with_attempt(turned_away=True),), set()),
+        (with_request(end=End.REFUSED), (with_attempt(whole_s=0.0),), set()),
+        (with_request(kind="read", end=End.REFUSED), (SENT, with_attempt(first_byte_s=10.1)), set()),
+        (with_request(kind="mark"), (SENT, with_attempt(first_byte_s=10.1, upstream=1)), set()),
+        (with_request(kind="mark"), (SENT, with_attempt(first_byte_s=10.1, upstream=2)), {"duplicate"}),
+        (with_request(kind="mark", deadline_s=9.0), (SENT, with_attempt(first_byte_s=13.0)), {"duplicate"}),
+        (with_request(kind="read"), tuple(with_attempt(first_byte_s=10 + n / 100) for n in range(4)), {"attempts"}),
+        (with_request(left_s=10.1, end=End.CLOSED), (with_attempt(first_byte_s=10.15),), set()),
+        (with_request(left_s=10.1, end=End.CLOSED), (with_attempt(first_byte_s=10.3, told_s=0.5),), {"left"}),
+        (ASKED, (with_attempt(first_byte_s=10.5),), {"told"}),
+        (ASKED, (with_attempt(first_byte_s=10.5, queued=True),), set()),
+    ],
+)
 def test_a_rule_is_judged_by_its_words(request_: Request, attempts: tuple[Attempt, ...], expected: set[str]) -> None:
     assert verdicts(request_, *attempts) == expected
 
@@ -148,8 +167,10 @@
     "repeats_unsafe": ("duplicate", small(ERRORS)),
     "refuses_what_ran": ("duplicate", small(ERRORS)),
     "sends_to_drained": ("drain", small(Trouble("drain", 0.3, 3.0, [0, 1]), seconds=6.0, rate_per_s=20.0)),
-    "sends_for_who_left": ("left", small(Trouble("leavers", 0.3, 2.5, [0, 1]),
-                                         Trouble("reset", 1.0, 0.1, [0, 1, 2], 1.0))),
+    "sends_for_who_left": (
+        "left",
+        small(Trouble("leavers", 0.3, 2.5, [0, 1]), Trouble("reset", 1.0, 0.1, [0, 1, 2], 1.0)),
+    ),
     "tells_more_time": ("told", small()),
     "leaves_strangers_waiting": ("strangers", small(Trouble("strangers", 0.3, 2.5, [0, 1]))),
     "dies": ("crash", small()),
@@ -170,10 +191,13 @@
     with ProcessPoolExecutor(4) as pool:
         waiting = []
         for deed, (rule, plan) in MISDEEDS.items():
-            waiting.append((deed, rule, pool.submit(rules_broken, str(tmp_path / deed),
-                                                    bad.format(root=ROOT, deed=deed), plan)))
-        sound = [pool.submit(rules_broken, str(tmp_path / f"good-{n}"), good, plan)
-                 for n, (_, plan) in enumerate(list(MISDEEDS.values())[1:6])]
+            waiting.append(
+                (deed, rule, pool.submit(rules_broken, str(tmp_path / deed), bad.format(root=ROOT, deed=deed), plan))
+            )
+        sound = [
+            pool.submit(rules_broken, str(tmp_path / f"good-{n}"), good, plan)
+            for n, (_, plan) in enumerate(list(MISDEEDS.values())[1:6])
+        ]
         caught = {deed: rule in found.result() for deed, rule, found in waiting}
         assert caught == dict.fromkeys(MISDEEDS, True)
         assert [found.result() for found in sound] == [set()] * len(sound)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -37,8 +37,14 @@
 
 def told(hash_seed: int, *words: str) -> list[dict[str, object]]:
     environment = os.environ | {"PYTHONHASHSEED": str(hash_seed)}
-    done = subprocess.run([sys.executable, "-m", "garnetusher", "model", "run", *words, "--json"], cwd=ROOT,
-                          capture_output=True, text=True, timeout=120, env=environment)
+    done = subprocess.run(
+        [sys.executable, "-m", "garnetusher", "model", "run", *words, "--json"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+        env=environment,
+    )
     found = json.loads(done.stdout)
     return found if isinstance(found, list) else [found]
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -145,16 +145,37 @@
     return moves, figures.figures(it, made, lines, requests, 0, 0.0, 0)
 
 
-@pytest.mark.parametrize("name", ["zone-refused", "zone-silent", "zone-one-way", "zone-late-list", "zone-dead-listed",
-                                  "zone-flaps", "zone-silent-light"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "zone-refused",
+        "zone-silent",
+        "zone-one-way",
+        "zone-late-list",
+        "zone-dead-listed",
+        "zone-flaps",
+        "zone-silent-light",
+    ],
+)
 def test_a_lost_zone_is_left_by_most_and_no_other_is(name: str) -> None:
     moves, found = left(name)
     assert moves["pacheco"] >= 2 and set(moves) == {"pacheco"}  # its own sidecars; the others hardly use it
     assert found["served_worth.after"] > 0.97
 
 
-@pytest.mark.parametrize("name", ["calm", "tenant-burst", "zone-doubled", "zone-deploy", "rolling-upstreams",
-                                  "zone-half", "sidecar-cut", "zone-grey-light"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "calm",
+        "tenant-burst",
+        "zone-doubled",
+        "zone-deploy",
+        "rolling-upstreams",
+        "zone-half",
+        "sidecar-cut",
+        "zone-grey-light",
+    ],
+)
 def test_what_is_no_lost_zone_is_not_left(name: str) -> None:
     assert left(name)[0] == Counter()
 
@@ -219,8 +240,11 @@
             await it.ask(request())
             _, body = await it.ask(b"GET /_zones HTTP/1.1\r\nHost: x\r\n\r\n", it.admin_port)
             assert [(z["zone"], z["state"], z["upstreams"]) for z in json.loads(body)] == [("a", "near", 1)]
-            for path, status, words in (("leave?zone=a", 503, b"last zone"), ("leave?zone=x", 503, b"one of a"),
-                                        ("return?zone=a", 200, b"returned to")):
+            for path, status, words in (
+                ("leave?zone=a", 503, b"last zone"),
+                ("leave?zone=x", 503, b"one of a"),
+                ("return?zone=a", 200, b"returned to"),
+            ):
                 head, body = await it.ask(f"POST /_zone/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), it.admin_port)
                 assert int(head.split()[1]) == status and words in body
 
@@ -234,5 +258,3 @@
     for _ in range(30):
         ident = stand.arrive(0)
         assert all(send.upstream not in (100, 101) for send in stand.sends(ident))
-
-
--- a/tests/world.py
+++ b/tests/world.py
@@ -14,16 +14,32 @@
     return [
         RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
         RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once"),
-        RequestClass("mark", aim_us=400_000, deadline_us=2_000_000, worth=3, effect="deduplicated",
-                     group="cell", memory_us=1_200_000),
+        RequestClass(
+            "mark",
+            aim_us=400_000,
+            deadline_us=2_000_000,
+            worth=3,
+            effect="deduplicated",
+            group="cell",
+            memory_us=1_200_000,
+        ),
     ]
 
 
 def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
-        "classes": classes(), "instances": 3, "tick_us": 4000, "max_attempts": 4, "cancel": True,
-        "max_retry_after_us": 1_000_000, "connect_timeout_us": 150_000, "second_copies": True,
-        "cold_share": 0.2, "warm_up_us": 20_000_000, "overload_factor": 2.5, "fall_us": 1_000_000,
+        "classes": classes(),
+        "instances": 3,
+        "tick_us": 4000,
+        "max_attempts": 4,
+        "cancel": True,
+        "max_retry_after_us": 1_000_000,
+        "connect_timeout_us": 150_000,
+        "second_copies": True,
+        "cold_share": 0.2,
+        "warm_up_us": 20_000_000,
+        "overload_factor": 2.5,
+        "fall_us": 1_000_000,
     }
     values.update(changes)
     return Settings(**values)  # type: ignore[arg-type]
