--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -10,17 +10,18 @@
 
 import pytest
 
-from garnetusher.policy.balance import Balancer
-from garnetusher.policy.interface import Event, Outcome, Settings
-from garnetusher.sidecar.discovery import Directory
-from garnetusher.sidecar.discovery import Discovery as Discovering
-from garnetusher.sidecar.gate import Gate
-from garnetusher.sidecar.host import Host
+from garnetusher.policy.balancer import Balancer
+from garnetusher.policy.events import Event, Outcome
+from garnetusher.policy.settings import Settings
+from garnetusher.sidecar.discovery.watch import Directory
+from garnetusher.sidecar.discovery.watch import Discovery as Discovering
+from garnetusher.sidecar.downstream.connection import Client, Server
 from garnetusher.sidecar.lifecycle import Lifecycle
-from garnetusher.sidecar.request import Answer, Call, Result, Verdict, clock_us
-from garnetusher.sidecar.server import Client, Server
-from garnetusher.sidecar.trace import Trace
-from garnetusher.sidecar.upstreams import SETTLE_US, Connection, Pool, Trust
+from garnetusher.sidecar.requests.dispatcher import Host
+from garnetusher.sidecar.requests.messages import Answer, Call, Result, Verdict, clock_us
+from garnetusher.sidecar.requests.trace import Trace
+from garnetusher.sidecar.requests.write_gate import Gate
+from garnetusher.sidecar.upstream.pool import SETTLE_US, Connection, Pool, Trust
 from tests.net import (
     NOT_RUN,
     OK,
@@ -157,9 +158,9 @@
     handle = Balancer.handle
 
     def stumbling(self: Balancer, now_us: int, event: Event) -> list[Any]:
-        if getattr(event, "key", 0):
+        if getattr(event, "affinity_key", 0):
             raise RuntimeError("stumbled")
-        if getattr(event, "retried", False):
+        if getattr(event, "client_retry", False):
             return []
         return handle(self, now_us, event)
 
@@ -522,7 +523,7 @@
     async def test() -> None:
         old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
         await new.start()
-        async with sidecar(old, discovery=discovery, list_on_request=False) as it:
+        async with sidecar(old, discovery=discovery, poll_endpoints=False) as it:
             await discovery.watched()
             discovery.line(listing(entry("u0", old.port, "left"), entry("u1", new.port), rev=2, full=False))
             while not new.requests:
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -7,8 +7,35 @@
 
 import pytest
 
-from garnetusher.policy import interface as api
-from garnetusher.policy.balance import Balancer
+from garnetusher.policy import settings_text
+from garnetusher.policy.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    Forward,
+    LogMessage,
+    PollEndpoints,
+    SendToPeer,
+    SetTimer,
+    Shed,
+    WatchEndpoints,
+)
+from garnetusher.policy.balancer import Balancer
+from garnetusher.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Endpoint,
+    EndpointsUpdated,
+    HealthCheckEnded,
+    Outcome,
+    PeerMessage,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+    UpdateKind,
+)
 from garnetusher.simulator import __main__ as adapter
 from garnetusher.simulator import protocol
 from tests.options import OPTIONS
@@ -22,39 +49,39 @@
 EVENTS: list[tuple[str, protocol.Record]] = [
     (
         LIST + "50 0300 02 29000000 00000000",
-        api.UpstreamsUpdated(
-            api.ListKind.CACHED, [api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41
+        EndpointsUpdated(
+            UpdateKind.CACHED, [Endpoint(FIRST), Endpoint(SECOND, zone=1, weight=1.5, started_us=6100000)], 41
         ),
     ),
     (
         "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
-        api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
+        RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
     ),
     ("28 0300", protocol.InstanceStopped()),
-    ("32 0300 4d000000", api.TimerFired(77)),
-    ("3c 0300 192b6f0e", api.RequestGone(OTHER)),
+    ("32 0300 4d000000", TimerFired(77)),
+    ("3c 0300 192b6f0e", ClientDisconnected(OTHER)),
     (
         "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
-        api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True),
+        AttemptEnded(TICKET, 0, FIRST, Outcome.OK, 18500, True),
     ),
-    ("1e 0300 0200 0400 68692037", api.PeerMessage(2, b"hi 7")),
-    ("14 0300 c4913a5d 00 22240000 074a1203", api.StreamStarted(TICKET, 0, FIRST, 9250)),
-    ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND, api.Outcome.OK, 1400)),
+    ("1e 0300 0200 0400 68692037", PeerMessage(2, b"hi 7")),
+    ("14 0300 c4913a5d 00 22240000 074a1203", ResponseStarted(TICKET, 0, FIRST, 9250)),
+    ("5a 0300 f211902c 0000 78050000 00", HealthCheckEnded(SECOND, Outcome.OK, 1400)),
 ]
 
 ACTIONS: list[tuple[str, protocol.Reply]] = [
-    ("14 0300 c4913a5d 074a1203 80380100", api.Send(TICKET, FIRST, 80000)),
-    ("5a 0300 192b6f0e", api.Fail(OTHER)),
-    ("32 0300 ffffffff 0400 68692037", api.TellPeer(b"hi 7")),
-    ("46 0300 01", api.Subscribe()),
-    ("6e 0300 f211902c", api.CloseIdle(SECOND)),
-    ("28 0300 192b6f0e 90d00300", api.Refuse(OTHER, 250000)),
-    ("1e 0300 7afd870000000000 4d000000", api.SetTimer(8912250, 77)),
-    ("50 0300 f211902c", api.Probe(SECOND)),
-    ("78 0300 1100 74776f2073657276657273206b6e6f776e", api.Log("two servers known")),
-    ("64 0300 c4913a5d 00", api.Cancel(TICKET, 0)),
+    ("14 0300 c4913a5d 074a1203 80380100", Forward(TICKET, FIRST, 80000)),
+    ("5a 0300 192b6f0e", Fail(OTHER)),
+    ("32 0300 ffffffff 0400 68692037", SendToPeer(b"hi 7")),
+    ("46 0300 01", WatchEndpoints()),
+    ("6e 0300 f211902c", CloseIdleConnections(SECOND)),
+    ("28 0300 192b6f0e 90d00300", Shed(OTHER, 250000)),
+    ("1e 0300 7afd870000000000 4d000000", SetTimer(8912250, 77)),
+    ("50 0300 f211902c", CheckHealth(SECOND)),
+    ("78 0300 1100 74776f2073657276657273206b6e6f776e", LogMessage("two servers known")),
+    ("64 0300 c4913a5d 00", CancelAttempt(TICKET, 0)),
     ("3c 0300 1200 696e646578206f7574206f662072616e6765", protocol.InternalError("index out of range")),
-    ("0a 0300", api.FetchList()),
+    ("0a 0300", PollEndpoints()),
 ]
 
 EMPTY = "00000000 00000000 5a5c800000000000"
@@ -131,8 +158,8 @@
     members = bytes.fromhex("50 0300 01 29000000 00000000")
     data = bytes.fromhex(LIST) + members + short + members
     first, second = protocol.Decoder().batch(data, 4)
-    assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
-    assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
+    assert isinstance(first[1], EndpointsUpdated) and len(first[1].endpoints) == 2
+    assert isinstance(second[1], EndpointsUpdated) and second[1].endpoints == []
 
 
 @pytest.mark.parametrize(
@@ -159,27 +186,29 @@
     ],
 )
 def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
-    with pytest.raises(protocol.WireError) as caught:
+    with pytest.raises(protocol.ProtocolError) as caught:
         serve(data)
     assert words in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    settings = protocol.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
-    assert settings == protocol.parse_settings(OPTIONS)
+    settings = settings_text.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
+    assert settings == settings_text.parse_settings(OPTIONS)
     assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
-    assert settings.classes[2].memory_us == 1_200_000 and settings.classes[2].group == "cell"
-    assert settings.tenants[1].allowance_per_s == 152.0 and settings.ask_within_us == 10_000_000
-    assert settings.list_on_request and settings.second_copies and not settings.probes
+    assert (
+        settings.classes[2].deduplication_window_us == 1_200_000 and settings.classes[2].deduplication_scope == "cell"
+    )
+    assert settings.tenants[1].quota_per_s == 152.0 and settings.poll_interval_us == 10_000_000
+    assert settings.poll_endpoints and settings.hedging and not settings.health_checks
 
 
 def test_report_names_are_translated_and_unknown_ones_kept() -> None:
-    settings = protocol.parse_settings(OPTIONS.replace("report.names=", "report.names=busy,q,moon"))
-    assert settings.report_names == ["utilization", "queued", "moon"]
+    settings = settings_text.parse_settings(OPTIONS.replace("report.names=", "report.names=busy,q,moon"))
+    assert settings.load_report_names == ["utilization", "queued", "moon"]
 
 
 def test_an_exception_in_the_decisions_is_told_as_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> list[api.Action]:
+    def broken(*_: object) -> list[Action]:
         raise IndexError("index out of range")
 
     monkeypatch.setattr(Balancer, "handle", broken)
@@ -207,5 +236,5 @@
 
 def test_a_class_out_of_range_is_named_and_ends_the_adapter() -> None:
     arrival = struct.pack("<BHIBIQIBQ", 70, 3, 1, 9, 0, 0, 0, 0, 9_000_000)
-    with pytest.raises(protocol.WireError, match="batch 1: instance 3: request class 9 of 3"):
+    with pytest.raises(protocol.ProtocolError, match="batch 1: instance 3: request class 9 of 3"):
         serve(batch([power_on()]) + batch([arrival]))
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -7,24 +7,19 @@
 
 import pytest
 
-from garnetusher.policy.interface import (
+from garnetusher.policy.actions import CancelAttempt, Fail, LogMessage, Shed
+from garnetusher.policy.events import (
     AttemptEnded,
-    BodyPassed,
-    Cancel,
-    Fail,
-    ListKind,
-    Log,
+    Endpoint,
+    EndpointStatus,
     Outcome,
-    Refuse,
-    RequestClass,
-    RequestWhole,
+    RequestBodyComplete,
+    RequestNotReplayable,
     SettingsChanged,
-    Tenant,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    places_before,
+    UpdateKind,
 )
+from garnetusher.policy.settings import RequestClass, Tenant, previous_indexes
 from garnetusher.policy.slots import FIRST_SLOTS
 from tests.world import START_US, World, settings, upstreams
 
@@ -51,14 +46,14 @@
 def test_a_request_goes_to_a_ready_upstream_at_once() -> None:
     world = ready_world()
     request = world.arrive(READ)
-    assert [s.upstream in world.known for s in world.sends(request)] == [True]
+    assert [s.endpoint_id in world.known for s in world.sends(request)] == [True]
 
 
 def test_choice_is_spread_over_all_upstreams() -> None:
     world = ready_world(6)
     for _ in range(60):
         world.end(world.arrive(READ), 0, Outcome.OK)
-    assert {s.upstream for s in world.sends()} == set(world.known)
+    assert {s.endpoint_id for s in world.sends()} == set(world.known)
 
 
 def test_outstanding_sends_are_capped_and_one_request_waits_and_the_next_is_refused() -> None:
@@ -67,38 +62,38 @@
     assert world.answer(taken[-1]) is None
     last = world.arrive(READ)
     answer = world.answer(last)
-    assert isinstance(answer, Refuse) and answer.retry_after_us > 0
+    assert isinstance(answer, Shed) and answer.retry_after_us > 0
 
 
 def test_the_waiting_request_takes_the_first_slot_that_frees() -> None:
     world = ready_world()
     taken = fill(world)
-    freed = world.sends(taken[0])[0].upstream
+    freed = world.sends(taken[0])[0].endpoint_id
     world.end(taken[0], 0, Outcome.OK)
-    assert [s.upstream for s in world.sends(taken[-1])] == [freed]
+    assert [s.endpoint_id for s in world.sends(taken[-1])] == [freed]
 
 
 def test_what_waited_past_the_delay_threshold_is_refused() -> None:
     world = ready_world()
     waiting = fill(world)[-1]
     world.advance(200_000)
-    assert isinstance(world.answer(waiting), Refuse)
+    assert isinstance(world.answer(waiting), Shed)
 
 
 def test_a_request_too_near_its_due_time_is_refused_unsent() -> None:
     world = ready_world()
     request = world.arrive(READ, patience_us=1_000)
-    assert isinstance(world.answer(request), Refuse) and not world.sends(request)
+    assert isinstance(world.answer(request), Shed) and not world.sends(request)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize("class_index", [READ, PAY, MARK])
 def test_what_never_ran_is_reissued_elsewhere(outcome: Outcome, class_index: int) -> None:
     world = ready_world()
     request = world.arrive(class_index)
     world.end(request, 0, outcome)
     first, second = world.sends(request)
-    assert first.upstream != second.upstream
+    assert first.endpoint_id != second.endpoint_id
 
 
 def test_an_unsafe_request_that_may_have_run_is_failed() -> None:
@@ -129,76 +124,76 @@
     world.tell_list([])
     request = world.arrive(READ)
     world.advance(400_000)
-    assert isinstance(world.answer(request), Refuse)
-    world.tell_list([Upstream(5)])
+    assert isinstance(world.answer(request), Shed)
+    world.tell_list([Endpoint(5)])
     assert world.sends(world.arrive(READ))
 
 
 def test_a_cold_upstream_gets_little() -> None:
-    world = World(settings(instances=24))
+    world = World(settings(fleet_size=24))
     world.tell_list(upstreams(3))
     churn(world, 20, took_us=20_000)
-    world.tell_list([Upstream(1, started_us=world.now_us - 1_000), *upstreams(3)])
+    world.tell_list([Endpoint(1, started_us=world.now_us - 1_000), *upstreams(3)])
     churn(world, 150, took_us=20_000)
-    cold = sum(1 for s in world.sends() if s.upstream == 1)
+    cold = sum(1 for s in world.sends() if s.endpoint_id == 1)
     assert 0 < cold <= 11  # 7.6 on the mean of 60 seeds, 11 at the most; an even share would be 37
 
 
 def test_an_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
-    world = World(settings(instances=400))
-    world.tell_list([Upstream(1, started_us=world.now_us - 12_000_000), *upstreams(3)])  # two thirds warm
+    world = World(settings(fleet_size=400))
+    world.tell_list([Endpoint(1, started_us=world.now_us - 12_000_000), *upstreams(3)])  # two thirds warm
     churn(world, 1000, took_us=5_000)
-    cold = sum(1 for s in world.sends() if s.upstream == 1)
+    cold = sum(1 for s in world.sends() if s.endpoint_id == 1)
     assert 0 < cold < 190  # an even share would be 250
 
 
 def test_the_part_of_a_cold_upstream_grows_while_a_light_sidecar_waits_to_send_it() -> None:
     tried = 0
     for seed in range(60):
-        world = World(settings(cold_share=0.1), seed)
-        world.tell_list([Upstream(1, started_us=world.now_us), *upstreams(10)])
+        world = World(settings(warm_up_initial_fraction=0.1), seed)
+        world.tell_list([Endpoint(1, started_us=world.now_us), *upstreams(10)])
         for _ in range(20):  # two a second: by its first warmth its next send is a minute away
             world.end(world.arrive(READ), 0, Outcome.OK)
             world.advance(500_000)
         fill(world)
-        tried += any(send.upstream == 1 for send in world.sends())
+        tried += any(send.endpoint_id == 1 for send in world.sends())
     assert tried >= 24  # 37 of 60 are expected; 12 where the wait is fixed by the first warmth
 
 
-def cold_sends_beside_crowded(new: list[Upstream]) -> int:
+def cold_sends_beside_crowded(new: list[Endpoint]) -> int:
     """Twelve old upstreams answer at nearly twice the slow time, the new ones at once: what those get."""
     world = World()
     world.tell_list([*new, *upstreams(12)])
     for _ in range(400):
         request = world.arrive(READ)
-        if any(send.upstream < 100 for send in world.sends(request)):
+        if any(send.endpoint_id < 100 for send in world.sends(request)):
             world.end(request, 0, Outcome.OK)
         world.advance(20_000)
         late = [
-            (owed.event.request, number)
+            (owed.event.request_id, number)
             for owed in world.owed.values()
             for number, attempt in enumerate(owed.tries)
             if attempt.outcome is None and world.now_us >= attempt.sent_us + 280_000
         ]
         for ident, number in late:
             world.end(ident, number, Outcome.OK)
-    return sum(1 for s in world.sends() if s.upstream < 100)
+    return sum(1 for s in world.sends() if s.endpoint_id < 100)
 
 
 def test_a_cold_upstream_is_not_thinned_with_the_crowded_ones() -> None:
-    new = [Upstream(n, started_us=START_US - 8_000_000) for n in range(1, 13)]
+    new = [Endpoint(n, started_us=START_US - 8_000_000) for n in range(1, 13)]
     assert cold_sends_beside_crowded(new) >= 9  # none where their due sends are thinned as well
 
 
 def test_successors_take_more_than_their_least_warmth_off_the_crowded_ones() -> None:
-    new = [Upstream(n, started_us=START_US) for n in range(1, 25)]
+    new = [Endpoint(n, started_us=START_US) for n in range(1, 25)]
     assert cold_sends_beside_crowded(new) >= 25  # 18 where they are kept to their least warmth and under
 
 
 def sends_to_a_cold_pool(every_us: int) -> int:
     """What ten cold upstreams get in 5 s, with answers in 100 ms; the sidecar is allowed 20 a second."""
-    world = World(settings(instances=4, tenants=[Tenant("north", 80.0)], cold_share=0.1))
-    world.tell_list([Upstream(n, started_us=world.now_us) for n in range(1, 11)])
+    world = World(settings(fleet_size=4, tenants=[Tenant("north", 80.0)], warm_up_initial_fraction=0.1))
+    world.tell_list([Endpoint(n, started_us=world.now_us) for n in range(1, 11)])
     for _ in range(5_000_000 // every_us):
         world.arrive(READ)
         world.advance(every_us)
@@ -222,8 +217,8 @@
 
 
 def test_cold_upstreams_get_their_part_of_what_finds_no_slot() -> None:
-    world = World(settings(instances=4, second_copies=False))
-    world.tell_list([*upstreams(2), *(Upstream(n, started_us=START_US - 6_000_000) for n in range(1, 11))])
+    world = World(settings(fleet_size=4, hedging=False))
+    world.tell_list([*upstreams(2), *(Endpoint(n, started_us=START_US - 6_000_000) for n in range(1, 11))])
     for _ in range(240):  # forty a second: the two warm ones take six at a time
         world.arrive(READ)
         world.advance(25_000)
@@ -235,14 +230,14 @@
         ]
         for ident, number in late:
             world.end(ident, number, Outcome.OK)
-    assert sum(send.upstream < 100 for send in world.sends()) >= 62  # 70; 54 where only what is served counts
+    assert sum(send.endpoint_id < 100 for send in world.sends()) >= 62  # 70; 54 where only what is served counts
 
 
 def test_a_cold_upstream_has_slots_by_its_warmth() -> None:
     most = {}
     for age_us in (1_000_000, 16_000_000):  # of a warm-up of 20 s
-        world = World(settings(instances=4, second_copies=False))
-        world.tell_list([*upstreams(2), *(Upstream(n, started_us=START_US - age_us) for n in range(1, 4))])
+        world = World(settings(fleet_size=4, hedging=False))
+        world.tell_list([*upstreams(2), *(Endpoint(n, started_us=START_US - age_us) for n in range(1, 4))])
         most[age_us] = 0
         for _ in range(100):
             world.arrive(READ)
@@ -258,7 +253,7 @@
 
 def test_drained_upstreams_get_nothing() -> None:
     world = ready_world(2)
-    world.tell_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
+    world.tell_list([Endpoint(100, EndpointStatus.DRAINING), Endpoint(101, EndpointStatus.REMOVED)])
     request = world.arrive(READ)
     world.advance(1_000_000)
     assert not world.sends(request)
@@ -268,7 +263,7 @@
     world: World,
     steps: int,
     bad: int | None = None,
-    fault: Outcome = Outcome.FULL,
+    fault: Outcome = Outcome.OVERLOADED,
     class_index: int = READ,
     took_us: int = 10_000,
 ) -> None:
@@ -290,18 +285,18 @@
     return len(taken)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
+@pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
 def test_an_upstream_that_fails_at_once_does_not_draw_more(outcome: Outcome) -> None:
     world = ready_world(5)
     churn(world, 200, 100, outcome)
-    assert sum(1 for s in world.sends() if s.upstream == 100) < 20
+    assert sum(1 for s in world.sends() if s.endpoint_id == 100) < 20
 
 
 def test_an_upstream_that_failed_is_tried_again_and_comes_back() -> None:
     world = ready_world(2)
     churn(world, 40, 100)
     churn(world, 1000)
-    assert sum(1 for s in world.sends()[-200:] if s.upstream == 100) > 30
+    assert sum(1 for s in world.sends()[-200:] if s.endpoint_id == 100) > 30
 
 
 def test_slots_open_only_while_requests_find_none_free() -> None:
@@ -328,7 +323,7 @@
 
 
 def test_answers_in_three_quarters_of_the_slow_time_go_on_opening_slots() -> None:
-    world = ready_world(1, second_copies=False)
+    world = ready_world(1, hedging=False)
     taken = [request for request in fill(world) if world.sends(request)]
     world.advance(112_000)  # of half the aim, 150 ms
     before = world.balancer.servers[100].window
@@ -344,44 +339,44 @@
         world.advance(1_000)
         for ident, owed in list(world.owed.items()):
             for attempt in owed.out():
-                world.end(ident, attempt, Outcome.FULL)
+                world.end(ident, attempt, Outcome.OVERLOADED)
     world.advance(10_000_000)
     assert len(world.timers) == 0
 
 
 def test_an_idle_upstream_of_this_zone_is_drawn_first_where_crossing_costs() -> None:
-    world = ready_world(8, zone=1, cross_zone_fee=0.03)
+    world = ready_world(8, zone=1, cross_zone_cost=0.03)
     first = [world.arrive(READ) for _ in range(2 * FIRST)]
-    assert {world.known[world.sends(r)[0].upstream].zone for r in first} == {1}
+    assert {world.known[world.sends(r)[0].endpoint_id].zone for r in first} == {1}
     next_one = world.arrive(READ)
-    assert world.known[world.sends(next_one)[0].upstream].zone != 1
+    assert world.known[world.sends(next_one)[0].endpoint_id].zone != 1
 
 
 def test_zones_do_not_matter_where_crossing_is_free() -> None:
     world = ready_world(8, zone=1)
     churn(world, 100)
-    assert {world.known[s.upstream].zone for s in world.sends()} == {0, 1, 2, 3}
+    assert {world.known[s.endpoint_id].zone for s in world.sends()} == {0, 1, 2, 3}
 
 
 def test_a_dearer_request_takes_the_buffer_from_a_cheaper_one() -> None:
     world = ready_world()
     cheap = fill(world)[-1]
     dear = world.arrive(PAY)
-    assert isinstance(world.answer(cheap), Refuse) and world.answer(dear) is None
+    assert isinstance(world.answer(cheap), Shed) and world.answer(dear) is None
     late = world.arrive(READ)
-    assert isinstance(world.answer(late), Refuse)
-    world.end(world.sends()[0].request, 0, Outcome.OK)
+    assert isinstance(world.answer(late), Shed)
+    world.end(world.sends()[0].request_id, 0, Outcome.OK)
     assert world.sends(dear)
 
 
 def test_a_tenant_beyond_its_share_yields_the_buffer() -> None:
-    world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_share_worth=0.1)
+    world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
-        world.arrive(READ, tenant=0)
+        world.arrive(READ, tenant_index=0)
     holder = world.balancer.buffer
-    assert holder is not None and holder.event.tenant == 0
-    modest = world.arrive(READ, tenant=1)
-    assert world.answer(modest) is None and world.answer(holder.event.request) is not None
+    assert holder is not None and holder.event.tenant_index == 0
+    modest = world.arrive(READ, tenant_index=1)
+    assert world.answer(modest) is None and world.answer(holder.event.request_id) is not None
 
 
 def test_a_late_answer_gets_a_copy_elsewhere_and_the_first_may_still_answer() -> None:
@@ -389,7 +384,7 @@
     request = world.arrive(READ)
     world.advance(250_000)
     first, second = world.sends(request)
-    assert first.upstream != second.upstream
+    assert first.endpoint_id != second.endpoint_id
     world.end(request, 0, Outcome.OK)
     assert world.answer(request) is None and world.owed[request].answers == 1
 
@@ -405,16 +400,16 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_an_attempt_that_lost_to_its_copy_is_cancelled_where_that_is_allowed(cancel: bool) -> None:
-    world = ready_world(cancel=cancel)
+    world = ready_world(cancel_attempts=cancel)
     request = late_and_copied(world)
-    cancelled = [a for a in world.log if isinstance(a, Cancel)]
-    assert cancelled == ([Cancel(request, 0)] if cancel else [])
+    cancelled = [a for a in world.log if isinstance(a, CancelAttempt)]
+    assert cancelled == ([CancelAttempt(request, 0)] if cancel else [])
 
 
 def test_an_upstream_whose_attempts_lose_to_copies_is_drawn_less() -> None:
     world = ready_world()
     request = late_and_copied(world)
-    slow = world.sends(request)[0].upstream
+    slow = world.sends(request)[0].endpoint_id
     before = world.balancer.servers[slow].window
     world.end(request, 0, Outcome.CANCELLED)
     assert world.balancer.servers[slow].window < before and world.balancer.servers[slow].pace > 1
@@ -422,7 +417,7 @@
 
 @pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
 def test_no_copy_where_none_is_allowed(class_index: int, second_copies: bool) -> None:
-    world = ready_world(second_copies=second_copies)
+    world = ready_world(hedging=second_copies)
     request = world.arrive(class_index)
     world.advance(250_000)
     assert len(world.sends(request)) == 1
@@ -453,7 +448,7 @@
 
 
 def test_the_first_slots_are_whole_ones_however_many_sidecars_there_are() -> None:
-    few, many = ready_world(4, instances=3), ready_world(4, instances=400)
+    few, many = ready_world(4, fleet_size=3), ready_world(4, fleet_size=400)
     assert len(fill(many)) == len(fill(few)) == 4 * FIRST + 1
 
 
@@ -470,7 +465,7 @@
 
 
 def test_while_all_upstreams_are_slow_a_light_sidecar_sends_less_and_recovers() -> None:
-    world = ready_world(40, instances=400)
+    world = ready_world(40, fleet_size=400)
     slow_spell(world, 30)
     assert 3 <= len(world.sends()) <= 12
     churn(world, 300)
@@ -480,7 +475,7 @@
 
 
 def test_one_slow_answer_among_quick_ones_thins_nothing() -> None:
-    world = ready_world(40, instances=400)
+    world = ready_world(40, fleet_size=400)
     churn(world, 30, class_index=PAY)
     slow_spell(world, 1)
     before = len(world.sends())
@@ -501,22 +496,22 @@
 
 
 def test_what_the_own_zone_thins_out_goes_to_another_zone() -> None:
-    world = ready_world(8, zone=1, cross_zone_fee=0.2, instances=400)
+    world = ready_world(8, zone=1, cross_zone_cost=0.2, fleet_size=400)
     churn(world, 30, class_index=PAY)
-    assert {world.known[s.upstream].zone for s in world.sends()} == {1}
+    assert {world.known[s.endpoint_id].zone for s in world.sends()} == {1}
     before = len(world.sends())
     for _ in range(30):
         request = world.arrive(PAY)
-        home = [s for s in world.sends(request) if world.known[s.upstream].zone == 1]
+        home = [s for s in world.sends(request) if world.known[s.endpoint_id].zone == 1]
         world.advance(300_000 if home else 20_000)
         if not home and world.owed[request].out():
             world.end(request, 0, Outcome.OK)
-    crossed = [s for s in world.sends()[before:] if world.known[s.upstream].zone != 1]
+    crossed = [s for s in world.sends()[before:] if world.known[s.endpoint_id].zone != 1]
     assert len(crossed) >= 10 and len(world.sends()) - before >= 25
 
 
 def test_when_every_attempt_fails_not_all_are_repeated() -> None:
-    world = ready_world(40, second_copies=False)
+    world = ready_world(40, hedging=False)
     errors = 0
     for _ in range(60):
         request = world.arrive(READ)
@@ -529,33 +524,33 @@
 
 
 def test_a_sidecar_with_little_traffic_uses_few_of_many_upstreams() -> None:
-    world = ready_world(60, instances=400)
+    world = ready_world(60, fleet_size=400)
     churn(world, 100, took_us=1_000_000)
-    assert len({s.upstream for s in world.sends()}) <= 6
+    assert len({s.endpoint_id for s in world.sends()}) <= 6
 
 
 def test_a_sidecar_that_turns_busy_spreads_over_more_upstreams() -> None:
-    world = ready_world(60, instances=400)
+    world = ready_world(60, fleet_size=400)
     churn(world, 600, took_us=20_000)
-    assert len({s.upstream for s in world.sends()}) >= 30
+    assert len({s.endpoint_id for s in world.sends()}) >= 30
 
 
 def test_an_upstream_slower_than_the_others_is_drawn_less() -> None:
-    world = ready_world(4, second_copies=False)
+    world = ready_world(4, hedging=False)
     for _ in range(200):
         request = world.arrive(READ)
-        slow = world.sends(request)[0].upstream == 100
+        slow = world.sends(request)[0].endpoint_id == 100
         world.advance(120_000 if slow else 30_000)
         world.end(request, 0, Outcome.OK)
-    assert sum(1 for s in world.sends() if s.upstream == 100) < 25
+    assert sum(1 for s in world.sends() if s.endpoint_id == 100) < 25
 
 
 def test_upstreams_long_gone_leave_no_state() -> None:
     world = ready_world(4)
     for n in range(50):
-        world.tell_list([Upstream(1000 + n)], ListKind.DELTA)
+        world.tell_list([Endpoint(1000 + n)], UpdateKind.DELTA)
         churn(world, 5)
-        world.tell_list([Upstream(1000 + n, UpstreamState.GONE)], ListKind.DELTA)
+        world.tell_list([Endpoint(1000 + n, EndpointStatus.REMOVED)], UpdateKind.DELTA)
     assert len(world.balancer.servers) == 4 and len(world.balancer.pools[0].in_use) <= 4
 
 
@@ -615,7 +610,7 @@
 
 
 def test_without_need_no_further_slot_opens() -> None:
-    world = ready_world(40, instances=24)
+    world = ready_world(40, fleet_size=24)
     churn(world, 400)
     assert all(server.window <= FIRST for server in world.balancer.servers.values())
 
@@ -648,14 +643,14 @@
 
 
 def test_a_request_known_to_be_heavy_is_not_timed_out_early() -> None:
-    world = ready_world(second_copies=False)
+    world = ready_world(hedging=False)
     churn(world, 50)
-    light, heavy = world.arrive(READ, cost_us=10_000), world.arrive(READ, cost_us=200_000)
+    light, heavy = world.arrive(READ, expected_work_us=10_000), world.arrive(READ, expected_work_us=200_000)
     assert world.sends(light)[0].timeout_us < 200_000 < 800_000 <= world.sends(heavy)[0].timeout_us
 
 
 def log_lines(world: World) -> list[str]:
-    return [action.text for action in world.log if isinstance(action, Log)]
+    return [action.text for action in world.log if isinstance(action, LogMessage)]
 
 
 def test_a_failing_upstream_is_logged_when_it_rests_and_when_it_is_back() -> None:
@@ -679,7 +674,7 @@
 def test_log_lines_are_few_on_the_worst_day() -> None:
     world = ready_world(50)
     begin_us = world.now_us
-    for fault in (Outcome.FULL, Outcome.OK, Outcome.FULL, Outcome.OK):
+    for fault in (Outcome.OVERLOADED, Outcome.OK, Outcome.OVERLOADED, Outcome.OK):
         for _ in range(30):
             churn_all(world, fault)
     assert 1 <= len(log_lines(world)) <= 1 + (world.now_us - begin_us) / 1_000_000
@@ -697,7 +692,7 @@
 
 @pytest.mark.parametrize("second_copies", [True, False])
 def test_after_an_outage_that_every_answer_outlasted_requests_are_tried_again(second_copies: bool) -> None:
-    world = ready_world(2, second_copies=second_copies)
+    world = ready_world(2, hedging=second_copies)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
             world.arrive(class_index)
@@ -714,7 +709,7 @@
 
 def coming(world: World, class_index: int = READ) -> int:
     """A request whose body is still coming; its client waits for as long as that takes."""
-    request = world.arrive(class_index, whole=False)
+    request = world.arrive(class_index, body_complete=False)
     world.owed[request].tries[0].ends_us += 3_600_000_000
     return request
 
@@ -732,8 +727,8 @@
     world = ready_world(1)
     request = coming(world)
     world.now_us += 5_000_000
-    world.owed[request].event.due_us = world.now_us + 1_000_000
-    world.tell(RequestWhole(request, world.now_us + 1_000_000))
+    world.owed[request].event.deadline_us = world.now_us + 1_000_000
+    world.tell(RequestBodyComplete(request, world.now_us + 1_000_000))
     assert world.balancer.servers[100].used == 1
     pace = world.balancer.servers[100].pace
     world.owed[request].tries[0].sent_us = world.now_us
@@ -743,12 +738,12 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "answer"), [(Outcome.CONNECT_FAILED, Refuse), (Outcome.FULL, Refuse), (Outcome.RESET, Fail)]
+    ("outcome", "answer"), [(Outcome.CONNECT_FAILED, Shed), (Outcome.OVERLOADED, Shed), (Outcome.RESET, Fail)]
 )
 def test_a_body_that_has_passed_is_not_sent_again(outcome: Outcome, answer: type) -> None:
     world = ready_world()
     request = coming(world, PAY)
-    world.tell(BodyPassed(request))
+    world.tell(RequestNotReplayable(request))
     world.end(request, 0, outcome)
     assert len(world.sends(request)) == 1 and isinstance(world.answer(request), answer)
 
@@ -762,12 +757,12 @@
 
 
 def test_the_first_bytes_of_a_long_answer_free_its_slot_and_cancel_the_copy() -> None:
-    world = ready_world(cancel=True, second_copies=True)
+    world = ready_world(cancel_attempts=True, hedging=True)
     request = world.arrive(READ)
     world.advance(160_000)
     first, second = world.owed[request].tries
     world.begin_stream(request, 1)
-    assert Cancel(request, 0) in world.log and Cancel(request, 1) not in world.log
+    assert CancelAttempt(request, 0) in world.log and CancelAttempt(request, 1) not in world.log
     assert [world.balancer.servers[t.upstream].used for t in (first, second)] == [1, 0]
     pace = world.balancer.servers[second.upstream].pace
     world.end(request, 0, Outcome.CANCELLED)
@@ -794,8 +789,8 @@
     world.tell(
         SettingsChanged(
             world.settings,
-            places_before(world.settings.classes, before.classes),
-            places_before(world.settings.tenants, before.tenants),
+            previous_indexes(world.settings.classes, before.classes),
+            previous_indexes(world.settings.tenants, before.tenants),
         )
     )
 
@@ -815,7 +810,7 @@
     world = ready_world()
     churn(world, 30, class_index=PAY, took_us=77_000)
     learnt = world.balancer.kinds[PAY].mean_us
-    new = RequestClass("new", aim_us=400_000, deadline_us=1_000_000)
+    new = RequestClass("new", latency_objective_us=400_000, deadline_us=1_000_000)
     retune(world, classes=[new, settings().classes[PAY]])
     assert [kind.mean_us for kind in world.balancer.kinds] == [100_000, learnt]
     assert world.sends(world.arrive(0)) and world.sends(world.arrive(1))
@@ -834,44 +829,44 @@
     world = ready_world(max_attempts=3)
     under_way = world.arrive(READ)
     retune(world, max_attempts=1)
-    world.end(under_way, 0, Outcome.FULL)
+    world.end(under_way, 0, Outcome.OVERLOADED)
     assert len(world.sends(under_way)) == 1
     under_way = world.arrive(READ)
     retune(world, max_attempts=3)
-    world.end(under_way, 0, Outcome.FULL)
+    world.end(under_way, 0, Outcome.OVERLOADED)
     assert len(world.sends(under_way)) == 1
     request = world.arrive(READ)
-    world.end(request, 0, Outcome.FULL)
+    world.end(request, 0, Outcome.OVERLOADED)
     assert len(world.sends(request)) == 2
 
 
 def test_the_shares_of_tenants_go_with_their_names() -> None:
     big, small = Tenant("big", 100.0), Tenant("small", 100.0)
-    world = ready_world(tenants=[big, small], over_share_worth=0.1)
+    world = ready_world(tenants=[big, small], over_quota_weight=0.1)
     for _ in range(100):
-        world.end(world.arrive(READ, tenant=0), 0, Outcome.OK)
-    retune(world, tenants=[small, Tenant("new", 0.0), big], over_share_worth=0.1)
+        world.end(world.arrive(READ, tenant_index=0), 0, Outcome.OK)
+    retune(world, tenants=[small, Tenant("new", 0.0), big], over_quota_weight=0.1)
     seen = [party.seen for party in world.balancer.parties]
     assert seen[0] == seen[1] == 0.0 and seen[2] > 50.0
     for tenant in (0, 1, 2, 3):
-        assert world.sends(world.arrive(READ, tenant=tenant))
+        assert world.sends(world.arrive(READ, tenant_index=tenant))
 
 
 def test_clients_that_come_again_yield_to_new_ones_while_requests_are_thinned_out() -> None:
     world = ready_world()
     pool = world.balancer.pools[0]
-    assert world.sends(world.arrive(READ, retried=True))
+    assert world.sends(world.arrive(READ, client_retry=True))
     pool.admitted, pool.credit = 0.5, 2.0
-    again = world.arrive(READ, retried=True)
+    again = world.arrive(READ, client_retry=True)
     assert not world.sends(again)
     assert world.sends(world.arrive(READ))
     world.advance(1_000_000)
     pool.admitted, pool.credit = 1.0, 1.0
-    assert world.sends(world.arrive(READ, retried=True))
+    assert world.sends(world.arrive(READ, client_retry=True))
 
 
 def test_one_slow_answer_does_not_keep_out_clients_that_come_again() -> None:
     world = ready_world()
     churn(world, 20)
     churn(world, 1, took_us=250_000)
-    assert world.sends(world.arrive(READ, retried=True))
+    assert world.sends(world.arrive(READ, client_retry=True))
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -16,7 +16,7 @@
 from garnetusher.model.experiment import scaled
 from garnetusher.model.records import Listed
 from garnetusher.model.world import World
-from garnetusher.policy.balance import Balancer
+from garnetusher.policy.balancer import Balancer
 from tests.experiment import ROOT, small, text
 
 FAULTS = {
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,7 +12,7 @@
 from garnetusher.model.ablations import without
 from garnetusher.model.records import Believed
 from garnetusher.model.world import World
-from garnetusher.policy import interface as api
+from garnetusher.policy.events import Outcome, ZoneOverridden
 from garnetusher.policy.zones import QUIET_US, State, Zone, Zones
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
@@ -104,7 +104,7 @@
 
 def test_tries_are_bounded_for_the_fleet() -> None:
     made, _, zone = lost()
-    made.settings = settings(instances=200)
+    made.settings = settings(fleet_size=200)
     tries, at = 0, zone.try_us
     for _ in range(600):
         at += 100_000
@@ -126,9 +126,9 @@
 
 
 def test_regions_make_the_third_tier() -> None:
-    made, _ = zones(4, cross_zone_fee=0.02, zone=1, regions=[0, 0, 1, 1])
+    made, _ = zones(4, cross_zone_cost=0.02, zone=1, zone_regions=[0, 0, 1, 1])
     assert [made.tier(z) for z in range(4)] == [1, 0, 2, 2]
-    without, _ = zones(4, cross_zone_fee=0.02, zone=1)
+    without, _ = zones(4, cross_zone_cost=0.02, zone=1)
     assert [without.tier(z) for z in range(4)] == [1, 0, 1, 1]
 
 
@@ -186,7 +186,7 @@
 
 def test_a_copy_stays_in_its_tier_until_something_may_be_wrong_there() -> None:
     for suspect in (False, True):
-        stand = Stand(settings(cross_zone_fee=0.02, cancel=False))
+        stand = Stand(settings(cross_zone_cost=0.02, cancel_attempts=False))
         stand.tell_list(upstreams(4))  # two here, two in the next zone
         balancer = stand.balancer
         for ident in (100, 101):
@@ -196,22 +196,22 @@
             balancer.zones.failed(0, 101, stand.now_us, False, False, 1.0, stand.now_us)
         stand.advance(150_000)
         crossed = [send for ident in (first, second) for send in stand.sends(ident)[1:]]
-        assert bool(crossed) == suspect and all(send.upstream in (102, 103) for send in crossed)
+        assert bool(crossed) == suspect and all(send.endpoint_id in (102, 103) for send in crossed)
 
 
 @pytest.mark.parametrize("answers", [False, True])
 def test_a_light_sidecar_tries_again_elsewhere_once_its_zone_is_quiet(answers: bool) -> None:
-    stand = Stand(settings(cross_zone_fee=0.02, max_attempts=3))
+    stand = Stand(settings(cross_zone_cost=0.02, max_attempts=3))
     stand.tell_list(upstreams(6))
     stand.advance(QUIET_US)
     ident, ended = stand.arrive(0), 0
     while len(stand.sends(ident)) > ended:  # all that is tried here is refused
         if answers:
             stand.balancer.zones.answered(0, stand.now_us, 1.0, stand.now_us)
-        near = stand.sends(ident)[ended].upstream < 102
-        stand.end(ident, ended, api.Outcome.CONNECT_FAILED if near else api.Outcome.OK)
+        near = stand.sends(ident)[ended].endpoint_id < 102
+        stand.end(ident, ended, Outcome.CONNECT_FAILED if near else Outcome.OK)
         ended += 1
-    assert ended == (3 if answers else 2) and (stand.sends(ident)[-1].upstream < 102) == answers
+    assert ended == (3 if answers else 2) and (stand.sends(ident)[-1].endpoint_id < 102) == answers
 
 
 def test_two_lost_zones_are_left_and_the_third_is_not() -> None:
@@ -252,9 +252,9 @@
 
 
 def test_a_module_told_to_leave_a_zone_sends_it_nothing() -> None:
-    stand = Stand(settings(cross_zone_fee=0.02))
+    stand = Stand(settings(cross_zone_cost=0.02))
     stand.tell_list(upstreams(6))
-    stand.tell(api.ZoneOrdered(0, True))
+    stand.tell(ZoneOverridden(0, True))
     for _ in range(30):
         ident = stand.arrive(0)
-        assert all(send.upstream not in (100, 101) for send in stand.sends(ident))
+        assert all(send.endpoint_id not in (100, 101) for send in stand.sends(ident))
--- a/tests/world.py
+++ b/tests/world.py
@@ -5,23 +5,26 @@
 from typing import Any
 
 from garnetusher.model.contract import START_US, Host
-from garnetusher.policy.interface import RequestClass, Settings, Upstream
+from garnetusher.policy.events import Endpoint
+from garnetusher.policy.settings import RequestClass, Settings
 
 __all__ = ["START_US", "World", "classes", "settings", "upstreams"]
 
 
 def classes() -> list[RequestClass]:
     return [
-        RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
-        RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once"),
+        RequestClass("read", latency_objective_us=300_000, deadline_us=1_500_000, effect="idempotent", late_weight=0.3),
+        RequestClass(
+            "pay", latency_objective_us=300_000, deadline_us=600_000, priority_weight=5, effect="at_most_once"
+        ),
         RequestClass(
             "mark",
-            aim_us=400_000,
+            latency_objective_us=400_000,
             deadline_us=2_000_000,
-            worth=3,
+            priority_weight=3,
             effect="deduplicated",
-            group="cell",
-            memory_us=1_200_000,
+            deduplication_scope="cell",
+            deduplication_window_us=1_200_000,
         ),
     ]
 
@@ -29,25 +32,25 @@
 def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
         "classes": classes(),
-        "instances": 3,
-        "tick_us": 4000,
+        "fleet_size": 3,
+        "batch_interval_us": 4000,
         "max_attempts": 4,
-        "cancel": True,
+        "cancel_attempts": True,
         "max_retry_after_us": 1_000_000,
         "connect_timeout_us": 150_000,
-        "second_copies": True,
-        "cold_share": 0.2,
+        "hedging": True,
+        "warm_up_initial_fraction": 0.2,
         "warm_up_us": 20_000_000,
         "overload_factor": 2.5,
-        "fall_us": 1_000_000,
+        "overload_window_us": 1_000_000,
     }
     values.update(changes)
     return Settings(**values)  # type: ignore[arg-type]
 
 
-def upstreams(count: int, **changes: Any) -> list[Upstream]:
+def upstreams(count: int, **changes: Any) -> list[Endpoint]:
     """`count` ready upstreams, two to a cell and to a zone."""
-    return [Upstream(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
+    return [Endpoint(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
 
 
 class World(Host):
