--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -18,10 +18,10 @@
 from garnetusher.sidecar import logs
 from garnetusher.sidecar.admin.handlers import operators_calls
 from garnetusher.sidecar.admin.server import Admin, Route
-from garnetusher.sidecar.discovery.watch import Discovery
-from garnetusher.sidecar.downstream.connection import Server
+from garnetusher.sidecar.discovery.watch import EndpointWatcher
+from garnetusher.sidecar.downstream.connection import DownstreamServer
 from garnetusher.sidecar.reload import Reloader
-from garnetusher.sidecar.requests.messages import clock_us
+from garnetusher.sidecar.requests.messages import monotonic_us
 from garnetusher.sidecar.sidecar import Sidecar
 from garnetusher.sidecar.sockets import RETRY_S, PatientSelector, is_own
 
@@ -43,14 +43,14 @@
 
 
 async def serve(
-    settings: config.Config,
+    settings: config.Configuration,
     stop: asyncio.Event,
     prepared: Callable[[Sidecar], None] = lambda sidecar: None,
     inherited: socket.socket | None = None,
 ) -> None:
     """Serve until told to stop, then answer what comes and what is open; `prepared` gets the parts."""
     sidecar = Sidecar(settings, inherited)
-    server, lifecycle, discovery = sidecar.server, sidecar.lifecycle, sidecar.discovery
+    server, lifecycle, discovery = sidecar.server, sidecar.lifecycle, sidecar.endpoint_watcher
     sidecar.start()
     prepared(sidecar)
     members = await with_members(sidecar)
@@ -70,35 +70,37 @@
     await stop.wait()
     lifecycle.stop()
     killed_s = soonest_kill_s(server)
-    server.host.end_by(clock_us() + int((killed_s - ENDS_BEFORE_S) * 1e6))
+    server.dispatcher.finish_by(monotonic_us() + int((killed_s - ENDS_BEFORE_S) * 1e6))
     if members is not None:
         await members.leave()
     await (end_alone(server) if inherited is None else end_beside(server, killed_s))
     # hazard: what is under way when a process ends by itself is lost; when SIGKILL ends it, it need not be
-    while server.busy or (server.clients and lifecycle.closing_for_s < killed_s - ENDS_BEFORE_S / 2):
-        server.close_idle(clock_us())
+    while server.busy or (server.connections and lifecycle.closing_for_s < killed_s - ENDS_BEFORE_S / 2):
+        server.close_idle(monotonic_us())
         if lifecycle.closing_for_s >= killed_s - ENDS_BEFORE_S:
             server.turn_away_unread()
         await asyncio.sleep(0.01)
 
 
-def soonest_kill_s(server: Server) -> float:
+def soonest_kill_s(server: DownstreamServer) -> float:
     """From SIGTERM to SIGKILL, at the least."""
-    longest_s = max(kind.deadline_us for kind in server.host.settings.classes) / 1e6
+    longest_s = max(kind.deadline_us for kind in server.dispatcher.settings.classes) / 1e6
     return min(LONGEST_COUNTED_S, longest_s) + KILL_GAP_S
 
 
 async def with_members(sidecar: Sidecar) -> Members | None:
     """The member beside this sidecar, if the file switches it on. Hazard: without it the sidecar serves as it does
     alone, so whatever is wrong with it must not keep the sidecar from starting."""
-    fleet = sidecar.settings.raw.get("fleet") if isinstance(sidecar.settings.raw, Mapping) else None
+    fleet = sidecar.configuration.raw.get("fleet") if isinstance(sidecar.configuration.raw, Mapping) else None
     if not isinstance(fleet, Mapping) or "membership" not in fleet:
         return None
-    raw, zones, zone = sidecar.settings.raw, sidecar.settings.zones, sidecar.settings.settings.zone
+    raw, zones, zone = sidecar.configuration.raw, sidecar.configuration.zones, sidecar.configuration.settings.zone
     try:
         from garnetusher.sidecar.membership import Members, switch
 
-        members = Members(switch(fleet["membership"], str(raw.get("name", "")), zones[zone]), sidecar.host.count)
+        members = Members(
+            switch(fleet["membership"], str(raw.get("name", "")), zones[zone]), sidecar.dispatcher.set_fleet_size
+        )
         own = await members.open()
     except ImportError as error:
         log.warning("no membership, as %s; pip install -r requirements-fleet.txt brings what it needs", error)
@@ -110,11 +112,11 @@
     return None
 
 
-async def take_over(discovery: Discovery, stop: asyncio.Event) -> None:
+async def take_over(discovery: EndpointWatcher, stop: asyncio.Event) -> None:
     """Until the list is one to trust. Hazard: what another process knew at its start may be long out of date,
     and clients that are let in before would be sent to upstreams that have gone."""
     if discovery.watch is None:
-        discovery.subscribe(True)  # at once: the module would spread its first call over the fleet's seconds
+        discovery.watch_endpoints(True)  # at once: the module would spread its first call over the fleet's seconds
     waits = [asyncio.create_task(event.wait()) for event in (discovery.fresh, stop)]
     await asyncio.wait(waits, timeout=FRESH_LIST_S, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
@@ -123,23 +125,25 @@
         log.warning("discovery is silent: starting from the list as it was known")
 
 
-async def end_alone(server: Server) -> None:
+async def end_alone(server: DownstreamServer) -> None:
     """Nobody else takes clients here: the listener stays open while they may still come."""
-    server.close_idle(clock_us())
+    server.close_idle(monotonic_us())
     await asyncio.sleep(STILL_COMING_S)
     await server.stop_listening(shared=False)
 
 
-async def end_beside(server: Server, killed_s: float) -> None:
+async def end_beside(server: DownstreamServer, killed_s: float) -> None:
     """Another process has the listening socket too. Hazard: what would be accepted from now on is better off
     there; and an idle connection closed at once would cost its next request, so each may carry a last one."""
     await server.stop_listening(shared=True)
-    idle_s = killed_s - max(kind.latency_objective_us for kind in server.host.settings.classes) / 1e6 - LAST_ANSWER_S
-    while server.clients and server.lifecycle.closing_for_s < idle_s:
+    idle_s = (
+        killed_s - max(kind.latency_objective_us for kind in server.dispatcher.settings.classes) / 1e6 - LAST_ANSWER_S
+    )
+    while server.connections and server.lifecycle.closing_for_s < idle_s:
         await asyncio.sleep(0.01)
 
 
-async def run(settings: config.Config, path: str, inherited: socket.socket | None) -> None:
+async def run(settings: config.Configuration, path: str, inherited: socket.socket | None) -> None:
     """Serve until SIGTERM; SIGHUP means that the file has been replaced."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -147,7 +151,7 @@
     await serve(
         settings,
         stop,
-        lambda sidecar: loop.add_signal_handler(signal.SIGHUP, Reloader(path, sidecar.take).signal),
+        lambda sidecar: loop.add_signal_handler(signal.SIGHUP, Reloader(path, sidecar.reload).signal),
         inherited,
     )
 
@@ -172,7 +176,7 @@
     return 0
 
 
-def whole_file(path: str, admin: str | None) -> config.Config:
+def whole_file(path: str, admin: str | None) -> config.Configuration:
     """The configuration; raises as `config.load` on one that stays absent or not in order for a moment longer than it
     takes to replace a file."""
     ends_at = time.monotonic() + REPLACED_IN_S
--- a/garnetusher/sidecar/admin/handlers.py
+++ b/garnetusher/sidecar/admin/handlers.py
@@ -14,7 +14,7 @@
     server, lifecycle = sidecar.server, sidecar.lifecycle
 
     def ready(query: str) -> tuple[bool, str]:
-        return server.ready, lifecycle.state.value if server.host.ready else "no upstream"
+        return server.ready, lifecycle.state.value if server.dispatcher.ready else "no upstream"
 
     def drain(query: str) -> tuple[bool, str]:
         lifecycle.drain()
@@ -25,7 +25,7 @@
         return True, lifecycle.state.value
 
     def zones(query: str) -> tuple[bool, str]:
-        return True, json.dumps(server.host.zones(sidecar.settings.zones))
+        return True, json.dumps(server.dispatcher.zone_reports(sidecar.configuration.zones))
 
     def trace(query: str) -> tuple[bool, str]:
         name = query.removeprefix("request=")
@@ -37,11 +37,11 @@
 
     def order(leave: bool) -> Callable[[str], tuple[bool, str]]:
         def call(query: str) -> tuple[bool, str]:
-            names = sidecar.settings.zones
+            names = sidecar.configuration.zones
             name = query.removeprefix("zone=")
             if name not in names:
                 return False, f"expected ?zone= and one of {', '.join(names)}, got {name!r}"
-            objection = server.host.order_zone(names.index(name), leave)
+            objection = server.dispatcher.override_zone(names.index(name), leave)
             return (
                 not objection,
                 f"zone {name} is not left: {objection}"
--- a/garnetusher/sidecar/configuration.py
+++ b/garnetusher/sidecar/configuration.py
@@ -13,20 +13,20 @@
 
 
 @dataclass(slots=True)
-class Config:
+class Configuration:
     """All that a sidecar is told at its start."""
 
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    sockets: int  # file descriptors that it may hold
+    max_descriptors: int  # file descriptors that it may hold
     settings: Settings
     zones: list[str]
-    kinds: list[str]
-    idle_us: int  # upstreams close a connection that has been idle for this long
-    known: Any  # the upstream list as last had, in discovery's form
+    machine_types: list[str]
+    idle_timeout_us: int  # upstreams close a connection that has been idle for this long
+    cached_endpoints: Any  # the upstream list as last had, in discovery's form
     admin: tuple[str, int] | None = None  # where operators call
-    memory: int = 192 * 1024 * 1024  # bytes that it may take
+    memory_bytes: int = 192 * 1024 * 1024  # bytes that it may take
     raw: Any = None  # the file, as it was read
 
 
@@ -95,7 +95,7 @@
     return sock
 
 
-def load_again(path: str, before: Config) -> Config:
+def reload(path: str, before: Configuration) -> Configuration:
     """The file that has taken the place of one in force; raises as `load`, on what is incomplete too.
 
     A zone keeps its place, so that what is known and ordered of it stays its own."""
@@ -125,7 +125,7 @@
     return [place[zone] for zone in zones]
 
 
-def load(path: str, admin: str | None = None) -> Config:
+def load(path: str, admin: str | None = None) -> Configuration:
     """Read and check the file; raises ValueError, KeyError or SettingsTextError on what is malformed.
 
     `admin` is what the environment says of that address: of two processes that are told the same file, it
@@ -141,17 +141,17 @@
     admin = admin or raw.get("admin")
     values = settings_from_pairs(pairs)
     values.zone_regions = regions_of(list(settings["areas"]), raw.get("fleet"))
-    return Config(
+    return Configuration(
         listen=parse_address(raw["listen"]),
         discovery=parse_address(raw["discovery"]),
         seed=int(raw["seed"], 16),
-        sockets=int(raw["limits"]["sockets"]),
+        max_descriptors=int(raw["limits"]["sockets"]),
         settings=values,
         zones=list(settings["areas"]),
-        kinds=list(settings["kinds"]),
-        idle_us=int(float(pairs["bounds.conn-idle"])),
-        known=raw.get("known"),
+        machine_types=list(settings["kinds"]),
+        idle_timeout_us=int(float(pairs["bounds.conn-idle"])),
+        cached_endpoints=raw.get("known"),
         admin=parse_address(admin) if admin else None,
-        memory=int(float(raw["limits"]["memory_mb"]) * 1024 * 1024),
+        memory_bytes=int(float(raw["limits"]["memory_mb"]) * 1024 * 1024),
         raw=raw,
     )
--- a/garnetusher/sidecar/discovery/start_times.py
+++ b/garnetusher/sidecar/discovery/start_times.py
@@ -20,7 +20,7 @@
     return time.time_ns() // 1000
 
 
-class BootTimes:
+class StartTimes:
     """Start times of upstreams; one that was told again with the same time of day keeps the one it was given."""
 
     def __init__(self, clock_us: Callable[[], int], wall_us: Callable[[], int] = wall_clock_us) -> None:
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -13,8 +13,8 @@
 
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, UpdateKind
 from garnetusher.sidecar.configuration import parse_address
-from garnetusher.sidecar.discovery.start_times import BootTimes
-from garnetusher.sidecar.requests.messages import clock_us
+from garnetusher.sidecar.discovery.start_times import StartTimes
+from garnetusher.sidecar.requests.messages import monotonic_us
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
 Listener = Callable[[EndpointsUpdated, dict[int, Address]], None]
 
 
-class Directory:
+class EndpointList:
     """Turns discovery's entries into the module's: a number for each uid, times on the module's clock."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
@@ -38,7 +38,7 @@
         self.kinds = kinds
         self.idents: dict[str, int] = {}
         self.last_ident = 0
-        self.boot_times = BootTimes(clock_us)
+        self.boot_times = StartTimes(monotonic_us)
 
     def read(self, lines: Any, kind: UpdateKind | None = None) -> tuple[EndpointsUpdated, dict[int, Address]]:
         """The event for one list, with the addresses of its entries; raises on what is malformed."""
@@ -126,7 +126,7 @@
 class Watch(asyncio.Protocol):
     """One call for changes: it lasts until its connection ends, and then has failed."""
 
-    def __init__(self, discovery: Discovery) -> None:
+    def __init__(self, discovery: EndpointWatcher) -> None:
         self.discovery = discovery
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
@@ -205,17 +205,17 @@
         self.discovery.ended(self, again)
 
 
-class Discovery:
+class EndpointWatcher:
     """Holds the watch on the list's changes: for good, or as the module asks for it.
 
     Where the module asks, it is told how each call fails; a watch kept for good is called for again here, and so is,
     once, one that was answered and has fallen silent. Those of a fleet do so spread over the 2 s between empty lines.
     """
 
-    def __init__(self, address: Address, directory: Directory, listener: Listener) -> None:
+    def __init__(self, address: Address, directory: EndpointList, listener: Listener) -> None:
         self.loop = asyncio.get_running_loop()
         self.address = address
-        self.directory = directory
+        self.endpoint_list = directory
         self.listener = listener
         self.version = 0
         self.watch: Watch | None = None
@@ -225,12 +225,12 @@
         self.fresh = asyncio.Event()  # it has answered once: the list is no longer what others remembered
         # what is not yet taken: (entries, version after them, whether they are only to be checked)
         self.pieces: deque[tuple[Any, int | None, bool]] = deque()
-        self.kept = False  # the watch is called for again whenever it ends
+        self.watching = False  # the watch is called for again whenever it ends
 
-    def cached(self, lines: Any) -> None:
+    def load_cached(self, lines: Any) -> None:
         """The list as the sidecar last had it."""
         try:
-            event, addresses = self.directory.read(lines, UpdateKind.CACHED)
+            event, addresses = self.endpoint_list.read(lines, UpdateKind.CACHED)
         except Exception as error:
             # hazard: an old list that can't be read would keep the sidecar from ever asking for a new one
             log.warning("the known list can't be read: %r", error)
@@ -238,18 +238,18 @@
         self.version = event.version
         self.listener(event, addresses)
 
-    def keep(self) -> None:
+    def watch_permanently(self) -> None:
         """Hazard: where changes are pushed the module never asks, and without a watch none would arrive."""
-        self.kept = True
-        self.subscribe(True)
+        self.watching = True
+        self.watch_endpoints(True)
 
     def move(self, address: Address) -> None:
         """Watch at another address from now on; hazard: what the old one still says may be out of date."""
         self.address = address
         log.info("discovery has moved to %s:%d", *address)
-        self.subscribe(True)
+        self.watch_endpoints(True)
 
-    def subscribe(self, active: bool) -> None:
+    def watch_endpoints(self, active: bool) -> None:
         """Ask for changes from now on, in place of an earlier call; or stop."""
         self.stop()
         if active:
@@ -295,7 +295,7 @@
         if lines["all"]:
             self.pieces.clear()  # whatever has not been taken yet: this is newer
         waiting = bool(self.pieces)
-        *first, last = self.directory.pieces(lines)
+        *first, last = self.endpoint_list.pieces(lines)
         if first:
             self.pieces.extend([(piece, None, True) for piece in (*first, last)])
         self.pieces.extend([*((piece, None, False) for piece in first), (last, version, False)])
@@ -307,9 +307,9 @@
         piece, version, only_check = self.pieces[0]
         try:
             if only_check:
-                self.directory.check(piece)
+                self.endpoint_list.check(piece)
             else:
-                event, addresses = self.directory.read(piece)
+                event, addresses = self.endpoint_list.read(piece)
         except Exception:
             self.pieces.clear()
             raise
@@ -335,7 +335,7 @@
         if watch is not self.watch:
             return
         self.stop()
-        if self.kept or again:
-            self.timer = self.loop.call_later(CALL_AGAIN_S, self.subscribe, True)
+        if self.watching or again:
+            self.timer = self.loop.call_later(CALL_AGAIN_S, self.watch_endpoints, True)
         else:
             self.listener(EndpointsUpdated(UpdateKind.FAILED), {})
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -10,19 +10,25 @@
 import httptools
 
 from garnetusher.policy.settings import Settings
-from garnetusher.sidecar.downstream.router import Catalogue, Reject, retry_after
-from garnetusher.sidecar.lifecycle import Lifecycle, State
-from garnetusher.sidecar.requests.dispatcher import Host
-from garnetusher.sidecar.requests.messages import ANSWER_MARGIN_US, Answer, Call, Verdict, clock_us
+from garnetusher.sidecar.downstream.router import RequestRejected, RequestRouter, retry_after
+from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
+from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
+from garnetusher.sidecar.requests.messages import (
+    RESPONSE_MARGIN_US,
+    Disposition,
+    FinalResponse,
+    HttpRequest,
+    monotonic_us,
+)
 from garnetusher.sidecar.sockets import Listener, SteadySocket, listen_at
 from garnetusher.sidecar.streaming import (
     HELD,
     LAST_CHUNK,
     LONGEST,
     STALL_US,
+    BodyMemory,
     Head,
     Reading,
-    Room,
     Source,
     Upload,
     chunk,
@@ -63,17 +69,17 @@
 }
 
 
-class Client(Reading):
+class DownstreamConnection(Reading):
     """One connection of the application; it carries one request at a time."""
 
-    def __init__(self, server: Server, sock: SteadySocket | None = None) -> None:
+    def __init__(self, server: DownstreamServer, sock: SteadySocket | None = None) -> None:
         """`sock` is the connection's own; without one its peer can't be asked for."""
         self.server = server
         self.sock = sock
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.open = False  # a request has been taken and not answered
-        self.ident = 0  # the host's name for it
+        self.request_id = 0  # the host's name for it
         self.made_us = server.accepted_us()  # when it connected
         self.set_up_us = 0  # when the loop began to read it
         self.quiet_us = 0  # since when it has been idle, if it is
@@ -99,8 +105,8 @@
         self.length: int | None = None  # of the body, where the head tells
         self.chunked = False
         self.body = bytearray()
-        self.call: Call | None = None  # as the head tells
-        self.catalogue: Catalogue | None = None  # that it was read by
+        self.http_request: HttpRequest | None = None  # as the head tells
+        self.router: RequestRouter | None = None  # that it was read by
         self.upload: Upload | None = None
         self.waits_us = 0  # since when a long body is not read on
         self.looked_us = 0  # when the rest of it was last seen not to be here yet
@@ -114,12 +120,12 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.set_write_buffer_limits(high=UNWRITTEN)
-        self.set_up_us = self.quiet_us = clock_us()
+        self.set_up_us = self.quiet_us = monotonic_us()
         self.limit_us = self.made_us + LONGEST_READ_US
         self.server.connected(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.server.clients.pop(self, None)
+        self.server.connections.pop(self, None)
         self.drop()
 
     def eof_received(self) -> bool:
@@ -130,17 +136,17 @@
                 self.turn_away(400)  # a mere end would make the answer to half a body look whole
             return False
         self.last = self.left = True
-        self.server.host.left(self.ident)
+        self.server.dispatcher.on_client_half_closed(self.request_id)
         return True
 
     def drop(self) -> None:
         """Whatever of a request is here goes no further."""
         if self.upload is not None:
-            self.server.room.leave(self.enter)
+            self.server.body_memory.leave(self.enter)
             self.upload = None
         if self.open:
             self.open = False
-            self.server.host.gone(self.ident)
+            self.server.dispatcher.on_client_disconnected(self.request_id)
 
     # A request, as the parser reads it
 
@@ -157,13 +163,13 @@
             return
         self.head += len(name) + len(value)
         if self.head > LONGEST_HEAD:
-            raise Reject(413, "the head is too long")
+            raise RequestRejected(413, "the head is too long")
         if self.headed:  # what comes behind the body is none of the head
             return
         lower, value = name.lower(), value.strip(b" \t")  # the parser leaves blanks behind it
         if lower == b"transfer-encoding":
             if value.lower() != b"chunked":
-                raise Reject(501, "no transfer coding but chunked")
+                raise RequestRejected(501, "no transfer coding but chunked")
             self.chunked = True
         elif lower == b"content-length":
             self.length = int(value)
@@ -183,23 +189,23 @@
         self.look_up()
         # hazard: the first bytes of a body may be late behind a slow head; strangers are owed an end by then
         pause_us = LONGEST_READ_US if self.proven else FIRST_BODY_US
-        self.limit_us = max(self.limit_us, clock_us() + pause_us)
+        self.limit_us = max(self.limit_us, monotonic_us() + pause_us)
         if (self.length or 0) > LONGEST:
-            raise Reject(413, "the body is too long")
+            raise RequestRejected(413, "the body is too long")
         expected = next((value for name, value in self.headers if name.lower() == b"expect"), b"")
         if expected.lower() not in (b"", b"100-continue"):
-            raise Reject(417, "unknown expectation")
+            raise RequestRejected(417, "unknown expectation")
         if expected and (self.chunked or self.length) and not self.old:
             assert self.transport is not None
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def look_up(self) -> Call:
+    def look_up(self) -> HttpRequest:
         """Its place in the settings. Hazard: what has not come whole when they change is a new request, and a
         restriction holds for it."""
-        if self.call is None or self.catalogue is not self.server.catalogue:
-            self.catalogue = self.server.catalogue
-            self.call = self.catalogue.call(self.method, self.target, self.headers)
-        return self.call
+        if self.http_request is None or self.router is not self.server.router:
+            self.router = self.server.router
+            self.http_request = self.router.route(self.method, self.target, self.headers)
+        return self.http_request
 
     def is_up(self) -> bool:
         return self.target == b"/up" and self.method == b"GET"
@@ -209,9 +215,9 @@
             return
         self.passed += len(data)
         if self.passed > LONGEST:
-            raise Reject(413, "the body is too long")
+            raise RequestRejected(413, "the body is too long")
         earned_us = len(data) * 1_000_000 // SLOWEST_BODY
-        self.limit_us = max(self.limit_us, min(self.limit_us + earned_us, clock_us() + MOST_AHEAD_US))
+        self.limit_us = max(self.limit_us, min(self.limit_us + earned_us, monotonic_us() + MOST_AHEAD_US))
         if self.upload is None:
             self.body += data
         else:
@@ -222,13 +228,13 @@
 
     def data_received(self, data: bytes) -> None:
         if self.ending:
-            self.quiet_us = clock_us()
+            self.quiet_us = monotonic_us()
             return
         if self.open and self.whole:
             self.extra = True  # pipelined: the open request is answered, then the connection ends
             return
         if self.begun_us == 0:
-            self.begun_us = clock_us()
+            self.begun_us = monotonic_us()
             if self.proven:
                 self.limit_us = self.begun_us + LONGEST_READ_US
         self.size += len(data)
@@ -241,7 +247,7 @@
                 self.take()
             elif self.upload is None and len(self.body) > HELD:
                 self.pass_on()
-        except Reject as reject:
+        except RequestRejected as reject:
             self.reject(reject)
         except Exception:
             # hazard: a fault with one request must end neither the process nor other requests
@@ -250,26 +256,26 @@
 
     def note_read(self) -> None:
         """Hazard: after a hold-up all that had come meanwhile is read piece by piece, at once."""
-        now_us, arrived_us = clock_us(), self.arrived_us()
+        now_us, arrived_us = monotonic_us(), self.arrived_us()
         at_once = now_us < self.read_at_us + SET_UP_US and self.read_us < self.read_at_us - SET_UP_US
         if at_once and arrived_us < self.read_us + MOST_HELD_US:
             arrived_us = min(arrived_us, self.read_us)
         self.read_us, self.read_at_us = arrived_us, now_us
 
-    def reject(self, reject: Reject) -> None:
+    def reject(self, reject: RequestRejected) -> None:
         self.turn_away(reject.status, str(reject).encode() + b"\n")
 
     def turn_away(self, status: int, body: bytes = b"", head: bytes = b"") -> None:
         begun = self.source is not None
         self.drop()
         if begun:  # hazard: what is written now would be read as part of the answer
-            self.finish(whole=False)
+            self.finish_response(whole=False)
         else:
             self.write(status, body, head, last=True)
 
     def refuse_unread(self, after_us: int = SOON_US) -> None:
         """It has not come whole, and so has not run."""
-        settings = self.server.catalogue.settings
+        settings = self.server.router.settings
         after_us = min(after_us, settings.max_retry_after_us) if settings.send_retry_after else 0
         self.turn_away(503, head=retry_after(after_us))
 
@@ -278,15 +284,15 @@
             self.parser.feed_data(data)
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            raise cause if isinstance(cause, Reject) else error from None
+            raise cause if isinstance(cause, RequestRejected) else error from None
         except httptools.HttpParserError:
             if not self.whole:
-                raise Reject(400, "malformed request") from None
+                raise RequestRejected(400, "malformed request") from None
             self.extra = True
         if not self.headed and self.size > LONGEST_HEAD + FRAMING_PART:
-            raise Reject(413, "the head is too long")  # hazard: one without end would fill the memory
+            raise RequestRejected(413, "the head is too long")  # hazard: one without end would fill the memory
         if not self.whole and self.size > LONGEST_HEAD + FRAMING + FRAMING_PART * self.passed:
-            raise Reject(413, "the body's framing is too long")
+            raise RequestRejected(413, "the body's framing is too long")
 
     def take(self) -> None:
         """The request has come whole."""
@@ -297,13 +303,13 @@
         elif self.upload is not None:
             self.upload.finish()
             if self.open:
-                self.server.host.whole(self.ident, arrived_us)
+                self.server.dispatcher.on_body_complete(self.request_id, arrived_us)
         else:
             call = self.look_up()
             call.arrived_us = arrived_us
             call.body = bytes(self.body)
             self.open = True
-            self.ident = self.server.host.arrived(call, self)
+            self.request_id = self.server.dispatcher.on_request(call, self)
 
     # A long body
 
@@ -312,21 +318,21 @@
         self.upload = Upload(bytes(self.body), None if self.chunked else self.length, self.flow, self.gave_up)
         self.body = bytearray()
         self.flow(False)
-        self.server.room.enter(self.enter)
+        self.server.body_memory.enter(self.enter)
 
     def enter(self) -> None:
         try:
             call = self.look_up()
-        except Reject as reject:
+        except RequestRejected as reject:
             self.reject(reject)
             return
         call.upload = self.upload
-        call.arrived_us = clock_us()
+        call.arrived_us = monotonic_us()
         self.open = self.proven = True
-        self.ident = self.server.host.arrived(call, self, whole=False)
+        self.request_id = self.server.dispatcher.on_request(call, self, whole=False)
 
     def gave_up(self) -> None:
-        self.server.host.passed(self.ident)
+        self.server.dispatcher.on_not_replayable(self.request_id)
 
     def flow(self, on: bool) -> None:
         """Read on, or not: the upstream does not take what comes, or there is none."""
@@ -334,7 +340,7 @@
             return
         if on:
             self.waits_us = self.looked_us = 0
-            self.limit_us = max(self.limit_us, clock_us() + LONGEST_READ_US)
+            self.limit_us = max(self.limit_us, monotonic_us() + LONGEST_READ_US)
             self.transport.resume_reading()
         elif not self.whole:
             self.waits_us = self.waits_us or self.server.arrived_us()
@@ -342,12 +348,12 @@
 
     # Its answer
 
-    def answer(self, answer: Answer) -> None:
+    def send_response(self, answer: FinalResponse) -> None:
         self.open = False
-        if answer.verdict is Verdict.SERVED:
+        if answer.disposition is Disposition.SERVED:
             head = b"Content-Type: %s\r\n" % answer.content_type if answer.content_type else b""
             self.write(200, answer.body, head)
-        elif answer.verdict is Verdict.REFUSED:
+        elif answer.disposition is Disposition.SHED:
             self.write(503, b"", retry_after(answer.retry_after_us))
         else:
             self.write(500, b"")
@@ -368,7 +374,7 @@
         close = b"Connection: close\r\n" if self.last else b""
         return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (status, REASONS[status], head, close)
 
-    def begin(self, head: Head, source: Source) -> None:
+    def begin_response(self, head: Head, source: Source) -> None:
         """A long answer: its length tells its end, or a last chunk, or else the end of the connection."""
         assert self.transport is not None
         self.source = source
@@ -381,7 +387,7 @@
             lines += b"Content-Length: %d\r\n" % head.length
         self.transport.write(self.head_of(200, lines))
 
-    def more(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         assert self.transport is not None
         if data and not self.transport.is_closing():
             if self.framed:
@@ -389,7 +395,7 @@
             else:
                 self.transport.write(data)
 
-    def finish(self, whole: bool) -> None:
+    def finish_response(self, whole: bool) -> None:
         """Hazard: a break that looked like an end would pass half an answer off as a whole one."""
         assert self.transport is not None
         self.open = False
@@ -413,11 +419,11 @@
             self.end()
         else:
             self.reset()
-            self.quiet_us = clock_us()
+            self.quiet_us = monotonic_us()
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
-        self.blocked_us = clock_us()
+        self.blocked_us = monotonic_us()
         if self.source is not None:
             self.source.pause()
 
@@ -436,13 +442,13 @@
         self.transport.resume_reading()
         with contextlib.suppress(OSError):  # its client has reset it in this moment; what was written is gone or there
             self.transport.write_eof()
-        self.quiet_us = clock_us()
+        self.quiet_us = monotonic_us()
         self.linger(self.quiet_us + STALL_US)
 
     def linger(self, until_us: int) -> None:
         """Hazard: a client that reads slowly, or still sends, must not lose the end of its answer."""
         assert self.transport is not None
-        now_us = clock_us()
+        now_us = monotonic_us()
         sends = self.quiet_us + LINGER_S * 1e6 > now_us and until_us > now_us
         if self.transport.get_write_buffer_size() or sends:
             asyncio.get_running_loop().call_later(LINGER_S, self.linger, until_us)
@@ -458,7 +464,7 @@
     def idle(self) -> bool:
         return not self.open and not self.ending and self.begun_us == 0
 
-    def has_left(self) -> bool:
+    def client_has_closed(self) -> bool:
         """Whether its client has closed, or ended its sending side, as far as the kernel knows. Hazard: the loop reads
         a request before the end behind it, and nothing while reading is paused."""
         assert self.transport is not None
@@ -470,13 +476,13 @@
         """When what was just read had come, at the soonest. Hazard: time that it waited in the kernel, while this
         process was held up or short, its client has not got any more."""
         arrived_us = self.server.arrived_us()
-        if not self.proven and clock_us() < self.set_up_us + SET_UP_US:
+        if not self.proven and monotonic_us() < self.set_up_us + SET_UP_US:
             arrived_us = min(arrived_us, self.made_us)
         if self.sock is not None:
             arrived_us = min(arrived_us, self.sock.reads.since_us() or arrived_us)
         return min(arrived_us, self.rest_since_us or arrived_us)
 
-    def whole_since_us(self) -> int:
+    def body_complete_since_us(self) -> int:
         """Since when a body that has not been read whole may have been written whole, at the soonest: its last bytes
         may be in its client's kernel. While it is read as it comes that is about now."""
         return self.waits_whole_since_us() or self.read_us
@@ -488,7 +494,7 @@
             if self.sock.unread() >= self.length - self.passed:
                 self.rest_since_us = self.looked_us or min(self.waits_us, self.read_us)
             else:
-                self.looked_us = clock_us()
+                self.looked_us = monotonic_us()
         return self.rest_since_us
 
     def out_of_time(self, now_us: int) -> bool:
@@ -496,8 +502,8 @@
         since_us = self.waits_whole_since_us()
         return (
             bool(since_us)
-            and self.call is not None
-            and now_us + int(CHECK_S * 1e6) > since_us + self.call.deadline_us - ANSWER_MARGIN_US
+            and self.http_request is not None
+            and now_us + int(CHECK_S * 1e6) > since_us + self.http_request.client_timeout_us - RESPONSE_MARGIN_US
         )
 
     @property
@@ -520,7 +526,7 @@
     def close(self) -> None:
         """End a connection that carries no whole request."""
         assert self.transport is not None
-        if not self.server.host.gate.may_close(self.ident, self.open and self.whole):
+        if not self.server.dispatcher.write_gate.may_close(self.request_id, self.open and self.whole):
             return
         self.ending = True
         self.transport.close()
@@ -537,12 +543,12 @@
         if self.ending or self.whole or (self.proven and self.begun_us == 0):
             return
         if self.waits_us:
-            if self.has_left() or self.out_of_time(now_us):
+            if self.client_has_closed() or self.out_of_time(now_us):
                 self.refuse_unread()
             elif not self.open and now_us > self.waits_us + LONGEST_WAIT_US:
                 self.refuse_unread(LONGEST_WAIT_US)
             elif self.open and now_us > self.waits_us + STALL_US:
-                self.server.host.stalled(self.ident)
+                self.server.dispatcher.on_body_stalled(self.request_id)
         elif now_us > self.limit_us:
             if self.begun_us:
                 self.turn_away(408)
@@ -550,64 +556,69 @@
                 self.close_soon()
 
 
-class Server:
+class DownstreamServer:
     """All connections of the application."""
 
     def __init__(
-        self, host: Host, settings: Settings, most_clients: int, lifecycle: Lifecycle, room: int = 64 * 1024 * 1024
+        self,
+        host: RequestDispatcher,
+        settings: Settings,
+        most_clients: int,
+        lifecycle: Lifecycle,
+        room: int = 64 * 1024 * 1024,
     ) -> None:
-        self.host = host
+        self.dispatcher = host
         self.lifecycle = lifecycle
-        self.room = Room(room)
-        self.catalogue = Catalogue(settings)
-        self.most_clients = most_clients
-        self.clients: dict[Client, None] = {}  # in the order of their coming
+        self.body_memory = BodyMemory(room)
+        self.router = RequestRouter(settings)
+        self.max_connections = most_clients
+        self.connections: dict[DownstreamConnection, None] = {}  # in the order of their coming
         self.listener: Listener | None = None
         self.check_at_us = 0  # when the next look at the clients is due
 
     def arrived_us(self) -> int:
         """When what is read now has come, at the soonest. Hazard: where this process was held up it may have waited in
         the kernel; the time of its client has run meanwhile. A look that is overdue tells for how long."""
-        return min(clock_us(), self.check_at_us) if self.check_at_us else clock_us()
+        return min(monotonic_us(), self.check_at_us) if self.check_at_us else monotonic_us()
 
     def accepted_us(self) -> int:
         """When a connection that is accepted now was made, at the soonest."""
         stalled_since_us = self.listener.stall.since_us() if self.listener is not None else 0
-        return min(self.arrived_us(), stalled_since_us or clock_us())
+        return min(self.arrived_us(), stalled_since_us or monotonic_us())
 
     @property
     def ready(self) -> bool:
-        return self.host.ready and self.lifecycle.serving
+        return self.dispatcher.ready and self.lifecycle.serving
 
     async def listen(self, where: tuple[str, int] | socket.socket) -> None:
         """Take clients at an address of our own, or from a socket that other processes hold too."""
         sock = where if isinstance(where, socket.socket) else await listen_at(where, BACKLOG, LISTEN_PATIENCE_S)
-        self.listener = Listener(sock, lambda accepted: Client(self, accepted))
+        self.listener = Listener(sock, lambda accepted: DownstreamConnection(self, accepted))
         self.listener.start()
         self.check()
 
-    def connected(self, client: Client) -> None:
+    def connected(self, client: DownstreamConnection) -> None:
         """Hazard: with no descriptor left no upstream could be reached, so the oldest client without an open
         request goes, a stranger before one that has sent proper requests."""
-        if len(self.clients) >= self.most_clients:
-            staying = [other for other in self.clients if not other.leaving]
+        if len(self.connections) >= self.max_connections:
+            staying = [other for other in self.connections if not other.leaving]
             oldest = next((other for other in staying if other.unproven), None)
             oldest = oldest or next((other for other in staying if other.idle), None)
             if oldest is not None and oldest.idle:
                 oldest.close_soon()
             elif oldest is not None:
                 oldest.close()
-        self.clients[client] = None
+        self.connections[client] = None
 
     def check(self) -> None:
         asyncio.get_running_loop().call_later(CHECK_S, self.check)
-        now_us = clock_us()
+        now_us = monotonic_us()
         # hazard: after a hold-up timers may run before what has come is read, and its time is to be told by this look
         loop = asyncio.get_running_loop()
         loop.call_soon(loop.call_soon, self.looked, now_us)
-        for client in list(self.clients):
+        for client in list(self.connections):
             client.check(now_us)
-        if self.lifecycle.state is State.DRAINING and self.lifecycle.closing_for_s > DRAIN_IDLE_S:
+        if self.lifecycle.state is LifecycleState.DRAINING and self.lifecycle.closing_for_s > DRAIN_IDLE_S:
             self.close_idle(now_us - QUIET_US)
 
     def looked(self, at_us: int) -> None:
@@ -617,19 +628,19 @@
     def close_idle(self, quiet_since_us: int) -> None:
         """Close the connections that have been idle since then. Hazard: the first request of a new one is on its way,
         and clients do not send that again."""
-        new_us = clock_us() - QUIET_US
-        for client in list(self.clients):
+        new_us = monotonic_us() - QUIET_US
+        for client in list(self.connections):
             if client.idle and client.quiet_us <= (quiet_since_us if client.proven else min(quiet_since_us, new_us)):
                 client.close_soon()
 
     @property
     def busy(self) -> bool:
         """Whether something is under way: a request, or an answer that is not yet written."""
-        return any(client.open or client.unwritten_size for client in self.clients)
+        return any(client.open or client.unwritten_size for client in self.connections)
 
     def turn_away_unread(self) -> None:
         """Refuse what has not come whole: there is no time left for it."""
-        for client in list(self.clients):
+        for client in list(self.connections):
             if client.begun_us and not client.whole and not client.ending and client.source is None:
                 client.refuse_unread()
 
--- a/garnetusher/sidecar/lifecycle.py
+++ b/garnetusher/sidecar/lifecycle.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 
-class State(enum.Enum):
+class LifecycleState(enum.Enum):
     STARTING = "starting"  # it has no list to serve from yet
     SERVING = "serving"
     DRAINING = "draining"  # an operator has asked its clients away, for a time
@@ -24,22 +24,22 @@
         self._stopped_at: float | None = None
 
     @property
-    def state(self) -> State:
+    def state(self) -> LifecycleState:
         if self._stopped_at is not None:
-            return State.STOPPING
+            return LifecycleState.STOPPING
         if self._drained_at is not None:
-            return State.DRAINING
-        return State.SERVING if self._started else State.STARTING
+            return LifecycleState.DRAINING
+        return LifecycleState.SERVING if self._started else LifecycleState.STARTING
 
     @property
     def serving(self) -> bool:
         """Whether clients are told to come."""
-        return self.state is State.SERVING
+        return self.state is LifecycleState.SERVING
 
     @property
     def closing(self) -> bool:
         """Whether each answer is the last one of its connection."""
-        return self.state in (State.DRAINING, State.STOPPING)
+        return self.state in (LifecycleState.DRAINING, LifecycleState.STOPPING)
 
     @property
     def closing_for_s(self) -> float:
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -14,19 +14,19 @@
 from garnetusher.sidecar.streaming import Head, Sink, Source, Upload
 
 
-def clock_us() -> int:
+def monotonic_us() -> int:
     """The module's clock."""
     return time.monotonic_ns() // 1000
 
 
-ANSWER_MARGIN_US = 10_000  # an answer sets out so long before the client's time is out, to be there in time
+RESPONSE_MARGIN_US = 10_000  # an answer sets out so long before the client's time is out, to be there in time
 
 # outcomes that prove that an attempt was never begun with
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN)
 
 
 @dataclass(slots=True)
-class Call:
+class HttpRequest:
     """A request of the application, as it was read."""
 
     method: bytes
@@ -34,36 +34,36 @@
     headers: list[tuple[bytes, bytes]]  # those that go on to the upstream
     body: bytes
     arrived_us: int
-    deadline_us: int  # counted from its arrival
+    client_timeout_us: int  # counted from its arrival
     class_index: int
-    tenant: int = 0
-    key: int = 0
-    cost_us: int = 0
-    retried: bool = False
-    name: str = ""  # its client's: X-Request-Id
+    tenant_index: int = 0
+    affinity_key: int = 0
+    expected_work_us: int = 0
+    client_retry: bool = False
+    client_request_id: str = ""  # its client's: X-Request-Id
     upload: Upload | None = None  # the body, where it is too long to be held
 
 
-class Verdict(enum.Enum):
+class Disposition(enum.Enum):
     """What the application is told."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    SHED = "refused"
     FAILED = "failed"
 
 
 @dataclass(slots=True)
-class Answer:
+class FinalResponse:
     """The one final answer to a request."""
 
-    verdict: Verdict
+    disposition: Disposition
     body: bytes = b""
     content_type: bytes = b""
     retry_after_us: int = 0
 
 
 @dataclass(slots=True)
-class Result:
+class AttemptResult:
     """How an attempt ended, as the upstream's side saw it."""
 
     outcome: Outcome
@@ -71,22 +71,22 @@
     content_type: bytes = b""
 
 
-class Asker(Sink, Protocol):
+class ResponseSink(Sink, Protocol):
     """The client's side of a request."""
 
-    def answer(self, answer: Answer) -> None:
+    def send_response(self, answer: FinalResponse) -> None:
         """The one final answer, unless one has begun."""
 
-    def begin(self, head: Head, source: Source) -> None:
+    def begin_response(self, head: Head, source: Source) -> None:
         """The final answer, which is long and comes in pieces."""
 
-    def finish(self, whole: bool) -> None:
+    def finish_response(self, whole: bool) -> None:
         """Its end, or its break, which the client has to see."""
 
-    def has_left(self) -> bool:
+    def client_has_closed(self) -> bool:
         """Whether the client has closed, or ended its sending side, as far as the kernel knows by now."""
 
-    def whole_since_us(self) -> int:
+    def body_complete_since_us(self) -> int:
         """Since when a body that has not been read whole may have been written whole, at the soonest."""
 
 
@@ -105,55 +105,55 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Permit:
+class WritePermit:
     """An attempt may be written now."""
 
-    left_us: int  # what its upstream is told that it has
+    remaining_us: int  # what its upstream is told that it has
 
 
-Permission = Callable[[], Permit | Denial]
+WritePermission = Callable[[], WritePermit | Denial]
 
 
-class Flight(Protocol):
+class AttemptHandle(Protocol):
     """An attempt that is out."""
 
     @property
     def written(self) -> bool:
         """Whether any of it has been written."""
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """Stop waiting: nothing more is written, and a connection that has carried it is closed."""
 
 
-class Upstreams(Protocol):
+class UpstreamTransport(Protocol):
     """The side of the upstreams."""
 
-    def start(
+    def start_attempt(
         self,
         address: tuple[str, int],
-        call: Call,
-        permission: Permission,
-        ended: Callable[[Result], None],
+        call: HttpRequest,
+        permission: WritePermission,
+        ended: Callable[[AttemptResult], None],
         began: Callable[[Head, Source], Sink | None],
-    ) -> Flight:
+    ) -> AttemptHandle:
         """Begin an attempt. `permission` is asked when its first byte is to be written. `ended` is called once,
         later, unless the attempt is given up first; before it `began`, where the answer is a long one, which tells
         where it goes if anybody still wants it."""
 
-    def close_idle(self, address: tuple[str, int]) -> None:
+    def close_idle_connections(self, address: tuple[str, int]) -> None:
         """Close the idle connections to an upstream."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    upstream: int
-    sent_us: int
+    endpoint_id: int
+    started_us: int
     address: tuple[str, int] | None  # where it was then; None: it was gone
-    flight: Flight | None = None
+    handle: AttemptHandle | None = None
     timer: asyncio.TimerHandle | None = None
     timeout_us: int = 0  # as the module said
-    start_by_us: int = 0  # it is not written later than this; 0: whenever
-    entry: Endpoint | None = None  # its upstream, as listed then
+    latest_start_us: int = 0  # it is not written later than this; 0: whenever
+    endpoint: Endpoint | None = None  # its upstream, as listed then
     outcome: Outcome | None = None  # None while it is out
     written_us: int = 0  # when its first byte was; 0: not yet
 
@@ -168,15 +168,15 @@
 
 
 @dataclass(slots=True)
-class Request:
-    ident: int
-    call: Call
-    due_us: int
-    asker: Asker
-    whole: bool  # else its body is still coming, and its time has not begun
-    kind: RequestClass  # as it was when it came
-    most_attempts: int  # likewise
-    bound: int = -1  # the attempt whose answer has begun to go to the client
+class PendingRequest:
+    request_id: int
+    http_request: HttpRequest
+    deadline_us: int
+    response_sink: ResponseSink
+    body_complete: bool  # else its body is still coming, and its time has not begun
+    request_class: RequestClass  # as it was when it came
+    max_attempts: int  # likewise
+    streaming_attempt_index: int = -1  # the attempt whose answer has begun to go to the client
     attempts: list[Attempt] = field(default_factory=list)
     timer: asyncio.TimerHandle | None = None
-    over: bool = False  # it has had its final answer, or the client has gone
+    completed: bool = False  # it has had its final answer, or the client has gone
--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -7,7 +7,7 @@
 from collections import Counter, deque
 from typing import NamedTuple
 
-from garnetusher.sidecar.requests.messages import clock_us
+from garnetusher.sidecar.requests.messages import monotonic_us
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
 
     def note(self, what: str, request: int = 0, attempt: int = -1, upstream: int = -1, reason: str = "") -> None:
         """Something has happened; it is counted by its name and its reason, if that comes from a fixed set."""
-        self.events.append(Event(clock_us(), what, request, attempt, upstream, reason))
+        self.events.append(Event(monotonic_us(), what, request, attempt, upstream, reason))
 
     def count(self, what: str) -> None:
         self.counts[what] += 1
--- a/garnetusher/sidecar/streaming.py
+++ b/garnetusher/sidecar/streaming.py
@@ -43,17 +43,17 @@
 class Taker(Protocol):
     """The attempt's side of a long body."""
 
-    def more_body(self, data: bytes) -> None:
+    def write_body_chunk(self, data: bytes) -> None:
         """More of it."""
 
-    def body_end(self) -> None:
+    def end_body(self) -> None:
         """That was all."""
 
 
 class Sink(Protocol):
     """The client's side of a long answer."""
 
-    def more(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """The next bytes."""
 
 
@@ -112,15 +112,15 @@
             self.held = bytearray()
             self.tell_passed()
         if self.taker is not None:
-            self.taker.more_body(data)
+            self.taker.write_body_chunk(data)
 
     def finish(self) -> None:
         self.whole = True
         if self.taker is not None:
-            self.taker.body_end()
+            self.taker.end_body()
 
 
-class Room:
+class BodyMemory:
     """The memory for long bodies: those that find none wait their turn, unread."""
 
     def __init__(self, size: int) -> None:
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -11,7 +11,7 @@
 import httptools
 
 from garnetusher.policy.events import Outcome
-from garnetusher.sidecar.requests.messages import Call, Permission, Permit, Result, clock_us
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermission, WritePermit, monotonic_us
 from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.sockets import RETRY_S, SteadySocket, is_own
 from garnetusher.sidecar.streaming import (
@@ -44,7 +44,7 @@
 Address = tuple[str, int]
 
 
-def request_head(call: Call, address: Address, left_us: int) -> bytes:
+def request_head(call: HttpRequest, address: Address, left_us: int) -> bytes:
     """The head of an attempt: the client's own, with the time that the sidecar will still wait."""
     lines = [b"%s %s HTTP/1.1\r\nHost: %s:%d" % (call.method, call.target, address[0].encode(), address[1])]
     lines.extend([b"%s: %s" % header for header in call.headers])
@@ -57,7 +57,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-class Trust:
+class IdleReuseEstimator:
     """How long an idle connection can be used again, learnt from how those that were have fared.
 
     Upstreams may end an idle connection sooner than the settings say and tell nothing: the next request on it
@@ -83,16 +83,16 @@
         self.lost = [lost * LOST_FADING for lost in self.lost]
 
 
-class Attempt:
+class UpstreamAttempt:
     """One attempt: it has a connection, or waits until its connection is up."""
 
     def __init__(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         address: Address,
-        call: Call,
-        permission: Permission,
-        ended: Callable[[Result], None],
+        call: HttpRequest,
+        permission: WritePermission,
+        ended: Callable[[AttemptResult], None],
         began: Callable[[Head, Source], Sink | None],
     ) -> None:
         self.pool = pool
@@ -102,27 +102,27 @@
         self.ended = ended
         self.began = began
         self.upload = call.upload
-        self.connection: Connection | None = None
+        self.connection: UpstreamConnection | None = None
         self.written = False
-        self.given_up = False
+        self.abandoned = False
         self.starved = False  # this machine lacked what a connection takes
 
     def head(self) -> bytes | None:
         """What is to be written now, long bodies aside; None if it may not be: it ends then, as not sent."""
         permit = self.permission()
-        if isinstance(permit, Permit):
-            return request_head(self.call, self.address, permit.left_us) + self.call.body
+        if isinstance(permit, WritePermit):
+            return request_head(self.call, self.address, permit.remaining_us) + self.call.body
         self.pool.loop.call_soon(self.not_sent)
         return None
 
     def not_sent(self) -> None:
-        if not self.given_up:
-            self.given_up = True
-            self.end(Result(Outcome.NOT_WRITTEN))
+        if not self.abandoned:
+            self.abandoned = True
+            self.end(AttemptResult(Outcome.NOT_WRITTEN))
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """Nothing more comes of it. A connection that has carried it is closed; one still coming up stays."""
-        self.given_up = True
+        self.abandoned = True
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.attempt = None
@@ -130,20 +130,20 @@
             if self.written:
                 connection.close()
 
-    def end(self, result: Result) -> None:
+    def end(self, result: AttemptResult) -> None:
         self.connection = None
         self.ended(result)
 
 
-class Connection(Reading):
+class UpstreamConnection(Reading):
     """A connection to an upstream; it carries one attempt at a time."""
 
-    def __init__(self, pool: Pool, address: Address, sock: socket.socket) -> None:
+    def __init__(self, pool: ConnectionPool, address: Address, sock: socket.socket) -> None:
         self.pool = pool
         self.address = address
         self.sock = sock
         self.transport: asyncio.Transport | None = None
-        self.attempt: Attempt | None = None
+        self.attempt: UpstreamAttempt | None = None
         self.parser: httptools.HttpResponseParser | None = None
         self.idle_since_us = 0  # 0 until it is first put away
         self.idled_us = NEVER_USED  # before the attempt that it carries, or carried last; -1 for its first
@@ -198,7 +198,7 @@
             return False
         return False
 
-    def send(self, attempt: Attempt) -> bool:
+    def send(self, attempt: UpstreamAttempt) -> bool:
         """Write an attempt, if that is still allowed; returns whether it was."""
         assert self.transport is not None
         head = attempt.head()
@@ -210,7 +210,7 @@
         attempt.written = True
         self.parser = httptools.HttpResponseParser(self)
         self.forget_answer()
-        self.idled_us = clock_us() - self.idle_since_us if self.idle_since_us else -1
+        self.idled_us = monotonic_us() - self.idle_since_us if self.idle_since_us else -1
         self.transport.write(head)
         if self.transport.get_write_buffer_size() >= len(head) and not self.transport.is_closing():
             self.pool.start_over(self, attempt)
@@ -218,9 +218,9 @@
         if attempt.upload is not None:
             self.unfinished = True
             held = attempt.upload.attach(self)
-            self.more_body(held)
+            self.write_body_chunk(held)
             if attempt.upload.whole:
-                self.body_end()
+                self.end_body()
             if self.unsent:
                 attempt.upload.flow(False)
         if self.transport.is_closing():  # the write failed: the connection had broken before
@@ -229,7 +229,7 @@
 
     # A long body, as it comes from the client
 
-    def more_body(self, data: bytes) -> None:
+    def write_body_chunk(self, data: bytes) -> None:
         assert self.transport is not None and self.attempt is not None and self.attempt.upload is not None
         if not data:
             return
@@ -238,13 +238,13 @@
         else:
             self.transport.write(data)
 
-    def body_end(self) -> None:
+    def end_body(self) -> None:
         assert self.transport is not None and self.attempt is not None and self.attempt.upload is not None
         if self.attempt.upload.length is None:
             self.transport.write(LAST_CHUNK)
         self.unfinished = False
 
-    def let_go(self, attempt: Attempt) -> None:
+    def let_go(self, attempt: UpstreamAttempt) -> None:
         if attempt.upload is not None:
             attempt.upload.detach(self)
 
@@ -257,7 +257,7 @@
 
     def resume(self) -> None:
         self.paused = False
-        self.heard_us = clock_us()
+        self.heard_us = monotonic_us()
         if self.transport is not None:
             self.transport.resume_reading()
 
@@ -269,9 +269,9 @@
             raise ValueError("nobody waits for the answer any more")
         self.pool.passing.add(self)
         held, self.body = bytes(self.body), bytearray()
-        self.sink.more(held)
+        self.sink.write_chunk(held)
 
-    def held_long_enough(self, attempt: Attempt) -> None:
+    def held_long_enough(self, attempt: UpstreamAttempt) -> None:
         if self.attempt is attempt and self.sink is None and not self.complete:
             if not self.body:
                 self.pool.loop.call_later(HOLD_S, self.held_long_enough, attempt)
@@ -321,7 +321,7 @@
         if self.passed > LONGEST:
             raise ValueError("the answer is too long")
         if self.sink is not None:
-            self.sink.more(data)
+            self.sink.write_chunk(data)
         else:
             self.body += data
             if len(self.body) > HELD:
@@ -346,7 +346,7 @@
             self.close()  # bytes that nobody asked for
             return
         self.received += len(data)
-        self.heard_us = clock_us()
+        self.heard_us = monotonic_us()
         waits = self.headed
         try:
             self.parser.feed_data(data)
@@ -379,9 +379,9 @@
     def finish(self, outcome: Outcome) -> None:
         attempt, self.attempt = self.attempt, None
         self.pool.trust.used(self.idled_us, outcome is Outcome.RESET and self.received == 0)
-        result = Result(outcome)
+        result = AttemptResult(outcome)
         if outcome is Outcome.OK and self.sink is None:
-            result = Result(outcome, bytes(self.body), self.content_type)
+            result = AttemptResult(outcome, bytes(self.body), self.content_type)
         self.parser = self.sink = None
         self.pool.passing.discard(self)
         self.body = bytearray()
@@ -424,36 +424,36 @@
             self.transport.abort()
 
 
-class Pool:
+class ConnectionPool:
     """Connections to all upstreams. The most recently used one is used again first."""
 
     def __init__(self, idle_us: int, dial_timeout_us: int, trace: Trace | None = None) -> None:
         self.loop = asyncio.get_running_loop()
         self.trace = trace or Trace()
-        self.trust = Trust(max(0, idle_us - IDLE_MARGIN_US))
+        self.trust = IdleReuseEstimator(max(0, idle_us - IDLE_MARGIN_US))
         self.dial_timeout_us = dial_timeout_us
-        self.idle: dict[Address, list[Connection]] = {}
+        self.idle: dict[Address, list[UpstreamConnection]] = {}
         self.dials: set[asyncio.Task[None]] = set()
-        self.passing: set[Connection] = set()  # those with a long answer on its way
+        self.passing: set[UpstreamConnection] = set()  # those with a long answer on its way
         self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
 
-    def retune(self, idle_us: int, dial_timeout_us: int) -> None:
+    def apply_settings(self, idle_us: int, dial_timeout_us: int) -> None:
         """The operator has replaced the settings; how long idle connections last may be learnt anew."""
         longest_us = max(0, idle_us - IDLE_MARGIN_US)
         if longest_us != self.trust.longest_us:
-            self.trust = Trust(longest_us)
+            self.trust = IdleReuseEstimator(longest_us)
         self.dial_timeout_us = dial_timeout_us
 
-    def start(
+    def start_attempt(
         self,
         address: Address,
-        call: Call,
-        permission: Permission,
-        ended: Callable[[Result], None],
+        call: HttpRequest,
+        permission: WritePermission,
+        ended: Callable[[AttemptResult], None],
         began: Callable[[Head, Source], Sink | None],
-    ) -> Attempt:
-        attempt = Attempt(self, address, call, permission, ended, began)
-        now_us = clock_us()
+    ) -> UpstreamAttempt:
+        attempt = UpstreamAttempt(self, address, call, permission, ended, began)
+        now_us = monotonic_us()
         oldest_us = now_us - self.trust.limit_us()
         settling = []
         for connection in reversed(self.idle.get(address, [])[:]):
@@ -475,23 +475,23 @@
             self.open(attempt)
         return attempt
 
-    def carry(self, connection: Connection, attempt: Attempt) -> None:
+    def carry(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
         """Write an attempt on a connection that was idle, which stays so where that is not allowed any more."""
         if not connection.send(attempt):
             self.idle.setdefault(connection.address, []).append(connection)
 
-    def settled(self, connection: Connection, attempt: Attempt) -> None:
+    def settled(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
         """An attempt has waited for this connection. Hazard: either may have ended meanwhile."""
         if not connection.usable():
             connection.close()
-            if not attempt.given_up:
+            if not attempt.abandoned:
                 self.open(attempt)
-        elif attempt.given_up:
+        elif attempt.abandoned:
             self.idle.setdefault(connection.address, []).append(connection)
         else:
             self.carry(connection, attempt)
 
-    def start_over(self, connection: Connection, attempt: Attempt) -> None:
+    def start_over(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
         """Nothing of it could be sent, as this machine is short. Hazard: what the loop sends once it can would tell a
         time that has passed; so it gets a new connection, and its head is written anew."""
         attempt.written, attempt.connection = False, None
@@ -499,13 +499,13 @@
         connection.close()
         self.loop.call_later(RETRY_S, self.open, attempt)
 
-    def open(self, attempt: Attempt) -> None:
+    def open(self, attempt: UpstreamAttempt) -> None:
         """A new connection for it."""
         task = self.loop.create_task(self.dial(attempt))
         self.dials.add(task)
         task.add_done_callback(self.dials.discard)
 
-    async def dial(self, attempt: Attempt) -> None:
+    async def dial(self, attempt: UpstreamAttempt) -> None:
         """Open a connection and write the attempt on it, if it is still wanted; else the connection is kept."""
         connection = None
         try:
@@ -518,16 +518,16 @@
             if connection is not None:
                 connection.attempt = None
                 connection.sock.close()
-            if not attempt.given_up and not attempt.written:
-                attempt.end(Result(Outcome.NOT_WRITTEN if attempt.starved else Outcome.CONNECT_FAILED))
+            if not attempt.abandoned and not attempt.written:
+                attempt.end(AttemptResult(Outcome.NOT_WRITTEN if attempt.starved else Outcome.CONNECT_FAILED))
 
-    async def connect(self, attempt: Attempt) -> Connection | None:
+    async def connect(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
         """A connection that is up, and carries the attempt unless that is given up meanwhile; None if it was before
         any was begun: in the round of the loop that chose it, it may be under way elsewhere by now.
 
         What fails for want of something on this machine is tried again, and says nothing of the upstream. Raises
         OSError and ValueError on what does."""
-        while not attempt.given_up:
+        while not attempt.abandoned:
             attempt.starved = False
             try:
                 return await self.connect_once(attempt)
@@ -539,9 +539,9 @@
             await asyncio.sleep(RETRY_S)
         return None
 
-    async def connect_once(self, attempt: Attempt) -> Connection:
+    async def connect_once(self, attempt: UpstreamAttempt) -> UpstreamConnection:
         sock = SteadySocket(socket.AF_INET, socket.SOCK_STREAM)
-        connection = Connection(self, attempt.address, sock)
+        connection = UpstreamConnection(self, attempt.address, sock)
         connection.attempt, attempt.connection = attempt, connection
         try:
             sock.setblocking(False)
@@ -553,18 +553,18 @@
             raise
         return connection
 
-    def put_idle(self, connection: Connection) -> None:
-        connection.idle_since_us = clock_us()
+    def put_idle(self, connection: UpstreamConnection) -> None:
+        connection.idle_since_us = monotonic_us()
         self.idle.setdefault(connection.address, []).append(connection)
 
-    def remove(self, connection: Connection) -> None:
+    def remove(self, connection: UpstreamConnection) -> None:
         idle = self.idle.get(connection.address)
         if idle is not None and connection in idle:
             idle.remove(connection)
             if not idle:
                 del self.idle[connection.address]
 
-    def close_idle(self, address: Address) -> None:
+    def close_idle_connections(self, address: Address) -> None:
         for connection in self.idle.get(address, [])[:]:
             connection.close()
 
@@ -572,10 +572,10 @@
         """Close what upstreams are about to close."""
         self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
         self.trust.fade()
-        silent_us = clock_us() - STALL_US
+        silent_us = monotonic_us() - STALL_US
         for connection in [c for c in self.passing if not c.paused and c.heard_us <= silent_us]:
             connection.break_off()
-        oldest_us = clock_us() - self.trust.limit_us()
+        oldest_us = monotonic_us() - self.trust.limit_us()
         for connections in list(self.idle.values()):
             for connection in [c for c in connections if c.idle_since_us <= oldest_us]:
                 connection.close()
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -15,14 +15,14 @@
 from garnetusher.sidecar.discovery import watch as discovery
 from garnetusher.sidecar.downstream import connection as server
 from garnetusher.sidecar.requests import dispatcher as host
-from garnetusher.sidecar.requests.messages import Answer, Verdict, clock_us
-from garnetusher.sidecar.requests.write_gate import Gate
+from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, monotonic_us
+from garnetusher.sidecar.requests.write_gate import WriteGate
 from garnetusher.sidecar.upstream import pool as upstreams
 
 
 def answers_twice() -> None:
     """One answer in fifty is written again behind itself."""
-    write: Callable[..., None] = server.Client.write
+    write: Callable[..., None] = server.DownstreamConnection.write
     count = 0
 
     def twice(self: Any, status: int, body: bytes, head: bytes = b"", last: bool = False) -> None:
@@ -32,14 +32,14 @@
         if count % 50 == 0 and not self.ending:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-    server.Client.write = twice  # type: ignore[method-assign]
+    server.DownstreamConnection.write = twice  # type: ignore[method-assign]
 
 
 def repeats_unsafe() -> None:
     """What may have run is forgotten, by the policy and by the gate behind it."""
     Request.first_that_may_have_run = lambda self: None  # type: ignore[method-assign]
-    Gate.repeat_objection = lambda self, request, attempt, now_us: None  # type: ignore[method-assign]
-    Gate.may_refuse = lambda self, request: True  # type: ignore[method-assign]
+    WriteGate.retry_denial = lambda self, request, attempt, now_us: None  # type: ignore[method-assign]
+    WriteGate.may_shed = lambda self, request: True  # type: ignore[method-assign]
 
 
 def sends_to_drained() -> None:
@@ -60,44 +60,44 @@
 
 def holds_back() -> None:
     """What is given up is answered just before the client's time is out."""
-    answer = host.Host._answer
+    answer = host.RequestDispatcher._complete_request
 
-    def late(self: host.Host, ident: int, answer_: Answer) -> None:
+    def late(self: host.RequestDispatcher, ident: int, answer_: FinalResponse) -> None:
         request = self.requests.get(ident)
-        if request is None or request.over or answer_.verdict is Verdict.SERVED:
+        if request is None or request.completed or answer_.disposition is Disposition.SERVED:
             answer(self, ident, answer_)
             return
-        after = max(0.0, (request.due_us - 30_000 - clock_us()) / 1e6)
+        after = max(0.0, (request.deadline_us - 30_000 - monotonic_us()) / 1e6)
         asyncio.get_running_loop().call_later(after, answer, self, ident, answer_)
 
-    host.Host._answer = late  # type: ignore[method-assign, assignment]
+    host.RequestDispatcher._complete_request = late  # type: ignore[method-assign, assignment]
 
 
 def loses_requests() -> None:
     """One answer in five is never written."""
-    respond = server.Client.answer
+    respond = server.DownstreamConnection.send_response
     count = 0
 
-    def forgetful(self: server.Client, answer: Answer) -> None:
+    def forgetful(self: server.DownstreamConnection, answer: FinalResponse) -> None:
         nonlocal count
         count += 1
         if count % 5:
             respond(self, answer)
 
-    server.Client.answer = forgetful  # type: ignore[method-assign]
+    server.DownstreamConnection.send_response = forgetful  # type: ignore[method-assign]
 
 
 def sends_for_who_left() -> None:
     """Attempts begin 0.3 s after they were chosen, whether or not their clients are still there."""
-    start = upstreams.Pool.open
+    start = upstreams.ConnectionPool.open
 
-    def later(self: upstreams.Pool, attempt: upstreams.Attempt) -> None:
+    def later(self: upstreams.ConnectionPool, attempt: upstreams.UpstreamAttempt) -> None:
         asyncio.get_running_loop().call_later(0.3, start, self, attempt)
 
-    upstreams.Pool.open = later  # type: ignore[method-assign]
-    upstreams.Attempt.give_up = lambda self: None  # type: ignore[method-assign]
-    Gate.objection = lambda self, request, number, now_us: None  # type: ignore[method-assign]
-    server.Client.has_left = lambda self: False  # type: ignore[method-assign]
+    upstreams.ConnectionPool.open = later  # type: ignore[method-assign]
+    upstreams.UpstreamAttempt.abandon = lambda self: None  # type: ignore[method-assign]
+    WriteGate.denial = lambda self, request, number, now_us: None  # type: ignore[method-assign]
+    server.DownstreamConnection.client_has_closed = lambda self: False  # type: ignore[method-assign]
 
 
 def tells_more_time() -> None:
@@ -108,32 +108,32 @@
 
 def refuses_what_ran() -> None:
     """What has failed is called refused."""
-    respond = server.Client.answer
+    respond = server.DownstreamConnection.send_response
 
-    def refused(self: server.Client, answer: Answer) -> None:
-        respond(self, Answer(Verdict.REFUSED) if answer.verdict is Verdict.FAILED else answer)
+    def refused(self: server.DownstreamConnection, answer: FinalResponse) -> None:
+        respond(self, FinalResponse(Disposition.SHED) if answer.disposition is Disposition.FAILED else answer)
 
-    server.Client.answer = refused  # type: ignore[method-assign]
+    server.DownstreamConnection.send_response = refused  # type: ignore[method-assign]
 
 
 def dies() -> None:
     """The process ends at its tenth request."""
-    take = server.Client.take
+    take = server.DownstreamConnection.take
     count = 0
 
-    def last(self: server.Client) -> None:
+    def last(self: server.DownstreamConnection) -> None:
         nonlocal count
         count += 1
         if count == 10:
             os._exit(3)
         take(self)
 
-    server.Client.take = last  # type: ignore[method-assign]
+    server.DownstreamConnection.take = last  # type: ignore[method-assign]
 
 
 def leaves_strangers_waiting() -> None:
     """Nobody looks at connections on which nothing comes."""
-    server.Client.check = lambda self, now_us: None  # type: ignore[method-assign]
+    server.DownstreamConnection.check = lambda self, now_us: None  # type: ignore[method-assign]
 
 
 MISDEEDS = {
--- a/tests/net.py
+++ b/tests/net.py
@@ -13,9 +13,9 @@
 
 from garnetusher.policy.settings import RequestClass, Settings
 from garnetusher.sidecar.__main__ import serve
-from garnetusher.sidecar.configuration import Config
-from garnetusher.sidecar.requests.messages import Call, Permit, Result
-from garnetusher.sidecar.upstream.pool import Address, Attempt, Pool
+from garnetusher.sidecar.configuration import Configuration
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermit
+from garnetusher.sidecar.upstream.pool import Address, ConnectionPool, UpstreamAttempt
 
 PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
@@ -160,15 +160,17 @@
             writer.transport.abort()
 
 
-def allowed() -> Permit:
+def allowed() -> WritePermit:
     """Whatever the gate would say."""
-    return Permit(left_us=1_000_000)
+    return WritePermit(remaining_us=1_000_000)
 
 
-def attempt_at(pool: Pool, address: Address, ended: Callable[[Result], None], body: bytes = b"") -> Attempt:
+def attempt_at(
+    pool: ConnectionPool, address: Address, ended: Callable[[AttemptResult], None], body: bytes = b""
+) -> UpstreamAttempt:
     """An attempt that may be written at any time; its head begins with `POST /pay`."""
-    call = Call(b"POST", b"/pay", [], body, 0, 0, 1)
-    return Attempt(pool, address, call, allowed, ended, lambda head, source: None)
+    call = HttpRequest(b"POST", b"/pay", [], body, 0, 0, 1)
+    return UpstreamAttempt(pool, address, call, allowed, ended, lambda head, source: None)
 
 
 def free_ports(count: int) -> list[int]:
@@ -260,16 +262,16 @@
     }
     known = known or listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     (port, admin_port), stop = free_ports(2), asyncio.Event()
-    config = Config(
+    config = Configuration(
         listen=("127.0.0.1", port),
         discovery=("127.0.0.1", discovery.port if discovery else 1),
         seed=1,
-        sockets=200,
+        max_descriptors=200,
         settings=Settings(**(values | changes)),
         zones=["a"],
-        kinds=["m"],
-        idle_us=idle_us,
-        known=known,
+        machine_types=["m"],
+        idle_timeout_us=idle_us,
+        cached_endpoints=known,
         admin=("127.0.0.1", admin_port),
     )
     if inherited is not None:
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from garnetusher.sidecar.discovery.start_times import BootTimes
+from garnetusher.sidecar.discovery.start_times import StartTimes
 
 HOUR_S = 3600
 TRUE_S = 1_700_000_000  # the time of day at this process's start
@@ -16,7 +16,7 @@
 
     def __init__(self, wrong_s: float = 0.0) -> None:
         self.passed_s, self.wrong_s = 0.0, wrong_s
-        self.times = BootTimes(
+        self.times = StartTimes(
             lambda: int((UP_S + self.passed_s) * 1e6), lambda: int((TRUE_S + self.passed_s + self.wrong_s) * 1e6)
         )
 
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -8,7 +8,7 @@
 import pytest
 
 from garnetusher.sidecar.downstream import connection as server_module
-from garnetusher.sidecar.downstream.connection import Server
+from garnetusher.sidecar.downstream.connection import DownstreamServer
 from tests.net import OK, Upstream, answering, request, sidecar
 from tests.test_sidecar import run, status
 
@@ -67,17 +67,17 @@
 ) -> None:
     async def test() -> None:
         resting: list[socket.socket] = []
-        check = Server.check
+        check = DownstreamServer.check
 
-        def look(server: Server) -> None:
-            if resting and len(server.clients) != 1:  # the fixture's own connection is still there
+        def look(server: DownstreamServer) -> None:
+            if resting and len(server.connections) != 1:  # the fixture's own connection is still there
                 asyncio.get_running_loop().call_later(0.01, look, server)
                 return
             if resting:
                 resting.pop().send(request())  # after the loop's last look, and before the look at the time
             check(server)
 
-        monkeypatch.setattr(Server, "check", look)
+        monkeypatch.setattr(DownstreamServer, "check", look)
         async with sidecar(Upstream(answering(OK))) as it:
             monkeypatch.setattr(server_module, "LONGEST_READ_US", 0)
             with socket.create_connection(("127.0.0.1", it.port)) as sock:
--- a/tests/test_crossing_long.py
+++ b/tests/test_crossing_long.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from garnetusher.sidecar.downstream.connection import Client
+from garnetusher.sidecar.downstream.connection import DownstreamConnection
 from tests.net import request, sidecar
 from tests.test_crossing_idle import answer_of
 from tests.test_long import LONG, Raw, upload
@@ -62,7 +62,9 @@
                 if how == "malformed":
                     sock.sendall(b"no chunk\r\n" * 200)  # over the end of the one that is open
                 elif how == "stalls":  # till its time is up, which is now
-                    monkeypatch.setattr(Client, "limit_us", property(lambda it: 0, lambda it, to: None), raising=False)
+                    monkeypatch.setattr(
+                        DownstreamConnection, "limit_us", property(lambda it: 0, lambda it, to: None), raising=False
+                    )
                 else:
                     sock.shutdown(socket.SHUT_WR)
                 with pytest.raises(ConnectionResetError):
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -12,7 +12,7 @@
 from garnetusher.policy.events import EndpointStatus, Outcome, UpdateKind
 from garnetusher.policy.settings import RequestClass
 from garnetusher.sidecar.upstream import pool as upstreams_module
-from garnetusher.sidecar.upstream.pool import Connection, Pool
+from garnetusher.sidecar.upstream.pool import ConnectionPool, UpstreamConnection
 from tests.net import (
     OK,
     Discovery,
@@ -219,18 +219,18 @@
 
 def test_what_is_given_up_while_its_connection_settles_is_not_sent_and_the_connection_is_kept() -> None:
     async def test() -> None:
-        pool, address = Pool(60_000_000, 1_000_000), ("127.0.0.1", 1)
+        pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweeper.cancel()
         for given_up in (True, False):
             here, there = socket.socketpair()
             with here, there:
                 here.setblocking(False)
-                connection, wire = Connection(pool, address, here), Wire()
+                connection, wire = UpstreamConnection(pool, address, here), Wire()
                 connection.connection_made(wire)
                 pool.remove(connection)
                 attempt = attempt_at(pool, address, lambda result: None)
                 if given_up:
-                    attempt.give_up()
+                    attempt.abandon()
                 pool.settled(connection, attempt)
                 assert wire.sent[:9] == (b"" if given_up else b"POST /pay")
                 assert pool.idle == ({address: [connection]} if given_up else {})
@@ -241,17 +241,17 @@
 
 def test_an_attempt_that_is_given_up_has_ended_over_there_before_another_can_be_written() -> None:
     async def test() -> None:
-        pool, address = Pool(60_000_000, 1_000_000), ("127.0.0.1", 1)
+        pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweeper.cancel()
         here, there = socket.socketpair()
         with here, there:
             here.setblocking(False)
-            connection = Connection(pool, address, here)
+            connection = UpstreamConnection(pool, address, here)
             await asyncio.get_running_loop().create_connection(lambda: connection, sock=here)
             attempt = attempt_at(pool, address, lambda result: None)
             pool.remove(connection)
             connection.send(attempt)
-            attempt.give_up()  # no round of the loop after it
+            attempt.abandon()  # no round of the loop after it
             assert there.recv(1000).startswith(b"POST /pay") and there.recv(100, socket.MSG_DONTWAIT) == b""
 
     run(test)
@@ -282,14 +282,14 @@
 
 def test_a_connection_that_comes_up_after_its_request_was_given_up_carries_nothing() -> None:
     async def test() -> None:
-        pool, address = Pool(60_000_000, 1_000_000), ("127.0.0.1", 1)
+        pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweeper.cancel()
         with socket.socket() as sock:
             ends: list[object] = []
             attempt = attempt_at(pool, address, ends.append)
-            connection, wire = Connection(pool, address, sock), Wire()
+            connection, wire = UpstreamConnection(pool, address, sock), Wire()
             connection.attempt, attempt.connection = attempt, connection
-            attempt.give_up()
+            attempt.abandon()
             connection.connection_made(wire)
             assert wire.sent == b"" and not ends and pool.idle == {address: [connection]}
 
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -10,7 +10,7 @@
 
 from garnetusher.policy.events import SettingsChanged
 from garnetusher.policy.settings import RequestClass, Settings, Tenant, previous_indexes
-from garnetusher.sidecar.downstream.router import Catalogue
+from garnetusher.sidecar.downstream.router import RequestRouter
 from tests.world import World, classes, settings, upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -24,10 +24,12 @@
 
 
 def test_a_request_of_no_known_tenant_has_no_tenants_limits() -> None:
-    catalogue = Catalogue(Settings(classes(), tenants=TENANTS))
+    catalogue = RequestRouter(Settings(classes(), tenants=TENANTS))
     for tenant, place in (("b", 0), ("b-b", 1), ("x", 2), ("", 2), (None, 2)):
-        assert catalogue.call(b"GET", b"/read/it", headers(tenant)).tenant == place
-    assert Catalogue(Settings(classes())).call(b"GET", b"/read/it", headers(None)).tenant == 0  # where there are none
+        assert catalogue.route(b"GET", b"/read/it", headers(tenant)).tenant_index == place
+    assert (
+        RequestRouter(Settings(classes())).route(b"GET", b"/read/it", headers(None)).tenant_index == 0
+    )  # where there are none
 
     world, plain = World(settings(tenants=TENANTS, over_quota_weight=0.2)), World()
     values = []
@@ -47,11 +49,11 @@
     effects = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
     kinds = [RequestClass(kind["name"], 1, 1, effect=effects[kind["effect"]]) for kind in site["class"]]
     tenants = [Tenant(tenant["name"], 1.0) for tenant in site.get("tenant", [])]
-    catalogue = Catalogue(Settings(kinds, tenants=tenants))
+    catalogue = RequestRouter(Settings(kinds, tenants=tenants))
     for place, kind in enumerate(kinds):
         for number, tenant in enumerate(tenants):
             method = b"GET" if kind.effect == "idempotent" else b"POST"
-            call = catalogue.call(
+            call = catalogue.route(
                 method,
                 f"/{kind.name}/a/b?c=/x".encode(),
                 [
@@ -62,7 +64,7 @@
                     (b"X-Tenant", tenant.name.encode()),
                 ],
             )
-            assert (call.class_index, call.tenant) == (place, number)
+            assert (call.class_index, call.tenant_index) == (place, number)
 
 
 def test_nothing_names_a_deployment() -> None:
--- a/tests/test_crossing_watch.py
+++ b/tests/test_crossing_watch.py
@@ -10,8 +10,8 @@
 
 from garnetusher.policy.events import EndpointStatus, EndpointsUpdated, UpdateKind
 from garnetusher.sidecar.configuration import parse_address
-from garnetusher.sidecar.discovery.watch import PIECE, Address, Directory, Watch
-from garnetusher.sidecar.discovery.watch import Discovery as Discovering
+from garnetusher.sidecar.discovery.watch import PIECE, Address, EndpointList, Watch
+from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
 from tests.net import OK, Discovery, Upstream, answering, entry, listing, request, sidecar, until
 from tests.test_sidecar import DrivenLoop, run, status
 
@@ -50,11 +50,11 @@
 
     def __init__(self) -> None:
         self.told: list[tuple[int, list[tuple[str, EndpointStatus]]]] = []
-        self.directory = Directory(["a"], ["m"])
+        self.directory = EndpointList(["a"], ["m"])
         self.discovery = Discovering(("127.0.0.1", 1), self.directory, self.take)
 
     async def keep(self) -> Wire:
-        self.discovery.keep()
+        self.discovery.watch_permanently()
         return self.connect()
 
     def connect(self) -> Wire:
@@ -74,7 +74,7 @@
         self.told.append((event.version, [(names.get(e.id, "gone"), e.status) for e in event.endpoints]))
 
     def stop(self) -> None:
-        self.discovery.kept = False
+        self.discovery.watching = False
         self.discovery.stop()
 
 
@@ -122,7 +122,7 @@
         bench.watch().data_received(HEAD + piece(lines(listing(entry("u0", 1), rev=3))))
         bench.watch().data_received(piece(data))
         assert wire.aborted and len(bench.told) == 1 and bench.discovery.watch is None
-        bench.discovery.subscribe(True)  # as its timer does
+        bench.discovery.watch_endpoints(True)  # as its timer does
         again = bench.connect()
         assert b"since=3 " in again.sent
         bench.watch().data_received(HEAD + piece(lines(listing(entry("u0", 1, "leaving"), rev=4, full=False))))
@@ -163,7 +163,7 @@
             if moved:
                 bench.discovery.move(("127.0.0.1", 2))
             else:
-                bench.discovery.subscribe(True)
+                bench.discovery.watch_endpoints(True)
             assert old_wire.aborted and bench.watch() is not old
             heard = bench.discovery.heard_at = -1.0
             old.data_received(piece(lines(listing(entry("u0", 1, "leaving"), rev=9, full=False))))
@@ -242,9 +242,9 @@
                 assert status(await it.ask(request("pay", body=b"b"))) == 503
         told: list[UpdateKind] = []
         discovery = Discovering(
-            (host, 1), Directory(["a"], ["m"]), lambda event, addresses: told.append(event.update_kind)
+            (host, 1), EndpointList(["a"], ["m"]), lambda event, addresses: told.append(event.update_kind)
         )
-        discovery.subscribe(True)
+        discovery.watch_endpoints(True)
         await until(lambda: told == [UpdateKind.FAILED])
 
     run(test)
@@ -265,7 +265,7 @@
     async def test() -> None:
         bench, loop = Bench(), DrivenLoop()
         bench.discovery.loop = cast(asyncio.AbstractEventLoop, loop)
-        bench.discovery.keep()
+        bench.discovery.watch_permanently()
         watch = bench.watch()
         if said:
             watch.connection_made(Wire())
@@ -273,7 +273,7 @@
         before = loop.dials
         loop.advance(6.9)  # told 6 s after it fell silent, whether it arrived or not, and 1 s of grace
         assert loop.dials == before + 2 and bench.discovery.watch is not watch
-        bench.discovery.kept = False
+        bench.discovery.watching = False
 
     run(test)
 
@@ -281,7 +281,7 @@
 def test_a_watch_that_is_replaced_while_its_connection_comes_up_asks_for_nothing() -> None:
     async def test() -> None:
         bench = Bench()
-        bench.discovery.keep()
+        bench.discovery.watch_permanently()
         old, wire = bench.watch(), Wire()
         bench.discovery.move(("127.0.0.1", 2))
         old.connection_made(wire)
@@ -299,7 +299,7 @@
         whole = listing(*(entry(f"n{n}", 1) for n in range(3 * PIECE)), rev=4)
         bench.watch().data_received(HEAD + piece(lines(whole)))
         bench.watch().connection_lost(None)
-        bench.discovery.subscribe(True)
+        bench.discovery.watch_endpoints(True)
         assert b"since=0 " in bench.connect().sent  # hazard: from its version on what is not taken would be lost
         drained = listing(entry("n7", 1, "leaving"), rev=5, full=False)
         bench.watch().data_received(HEAD + piece(lines(drained)))
@@ -318,7 +318,7 @@
         bench.watch().data_received(HEAD + piece(lines(listing(entry("u0", 1), rev=9))))
         bench.watch().data_received(piece(lines(listing(entry("u1", 1), rev=3))))  # a service that lost what it had
         assert bench.told[-1] == (3, [("u1", EndpointStatus.READY)])
-        bench.discovery.subscribe(True)
+        bench.discovery.watch_endpoints(True)
         assert b"since=3 " in bench.connect().sent
         bench.stop()
 
@@ -333,7 +333,7 @@
         bench, loop = Bench(), DrivenLoop()
         bench.discovery.listener = lambda event, addresses: told.append(event.update_kind)
         bench.discovery.loop = cast(asyncio.AbstractEventLoop, loop)
-        bench.discovery.subscribe(True)
+        bench.discovery.watch_endpoints(True)
         bench.watch().connection_made(Wire())
         bench.watch().data_received(HEAD + piece(b"\n"))
         loop.advance(4.0)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -8,9 +8,17 @@
 
 from garnetusher.policy.events import Endpoint, Outcome
 from garnetusher.policy.settings import RequestClass, Settings
-from garnetusher.sidecar.requests.messages import Answer, Attempt, Call, Denial, Permit, Request, Verdict
+from garnetusher.sidecar.requests.messages import (
+    Attempt,
+    Denial,
+    Disposition,
+    FinalResponse,
+    HttpRequest,
+    PendingRequest,
+    WritePermit,
+)
 from garnetusher.sidecar.requests.trace import LAST_EVENTS, Trace
-from garnetusher.sidecar.requests.write_gate import LATE_ANSWER_US, Gate
+from garnetusher.sidecar.requests.write_gate import LATE_ANSWER_US, WriteGate
 from garnetusher.sidecar.streaming import Head, Source
 
 NOW_US = 10_000_000
@@ -34,32 +42,32 @@
     gone = False
     since_us = NOW_US
 
-    def has_left(self) -> bool:
+    def client_has_closed(self) -> bool:
         return self.gone
 
-    def whole_since_us(self) -> int:
+    def body_complete_since_us(self) -> int:
         return self.since_us
 
-    def answer(self, answer: Answer) -> None: ...
-    def begin(self, head: Head, source: Source) -> None: ...
-    def finish(self, whole: bool) -> None: ...
-    def more(self, data: bytes) -> None: ...
+    def send_response(self, answer: FinalResponse) -> None: ...
+    def begin_response(self, head: Head, source: Source) -> None: ...
+    def finish_response(self, whole: bool) -> None: ...
+    def write_chunk(self, data: bytes) -> None: ...
 
 
 class Case:
     """A request with one attempt that is to be written now, at an upstream that is ready."""
 
     def __init__(self, effect: str = "idempotent") -> None:
-        self.gate = Gate(Trace(), Settings(list(KINDS.values()), max_attempts=3, hedging=True))
+        self.gate = WriteGate(Trace(), Settings(list(KINDS.values()), max_attempts=3, hedging=True))
         self.entries = {number: Endpoint(number, cell=number // 2) for number in range(4)}
-        self.gate.entries, self.gate.addresses = self.entries, dict.fromkeys(self.entries, HERE)
+        self.gate.endpoints, self.gate.addresses = self.entries, dict.fromkeys(self.entries, HERE)
         self.client = Client()
-        call = Call(b"POST", b"/x", [], b"", NOW_US, 1_000_000, 0)
-        self.request = Request(1, call, NOW_US + 800_000, self.client, True, KINDS[effect], 3)
+        call = HttpRequest(b"POST", b"/x", [], b"", NOW_US, 1_000_000, 0)
+        self.request = PendingRequest(1, call, NOW_US + 800_000, self.client, True, KINDS[effect], 3)
         self.attempt(0)
 
     def attempt(self, upstream: int, **changes: object) -> Attempt:
-        made = replace(Attempt(upstream, NOW_US, HERE, entry=self.entries[upstream]), **changes)  # type: ignore[arg-type]
+        made = replace(Attempt(upstream, NOW_US, HERE, endpoint=self.entries[upstream]), **changes)  # type: ignore[arg-type]
         self.request.attempts.append(made)
         return made
 
@@ -68,18 +76,18 @@
         self.attempt(upstream, outcome=outcome, written_us=written_us)
         self.request.attempts.insert(0, self.request.attempts.pop())
 
-    def asked(self) -> Permit | Denial:
+    def asked(self) -> WritePermit | Denial:
         return self.gate.may_write(self.request, len(self.request.attempts) - 1, NOW_US)
 
 
 def test_what_is_in_order_is_told_what_is_left() -> None:
     case = Case()
-    assert case.asked() == Permit(800_000)
+    assert case.asked() == WritePermit(800_000)
     case.request.attempts[0].timeout_us = 300_000
-    assert case.asked() == Permit(300_000)
-    case.request.whole, case.client.since_us = False, NOW_US - 400_000
+    assert case.asked() == WritePermit(300_000)
+    case.request.body_complete, case.client.since_us = False, NOW_US - 400_000
     case.request.attempts[0].timeout_us = 0
-    assert case.asked() == Permit(1_000_000 - 400_000 - 10_000)
+    assert case.asked() == WritePermit(1_000_000 - 400_000 - 10_000)
     assert not case.gate.trace.counts
 
 
@@ -100,15 +108,15 @@
     case = Case()
     attempt = case.request.attempts[0]
     if denial is Denial.REQUEST_OVER:
-        case.request.over = True
+        case.request.completed = True
     elif denial is Denial.ANSWER_BEGUN:
-        case.request.bound = 0
+        case.request.streaming_attempt_index = 0
     elif denial is Denial.CLIENT_LEFT:
         case.client.gone = True
     elif denial is Denial.TIME_OVER:
-        case.request.due_us = NOW_US
+        case.request.deadline_us = NOW_US
     elif denial is Denial.WINDOW_OVER:
-        attempt.start_by_us = NOW_US
+        attempt.latest_start_us = NOW_US
     elif denial is Denial.ENDPOINT_CHANGED:
         case.entries[0] = Endpoint(0, started_us=5)
     elif denial is Denial.TOO_MANY:
@@ -145,7 +153,7 @@
 def test_a_repeat_that_its_class_allows_may_be_written(effect: str, upstream: int, outcome: Outcome) -> None:
     case = Case(effect)
     case.earlier(upstream, outcome)
-    assert isinstance(case.asked(), Permit)
+    assert isinstance(case.asked(), WritePermit)
 
 
 @pytest.mark.violates
@@ -176,15 +184,15 @@
 def test_a_refusal_of_what_may_have_run_becomes_a_failure() -> None:
     case = Case("at_most_once")
     case.earlier(1, Outcome.ERROR)
-    answer = case.gate.final_answer(case.request, Answer(Verdict.REFUSED, retry_after_us=5), NOW_US)
-    assert answer == Answer(Verdict.FAILED)
+    answer = case.gate.final_answer(case.request, FinalResponse(Disposition.SHED, retry_after_us=5), NOW_US)
+    assert answer == FinalResponse(Disposition.FAILED)
 
 
 def test_a_refusal_of_what_never_ran_stays_one_and_late_answers_are_counted() -> None:
     case = Case("at_most_once")
     case.earlier(1, Outcome.OVERLOADED)
-    refused = Answer(Verdict.REFUSED, retry_after_us=5)
-    late_us = case.request.due_us + LATE_ANSWER_US + 1
+    refused = FinalResponse(Disposition.SHED, retry_after_us=5)
+    late_us = case.request.deadline_us + LATE_ANSWER_US + 1
     assert case.gate.final_answer(case.request, refused, late_us) is refused
     assert case.gate.trace.counts == {"answered: refused": 1, "answered late": 1}
 
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -8,7 +8,7 @@
 
 from garnetusher.policy.actions import SetTimer, WatchEndpoints
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, Outcome, UpdateKind
-from garnetusher.sidecar.discovery.watch import PIECE, Directory, Discovery
+from garnetusher.sidecar.discovery.watch import PIECE, EndpointList, EndpointWatcher
 from tests.world import START_US, World, settings, upstreams
 
 
@@ -179,7 +179,9 @@
 def test_a_long_list_is_taken_in_pieces_and_nothing_of_it_is_lost() -> None:
     async def test() -> None:
         heard: list[EndpointsUpdated] = []
-        discovery = Discovery(("127.0.0.1", 9), Directory(["a"], ["m"]), lambda event, addresses: heard.append(event))
+        discovery = EndpointWatcher(
+            ("127.0.0.1", 9), EndpointList(["a"], ["m"]), lambda event, addresses: heard.append(event)
+        )
         discovery.changed({"rev": 1, "all": True, "targets": [entry(f"old-{n}") for n in range(PIECE)]})
         assert len(heard) == 1 and discovery.version == 1
         old = {e.id for e in heard[0].endpoints}
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -11,10 +11,10 @@
 
 from garnetusher.policy.settings import RequestClass, Settings
 from garnetusher.sidecar.downstream import connection as server_module
-from garnetusher.sidecar.downstream.router import Catalogue
-from garnetusher.sidecar.requests.messages import Call, Result
-from garnetusher.sidecar.streaming import LONGEST, Head, Room, Source, Upload
-from garnetusher.sidecar.upstream.pool import SETTLE_US, Pool
+from garnetusher.sidecar.downstream.router import RequestRouter
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
+from garnetusher.sidecar.streaming import LONGEST, BodyMemory, Head, Source, Upload
+from garnetusher.sidecar.upstream.pool import SETTLE_US, ConnectionPool
 from tests.net import (
     NOT_RUN,
     OK,
@@ -408,7 +408,7 @@
 
 
 def test_long_bodies_that_find_no_room_wait_their_turn() -> None:
-    room, begun = Room(2 * 256 * 1024), list[int]()
+    room, begun = BodyMemory(2 * 256 * 1024), list[int]()
     entries = [lambda number=number: begun.append(number) for number in range(5)]
     for each in entries:
         room.enter(each)
@@ -426,10 +426,10 @@
         def __init__(self) -> None:
             self.got = b""
 
-        def more_body(self, data: bytes) -> None:
+        def write_body_chunk(self, data: bytes) -> None:
             self.got += data
 
-        def body_end(self) -> None:
+        def end_body(self) -> None:
             self.got += b"."
 
     flows, passed = list[bool](), list[bool]()
@@ -490,7 +490,7 @@
         client = a_client()
         whole = request("pay", body=LONG)
         client.data_received(whole[:1000])
-        client.server.catalogue = Catalogue(Settings([RequestClass("read", 1_000_000, 2_000_000)]))
+        client.server.router = RequestRouter(Settings([RequestClass("read", 1_000_000, 2_000_000)]))
         client.data_received(whole[1000:70_000])
         assert client.ending and not client.open
 
@@ -554,15 +554,15 @@
     async def test() -> None:
         client, wire = a_client(), Wire()
         client.transport = wire
-        client.server.room.left = 0
-        client.server.catalogue = Catalogue(Settings(classes(), max_retry_after_us=2_000_000))
+        client.server.body_memory.left = 0
+        client.server.router = RequestRouter(Settings(classes(), max_retry_after_us=2_000_000))
         client.data_received(request("pay", body=LONG)[:70_000])
         assert not client.open
         client.check(client.waits_us + 4_000_000)
         assert not wire.sent
         client.check(client.waits_us + 6_000_000)
         assert wire.sent.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 2.000\r\n" in wire.sent
-        assert not client.server.room.waiting
+        assert not client.server.body_memory.waiting
 
     run(test)
 
@@ -579,23 +579,23 @@
 
         upstream = Raw(play)
         await upstream.start()
-        pool = Pool(60_000_000, 10_000_000)
+        pool = ConnectionPool(60_000_000, 10_000_000)
         pool.sweeper.cancel()
-        results, source = list[Result](), list[Source]()
+        results, source = list[AttemptResult](), list[Source]()
 
         class Nowhere:
-            def more(self, data: bytes) -> None:
+            def write_chunk(self, data: bytes) -> None:
                 pass
 
         def began(head: Head, of: Source) -> Nowhere:
             source.append(of)
             return Nowhere()
 
-        call = Call(b"GET", b"/read", [], b"", 0, 0, 1)
-        flight = pool.start(("127.0.0.1", upstream.port), call, allowed, results.append, began)
+        call = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
+        flight = pool.start_attempt(("127.0.0.1", upstream.port), call, allowed, results.append, began)
         await until(lambda: bool(source))
         assert len(pool.passing) == 1
-        flight.give_up()
+        flight.abandon()
         await ended.wait()
         assert not pool.passing and not results
         upstream.stop()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,7 +10,7 @@
 
 from garnetusher.sidecar.admin import server as admin
 from garnetusher.sidecar.configuration import load
-from garnetusher.sidecar.lifecycle import Lifecycle, State
+from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from tests.net import OK, Upstream, answering, read_message, request, sidecar
 from tests.test_program import configuration
 from tests.test_sidecar import run, status
@@ -21,28 +21,28 @@
 def test_stopping_wins_over_draining_and_a_drain_told_twice_goes_on_from_the_first() -> None:
     now = [0.0]
     lifecycle = Lifecycle(lambda: now[0])
-    assert lifecycle.state is State.STARTING and not lifecycle.serving and not lifecycle.closing
+    assert lifecycle.state is LifecycleState.STARTING and not lifecycle.serving and not lifecycle.closing
     lifecycle.undrain()  # off without on
     lifecycle.start()
     assert lifecycle.serving and lifecycle.closing_for_s == 0.0
     lifecycle.drain()
     now[0] = 2.0
     lifecycle.drain()
-    assert lifecycle.state is State.DRAINING and lifecycle.closing and lifecycle.closing_for_s == 2.0
+    assert lifecycle.state is LifecycleState.DRAINING and lifecycle.closing and lifecycle.closing_for_s == 2.0
     lifecycle.undrain()
     assert lifecycle.serving and lifecycle.closing_for_s == 0.0
     lifecycle.drain()
     lifecycle.stop()
     lifecycle.undrain()
     now[0] = 3.0
-    assert lifecycle.state is State.STOPPING and lifecycle.closing and lifecycle.closing_for_s == 1.0
+    assert lifecycle.state is LifecycleState.STOPPING and lifecycle.closing and lifecycle.closing_for_s == 1.0
 
 
 def test_a_drain_started_before_there_is_a_list_ends_where_it_began() -> None:
     lifecycle = Lifecycle()
     lifecycle.drain()
     lifecycle.start()
-    assert lifecycle.state is State.DRAINING
+    assert lifecycle.state is LifecycleState.DRAINING
     lifecycle.undrain()
     assert lifecycle.serving
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from garnetusher.sidecar.configuration import Config, flatten, load
+from garnetusher.sidecar.configuration import Configuration, flatten, load
 from garnetusher.sidecar.reload import Reloader
 from garnetusher.sidecar.sidecar import Sidecar
 from tests.net import (
@@ -102,9 +102,9 @@
 
 
 def test_settings_are_read_by_their_names_on_the_simulators_wire(tmp_path: Path) -> None:
-    config: Config = load(str(configuration(tmp_path)))
-    assert (config.seed, config.sockets, config.idle_us) == (0x8C1F, 1024, 5_000_000)
-    assert (config.zones, config.kinds) == (["a", "b"], ["m"])
+    config: Configuration = load(str(configuration(tmp_path)))
+    assert (config.seed, config.max_descriptors, config.idle_timeout_us) == (0x8C1F, 1024, 5_000_000)
+    assert (config.zones, config.machine_types) == (["a", "b"], ["m"])
     assert config.settings.zone == 1 and config.settings.poll_endpoints and config.settings.endpoint_weights
     assert config.settings.load_report_names == ["in_flight", "queued"]
     assert [kind.effect for kind in config.settings.classes] == ["at_most_once"]
@@ -229,13 +229,13 @@
         file = configuration(tmp_path)
         whole = json.loads(file.read_text())
         sidecar = Sidecar(load(str(file)))
-        before = (sidecar.settings, sidecar.server.catalogue, sidecar.host.settings)
+        before = (sidecar.configuration, sidecar.server.router, sidecar.dispatcher.settings)
         broken = without(whole, path) if value is None else with_value(whole, path, value)
         file.write_text(json.dumps(broken | {"discovery": "127.0.0.1:2"} if path != "discovery" else broken))
-        Reloader(str(file), sidecar.take).signal()
-        assert (sidecar.settings, sidecar.server.catalogue, sidecar.host.settings) == before
-        assert sidecar.host.balancer.settings is before[2]
-        assert sidecar.discovery.address == ("127.0.0.1", 1) and sidecar.discovery.watch is None
+        Reloader(str(file), sidecar.reload).signal()
+        assert (sidecar.configuration, sidecar.server.router, sidecar.dispatcher.settings) == before
+        assert sidecar.dispatcher.balancer.settings is before[2]
+        assert sidecar.endpoint_watcher.address == ("127.0.0.1", 1) and sidecar.endpoint_watcher.watch is None
 
     asyncio.run(test())
 
@@ -245,12 +245,12 @@
     async def test() -> None:
         file = configuration(tmp_path)
         sidecar = Sidecar(load(str(file)))
-        before = sidecar.settings
+        before = sidecar.configuration
         file.write_text(text)
-        Reloader(str(file), sidecar.take).signal()
+        Reloader(str(file), sidecar.reload).signal()
         file.unlink()
-        Reloader(str(file), sidecar.take).signal()
-        assert sidecar.settings is before and sidecar.discovery.watch is None
+        Reloader(str(file), sidecar.reload).signal()
+        assert sidecar.configuration is before and sidecar.endpoint_watcher.watch is None
 
     asyncio.run(test())
 
@@ -271,12 +271,12 @@
         new = with_value(new, "settings.bounds.most-tries", 2)
         new = with_value(new, "settings.bounds.conn-idle", 900000)
         file.write_text(json.dumps(without(new, "known") | {"discovery": "127.0.0.1:2"}))
-        Reloader(str(file), sidecar.take).signal()
-        assert list(sidecar.server.catalogue.classes) == [b"read", b"pay"]
-        assert sidecar.host.settings.max_attempts == sidecar.host.balancer.settings.max_attempts == 2
-        assert sidecar.pool.trust.longest_us == 600_000
-        assert sidecar.discovery.address == ("127.0.0.1", 2) and sidecar.discovery.watch is not None
-        sidecar.discovery.stop()
+        Reloader(str(file), sidecar.reload).signal()
+        assert list(sidecar.server.router.classes) == [b"read", b"pay"]
+        assert sidecar.dispatcher.settings.max_attempts == sidecar.dispatcher.balancer.settings.max_attempts == 2
+        assert sidecar.connection_pool.trust.longest_us == 600_000
+        assert sidecar.endpoint_watcher.address == ("127.0.0.1", 2) and sidecar.endpoint_watcher.watch is not None
+        sidecar.endpoint_watcher.stop()
 
     asyncio.run(test())
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -13,15 +13,15 @@
 from garnetusher.policy.balancer import Balancer
 from garnetusher.policy.events import Event, Outcome
 from garnetusher.policy.settings import Settings
-from garnetusher.sidecar.discovery.watch import Directory
-from garnetusher.sidecar.discovery.watch import Discovery as Discovering
-from garnetusher.sidecar.downstream.connection import Client, Server
+from garnetusher.sidecar.discovery.watch import EndpointList
+from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
+from garnetusher.sidecar.downstream.connection import DownstreamConnection, DownstreamServer
 from garnetusher.sidecar.lifecycle import Lifecycle
-from garnetusher.sidecar.requests.dispatcher import Host
-from garnetusher.sidecar.requests.messages import Answer, Call, Result, Verdict, clock_us
+from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
+from garnetusher.sidecar.requests.messages import AttemptResult, Disposition, FinalResponse, HttpRequest, monotonic_us
 from garnetusher.sidecar.requests.trace import Trace
-from garnetusher.sidecar.requests.write_gate import Gate
-from garnetusher.sidecar.upstream.pool import SETTLE_US, Connection, Pool, Trust
+from garnetusher.sidecar.requests.write_gate import WriteGate
+from garnetusher.sidecar.upstream.pool import SETTLE_US, ConnectionPool, IdleReuseEstimator, UpstreamConnection
 from tests.net import (
     NOT_RUN,
     OK,
@@ -220,7 +220,7 @@
 
 
 def test_connections_that_lose_requests_once_idle_for_some_time_are_not_used_so_late() -> None:
-    trust = Trust(4_700_000)
+    trust = IdleReuseEstimator(4_700_000)
     for _ in range(40):  # one in ten is lost at any age: no lesson
         for age_us in (10_000, 60_000, 110_000, 300_000):
             for number in range(10):
@@ -237,7 +237,7 @@
 
 @pytest.mark.parametrize("longest_us", [0, 10_000, 25_000, 99_000, 60_000_000])
 def test_no_connection_is_trusted_for_longer_than_the_settings_say(longest_us: int) -> None:
-    trust = Trust(longest_us)
+    trust = IdleReuseEstimator(longest_us)
     for age_us in (-1, 0, 24_999, 25_000, longest_us, 2 * longest_us):
         for _ in range(20):
             trust.used(age_us, True)
@@ -246,17 +246,17 @@
 
 def test_requests_lost_on_idle_connections_end_the_others_that_were_idle_as_long() -> None:
     async def test() -> None:
-        pool, address = Pool(60_000_000, 10_000_000), ("127.0.0.1", 1)
+        pool, address = ConnectionPool(60_000_000, 10_000_000), ("127.0.0.1", 1)
         pool.sweeper.cancel()
         with socket.socket() as sock:
-            connection = Connection(pool, address, sock)
-            connection.idle_since_us = clock_us() - 60_000
+            connection = UpstreamConnection(pool, address, sock)
+            connection.idle_since_us = monotonic_us() - 60_000
             pool.idle[address] = [connection]
             pool.sweep()
             pool.sweeper.cancel()
             assert pool.idle == {address: [connection]}
             for _ in range(10):
-                used_again = Connection(pool, address, sock)
+                used_again = UpstreamConnection(pool, address, sock)
                 used_again.idled_us, used_again.closed = 60_000, True
                 used_again.finish(Outcome.RESET)
             pool.sweep()
@@ -289,7 +289,7 @@
 def test_a_request_that_was_not_written_whole_never_ran_and_its_connection_ends(early: bytes) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        pool, results = Pool(60_000_000, 10_000_000), list[Result]()
+        pool, results = ConnectionPool(60_000_000, 10_000_000), list[AttemptResult]()
         with socket.socket() as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.bind(("127.0.0.1", 0))
@@ -299,7 +299,7 @@
             sock.connect(listener.getsockname())
             sock.setblocking(False)
             peer, _ = listener.accept()
-        connection = Connection(pool, peer.getsockname(), sock)
+        connection = UpstreamConnection(pool, peer.getsockname(), sock)
         connection.attempt = attempt_at(pool, connection.address, results.append, b"x" * 1_000_000)
         await loop.create_connection(lambda: connection, sock=sock)
         assert connection.unsent
@@ -399,18 +399,18 @@
         pass
 
 
-def a_client() -> Client:
+def a_client() -> DownstreamConnection:
     """A client's connection, and no more of the sidecar behind it than takes its requests."""
     settings = Settings(classes())
 
     class Taker:
         ready = True
-        gate = Gate(Trace(), settings)
+        gate = WriteGate(Trace(), settings)
 
-        def arrived(self, call: Call, reply: object) -> int:
+        def arrived(self, call: HttpRequest, reply: object) -> int:
             return 1
 
-    client = Client(Server(cast(Host, Taker()), settings, 100, Lifecycle()))
+    client = DownstreamConnection(DownstreamServer(cast(RequestDispatcher, Taker()), settings, 100, Lifecycle()))
     client.connection_made(Sink())
     return client
 
@@ -434,7 +434,7 @@
         for data in sent:
             client.data_received(data)
             if client.open:
-                client.answer(Answer(Verdict.FAILED))
+                client.send_response(FinalResponse(Disposition.FAILED))
         since_us = client.begun_us or client.made_us
         client.check(since_us + 2_400_000)
         assert not client.ending
@@ -450,7 +450,7 @@
     async def test() -> None:
         client = a_client()
         client.data_received(request())
-        client.answer(Answer(Verdict.FAILED))
+        client.send_response(FinalResponse(Disposition.FAILED))
         client.check(client.made_us + 60_000_000)
         assert client.idle
 
@@ -613,9 +613,9 @@
 def test_a_silent_discovery_is_called_for_twice_before_a_drain_it_holds_back_is_a_breach() -> None:
     async def test() -> None:
         loop = DrivenLoop()
-        discovery = Discovering(("127.0.0.1", 1), Directory(["a"], ["m"]), lambda event, addresses: None)
+        discovery = Discovering(("127.0.0.1", 1), EndpointList(["a"], ["m"]), lambda event, addresses: None)
         discovery.loop = cast(asyncio.AbstractEventLoop, loop)
-        discovery.keep()
+        discovery.watch_permanently()
         assert discovery.watch is not None
         discovery.watch.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
         before = loop.dials
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -123,7 +123,11 @@
 def test_the_documented_frames() -> None:
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
     events = list(protocol.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
-    assert [(i, type(e).__name__) for i, e in events] == [(3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
+    assert [(i, type(e).__name__) for i, e in events] == [
+        (3, "RequestArrived"),
+        (3, "TimerFired"),
+        (5, "ClientDisconnected"),
+    ]
     records = [
         protocol.encode(3, ACTIONS[0][1]),
         protocol.encode(3, ACTIONS[6][1]),
