--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -405,9 +405,9 @@
 
     class Taker:
         ready = True
-        gate = WriteGate(Trace(), settings)
+        write_gate = WriteGate(Trace(), settings)
 
-        def arrived(self, call: HttpRequest, reply: object) -> int:
+        def on_request(self, call: HttpRequest, reply: object) -> int:
             return 1
 
     client = DownstreamConnection(DownstreamServer(cast(RequestDispatcher, Taker()), settings, 100, Lifecycle()))
