--- a/garnetusher/simulator/protocol.py
+++ b/garnetusher/simulator/protocol.py
@@ -1,6 +1,7 @@
-"""The bench's wire: frames to events, actions to frames.
+"""The simulator's binary protocol: frames to events, actions to frames.
 
-No decision is made here. `ProtocolError` says in one line what is malformed and where.
+A frame is a header and a number of records; a record is a code, the number of a balancer instance and fields of fixed
+layout. Nothing is decided here.
 """
 
 from __future__ import annotations
@@ -42,19 +43,30 @@
     UpdateKind,
 )
 
-HEADER = struct.Struct("<IIQ")
-REPLY_HEADER = struct.Struct("<II")
-_ENTRY = struct.Struct("<IBBHBfQ")
-_LIST_HEAD = struct.Struct("<II")
-_POWER_ON = struct.Struct("<QI")
-_MEMBERS = struct.Struct("<BII")
-_ACCEPT = struct.Struct("<IBIQIBQ")
-_COMPLETED = struct.Struct("<IBIHIBB")
-_BEGUN = struct.Struct("<IBII")
-_HEALTH = struct.Struct("<IHIB")
-_DATAGRAM = struct.Struct("<HH")
+HEADER = struct.Struct("<IIQ")  # size of the body, number of records, time in us
+REPLY_HEADER = struct.Struct("<II")  # size of the body, number of records
+
+# Layouts of records behind their code and instance number.
+_ENDPOINT = struct.Struct("<IBBHBfQ")
+_ENDPOINT_LIST_HEADER = struct.Struct("<II")
+_INSTANCE_STARTED = struct.Struct("<QI")
+_ENDPOINTS_UPDATED = struct.Struct("<BII")
+_REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
+_ATTEMPT_ENDED = struct.Struct("<IBIHIBB")
+_RESPONSE_STARTED = struct.Struct("<IBII")
+_HEALTH_CHECK_ENDED = struct.Struct("<IHIB")
+_PEER_MESSAGE = struct.Struct("<HH")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
+_U32_MAX = 0xFFFFFFFF
+_LONGEST_TEXT = 0xFFFF  # bytes: a text's length is a u16
+
+_ENDPOINT_LIST_CODE = 110
+
+# Flags of an arrived request.
+_WORK_IS_KNOWN = 1
+_CLIENT_RETRY = 2
+_WRITES = 4
 
 _OUTCOMES = {
     0: Outcome.OK,
@@ -66,10 +78,9 @@
     125: Outcome.CANCELLED,
     114: Outcome.NOT_WRITTEN,
 }
-_STATES = {0: EndpointStatus.REMOVED, 1: EndpointStatus.READY, 2: EndpointStatus.DRAINING}
-_LIST_KINDS = {0: UpdateKind.DELTA, 1: UpdateKind.SNAPSHOT, 2: UpdateKind.CACHED, 3: UpdateKind.FAILED}
-_U32_MAX = 0xFFFFFFFF
-V = TypeVar("V")
+_STATUSES = {0: EndpointStatus.REMOVED, 1: EndpointStatus.READY, 2: EndpointStatus.DRAINING}
+_UPDATE_KINDS = {0: UpdateKind.DELTA, 1: UpdateKind.SNAPSHOT, 2: UpdateKind.CACHED, 3: UpdateKind.FAILED}
+_Value = TypeVar("_Value")
 
 
 class ProtocolError(GarnetusherError):
@@ -91,7 +102,7 @@
 
 @dataclass(slots=True)
 class InternalError:
-    """Action: the decision code has failed; the text says how."""
+    """Action: the policy has raised an exception; the text says which."""
 
     text: str
 
@@ -101,172 +112,231 @@
 
 
 class Decoder:
-    """Reads batches; remembers the numbered upstream lists, which events refer to."""
+    """Reads the bodies of frames; keeps the numbered endpoint lists, which later records refer to."""
 
     def __init__(self) -> None:
-        self.lists: dict[int, list[Endpoint]] = {}
-        self.data = b""
-        self.at = 0
+        self.endpoint_lists: dict[int, list[Endpoint]] = {}
+        self._data = b""
+        self._offset = 0
 
     def batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
-        """The (instance, event) pairs of a batch's body, in order."""
-        self.data, self.at = data, 0
+        """Yield the (instance, event) pairs of a frame's body, in order.
+
+        Raises:
+            ProtocolError: where a record is malformed; the message has its index and offset.
+        """
+        self._data, self._offset = data, 0
         for index in range(count):
-            start = self.at
+            start = self._offset
             try:
-                code = self.take(1)[0]
-                if code == 110:
-                    self.read_list()
-                    continue
-                reader = _READERS.get(code)
-                if reader is None:
-                    raise ProtocolError(f"unknown event code {code}")
-                instance = self.fields(_U16)[0]
-                event = reader(self)
+                record = self._read_record()
             except (ProtocolError, UnicodeDecodeError) as error:
-                raise ProtocolError(f"record {index} at byte {start}: {error}") from error
-            yield instance, event
-        if self.at != len(data):
-            raise ProtocolError(f"{len(data) - self.at} bytes left over after {count} records")
-
-    def take(self, size: int) -> bytes:
-        end = self.at + size
-        if end > len(self.data):
-            raise ProtocolError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
-        piece = self.data[self.at : end]
-        self.at = end
+                message = f"record {index} at byte {start}: {error}"
+                raise ProtocolError(message) from error
+            if record is not None:
+                yield record
+        if self._offset != len(data):
+            message = f"{len(data) - self._offset} bytes left over after {count} records"
+            raise ProtocolError(message)
+
+    def _read_record(self) -> tuple[int, Record] | None:
+        """Read one record; None for an endpoint list, which is kept."""
+        code = self.read_bytes(1)[0]
+        if code == _ENDPOINT_LIST_CODE:
+            self._read_endpoint_list()
+            return None
+        reader = _READERS.get(code)
+        if reader is None:
+            message = f"unknown event code {code}"
+            raise ProtocolError(message)
+        instance = self.read_fields(_U16)[0]
+        return instance, reader(self)
+
+    def read_bytes(self, size: int) -> bytes:
+        """Return the next bytes; raises ProtocolError where fewer are left."""
+        end = self._offset + size
+        if end > len(self._data):
+            message = f"truncated: {size} bytes wanted, {len(self._data) - self._offset} left"
+            raise ProtocolError(message)
+        piece = self._data[self._offset : end]
+        self._offset = end
         return piece
 
-    def fields(self, layout: struct.Struct) -> tuple[int, ...]:
-        return layout.unpack(self.take(layout.size))
+    def read_fields(self, layout: struct.Struct) -> tuple[int, ...]:
+        """Return the next fields."""
+        return layout.unpack(self.read_bytes(layout.size))
 
-    def floats(self, count: int) -> list[float]:
-        values = list(struct.unpack(f"<{count}f", self.take(4 * count)))
+    def read_floats(self, count: int) -> list[float]:
+        """Return the values of a load report; raises ProtocolError where one is not finite."""
+        values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
-            raise ProtocolError("a load report value that is not a finite number")
+            message = "a load report value that is not a finite number"
+            raise ProtocolError(message)
         return values
 
-    def read_list(self) -> None:
-        number, count = self.fields(_LIST_HEAD)
-        entries = []
-        for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(self.take(_ENTRY.size * count)):
-            if not math.isfinite(weight):
-                raise ProtocolError(f"upstream {upstream} has a weight that is not a finite number")
-            entries.append(
-                Endpoint(upstream, _known(_STATES, state, "upstream condition"), zone, kind, cell, weight, started)
-            )
-        self.lists[number] = entries
+    def _read_endpoint_list(self) -> None:
+        list_number, count = self.read_fields(_ENDPOINT_LIST_HEADER)
+        data = self.read_bytes(_ENDPOINT.size * count)
+        self.endpoint_lists[list_number] = [_endpoint(fields) for fields in _ENDPOINT.iter_unpack(data)]
+
+
+def _endpoint(fields: tuple[Any, ...]) -> Endpoint:
+    endpoint_id, zone, machine_type, cell, status, weight, started_us = fields
+    if not math.isfinite(weight):
+        message = f"upstream {endpoint_id} has a weight that is not a finite number"
+        raise ProtocolError(message)
+    return Endpoint(
+        endpoint_id, _look_up(_STATUSES, status, "upstream condition"), zone, machine_type, cell, weight, started_us
+    )
 
 
-def _known(table: dict[int, V], code: int, what: str) -> V:
+def _look_up(table: dict[int, _Value], code: int, meaning: str) -> _Value:
     value = table.get(code)
     if value is None:
-        raise ProtocolError(f"unknown {what} {code}")
+        message = f"unknown {meaning} {code}"
+        raise ProtocolError(message)
     return value
 
 
-def _started(frame: Decoder) -> Record:
-    seed, size = frame.fields(_POWER_ON)
-    return InstanceStarted(seed, frame.take(size).decode())
+def _instance_started(decoder: Decoder) -> Record:
+    seed, size = decoder.read_fields(_INSTANCE_STARTED)
+    return InstanceStarted(seed, decoder.read_bytes(size).decode())
 
 
-def _stopped(frame: Decoder) -> Record:
+def _instance_stopped(_decoder: Decoder) -> Record:
     return InstanceStopped()
 
 
-def _members(frame: Decoder) -> Record:
-    how, version, number = frame.fields(_MEMBERS)
-    kind = _known(_LIST_KINDS, how, "list kind")
-    if kind is UpdateKind.FAILED:
-        return EndpointsUpdated(kind, [], version)
-    if number not in frame.lists:
-        raise ProtocolError(f"upstream list {number} was never sent")
-    return EndpointsUpdated(kind, frame.lists[number], version)
+def _endpoints_updated(decoder: Decoder) -> Record:
+    kind_code, version, list_number = decoder.read_fields(_ENDPOINTS_UPDATED)
+    update_kind = _look_up(_UPDATE_KINDS, kind_code, "list kind")
+    if update_kind is UpdateKind.FAILED:
+        return EndpointsUpdated(update_kind, [], version)
+    if list_number not in decoder.endpoint_lists:
+        message = f"upstream list {list_number} was never sent"
+        raise ProtocolError(message)
+    return EndpointsUpdated(update_kind, decoder.endpoint_lists[list_number], version)
 
 
-def _accept(frame: Decoder) -> Record:
-    request, class_index, tenant, key, cost, marks, due = frame.fields(_ACCEPT)
+def _request_arrived(decoder: Decoder) -> Record:
+    fields = decoder.read_fields(_REQUEST_ARRIVED)
+    request_id, class_index, tenant_index, affinity_key, work_us, flags, deadline_us = fields
     return RequestArrived(
-        request, due, class_index, tenant, key, cost if marks & 1 else 0, bool(marks & 2), bool(marks & 4)
+        request_id,
+        deadline_us,
+        class_index,
+        tenant_index,
+        affinity_key,
+        expected_work_us=work_us if flags & _WORK_IS_KNOWN else 0,
+        client_retry=bool(flags & _CLIENT_RETRY),
+        writes=bool(flags & _WRITES),
     )
 
 
-def _completed(frame: Decoder) -> Record:
-    request, attempt, upstream, verdict, spent, last, count = frame.fields(_COMPLETED)
+def _attempt_ended(decoder: Decoder) -> Record:
+    fields = decoder.read_fields(_ATTEMPT_ENDED)
+    request_id, attempt_index, endpoint_id, outcome_code, elapsed_us, completed, report_size = fields
     return AttemptEnded(
-        request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent, bool(last), frame.floats(count)
+        request_id,
+        attempt_index,
+        endpoint_id,
+        _look_up(_OUTCOMES, outcome_code, "outcome"),
+        elapsed_us,
+        request_completed=bool(completed),
+        load_report=decoder.read_floats(report_size),
     )
 
 
-def _begun(frame: Decoder) -> Record:
-    request, attempt, spent, upstream = frame.fields(_BEGUN)
-    return ResponseStarted(request, attempt, upstream, spent)
+def _response_started(decoder: Decoder) -> Record:
+    request_id, attempt_index, elapsed_us, endpoint_id = decoder.read_fields(_RESPONSE_STARTED)
+    return ResponseStarted(request_id, attempt_index, endpoint_id, elapsed_us)
+
+
+def _health_check_ended(decoder: Decoder) -> Record:
+    endpoint_id, outcome_code, elapsed_us, report_size = decoder.read_fields(_HEALTH_CHECK_ENDED)
+    outcome = _look_up(_OUTCOMES, outcome_code, "outcome")
+    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, decoder.read_floats(report_size))
+
 
+def _peer_message(decoder: Decoder) -> Record:
+    sender_id, size = decoder.read_fields(_PEER_MESSAGE)
+    return PeerMessage(sender_id, decoder.read_bytes(size))
 
-def _health(frame: Decoder) -> Record:
-    upstream, verdict, spent, count = frame.fields(_HEALTH)
-    return HealthCheckEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
 
+def _timer_fired(decoder: Decoder) -> Record:
+    return TimerFired(decoder.read_fields(_U32)[0])
 
-def _datagram(frame: Decoder) -> Record:
-    sender, size = frame.fields(_DATAGRAM)
-    return PeerMessage(sender, frame.take(size))
+
+def _client_disconnected(decoder: Decoder) -> Record:
+    return ClientDisconnected(decoder.read_fields(_U32)[0])
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
-    10: _completed,
-    20: _begun,
-    30: _datagram,
-    40: _stopped,
-    50: lambda frame: TimerFired(frame.fields(_U32)[0]),
-    60: lambda frame: ClientDisconnected(frame.fields(_U32)[0]),
-    70: _accept,
-    80: _members,
-    90: _health,
-    100: _started,
+    10: _attempt_ended,
+    20: _response_started,
+    30: _peer_message,
+    40: _instance_stopped,
+    50: _timer_fired,
+    60: _client_disconnected,
+    70: _request_arrived,
+    80: _endpoints_updated,
+    90: _health_check_ended,
+    100: _instance_started,
 }
 
 
-def _pack(code: int, layout: str) -> Callable[..., bytes]:
-    packer = struct.Struct("<BH" + layout)
-    return lambda instance, *values: packer.pack(code, instance, *values)
+def _packer(code: int, layout: str) -> Callable[..., bytes]:
+    """Return a function that packs a record: its code, the instance's number and these fields."""
+    record = struct.Struct("<BH" + layout)
+    return lambda instance, *fields: record.pack(code, instance, *fields)
+
+
+_pack_forward = _packer(20, "IIi")
+_pack_shed = _packer(40, "II")
+_pack_fail = _packer(90, "I")
+_pack_cancel_attempt = _packer(100, "IB")
+_pack_check_health = _packer(80, "I")
+_pack_set_timer = _packer(30, "QI")
+_pack_watch_endpoints = _packer(70, "B")
+_pack_poll_endpoints = _packer(10, "")
+_pack_close_idle_connections = _packer(110, "I")
+_pack_peer_message = _packer(50, "IH")
+_pack_log_message = _packer(120, "H")
+_pack_internal_error = _packer(60, "H")
 
 
-_send, _refuse, _fail = _pack(20, "IIi"), _pack(40, "II"), _pack(90, "I")
-_cancel, _probe, _timer = _pack(100, "IB"), _pack(80, "I"), _pack(30, "QI")
-_subscribe, _fetch, _close = _pack(70, "B"), _pack(10, ""), _pack(110, "I")
-_tell, _text_log, _text_error = _pack(50, "IH"), _pack(120, "H"), _pack(60, "H")
+def _pack_text(pack: Callable[..., bytes], instance: int, text: str) -> bytes:
+    raw = text.encode()[:_LONGEST_TEXT]
+    return pack(instance, len(raw)) + raw
 
 
-def _text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
-    raw = text.encode()[:0xFFFF]
-    return head(instance, len(raw)) + raw
+def _write_peer_message(instance: int, action: SendToPeer) -> bytes:
+    recipient_id = _U32_MAX if action.recipient_id is None else action.recipient_id
+    return _pack_peer_message(instance, recipient_id, len(action.payload)) + action.payload
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    Forward: lambda i, a: _send(i, a.request_id, a.endpoint_id, a.timeout_us),
-    Shed: lambda i, a: _refuse(i, a.request_id, a.retry_after_us),
-    Fail: lambda i, a: _fail(i, a.request_id),
-    CancelAttempt: lambda i, a: _cancel(i, a.request_id, a.attempt_index),
-    CheckHealth: lambda i, a: _probe(i, a.endpoint_id),
-    SetTimer: lambda i, a: _timer(i, a.at_us, a.token),
-    WatchEndpoints: lambda i, a: _subscribe(i, int(a.active)),
-    PollEndpoints: lambda i, a: _fetch(i),
-    CloseIdleConnections: lambda i, a: _close(i, a.endpoint_id),
-    SendToPeer: lambda i, a: (
-        _tell(i, _U32_MAX if a.recipient_id is None else a.recipient_id, len(a.payload)) + a.payload
-    ),
-    LogMessage: lambda i, a: _text(_text_log, i, a.text),
-    InternalError: lambda i, a: _text(_text_error, i, a.text),
+    Forward: lambda instance, action: _pack_forward(instance, action.request_id, action.endpoint_id, action.timeout_us),
+    Shed: lambda instance, action: _pack_shed(instance, action.request_id, action.retry_after_us),
+    Fail: lambda instance, action: _pack_fail(instance, action.request_id),
+    CancelAttempt: lambda instance, action: _pack_cancel_attempt(instance, action.request_id, action.attempt_index),
+    CheckHealth: lambda instance, action: _pack_check_health(instance, action.endpoint_id),
+    SetTimer: lambda instance, action: _pack_set_timer(instance, action.at_us, action.token),
+    WatchEndpoints: lambda instance, action: _pack_watch_endpoints(instance, int(action.active)),
+    PollEndpoints: lambda instance, _action: _pack_poll_endpoints(instance),
+    CloseIdleConnections: lambda instance, action: _pack_close_idle_connections(instance, action.endpoint_id),
+    SendToPeer: _write_peer_message,
+    LogMessage: lambda instance, action: _pack_text(_pack_log_message, instance, action.text),
+    InternalError: lambda instance, action: _pack_text(_pack_internal_error, instance, action.text),
 }
 
 
 def encode(instance: int, action: Reply) -> bytes:
-    """One action record."""
+    """Return the record of one action."""
     return _WRITERS[type(action)](instance, action)
 
 
 def reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """Return the reply frame that carries these records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -222,7 +222,7 @@
 
 def test_instances_act_alike_in_one_process_and_in_several() -> None:
     def day(instances: list[int]) -> dict[int, list[bytes]]:
-        host = adapter.Host()
+        host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
         start = [bytes.fromhex(LIST)]
         for i in instances:
