--- a/garnetusher/cli/presence.py
+++ b/garnetusher/cli/presence.py
@@ -9,8 +9,7 @@
 
 from msgspec import structs
 
-from garnetusher.model import presence
-from garnetusher.model.presence import Presence
+from garnetusher.model.presence import Presence, Scenario, run_scenario
 
 SIZES = (10, 100, 1000)
 COLUMNS = (
@@ -31,49 +30,60 @@
 )
 
 
-def _play(size: int, loss: float, starved: float, seed: int) -> Presence:
-    return presence.play(size, loss, int(starved * size), seed, time.thread_time_ns)
+def _run(size: int, loss: float, starved: float, seed: int) -> Presence:
+    return run_scenario(Scenario(size, loss, int(starved * size), seed, cpu_ns=time.thread_time_ns))
 
 
 def measure(
     sizes: list[int], loss: float, starved: float, seeds: range, progress: Callable[[str, float], None]
 ) -> list[Presence]:
-    """A play for each size and seed, the largest first."""
+    """Run the scenario for each size and seed, the largest first, on all cores.
+
+    Args:
+        sizes: members of a fleet.
+        loss: share of datagrams that are lost.
+        starved: share of members that are starved.
+        seeds: of the runs.
+        progress: is given a text and the share that is done.
+
+    Returns:
+        The results by size and seed.
+    """
     cases = [(size, seed) for size in sorted(sizes, reverse=True) for seed in seeds]
-    found = []
+    run_sizes = [size for size, _ in cases]
+    run_seeds = [seed for _, seed in cases]
+    results = []
     with ProcessPoolExecutor() as pool:
-        for played in pool.map(
-            _play, [size for size, _ in cases], [loss] * len(cases), [starved] * len(cases), [seed for _, seed in cases]
-        ):
-            found.append(played)
-            progress(f"{played.members} members", len(found) / len(cases))
-    return sorted(found, key=lambda p: (p.members, p.seed))
+        for result in pool.map(_run, run_sizes, [loss] * len(cases), [starved] * len(cases), run_seeds):
+            results.append(result)
+            progress(f"{result.members} members", len(results) / len(cases))
+    return sorted(results, key=lambda result: (result.members, result.seed))
 
 
-def table(plays: list[Presence]) -> str:
-    """In Markdown, a row a play."""
+def table(results: list[Presence]) -> str:
+    """Return a Markdown table with a row for each run."""
     lines = [f"| {' | '.join(COLUMNS)} |", f"|{' ---: |' * len(COLUMNS)}"]
-    lines += [f"| {' | '.join(f'{structs.asdict(p)[name]:g}' for name in COLUMNS)} |" for p in plays]
+    lines += [f"| {' | '.join(f'{structs.asdict(result)[name]:g}' for name in COLUMNS)} |" for result in results]
     return "\n".join(lines)
 
 
-def draw(plays: list[Presence], path: Path) -> None:
-    """Times and bytes over the size of the fleet."""
-    import matplotlib
+def draw(results: list[Presence], path: Path) -> None:
+    """Plot times and bytes over the size of the fleet."""
+    import matplotlib  # noqa: PLC0415  it takes long to import, and only this command needs it
 
     matplotlib.use("svg")
-    from matplotlib import pyplot as plt
+    from matplotlib import pyplot as plt  # noqa: PLC0415  after the choice of the backend
 
     figure, (times, costs) = plt.subplots(1, 2, figsize=(9.5, 3.4))
-    sizes = [p.members for p in plays]
+    sizes = [result.members for result in results]
     for name, label in (
         ("noticed_p50_s", "a kill noticed, median"),
         ("noticed_p99_s", "99th"),
         ("joined_s", "joins of all at once"),
         ("healed_s", "views equal after a split"),
     ):
-        times.plot(sizes, [getattr(p, name) for p in plays], "o", ms=4, label=label)
-    costs.plot(sizes, [p.bytes_a_second for p in plays], "o", ms=4, color="#4c72b0")
+        times.plot(sizes, [getattr(result, name) for result in results], "o", ms=4, label=label)
+    costs.plot(sizes, [result.bytes_a_second for result in results], "o", ms=4, color="#4c72b0")
     for axes, label in ((times, "seconds"), (costs, "bytes a second that a member sends")):
         axes.set_xscale("log")
         axes.set_xlabel("members")
--- a/garnetusher/membership/__init__.py
+++ b/garnetusher/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Who is present: failure detection after SWIM with Lifeguard's refinements, as a core without clock or socket.
+"""Fleet membership: SWIM failure detection with Lifeguard's refinements, as a core without clock or socket.
 
-`core.Member` is one process's part in it: tell it what has come and what time it is, and it says what to send and what
-has changed. `shell.Shell` gives it a UDP socket and a timer. Nothing here knows of requests.
+`member.Member` is one process's part: `handle(now_us, event)` returns the actions to carry out.
+`transport.UdpTransport` gives it a UDP socket and a timer. Nothing here knows of requests.
 
 Sources: A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002); A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
--- a/garnetusher/membership/fleet_size.py
+++ b/garnetusher/membership/fleet_size.py
@@ -1,8 +1,8 @@
-"""How many share what the fleet may do, while views may differ: the number that keeps the fleet's limits.
+"""The number of instances by which the fleet's limits are divided, while views may differ.
 
-Each sidecar allows itself one part in so many. Counting too few lets all together through too much; counting too many
-only leaves something unused. So growth counts at once, one that has said that it leaves goes on counting for a moment,
-and one that has only fallen silent for as long as a split may last: it may be serving on the other side.
+Each sidecar allows itself one part in that number. A number that is too small lets all sidecars together through too
+much; one that is too large only leaves capacity unused. So growth counts at once, a member that left counts on for a
+moment, and one that failed for as long as a split may last: it may be serving on the other side.
 """
 
 from __future__ import annotations
@@ -13,48 +13,85 @@
 from msgspec import Struct
 
 from garnetusher.membership.member import Member
-from garnetusher.membership.view import State, counts
+from garnetusher.membership.view import State, is_active
 
-HOLD_US = 10_000_000  # for which the largest count goes on holding: longer than it takes until a change is agreed on
-HOLD_FAILED_US = 120_000_000  # for which one that has failed counts on: twice the split of a minute that must pass
+HOLD_US = 10_000_000  # for which the largest size holds on: longer than it takes until a change is agreed on
+HOLD_FAILED_US = 120_000_000  # for which a failed member counts on: twice the split of a minute that must be survived
 
 
-class Share(Struct, frozen=True):
-    """What consumers are told: one part in `instances`, this one being the `index`th of those present."""
+class FleetSize(Struct, frozen=True):
+    """What limits are divided by.
+
+    Attributes:
+        instances: one part in so many is this sidecar's.
+        index: its place among the members present.
+        trusted: views agree, and only members that are present count.
+    """
 
     instances: int
     index: int
-    trusted: bool  # views agree, and nobody counts who is not there
+    trusted: bool
+
+
+class SizeObservation(Struct, frozen=True):
+    """What one view says of the fleet's size.
+
+    Attributes:
+        present: names of the active members, in order.
+        failed_since_us: failed members, and when they failed.
+        own_name: the observer.
+        agreed: other members have the same view.
+        welcome_count: how many a newcomer was told of, while it may not have heard of them all.
+    """
+
+    present: Sequence[str]
+    failed_since_us: Mapping[str, int]
+    own_name: str
+    agreed: bool
+    welcome_count: int = 0
 
 
-class Count:
-    """Tell it of each view; `saw` gives what holds now. The floor is what the operator says is the least, or 1."""
+class FleetSizeEstimator:
+    """Holds the largest size of late; `floor` is the least that the operator allows."""
 
     def __init__(self, floor: int = 1, hold_us: int = HOLD_US, hold_failed_us: int = HOLD_FAILED_US) -> None:
-        self.floor, self.hold_us, self.hold_failed_us = max(1, floor), hold_us, hold_failed_us
-        self._seen: deque[tuple[int, int]] = deque()  # (until when it holds, count): later, and fewer
-
-    def saw(
-        self, now_us: int, present: Sequence[str], failed: Mapping[str, int], own: str, agreed: bool, welcomed: int = 0
-    ) -> Share:
-        """A view: the names present, in order; those that failed and since when; whether others agree with it; and of
-        how many a newcomer was told, while it has not heard of them all."""
-        count = len(present) + sum(now_us - since_us < self.hold_failed_us for since_us in failed.values())
-        count = max(count, welcomed)
-        while self._seen and self._seen[0][0] <= now_us and agreed:
-            self._seen.popleft()
-        while self._seen and self._seen[-1][1] <= count:
-            self._seen.pop()
-        self._seen.append((now_us + self.hold_us, count))
-        most = self._seen[0][1]
-        index = present.index(own) if own in present else 0
-        return Share(max(most, self.floor), index, agreed and most == len(present))
-
-    def of(self, member: Member, now_us: int, kind: str) -> Share:
-        """What holds by one member's view of its kind."""
-        entries = [entry for _, entry in sorted(member.view.entries.items()) if entry.kind == kind]
-        present = [entry.name for entry in entries if counts(entry)]
-        failed = {entry.name: member.view.since_us[entry.name] for entry in entries if entry.state == State.FAILED}
-        # a newcomer was told of others that may still be on their way into its view
-        welcomed = member.welcomed + 1 if now_us - member.present_us < self.hold_us else 0
-        return self.saw(now_us, present, failed, member.name, member.agreed, welcomed)
+        self._floor = max(1, floor)
+        self._hold_us = hold_us
+        self._hold_failed_us = hold_failed_us
+        self._held: deque[tuple[int, int]] = deque()  # (held until, size): deadlines ascend, sizes descend
+
+    def estimate(self, member: Member, now_us: int, role: str) -> FleetSize:
+        """Return the size of the fleet by one member's view of its role."""
+        view = member.view
+        entries = [entry for _, entry in sorted(view.entries.items()) if entry.role == role]
+        is_newcomer = now_us - member.present_since_us < self._hold_us
+        observation = SizeObservation(
+            present=[entry.name for entry in entries if is_active(entry)],
+            failed_since_us={e.name: view.since_us[e.name] for e in entries if e.state == State.FAILED},
+            own_name=member.name,
+            agreed=member.agreed,
+            welcome_count=member.welcome_member_count + 1 if is_newcomer else 0,
+        )
+        return self.observe(now_us, observation)
+
+    def observe(self, now_us: int, observation: SizeObservation) -> FleetSize:
+        """Take in an observation and return the size that holds now."""
+        self._hold(now_us, self._count(now_us, observation), agreed=observation.agreed)
+        largest = self._held[0][1]
+        present = observation.present
+        index = present.index(observation.own_name) if observation.own_name in present else 0
+        trusted = observation.agreed and largest == len(present)
+        return FleetSize(max(largest, self._floor), index, trusted)
+
+    def _count(self, now_us: int, observation: SizeObservation) -> int:
+        failed_since = observation.failed_since_us.values()
+        recently_failed = sum(now_us - since_us < self._hold_failed_us for since_us in failed_since)
+        return max(len(observation.present) + recently_failed, observation.welcome_count)
+
+    def _hold(self, now_us: int, size: int, *, agreed: bool) -> None:
+        """Add a size; larger ones expire only while views agree."""
+        while agreed and self._held and self._held[0][0] <= now_us:
+            self._held.popleft()
+        while self._held and self._held[-1][1] <= size:
+            self._held.pop()
+        self._held.append((now_us + self._hold_us, size))
--- a/garnetusher/membership/messages.py
+++ b/garnetusher/membership/messages.py
@@ -1,11 +1,13 @@
-"""What members say to each other: MessagePack in datagrams, with a version, the cluster's name and a sequence number.
+"""Messages between members, and their datagrams: MessagePack with a version, the cluster's name and a sequence number.
 
-A datagram is a tag of 16 bytes (keyed BLAKE2b; zeroes where no key is set) and an `Envelope`. Its body is decoded
-apart: a body that a later version has added is counted and passed over, and the gossip beside it is still taken.
+A datagram is an authentication tag of 16 bytes (keyed BLAKE2b; zeroes where no key is set) and an `Envelope`. Messages
+are arrays: the order of fields and the tags are the wire format. A body is decoded separately: one that a later version
+has added is counted and ignored, and the gossip beside it is still used.
 """
 
 from __future__ import annotations
 
+import enum
 import hashlib
 import hmac
 from collections import Counter
@@ -15,225 +17,317 @@
 import msgspec
 from msgspec import Struct
 
-VERSION = 1  # of envelopes; one that says more is read as far as this knows it, as fields are only ever added
-MOST_BYTES = 1200  # of a datagram: under the least path MTU that IPv6 allows, less its headers
-TAG_BYTES = 16
-NO_TAG = bytes(TAG_BYTES)
-LONGEST_NAME = 64  # of a member, a zone or the cluster, in bytes of UTF-8
+from garnetusher.errors import GarnetusherError
+
+VERSION = 1  # of envelopes; of a higher one the fields known here are read, as fields are only ever appended
+MAX_DATAGRAM_BYTES = 1200  # under the smallest path MTU that IPv6 allows, less its headers
+AUTH_TAG_BYTES = 16
+EMPTY_AUTH_TAG = bytes(AUTH_TAG_BYTES)
+LONGER_LIST_BYTES = 2  # more that the header of a list of over 15 entries takes
+MAX_NAME_BYTES = 64  # of a member or a zone, in UTF-8; of a sender, in characters
+MAX_ROLE_LENGTH = 16
+MAX_HOST_LENGTH = 45  # an IPv6 address in text
+MAX_STATE = 3
+NUMBER_LIMIT = 2**63  # of generations and incarnations, exclusive
+MIN_KEY_BYTES = 16
+MAX_KEY_BYTES = 64
 Address = tuple[str, int]
 
 
+class KeyFileError(GarnetusherError, ValueError):
+    """A key file can't be used."""
+
+
+class DropReason(enum.StrEnum):
+    """Why a datagram is not taken; the values are keys of counters at the admin address."""
+
+    OVERSIZED = "oversized"
+    WRONG_KEY = "wrong key"
+    FOREIGN = "foreign"
+    MALFORMED = "malformed"
+    UNKNOWN_TYPE = "unknown kind"
+    REPLAYED = "replayed"
+    OLD_GENERATION = "old boot"
+
+
+class DatagramError(GarnetusherError, ValueError):
+    """A datagram is not taken."""
+
+    def __init__(self, reason: DropReason) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
+
+
 class Entry(Struct, array_like=True, frozen=True):
-    """What is known of one member. Who is newer goes by (boot, incarnation, state)."""
+    """What is believed of one member. (generation, incarnation, state) decides which entry supersedes which.
+
+    Attributes:
+        name: unique in the cluster.
+        host: the member's address.
+        port: its UDP port.
+        role: sidecar, agent or replica.
+        zone: where it runs.
+        generation: of the process; a later process of the same name has a higher one.
+        incarnation: raised by the member alone, to refute what others believe of it.
+        state: `view.State` as a number.
+        replaces: it has taken over from an earlier process on purpose.
+        reporter: who suspects it, or has declared it failed; independent suspicions confirm each other.
+    """
 
     name: str
     host: str
     port: int
-    kind: str  # sidecar, agent, replica
+    role: str
     zone: str
-    boot: int  # of the process: a later process of the same name has a higher one
-    incarnation: int  # raised by the member alone, to refute what is said of it
-    state: int  # view.State, a number so that higher states go before lower ones
-    replaces: bool = False  # it has taken an earlier process's place on purpose
-    by: str = ""  # who doubts it: several that do so on their own weigh more than one
+    generation: int
+    incarnation: int
+    state: int
+    replaces: bool = False
+    reporter: str = ""
 
     @property
     def address(self) -> Address:
+        """Where the member is reached."""
         return self.host, self.port
 
 
 class Ping(Struct, array_like=True, frozen=True, tag="ping"):
-    """Are you there? `digest` is of the whole view."""
+    """A probe.
 
-    number: int
+    Attributes:
+        probe_id: repeated in the answer.
+        target: name of the member that is probed.
+        digest: of the sender's whole view; 0 = none.
+        claims_name: the sender wants the target's name.
+    """
+
+    probe_id: int
     target: str
     digest: int = 0
-    clash: bool = False  # asked by one that wants this name
+    claims_name: bool = False
 
 
 class Ack(Struct, array_like=True, frozen=True, tag="ack"):
-    number: int
+    """The answer to a `Ping`; `digest` is of the sender's whole view."""
+
+    probe_id: int
     digest: int = 0
 
 
-class PingReq(Struct, array_like=True, frozen=True, tag="ping_req"):
-    """Ask that member for me."""
+class PingRequest(Struct, array_like=True, frozen=True, tag="ping_req"):
+    """A request to probe a member for the sender."""
 
-    number: int
+    probe_id: int
     target: str
     host: str
     port: int
 
 
 class Nack(Struct, array_like=True, frozen=True, tag="nack"):
-    """It has not answered me either, but I am well: what you asked for has come to me."""
+    """The target has not answered the relay either; the relay itself is well."""
 
-    number: int
+    probe_id: int
 
 
 class Join(Struct, array_like=True, frozen=True, tag="join"):
-    """Tell me who is there."""
+    """A request to be told of the members."""
 
     entry: Entry
 
 
 class Welcome(Struct, array_like=True, frozen=True, tag="welcome"):
-    """What I know of your name, if anything, and how many count here; they follow by buckets."""
+    """The answer to a `Join`; the entries follow by an exchange of buckets.
 
-    known: Entry | None
-    members: int = 0
+    Attributes:
+        known_entry: what is known of the joiner's name.
+        member_count: how many members are active.
+    """
 
+    known_entry: Entry | None
+    member_count: int = 0
 
-class Buckets(Struct, array_like=True, frozen=True, tag="buckets"):
-    """A digest of each bucket of names; `answer` where the other side is to send its own."""
+
+class BucketDigests(Struct, array_like=True, frozen=True, tag="buckets"):
+    """A digest of each bucket of names; `reply_requested` asks for the recipient's own."""
 
     digests: list[int]
-    answer: bool = False
+    reply_requested: bool = False
 
 
 class Entries(Struct, array_like=True, frozen=True, tag="entries"):
-    """A part of a bucket that differs."""
+    """Entries of buckets that differ; empty where only the gossip beside it matters."""
 
     entries: list[Entry]
 
 
-Body = Ping | Ack | PingReq | Nack | Join | Welcome | Buckets | Entries
+Body = Ping | Ack | PingRequest | Nack | Join | Welcome | BucketDigests | Entries
 
 
 class Envelope(Struct, array_like=True, frozen=True):
+    """A datagram as it is read; the body is decoded separately."""
+
     version: int
     cluster: str
     sender: str
-    boot: int
+    generation: int
     sequence: int
     body: msgspec.Raw
     gossip: list[Entry] = []
 
 
-class _Wire(Struct, array_like=True, frozen=True):
-    """An envelope as it is written: the body is already there."""
+class _OutgoingEnvelope(Struct, array_like=True, frozen=True):
+    """A datagram as it is written."""
 
     version: int
     cluster: str
     sender: str
-    boot: int
+    generation: int
     sequence: int
     body: Body
     gossip: list[Entry]
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_ENVELOPE = msgspec.msgpack.Decoder(Envelope)
-_BODY = msgspec.msgpack.Decoder(Body)
-_TAGS = frozenset(kind.__struct_config__.tag for kind in (Ping, Ack, PingReq, Nack, Join, Welcome, Buckets, Entries))
+_ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
+_BODY_DECODER = msgspec.msgpack.Decoder(Body)
+_BODY_TYPES = (Ping, Ack, PingRequest, Nack, Join, Welcome, BucketDigests, Entries)
+_BODY_TAGS = frozenset(body_type.__struct_config__.tag for body_type in _BODY_TYPES)
 
 
 class Received(Struct, frozen=True):
-    """A datagram that is in order; `body` is None where a later version has added its kind."""
+    """A valid datagram; `body` is None where a later version has added its type."""
 
     sender: str
-    boot: int
+    generation: int
     sequence: int
     body: Body | None
     gossip: list[Entry]
 
 
 class Codec:
-    """Datagrams of one cluster. `dropped` counts by reason what was not taken."""
+    """Encodes and decodes the datagrams of one cluster.
+
+    Attributes:
+        keys: the first one signs; all are accepted.
+        dropped: counts by reason of datagrams that were not taken.
+    """
 
     def __init__(self, cluster: str, keys: Sequence[bytes] = ()) -> None:
-        self.cluster, self.keys = cluster, list(keys)  # the first one signs; all are accepted
+        self.cluster = cluster
+        self.keys = list(keys)
         self.dropped: Counter[str] = Counter()
         self._sequence = 0
 
-    def encode(self, sender: str, boot: int, body: Body, gossip: list[Entry]) -> bytes:
-        """One datagram; the caller keeps it short (`room`)."""
+    def encode(self, sender: str, generation: int, body: Body, gossip: list[Entry]) -> bytes:
+        """Encode one datagram; the caller keeps it within the limit by `room`."""
         self._sequence += 1
-        data = _ENCODER.encode(_Wire(VERSION, self.cluster, sender, boot, self._sequence, body, gossip))
-        return (self._tag(self.keys[0], data) if self.keys else NO_TAG) + data
+        envelope = _OutgoingEnvelope(VERSION, self.cluster, sender, generation, self._sequence, body, gossip)
+        data = _ENCODER.encode(envelope)
+        auth_tag = self._auth_tag(self.keys[0], data) if self.keys else EMPTY_AUTH_TAG
+        return auth_tag + data
 
     def room(self, sender: str, body: Body) -> int:
-        """How many bytes of gossip still fit beside this body."""
-        bare = _Wire(VERSION, self.cluster, sender, 2**63, 2**63, body, [])
-        return MOST_BYTES - TAG_BYTES - len(_ENCODER.encode(bare)) - 2  # a longer list takes two bytes more
+        """Return how many bytes of gossip fit beside this body."""
+        envelope = _OutgoingEnvelope(VERSION, self.cluster, sender, NUMBER_LIMIT, NUMBER_LIMIT, body, [])
+        return MAX_DATAGRAM_BYTES - AUTH_TAG_BYTES - len(_ENCODER.encode(envelope)) - LONGER_LIST_BYTES
 
     @staticmethod
     def size(entry: Entry) -> int:
+        """Return how many bytes an entry takes."""
         return len(_ENCODER.encode(entry))
 
     def decode(self, data: bytes) -> Received | None:
-        """What it says; None, and counted, where it is malformed, foreign, oversized or signed with no known key."""
+        """Decode one datagram; None, and counted, where it is malformed, foreign, oversized or has no known key."""
         try:
-            if len(data) > MOST_BYTES:
-                raise _Dropped("oversized")
-            tag, rest = data[:TAG_BYTES], data[TAG_BYTES:]
-            if self.keys and not any(hmac.compare_digest(tag, self._tag(key, rest)) for key in self.keys):
-                raise _Dropped("wrong key")
-            envelope = _ENVELOPE.decode(rest)
-            if envelope.cluster != self.cluster:
-                raise _Dropped("foreign")
-            if envelope.version < 1 or not sane(envelope.gossip) or not 0 < len(envelope.sender) <= LONGEST_NAME:
-                raise _Dropped("malformed")
-            body = self._body(envelope.body)
-        except _Dropped as drop:
-            self.dropped[str(drop)] += 1
-            return None
+            return self._decode(data)
+        except DatagramError as error:
+            self.dropped[error.reason.value] += 1
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            self.dropped["malformed"] += 1
-            return None
-        return Received(envelope.sender, envelope.boot, envelope.sequence, body, envelope.gossip)
-
-    def _body(self, raw: msgspec.Raw) -> Body | None:
+            self.dropped[DropReason.MALFORMED.value] += 1
+        return None
+
+    def _decode(self, data: bytes) -> Received:
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise DatagramError(DropReason.OVERSIZED)
+        auth_tag, payload = data[:AUTH_TAG_BYTES], data[AUTH_TAG_BYTES:]
+        if self.keys and not self._is_signed(auth_tag, payload):
+            raise DatagramError(DropReason.WRONG_KEY)
+        envelope = _ENVELOPE_DECODER.decode(payload)
+        if envelope.cluster != self.cluster:
+            raise DatagramError(DropReason.FOREIGN)
+        sender_valid = 0 < len(envelope.sender) <= MAX_NAME_BYTES
+        if envelope.version < 1 or not are_valid(envelope.gossip) or not sender_valid:
+            raise DatagramError(DropReason.MALFORMED)
+        body = self._decode_body(envelope.body)
+        return Received(envelope.sender, envelope.generation, envelope.sequence, body, envelope.gossip)
+
+    def _decode_body(self, raw: msgspec.Raw) -> Body | None:
         untyped: Any = msgspec.msgpack.decode(raw)
-        if isinstance(untyped, list) and untyped and isinstance(untyped[0], str) and untyped[0] not in _TAGS:
-            self.dropped["unknown kind"] += 1  # of a later version
+        if isinstance(untyped, list) and untyped and isinstance(untyped[0], str) and untyped[0] not in _BODY_TAGS:
+            self.dropped[DropReason.UNKNOWN_TYPE.value] += 1  # of a later version
             return None
-        body = _BODY.decode(raw)
-        if isinstance(body, Entries):
-            entries = body.entries
-        else:
-            entries = [e for e in (getattr(body, "entry", None), getattr(body, "known", None)) if e is not None]
-        if not sane(entries):
-            raise _Dropped("malformed")
+        body = _BODY_DECODER.decode(raw)
+        if not are_valid(_entries_of(body)):
+            raise DatagramError(DropReason.MALFORMED)
         return body
 
+    def _is_signed(self, auth_tag: bytes, payload: bytes) -> bool:
+        return any(hmac.compare_digest(auth_tag, self._auth_tag(key, payload)) for key in self.keys)
+
     @staticmethod
-    def _tag(key: bytes, data: bytes) -> bytes:
-        return hashlib.blake2b(data, digest_size=TAG_BYTES, key=key).digest()
+    def _auth_tag(key: bytes, payload: bytes) -> bytes:
+        return hashlib.blake2b(payload, digest_size=AUTH_TAG_BYTES, key=key).digest()
 
 
-class _Dropped(ValueError):
-    """Why a datagram is not taken."""
+def _entries_of(body: Body) -> list[Entry]:
+    if isinstance(body, Entries):
+        return body.entries
+    if isinstance(body, Join):
+        return [body.entry]
+    if isinstance(body, Welcome) and body.known_entry is not None:
+        return [body.known_entry]
+    return []
 
 
-def sane(entries: list[Entry]) -> bool:
-    """Whether entries can be what a member has said; what can't must not get into a view."""
+def are_valid(entries: list[Entry]) -> bool:
+    """Return whether a member can have sent these entries; others must not get into a view."""
     return all(
-        0 < len(e.name.encode()) <= LONGEST_NAME
-        and len(e.zone.encode()) <= LONGEST_NAME
-        and 0 < e.port < 65536
-        and 0 <= e.state <= 3
-        and 0 <= e.incarnation < 2**63
-        and 0 <= e.boot < 2**63
-        and len(e.kind) <= 16
-        and len(e.host) <= 45
-        for e in entries
+        0 < len(entry.name.encode()) <= MAX_NAME_BYTES
+        and len(entry.zone.encode()) <= MAX_NAME_BYTES
+        and 0 < entry.port < 65536
+        and 0 <= entry.state <= MAX_STATE
+        and 0 <= entry.incarnation < NUMBER_LIMIT
+        and 0 <= entry.generation < NUMBER_LIMIT
+        and len(entry.role) <= MAX_ROLE_LENGTH
+        and len(entry.host) <= MAX_HOST_LENGTH
+        for entry in entries
     )
 
 
-def keys_of(text: str) -> list[bytes]:
-    """The keys of a key file: a line each in hexadecimal, the one to sign with first; raises ValueError."""
+def parse_keys(text: str) -> list[bytes]:
+    """Parse a key file: a key a line in hexadecimal, the one that signs first.
+
+    Raises:
+        KeyFileError: a line is no key, or there is none.
+    """
     keys = []
-    for number, line in enumerate(text.splitlines(), 1):
-        word = line.split("#")[0].strip()
-        if word:
-            try:
-                key = bytes.fromhex(word)
-            except ValueError:
-                raise ValueError(f"line {number}: expected a key in hexadecimal") from None
-            if not 16 <= len(key) <= 64:
-                raise ValueError(f"line {number}: expected a key of 16 to 64 bytes, got {len(key)}")
-            keys.append(key)
+    for line_number, line in enumerate(text.splitlines(), 1):
+        digits = line.split("#")[0].strip()
+        if digits:
+            keys.append(_parse_key(digits, line_number))
     if not keys:
-        raise ValueError("expected at least one key")
+        message = "expected at least one key"
+        raise KeyFileError(message)
     return keys
+
+
+def _parse_key(digits: str, line_number: int) -> bytes:
+    try:
+        key = bytes.fromhex(digits)
+    except ValueError:
+        message = f"line {line_number}: expected a key in hexadecimal"
+        raise KeyFileError(message) from None
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        message = f"line {line_number}: expected a key of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, got {len(key)}"
+        raise KeyFileError(message)
+    return key
--- /dev/null
+++ b/garnetusher/membership/name_conflicts.py
@@ -0,0 +1,72 @@
+"""What others believe of this process: refutation, and conflicts with another process of the same name."""
+
+from __future__ import annotations
+
+from garnetusher.membership.actions import StopReason
+from garnetusher.membership.dissemination import Dissemination
+from garnetusher.membership.messages import Entries, Entry
+from garnetusher.membership.state import MemberState, Phase
+from garnetusher.membership.view import State
+
+RECENTLY_JOINED_US = 30_000_000  # a process present for less gives way to another of its name
+
+
+class NameConflicts:
+    """Handles entries that bear this process's own name."""
+
+    def __init__(self, state: MemberState, dissemination: Dissemination) -> None:
+        self._state = state
+        self._dissemination = dissemination
+
+    def handle_own_entry(self, entry: Entry) -> None:
+        """Refute the entry, supersede it, or give way to the process that it is of."""
+        state = self._state
+        if state.phase != Phase.PRESENT or entry.generation < state.generation:
+            return
+        if entry.generation > state.generation:
+            self._handle_later_generation(entry)
+        elif self._is_of_earlier_process(entry):
+            self._supersede(entry)
+        elif self._is_current_accusation(entry):
+            self._refute(entry)
+
+    def _is_of_earlier_process(self, entry: Entry) -> bool:
+        """Return whether an earlier process had this very generation, as its clock was ahead.
+
+        Others take what this process says for the earlier one's, or drop it, as they have seen higher sequence numbers.
+        """
+        state = self._state
+        if entry.incarnation > state.incarnation and entry.address == state.own_address:
+            return True
+        return self._is_current_accusation(entry) and not state.acknowledged
+
+    def _is_current_accusation(self, entry: Entry) -> bool:
+        return entry.state != State.PRESENT and entry.incarnation >= self._state.incarnation
+
+    def _refute(self, entry: Entry) -> None:
+        state = self._state
+        state.incarnation = entry.incarnation + 1
+        state.persist()
+        self._dissemination.apply(state.own_entry)
+        state.local_health.adjust(1)
+        state.log("membership.refuted", incarnation=state.incarnation, by=entry.reporter, state=int(entry.state))
+
+    def _handle_later_generation(self, entry: Entry) -> None:
+        state = self._state
+        if entry.replaces:
+            state.stop(StopReason.REPLACED, entry.address)
+        elif entry.address == state.own_address:
+            self._supersede(entry)  # an earlier process here, whose clock was ahead
+        elif state.now_us - state.present_since_us < RECENTLY_JOINED_US:
+            state.stop(StopReason.REFUSED, entry.address)
+        else:
+            state.log("membership.name_taken", by=f"{entry.host}:{entry.port}", boot=entry.generation)
+            self._supersede(entry)
+            state.send(entry.address, Entries([]), state.own_entry)
+
+    def _supersede(self, entry: Entry) -> None:
+        """Take a higher generation: this process is the later one, or was here first."""
+        state = self._state
+        state.generation = entry.generation + 1
+        state.persist()
+        self._dissemination.apply(state.own_entry)
--- /dev/null
+++ b/garnetusher/membership/replay_filter.py
@@ -0,0 +1,56 @@
+"""Rejection of datagrams that were received before, or are of an earlier process of their sender."""
+
+from __future__ import annotations
+
+import enum
+from collections.abc import Container
+
+from msgspec import Struct
+
+WINDOW_BITS = 64  # sequence numbers of a sender that may arrive out of order
+_WINDOW_MASK = (1 << WINDOW_BITS) - 1
+
+
+class Freshness(enum.Enum):
+    """What the sequence number of a datagram says of it."""
+
+    FRESH = enum.auto()
+    REPLAYED = enum.auto()
+    OLD_GENERATION = enum.auto()
+
+
+class _Window(Struct):
+    """Sequence numbers received from one process; bit n of `received` stands for `highest` - n."""
+
+    generation: int
+    highest: int
+    received: int = 1
+
+
+class ReplayFilter:
+    """Accepts each sequence number of a sender once, and an earlier generation not at all."""
+
+    def __init__(self) -> None:
+        self._windows: dict[str, _Window] = {}
+
+    def check(self, sender: str, generation: int, sequence: int) -> Freshness:
+        """Return whether a datagram is fresh, and note it as received."""
+        window = self._windows.get(sender)
+        if window is None or generation > window.generation:
+            self._windows[sender] = _Window(generation, sequence)
+            return Freshness.FRESH
+        if generation < window.generation:
+            return Freshness.OLD_GENERATION
+        behind = window.highest - sequence
+        if behind < 0:
+            window.highest = sequence
+            window.received = ((window.received << min(-behind, WINDOW_BITS)) | 1) & _WINDOW_MASK
+            return Freshness.FRESH
+        if behind >= WINDOW_BITS or window.received >> behind & 1:
+            return Freshness.REPLAYED
+        window.received |= 1 << behind
+        return Freshness.FRESH
+
+    def retain(self, names: Container[str]) -> None:
+        """Forget all senders but these."""
+        self._windows = {name: window for name, window in self._windows.items() if name in names}
--- a/garnetusher/membership/transport.py
+++ b/garnetusher/membership/transport.py
@@ -1,4 +1,4 @@
-"""The core's socket and timer: it owns them and decides nothing."""
+"""The member's UDP socket and timer; it decides nothing."""
 
 from __future__ import annotations
 
@@ -6,73 +6,92 @@
 import time
 from collections.abc import Callable
 
-from garnetusher.membership.member import Action, Datagram, Event, Leave, Member, SendTo, Wake
+from garnetusher.membership.actions import Action, SendDatagram
+from garnetusher.membership.events import DatagramReceived, Event, LeaveRequested, TimerFired
+from garnetusher.membership.member import Member
 from garnetusher.membership.messages import Address
+from garnetusher.membership.state import Phase
 
-LEAVING_S = 2.0  # for the last words of one that leaves
+LEAVE_TIMEOUT_S = 2.0  # for the leave broadcast
 
 
-def clock_us() -> int:
-    """No wall clock: that may jump."""
+def monotonic_us() -> int:
+    """Return the monotonic time; the wall clock may jump."""
     return time.monotonic_ns() // 1000
 
 
-class Shell(asyncio.DatagramProtocol):
-    """Runs one member. `act` is told every action but the datagrams."""
+class UdpTransport(asyncio.DatagramProtocol):
+    """Runs one member.
 
-    def __init__(self, make: Callable[[Address, int], Member], act: Callable[[Action], None]) -> None:
-        self.make, self.act = make, act
+    Args:
+        create_member: makes the member from its own address and the time.
+        handle_action: is given every action but the datagrams.
+    """
+
+    def __init__(
+        self, create_member: Callable[[Address, int], Member], handle_action: Callable[[Action], None]
+    ) -> None:
+        self._create_member = create_member
+        self._handle_action = handle_action
         self.loop = asyncio.get_running_loop()
         self.member: Member | None = None
-        self.transport: asyncio.DatagramTransport | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.bytes_in = self.bytes_out = 0
-        self.ended = asyncio.Event()
+        self.bytes_in = 0
+        self.bytes_out = 0
+        self.closed = asyncio.Event()
+        self._transport: asyncio.DatagramTransport | None = None
+        self._timer: asyncio.TimerHandle | None = None
 
     async def open(self, host: str, port: int) -> Address:
-        """Bind, and begin to join; raises OSError."""
-        self.transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
-        address: Address = self.transport.get_extra_info("sockname")[:2]
-        self.member = self.make(address, clock_us())
-        self._arm()
+        """Bind, and begin to join.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
+        self._transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
+        address: Address = self._transport.get_extra_info("sockname")[:2]
+        self.member = self._create_member(address, monotonic_us())
+        self._set_timer(self.member)
         return address
 
     def datagram_received(self, data: bytes, address: Address) -> None:
+        """Count the datagram and hand it to the member."""
         self.bytes_in += len(data)
-        self.tell(Datagram(data, address))
+        self.dispatch(DatagramReceived(data, address))
 
-    def tell(self, event: Event) -> None:
-        if self.member is None or self.transport is None or self.transport.is_closing():
+    def dispatch(self, event: Event) -> None:
+        """Hand an event to the member and carry out what it asks for."""
+        member, transport = self.member, self._transport
+        if member is None or transport is None or transport.is_closing():
             return
-        for action in self.member.handle(clock_us(), event):
-            if isinstance(action, SendTo):
+        for action in member.handle(monotonic_us(), event):
+            if isinstance(action, SendDatagram):
                 self.bytes_out += len(action.data)
-                self.transport.sendto(action.data, action.address)
+                transport.sendto(action.data, action.address)
             else:
-                self.act(action)
-        if self.member.phase == "stopped":
+                self._handle_action(action)
+        if member.phase == Phase.STOPPED:
             self.close()
         else:
-            self._arm()
+            self._set_timer(member)
 
-    def _arm(self) -> None:
-        assert self.member is not None
-        if self.timer is not None:
-            self.timer.cancel()
-        after_us = self.member.next_us - clock_us()
-        self.timer = self.loop.call_later(max(0.0, after_us / 1e6), self.tell, Wake())
+    def _set_timer(self, member: Member) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        delay_us = member.next_us - monotonic_us()
+        self._timer = self.loop.call_later(max(0.0, delay_us / 1e6), self.dispatch, TimerFired())
 
     async def leave(self) -> None:
-        """Say so to the others, and close."""
-        self.tell(Leave())
+        """Broadcast that this process leaves, and close."""
+        self.dispatch(LeaveRequested())
         try:
-            await asyncio.wait_for(self.ended.wait(), LEAVING_S)
+            await asyncio.wait_for(self.closed.wait(), LEAVE_TIMEOUT_S)
         except TimeoutError:
             self.close()
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.transport is not None:
-            self.transport.close()
-        self.ended.set()
+        """Close the socket and stop the timer."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._transport is not None:
+            self._transport.close()
+        self.closed.set()
--- a/garnetusher/model/members.py
+++ b/garnetusher/model/members.py
@@ -1,5 +1,7 @@
-"""Many membership cores on one queue of events: datagrams that are delayed, lost, doubled or cut off, processes that
-are killed, stopped, starved and started anew, with or without what they had written."""
+"""Members in virtual time: datagrams that are delayed, lost, duplicated or cut off, and processes that fail.
+
+Processes are killed, paused, starved and restarted, with or without what they had persisted.
+"""
 
 from __future__ import annotations
 
@@ -7,174 +9,270 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from garnetusher.membership import member as core
-from garnetusher.membership.fleet_size import Count, Share
-from garnetusher.membership.member import Changed, Datagram, Event, Keep, Leave, Member, Said, SendTo, Stopped, Wake
+from garnetusher.errors import GarnetusherError
+from garnetusher.membership.actions import Action, LogEvent, MemberChanged, Persist, SendDatagram, Stopped
+from garnetusher.membership.events import DatagramReceived, Event, LeaveRequested, TimerFired
+from garnetusher.membership.fleet_size import FleetSize, FleetSizeEstimator
+from garnetusher.membership.member import Member
 from garnetusher.membership.messages import Address, Codec, Entry
-from garnetusher.membership.view import State, counts
+from garnetusher.membership.settings import MemberSettings
+from garnetusher.membership.state import Phase
+from garnetusher.membership.view import State, is_active
 from garnetusher.model.clock import Clock
 
 CLUSTER = "model"
-WAY_US = 2_000  # one way, with as much again by chance
-SETTLE_US = 3_000_000  # after which a newcomer counts for all others, and may take its part
+ROLE = "sidecar"
+PORT = 7000
+MIN_LATENCY_US = 2_000  # one way; a random part adds up to as much again
+SETTLE_US = 3_000_000  # after which all others count a newcomer, and it may use its part of the limits
+SOCKET_BUFFER_DATAGRAMS = 2000  # that wait for a paused process
+SEED_BITS = 62
+
+
+class NodeNotRunningError(GarnetusherError):
+    """A node that has no process was asked for its view."""
 
 
 @dataclass(slots=True)
 class Node:
-    """One name, the process that has it at present, and its disk."""
+    """One name, its current process and its disk.
+
+    Attributes:
+        persisted: what is on disk.
+        starts: how many processes have had the name.
+        paused: stopped by a signal, so events wait.
+        timer_us: when the next timer is set to fire; -1 = none.
+        log: log events and their times.
+        stop_reason: why the member stopped by itself, or empty.
+    """
 
     name: str
     address: Address
     zone: str
     member: Member | None = None
-    count: Count | None = None
-    kept: Keep | None = None  # on disk
-    boots: int = 0
-    stopped: bool = False  # by a signal: what comes waits
+    estimator: FleetSizeEstimator | None = None
+    persisted: Persist | None = None
+    starts: int = 0
+    paused: bool = False
     waiting: list[Event] = field(default_factory=list)
-    armed_us: int = -1
+    timer_us: int = -1
     sent_bytes: int = 0
-    sent: int = 0
-    said: list[tuple[int, Said]] = field(default_factory=list)
-    ended: str = ""  # why the member stopped by itself
+    sent_datagrams: int = 0
+    log: list[tuple[int, LogEvent]] = field(default_factory=list)
+    stop_reason: str = ""
 
     @property
     def running(self) -> bool:
-        return self.member is not None and self.member.phase != "stopped"
+        """Whether the name has a process that is a member or is joining."""
+        return self.member is not None and self.member.phase != Phase.STOPPED
+
+    @property
+    def present(self) -> bool:
+        """Whether the process has joined, and is not paused."""
+        return self.member is not None and self.member.phase == Phase.PRESENT and not self.paused
+
+    def require_member(self) -> Member:
+        """Return the current process.
+
+        Raises:
+            NodeNotRunningError: there is none.
+        """
+        if self.member is None:
+            message = f"{self.name} has no running process"
+            raise NodeNotRunningError(message)
+        return self.member
+
+
+def never_cut(_sender: Node, _recipient: Node) -> bool:
+    """Return that datagrams pass: the network without a cut."""
+    return False
+
+
+def _ignore_change(_node: Node, _now_us: int, _change: MemberChanged) -> None:
+    """Do nothing with a change of a node's view."""
 
 
 class Members:
-    """The whole of it. `changed` is called with whose view changed, at what time, and how."""
+    """All nodes and the network between them.
+
+    Attributes:
+        loss: share of datagrams that are lost.
+        duplication: share of datagrams that are delivered twice.
+        is_cut: whether datagrams from the first node to the second are dropped.
+        delays_us: by name of a starved process, how much later each of its events is handled.
+        member_changed: called with the node whose view changed, the time and the change.
+        clock_skew_us: by name, of the wall clock that generations are taken from.
+    """
 
     def __init__(
-        self, seed: int, floor: int = 1, loss: float = 0.0, keys: list[bytes] | None = None, clock: Clock | None = None
+        self,
+        seed: int,
+        floor: int = 1,
+        loss: float = 0.0,
+        keys: list[bytes] | None = None,
+        clock: Clock | None = None,
     ) -> None:
         self.clock = clock or Clock()
-        self.rng = random.Random(seed)
-        self.seed, self.floor, self.loss, self.keys = seed, floor, loss, keys or []
+        self.loss = loss
+        self.duplication = 0.0
         self.nodes: dict[str, Node] = {}
-        self.at: dict[Address, Node] = {}
-        self.cut: Callable[[Node, Node], bool] = lambda a, b: False
-        self.doubled = 0.0
-        self.slow: dict[str, int] = {}  # a starved process: each of its turns comes that much later
-        self.changed: Callable[[Node, int, Changed], None] = lambda node, now_us, change: None
-        self.clock_skew_us: dict[str, int] = {}  # of the wall clock that boots go by
+        self.is_cut: Callable[[Node, Node], bool] = never_cut
+        self.delays_us: dict[str, int] = {}
+        self.member_changed: Callable[[Node, int, MemberChanged], None] = _ignore_change
+        self.clock_skew_us: dict[str, int] = {}
+        self._random = random.Random(seed)
+        self._seed = seed
+        self._floor = floor
+        self._keys = keys or []
+        self._by_address: dict[Address, Node] = {}
 
     def add(self, name: str, zone: str = "z") -> Node:
-        """A name that has not run yet; addresses are made up."""
-        number = len(self.at)
-        node = Node(name, (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 7000), zone)
+        """Add a name that has no process yet, at an address of its own."""
+        index = len(self._by_address)
+        host = f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}"
+        node = Node(name, (host, PORT), zone)
         self.nodes[name] = node
-        self.at[node.address] = node
+        self._by_address[node.address] = node
         return node
 
-    def start(self, node: Node, seeds: list[Node], replaces: bool = False, disk: bool = True) -> None:
-        """A process of that name begins."""
-        now = self.clock.now_us
-        node.boots += 1
-        kept = node.kept if disk else None
-        boot = max(1 + now // 1000 + self.clock_skew_us.get(node.name, 0) // 1000, kept.boot + 1 if kept else 1)
-        settings = core.Settings(
-            node.name, "sidecar", node.zone, *node.address, seeds=[s.address for s in seeds], replaces=replaces
-        )
-        node.member = Member(settings, Codec(CLUSTER, self.keys), boot, hash_of(self.seed, node.name, node.boots), now)
-        node.count, node.stopped, node.armed_us, node.ended = Count(self.floor), False, -1, ""
+    def start(self, node: Node, seeds: list[Node], *, replaces: bool = False, disk: bool = True) -> None:
+        """Start a process of that name.
+
+        Args:
+            node: the name.
+            seeds: nodes through which it joins.
+            replaces: it takes over from a process of its name.
+            disk: it reads what an earlier process has persisted.
+        """
+        now_us = self.clock.now_us
+        node.starts += 1
+        host, port = node.address
+        seed_addresses = [seed.address for seed in seeds]
+        settings = MemberSettings(node.name, ROLE, node.zone, host, port, seed_addresses, replaces)
+        generation = self._next_generation(node, node.persisted if disk else None)
+        seed = stable_hash(self._seed, node.name, node.starts)
+        member = Member(settings, Codec(CLUSTER, self._keys), generation, seed, now_us)
+        node.member = member
+        node.estimator = FleetSizeEstimator(self._floor)
+        node.paused = False
+        node.timer_us = -1
+        node.stop_reason = ""
         node.waiting.clear()
-        self.clock.at(now, self.wake, node, node.member)
+        self.clock.at(now_us, self._fire_timer, node, member)
+
+    def _next_generation(self, node: Node, persisted: Persist | None) -> int:
+        wall_clock_ms = self.clock.now_us // 1000 + self.clock_skew_us.get(node.name, 0) // 1000
+        return max(1 + wall_clock_ms, persisted.generation + 1 if persisted else 1)
 
     def kill(self, node: Node) -> None:
-        node.member, node.stopped = None, False
+        """End the process without a word."""
+        node.member = None
+        node.paused = False
 
-    def stop(self, node: Node) -> None:
-        node.stopped = True
+    def pause(self, node: Node) -> None:
+        """Stop the process as SIGSTOP does."""
+        node.paused = True
 
-    def go_on(self, node: Node) -> None:
-        if node.stopped:
-            node.stopped = False
-            late, node.waiting = node.waiting, []
-            for event in late[:2000]:  # a socket's buffer holds no more
-                self.tell(node, event)
-            if node.member is not None:
-                self.tell(node, Wake())
+    def resume(self, node: Node) -> None:
+        """Let a paused process go on, with the datagrams that have waited."""
+        if not node.paused:
+            return
+        node.paused = False
+        waiting, node.waiting = node.waiting, []
+        for event in waiting[:SOCKET_BUFFER_DATAGRAMS]:
+            self._dispatch(node, event)
+        if node.member is not None:
+            self._dispatch(node, TimerFired())
 
     def leave(self, node: Node) -> None:
-        self.tell(node, Leave())
+        """Let the process leave."""
+        self._dispatch(node, LeaveRequested())
 
-    def run(self, for_us: int) -> None:
-        self.clock.run(self.clock.now_us + for_us)
+    def run(self, duration_us: int) -> None:
+        """Let virtual time pass."""
+        self.clock.run(self.clock.now_us + duration_us)
 
-    # One step
+    def deliver(self, recipient: Node, sender: Address, data: bytes) -> None:
+        """Deliver a datagram now."""
+        if recipient.running:
+            self._dispatch(recipient, DatagramReceived(data, sender))
 
-    def tell(self, node: Node, event: Event) -> None:
+    def send(self, sender: Node, action: SendDatagram) -> None:
+        """Put a datagram on the network."""
+        sender.sent_bytes += len(action.data)
+        sender.sent_datagrams += 1
+        recipient = self._by_address.get(action.address)
+        if recipient is None:
+            return
+        copies = 2 if self.duplication and self._random.random() < self.duplication else 1
+        for _ in range(copies):
+            if (self.loss and self._random.random() < self.loss) or self.is_cut(sender, recipient):
+                continue
+            latency_us = MIN_LATENCY_US + int(self._random.random() * MIN_LATENCY_US)
+            at_us = self.clock.now_us + latency_us + self.delays_us.get(recipient.name, 0)
+            self.clock.at(at_us, self.deliver, recipient, sender.address, action.data)
+
+    def _dispatch(self, node: Node, event: Event) -> None:
         member = node.member
         if member is None:
             return
-        if node.stopped:
+        if node.paused:
             node.waiting.append(event)
             return
         for action in member.handle(self.clock.now_us, event):
-            if isinstance(action, SendTo):
+            self._carry_out(node, action)
+        if member.phase != Phase.STOPPED and not 0 <= node.timer_us <= member.next_us:
+            node.timer_us = member.next_us
+            at_us = member.next_us + self.delays_us.get(node.name, 0)
+            self.clock.at(at_us, self._fire_timer, node, member)
+
+    def _carry_out(self, node: Node, action: Action) -> None:
+        match action:
+            case SendDatagram():
                 self.send(node, action)
-            elif isinstance(action, Changed):
-                self.changed(node, self.clock.now_us, action)
-            elif isinstance(action, Keep):
-                node.kept = action
-            elif isinstance(action, Said):
-                node.said.append((self.clock.now_us, action))
-            elif isinstance(action, Stopped):
-                node.ended = action.why
-        if member.phase != "stopped" and not 0 <= node.armed_us <= member.next_us:
-            node.armed_us = member.next_us
-            self.clock.at(member.next_us + self.slow.get(node.name, 0), self.wake, node, member)
-
-    def wake(self, node: Node, member: Member) -> None:
-        if member is node.member:
-            node.armed_us = -1
-            if node.stopped:
-                return  # going on wakes it
-            self.tell(node, Wake())
-
-    def send(self, node: Node, action: SendTo) -> None:
-        node.sent_bytes += len(action.data)
-        node.sent += 1
-        to = self.at.get(action.address)
-        if to is None:
-            return
-        for _ in range(2 if self.doubled and self.rng.random() < self.doubled else 1):
-            if (self.loss and self.rng.random() < self.loss) or self.cut(node, to):
-                continue
-            way = WAY_US + int(self.rng.random() * WAY_US) + self.slow.get(to.name, 0)
-            self.clock.at(self.clock.now_us + way, self.arrive, to, node.address, action.data)
+            case MemberChanged():
+                self.member_changed(node, self.clock.now_us, action)
+            case Persist():
+                node.persisted = action
+            case LogEvent():
+                node.log.append((self.clock.now_us, action))
+            case Stopped():
+                node.stop_reason = action.reason.value
 
-    def arrive(self, to: Node, address: Address, data: bytes) -> None:
-        if to.running:
-            self.tell(to, Datagram(data, address))
+    def _fire_timer(self, node: Node, member: Member) -> None:
+        if member is not node.member:
+            return
+        node.timer_us = -1
+        if not node.paused:  # `resume` fires it otherwise
+            self._dispatch(node, TimerFired())
 
     # What is believed
 
-    def view(self, node: Node) -> dict[str, Entry]:
-        assert node.member is not None
-        return node.member.view.entries
+    def entries(self, node: Node) -> dict[str, Entry]:
+        """Return the entries of a node's view."""
+        return node.require_member().view.entries
 
-    def believed(self, node: Node) -> list[str]:
-        """The names that count for it."""
-        return sorted(name for name, entry in self.view(node).items() if counts(entry))
+    def active_names(self, node: Node) -> list[str]:
+        """Return the names that a node believes active."""
+        return sorted(name for name, entry in self.entries(node).items() if is_active(entry))
 
-    def share(self, node: Node) -> Share:
-        """What its consumers go by now."""
-        assert node.member is not None and node.count is not None
-        return node.count.of(node.member, self.clock.now_us, node.member.settings.kind)
+    def failed_names(self, node: Node) -> list[str]:
+        """Return the names that a node believes failed."""
+        return sorted(name for name, entry in self.entries(node).items() if entry.state == State.FAILED)
 
-    def present(self) -> list[Node]:
-        """Those that run, are not stopped, and have joined."""
-        return [
-            n for n in self.nodes.values() if n.member is not None and n.member.phase == "present" and not n.stopped
-        ]
+    def fleet_size(self, node: Node) -> FleetSize:
+        """Return by what a node divides the fleet's limits now."""
+        member = node.require_member()
+        if node.estimator is None:
+            message = f"{node.name} has no running process"
+            raise NodeNotRunningError(message)
+        return node.estimator.estimate(member, self.clock.now_us, member.settings.role)
 
-    def failed(self, by: Node) -> list[str]:
-        return sorted(name for name, entry in self.view(by).items() if entry.state == State.FAILED)
+    def present_nodes(self) -> list[Node]:
+        """Return the nodes that have joined and are not paused."""
+        return [node for node in self.nodes.values() if node.present]
 
 
-def hash_of(*words: object) -> int:
-    """A seed for one purpose, the same under every hash seed."""
-    return random.Random("\0".join(map(str, words))).getrandbits(62)
+def stable_hash(*words: object) -> int:
+    """Return a seed for one purpose, the same under every hash seed of Python."""
+    return random.Random("\0".join(map(str, words))).getrandbits(SEED_BITS)
--- a/garnetusher/model/world.py
+++ b/garnetusher/model/world.py
@@ -630,9 +630,9 @@
     def count(self) -> None:
         """What this process's member makes of the fleet by now."""
         node = self.world.members.nodes[self.name] if self.world.members is not None else None
-        if node is None or not self.awake(self.count) or node.member is None or node.member.phase != "present":
+        if node is None or not self.awake(self.count) or not node.present:
             return
-        instances = self.world.members.share(node).instances  # type: ignore[union-attr]
+        instances = self.world.members.fleet_size(node).instances  # type: ignore[union-attr]
         if instances != self.counted:
             self.counted = instances
             self.tell(FleetSizeChanged(instances))
@@ -729,7 +729,7 @@
         if self.members is not None:
             for planned in plan.sidecars:
                 self.members.add(planned.name, planned.zone)
-            self.members.cut = self.apart
+            self.members.is_cut = self.apart
             self.clock.at(COUNT_US, self.count)
         self.machines: dict[str, _Machinery] = {}
         self.sidecars: dict[str, Sidecar] = {}
@@ -760,7 +760,7 @@
 
     def member_stops(self, sidecar: Sidecar, stops: bool) -> None:
         if self.members is not None:
-            (self.members.stop if stops else self.members.go_on)(self.members.nodes[sidecar.name])
+            (self.members.pause if stops else self.members.resume)(self.members.nodes[sidecar.name])
 
     def apart(self, a: Node, b: Node) -> bool:
         """A sidecar that is cut off from all that it talks to is cut off from the others, too."""
--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -26,7 +26,7 @@
 from garnetusher.sidecar.sockets import RETRY_S, PatientSelector, is_own
 
 if TYPE_CHECKING:
-    from garnetusher.sidecar.membership import Members
+    from garnetusher.sidecar.membership import FleetMembership
 
 log = logging.getLogger(__name__)
 Made = TypeVar("Made")
@@ -58,7 +58,7 @@
         await Admin(
             operators_calls(sidecar)
             | (
-                {b"/_members": Route(b"GET", lambda query: (True, json.dumps(members.tell())))}
+                {b"/_members": Route(b"GET", lambda query: (True, json.dumps(members.describe())))}
                 if members is not None
                 else {}
             )
@@ -88,7 +88,7 @@
     return min(LONGEST_COUNTED_S, longest_s) + KILL_GAP_S
 
 
-async def with_members(sidecar: Sidecar) -> Members | None:
+async def with_members(sidecar: Sidecar) -> FleetMembership | None:
     """The member beside this sidecar, if the file switches it on. Hazard: without it the sidecar serves as it does
     alone, so whatever is wrong with it must not keep the sidecar from starting."""
     fleet = sidecar.configuration.raw.get("fleet") if isinstance(sidecar.configuration.raw, Mapping) else None
@@ -96,10 +96,11 @@
         return None
     raw, zones, zone = sidecar.configuration.raw, sidecar.configuration.zones, sidecar.configuration.settings.zone
     try:
-        from garnetusher.sidecar.membership import Members, switch
+        from garnetusher.sidecar.membership import FleetMembership, parse_membership_settings
 
-        members = Members(
-            switch(fleet["membership"], str(raw.get("name", "")), zones[zone]), sidecar.dispatcher.set_fleet_size
+        members = FleetMembership(
+            parse_membership_settings(fleet["membership"], str(raw.get("name", "")), zones[zone]),
+            sidecar.dispatcher.set_fleet_size,
         )
         own = await members.open()
     except ImportError as error:
--- a/garnetusher/sidecar/membership.py
+++ b/garnetusher/sidecar/membership.py
@@ -1,7 +1,7 @@
-"""The member of the fleet beside this sidecar, where the file's `fleet.membership` switches it on.
+"""The sidecar's part in the fleet's membership, where the file's `fleet.membership` switches it on.
 
-Nothing else in `run` imports this, and it alone imports `garnetusher.membership`. It tells the decisions how many share
-what the fleet may do; without it, or until it has joined, they go by the number that the file tells.
+Nothing else in `run` imports this, and it alone imports `garnetusher.membership`. It reports by how many instances the
+fleet's limits are divided; without it, or until it has joined, the policy uses the number of the settings.
 """
 
 from __future__ import annotations
@@ -15,21 +15,49 @@
 from pathlib import Path
 from typing import Any
 
-from garnetusher.membership.fleet_size import Count, Share
-from garnetusher.membership.member import Action, Changed, Keep, Member, Said, Settings, Stopped
-from garnetusher.membership.messages import Address, Codec, keys_of
-from garnetusher.membership.transport import Shell, clock_us
-from garnetusher.membership.view import State
+from garnetusher.errors import GarnetusherError
+from garnetusher.membership.actions import Action, LogEvent, MemberChanged, Stopped, StopReason
+from garnetusher.membership.anti_entropy import Dispute
+from garnetusher.membership.fleet_size import FleetSize, FleetSizeEstimator
+from garnetusher.membership.member import Member
+from garnetusher.membership.messages import Address, Codec, Entry, KeyFileError, parse_keys
+from garnetusher.membership.settings import MemberSettings
+from garnetusher.membership.state import Phase
+from garnetusher.membership.transport import UdpTransport, monotonic_us
+from garnetusher.membership.view import state_label
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.5  # between two looks at the count: holds end by time, not by an event
-KEYS = {"cluster", "listen", "seeds", "floor", "key_file", "replaces", "kind"}
+REFRESH_INTERVAL_S = 0.5  # between two estimates of the fleet's size: a size that is held expires without an event
+SETTING_KEYS = {"cluster", "listen", "seeds", "floor", "key_file", "replaces", "kind"}
+REQUIRED_TEXT_KEYS = ("cluster", "listen")
+PORT_LIMIT = 65536
+SEED_BYTES = 8  # of the name, that the random seed depends on
+
+
+class MembershipSettingsError(GarnetusherError, ValueError):
+    """A key of `fleet.membership` is wrong."""
+
+    def __init__(self, key: str, problem: str) -> None:
+        path = f"fleet.membership.{key}" if key else "fleet.membership"
+        super().__init__(f"{path}: {problem}")
 
 
 @dataclass(slots=True)
-class Switch:
-    """`fleet.membership` of the file."""
+class MembershipSettings:
+    """`fleet.membership` of the file.
+
+    Attributes:
+        name: the sidecar's name.
+        zone: the sidecar's zone.
+        cluster: members of other clusters are ignored.
+        listen: the UDP address.
+        seeds: addresses of members through which it joins.
+        floor: the least number of instances that limits are divided by.
+        keys: the first one signs datagrams; all are accepted.
+        replaces: it takes over from a process of its name that may still run.
+        role: limits are divided among members of the same role.
+    """
 
     name: str
     zone: str
@@ -39,155 +67,187 @@
     floor: int = 1
     keys: list[bytes] = field(default_factory=list)
     replaces: bool = False
-    kind: str = "sidecar"
+    role: str = "sidecar"
 
 
-def address(text: object, key: str) -> Address:
-    host, colon, port = str(text).rpartition(":")
-    if not host or not port.isdecimal() or not int(port) < 65536:
-        raise ValueError(f"fleet.membership.{key}: expected host:port, got {text!r}")
-    return host, int(port)
+def parse_membership_settings(raw: Any, name: str, zone: str) -> MembershipSettings:
+    """Check and convert `fleet.membership`.
 
+    Args:
+        raw: the value in the file.
+        name: the sidecar's name.
+        zone: the sidecar's zone.
 
-def switch(raw: Any, name: str, zone: str) -> Switch:
-    """Checked whole; raises ValueError that names the key, and OSError for a key file that is not there."""
+    Raises:
+        MembershipSettingsError: a key is wrong, or not known.
+        OSError: the key file can't be read.
+    """
     if not isinstance(raw, Mapping):
-        raise ValueError(f"fleet.membership: expected an object, got {raw!r}")
-    for key in sorted(raw.keys() - KEYS):
-        raise ValueError(f"fleet.membership.{key}: expected one of {', '.join(sorted(KEYS))}")
-    for key, kind in (("cluster", str), ("listen", str)):
-        if not isinstance(raw.get(key), kind) or not raw[key]:
-            raise ValueError(f"fleet.membership.{key}: expected a text, got {raw.get(key)!r}")
+        raise MembershipSettingsError(key="", problem=f"expected an object, got {raw!r}")
+    for key in sorted(raw.keys() - SETTING_KEYS):
+        raise MembershipSettingsError(key, f"expected one of {', '.join(sorted(SETTING_KEYS))}")
+    for key in REQUIRED_TEXT_KEYS:
+        if not isinstance(raw.get(key), str) or not raw[key]:
+            raise MembershipSettingsError(key, f"expected a text, got {raw.get(key)!r}")
     seeds, floor = raw.get("seeds", []), raw.get("floor", 1)
     if not isinstance(seeds, list):
-        raise ValueError(f"fleet.membership.seeds: expected a list of host:port, got {seeds!r}")
+        raise MembershipSettingsError(key="seeds", problem=f"expected a list of host:port, got {seeds!r}")
     if isinstance(floor, bool) or not isinstance(floor, int) or floor < 1:
-        raise ValueError(f"fleet.membership.floor: expected a number of 1 or more, got {floor!r}")
-    keys: list[bytes] = []
-    if raw.get("key_file"):
-        try:
-            keys = keys_of(Path(raw["key_file"]).read_text())
-        except ValueError as error:
-            raise ValueError(f"fleet.membership.key_file: {raw['key_file']}: {error}") from None
-    return Switch(
-        name,
-        zone,
-        raw["cluster"],
-        address(raw["listen"], "listen"),
-        [address(seed, f"seeds.{place}") for place, seed in enumerate(seeds)],
-        floor,
-        keys,
-        bool(raw.get("replaces", False)),
-        str(raw.get("kind", "sidecar")),
+        raise MembershipSettingsError(key="floor", problem=f"expected a number of 1 or more, got {floor!r}")
+    keys = _read_keys(raw["key_file"]) if raw.get("key_file") else []
+    return MembershipSettings(
+        name=name,
+        zone=zone,
+        cluster=raw["cluster"],
+        listen=_parse_address(raw["listen"], "listen"),
+        seeds=[_parse_address(seed, f"seeds.{index}") for index, seed in enumerate(seeds)],
+        floor=floor,
+        keys=keys,
+        replaces=bool(raw.get("replaces", False)),
+        role=str(raw.get("kind", "sidecar")),
     )
 
 
-class Members:
-    """Runs the member, and tells `counted` whenever the number changes: 0 when it knows none."""
-
-    def __init__(self, it: Switch, counted: Callable[[int], None]) -> None:
-        self.it, self.counted = it, counted
-        self.codec = Codec(it.cluster, it.keys)
-        self.count = Count(it.floor)
-        self.shell = Shell(self.make, self.act)
-        self.told = 0
-        self.why = "joining"  # or why it has stopped
-        self.timer: asyncio.TimerHandle | None = None
-
-    def make(self, own: Address, now_us: int) -> Member:
-        it = self.it
-        # a later process has a later boot; where a clock has gone back the others tell it to go higher
-        boot = time.time_ns() // 1_000_000
-        return Member(
-            Settings(it.name, it.kind, it.zone, *own, seeds=it.seeds, replaces=it.replaces),
-            self.codec,
-            boot,
-            boot ^ hash_of(it.name),
-            now_us,
-        )
+def _parse_address(value: object, key: str) -> Address:
+    host, _, port = str(value).rpartition(":")
+    if not host or not port.isdecimal() or not int(port) < PORT_LIMIT:
+        raise MembershipSettingsError(key, f"expected host:port, got {value!r}")
+    return host, int(port)
+
+
+def _read_keys(path: str) -> list[bytes]:
+    try:
+        return parse_keys(Path(path).read_text())
+    except (KeyFileError, UnicodeDecodeError) as error:
+        raise MembershipSettingsError(key="key_file", problem=f"{path}: {error}") from None
+
+
+class FleetMembership:
+    """Runs this sidecar's member.
+
+    Args:
+        settings: of the member.
+        fleet_size_changed: is given the number of instances whenever it changes; 0 when none is known.
+    """
+
+    def __init__(self, settings: MembershipSettings, fleet_size_changed: Callable[[int], None]) -> None:
+        self._settings = settings
+        self._fleet_size_changed = fleet_size_changed
+        self._codec = Codec(settings.cluster, settings.keys)
+        self._estimator = FleetSizeEstimator(settings.floor)
+        self._transport = UdpTransport(self._create_member, self._handle_action)
+        self._reported_instances = 0
+        self._stop_reason: StopReason | None = None
+        self._refresh_timer: asyncio.TimerHandle | None = None
 
     async def open(self) -> Address:
-        """Bind and begin to join; raises OSError."""
-        own = await self.shell.open(*self.it.listen)
-        self.look()
-        return own
-
-    def act(self, action: Action) -> None:
-        if isinstance(action, Said):
-            log.info("%s %s", action.event, " ".join(f"{name}={value}" for name, value in action.fields.items()))
-        elif isinstance(action, Stopped):
-            self.why = action.why
-            self.look()
-        elif isinstance(action, Changed):
-            self.look()
-        else:
-            assert isinstance(action, Keep)  # there is no disk yet to keep it on
-
-    def share(self) -> Share | None:
-        """What holds by now; None before it has joined and after it has stopped."""
-        member = self.shell.member
-        if member is None or member.phase != "present":
-            return None
-        return self.count.of(member, clock_us(), self.it.kind)
-
-    def look(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        share = self.share()
-        instances = share.instances if share is not None else 0
-        if instances != self.told:
-            self.told = instances
-            self.counted(instances)
-        if not self.shell.ended.is_set():
-            self.timer = self.shell.loop.call_later(LOOK_S, self.look)
-
-    def tell(self) -> dict[str, object]:
-        """For operators: who is there, whether all agree, and what follows from it."""
-        member, share = self.shell.member, self.share()
+        """Bind and begin to join.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
+        address = await self._transport.open(*self._settings.listen)
+        self._refresh()
+        return address
+
+    async def leave(self) -> None:
+        """Broadcast that this sidecar leaves; the policy keeps the last number of instances."""
+        if self._refresh_timer is not None:
+            self._refresh_timer.cancel()
+        with contextlib.suppress(OSError):
+            await self._transport.leave()
+
+    def describe(self) -> dict[str, object]:
+        """Return what the admin address shows: the members, whether all agree, and what follows from it."""
+        member, size = self._transport.member, self._fleet_size()
         if member is None:
-            return {"phase": "joining", "members": []}
-        now_us, view = clock_us(), member.view
+            return {"phase": Phase.JOINING.value, "members": []}
+        now_us = monotonic_us()
         return {
-            "phase": member.phase,
-            "why": self.why if member.phase == "stopped" else "",
-            "boot": member.boot,
+            "phase": member.phase.value,
+            "why": self._stop_reason.value if self._stop_reason is not None else "",
+            "boot": member.generation,
             "incarnation": member.incarnation,
-            "health": member.health,
-            "cluster": self.it.cluster,
-            "instances": share.instances if share else 0,
-            "trusted": bool(share and share.trusted),
+            "health": member.local_health_score,
+            "cluster": self._settings.cluster,
+            "instances": size.instances if size else 0,
+            "trusted": bool(size and size.trusted),
             "agreed": member.agreed,
             "disputes": [
-                {"with": name, "for_s": round((now_us - d.since_us) / 1e6, 1), "on": member.differs}
-                for name, d in member.disputed().items()
+                _describe_dispute(name, dispute, member, now_us) for name, dispute in member.disputes().items()
             ],
-            "dropped": dict(sorted((self.codec.dropped + member.counted).items())),
-            "bytes_in": self.shell.bytes_in,
-            "bytes_out": self.shell.bytes_out,
+            "dropped": dict(sorted((self._codec.dropped + member.dropped).items())),
+            "bytes_in": self._transport.bytes_in,
+            "bytes_out": self._transport.bytes_out,
             "members": [
-                {
-                    "name": e.name,
-                    "kind": e.kind,
-                    "zone": e.zone,
-                    "address": f"{e.host}:{e.port}",
-                    "state": State(e.state).name.lower(),
-                    "boot": e.boot,
-                    "incarnation": e.incarnation,
-                    "by": e.by,
-                    "for_s": round((now_us - view.since_us[e.name]) / 1e6, 1),
-                }
-                for e in sorted(view.entries.values(), key=lambda e: e.name)
+                _describe_entry(entry, now_us - member.view.since_us[name])
+                for name, entry in sorted(member.view.entries.items())
             ],
         }
 
-    async def leave(self) -> None:
-        """Say so to the others; the decisions keep the last number."""
-        if self.timer is not None:
-            self.timer.cancel()
-        with contextlib.suppress(OSError):
-            await self.shell.leave()
-
+    def _create_member(self, own_address: Address, now_us: int) -> Member:
+        settings = self._settings
+        host, port = own_address
+        # a later process has a higher generation; where the clock went back, the other members make it go higher
+        generation = time.time_ns() // 1_000_000
+        member_settings = MemberSettings(
+            settings.name, settings.role, settings.zone, host, port, settings.seeds, settings.replaces
+        )
+        return Member(member_settings, self._codec, generation, generation ^ _stable_hash(settings.name), now_us)
 
-def hash_of(name: str) -> int:
-    """The same in every process."""
-    return int.from_bytes(name.encode()[-8:].rjust(8, b"\0"), "big")
+    def _handle_action(self, action: Action) -> None:
+        """Carry out an action; `Persist` needs a disk, which a sidecar does not have yet."""
+        if isinstance(action, LogEvent):
+            fields = " ".join(f"{name}={value}" for name, value in action.fields.items())
+            log.info("%s %s", action.event, fields)
+        elif isinstance(action, Stopped):
+            self._stop_reason = action.reason
+            self._refresh()
+        elif isinstance(action, MemberChanged):
+            self._refresh()
+
+    def _fleet_size(self) -> FleetSize | None:
+        """Return what holds now; None before the member has joined and after it has stopped."""
+        member = self._transport.member
+        if member is None or member.phase != Phase.PRESENT:
+            return None
+        return self._estimator.estimate(member, monotonic_us(), self._settings.role)
+
+    def _refresh(self) -> None:
+        """Report the number of instances if it has changed, and schedule the next estimate."""
+        if self._refresh_timer is not None:
+            self._refresh_timer.cancel()
+        size = self._fleet_size()
+        instances = size.instances if size is not None else 0
+        if instances != self._reported_instances:
+            self._reported_instances = instances
+            self._fleet_size_changed(instances)
+        if not self._transport.closed.is_set():
+            self._refresh_timer = self._transport.loop.call_later(REFRESH_INTERVAL_S, self._refresh)
+
+
+def _describe_dispute(name: str, dispute: Dispute, member: Member, now_us: int) -> dict[str, object]:
+    return {"with": name, "for_s": _seconds(now_us - dispute.since_us), "on": member.differing_names}
+
+
+def _describe_entry(entry: Entry, state_age_us: int) -> dict[str, object]:
+    return {
+        "name": entry.name,
+        "kind": entry.role,
+        "zone": entry.zone,
+        "address": f"{entry.host}:{entry.port}",
+        "state": state_label(entry.state),
+        "boot": entry.generation,
+        "incarnation": entry.incarnation,
+        "by": entry.reporter,
+        "for_s": _seconds(state_age_us),
+    }
+
+
+def _seconds(duration_us: int) -> float:
+    return round(duration_us / 1e6, 1)
+
+
+def _stable_hash(name: str) -> int:
+    """Return a number that is the same in every process."""
+    return int.from_bytes(name.encode()[-SEED_BYTES:].rjust(SEED_BYTES, b"\0"), "big")
--- /dev/null
+++ b/tests/test_fleet_size.py
@@ -0,0 +1,45 @@
+"""The number of instances that limits are divided by."""
+
+from __future__ import annotations
+
+from msgspec import structs
+
+from garnetusher.membership import fleet_size
+from garnetusher.model import plan
+from garnetusher.model.world import World
+from garnetusher.policy.balancer import Balancer
+from tests.experiment import small
+from tests.membership_fleet import SECOND, joined_fleet
+from tests.world import settings
+
+
+def test_fleet_size_counts_a_member_for_a_moment_when_it_has_left() -> None:
+    members, nodes = joined_fleet(5)
+    assert members.fleet_size(nodes[0]).instances == 5
+    members.leave(nodes[4])
+    members.run(2 * SECOND)
+    assert members.fleet_size(nodes[0]).instances == 5
+    members.run(fleet_size.HOLD_US)
+    assert members.fleet_size(nodes[0]).instances == 4
+
+
+def test_sidecars_divide_limits_by_the_present_members_when_membership_is_on() -> None:
+    experiment = small(seconds=8)
+    sidecars = structs.replace(experiment.sidecars, per_zone={"a": 3, "b": 2}, told=50, membership=True)
+    experiment = structs.replace(experiment, sidecars=sidecars)
+    world = World(experiment, plan.make(experiment, 1))
+
+    def instances() -> list[int]:
+        return [s.balancer.zones.instances for s in world.sidecars.values() if isinstance(s.balancer, Balancer)]
+
+    at_start = instances()
+    world.run()
+    assert (at_start, instances()) == ([50] * 5, [5] * 5)
+
+
+def test_zones_check_health_ten_times_as_often_when_a_tenth_of_the_instances_is_counted() -> None:
+    zones = Balancer(settings(fleet_size=50), 1, 0).zones
+    zones.of(0).upstreams = 2
+    gap_alone_us = zones.gap_us(zones.of(0))
+    zones.counted = 5
+    assert zones.gap_us(zones.of(0)) == gap_alone_us / 10
--- /dev/null
+++ b/tests/test_membership_exploration.py
@@ -0,0 +1,50 @@
+"""Explored schedules of membership: they hold, and they find faults that are seeded into it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from garnetusher.membership import fleet_size
+from garnetusher.membership.join import Rejoiner
+from garnetusher.membership.name_conflicts import NameConflicts
+from garnetusher.model import explore
+from garnetusher.model.explore.membership import Membership
+
+STEPS = 30
+
+
+def test_membership_keeps_all_rules_when_schedules_are_explored() -> None:
+    assert [find.broken.text for _, find in explore.explore(Membership(), range(1, 26), STEPS) if find] == []
+
+
+def never_contacts_failed_members(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Rejoiner, "contact_lost_members", lambda self: None)
+
+
+def never_refutes(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(NameConflicts, "handle_own_entry", lambda self, entry: None)
+
+
+def drops_failed_members_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(fleet_size, "HOLD_FAILED_US", 0)
+    monkeypatch.setattr(fleet_size.FleetSizeEstimator.__init__, "__defaults__", (1, 0, 0))
+
+
+@pytest.mark.parametrize("seed_fault", [never_contacts_failed_members, never_refutes, drops_failed_members_at_once])
+def test_exploration_finds_the_fault_when_one_is_seeded(
+    seed_fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    seed_fault(monkeypatch)
+    part = Membership()
+    broken = next((b for seed in range(1, 200) if (b := part.play(part.draw(seed, STEPS))) is not None), None)
+    assert broken is not None
+    assert broken.rule in ("convergence", "limits")
+
+
+@pytest.mark.parametrize("seed", [9_182_256, 9_182_296])
+def test_membership_keeps_all_rules_when_a_schedule_once_broke_one(seed: int) -> None:
+    """A process restarted with the generation of an earlier one; two that never found each other behind a dead seed."""
+    part = Membership()
+    assert part.play(part.draw(seed, 120)) is None
--- a/tests/test_members.py
+++ b/tests/test_sidecar_membership.py
@@ -1,4 +1,4 @@
-"""Members beside real sidecars: they find each other, and what one knows of them is told at the admin address."""
+"""Members beside real sidecars: they find each other, and the admin address shows what one of them believes."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 import pytest
 
-from garnetusher.cli import members as told
-from garnetusher.sidecar.membership import switch
+from garnetusher.cli.members import format_lines
+from garnetusher.sidecar.membership import MembershipSettingsError, parse_membership_settings
 from tests.experiment import ROOT
 from tests.net import free_port
 from tests.test_program import configuration
 
-PATIENCE_S = 30.0  # for what takes seconds on a machine of its own
+TIMEOUT_S = 30.0  # for what takes seconds on an idle machine
 
 
 @contextmanager
 def sidecars(folder: Path, memberships: list[dict[str, Any]]) -> Iterator[list[tuple[subprocess.Popen[bytes], str]]]:
-    """Processes with their admin addresses."""
+    """Run sidecars; yield the processes with their admin addresses."""
     running = []
     try:
-        for number, membership in enumerate(memberships):
-            place = folder / str(number)
-            place.mkdir()
+        for index, membership in enumerate(memberships):
+            directory = folder / str(index)
+            directory.mkdir()
             admin = f"127.0.0.1:{free_port()}"
-            path = configuration(place, name=f"n{number}", admin=admin, fleet={"membership": membership})
-            with (place / "log").open("wb") as log:
+            path = configuration(directory, name=f"n{index}", admin=admin, fleet={"membership": membership})
+            with (directory / "log").open("wb") as log:
                 running.append(
                     (
                         subprocess.Popen(
@@ -53,51 +53,55 @@
             process.wait()
 
 
-def seen(at: str) -> dict[str, Any]:
+def read_members(at: str) -> dict[str, Any]:
     done = subprocess.run(
         [sys.executable, "-m", "garnetusher", "members", "--at", at, "--json"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=30,
+        check=False,
     )
     return json.loads(done.stdout) if done.returncode == 0 else {"phase": done.stderr, "members": []}
 
 
-def until(at: str, holds: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+def wait_until(at: str, holds: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
     began = time.monotonic()
-    while not holds(found := seen(at)):
-        assert time.monotonic() - began < PATIENCE_S, found
+    while not holds(document := read_members(at)):
+        assert time.monotonic() - began < TIMEOUT_S, document
         time.sleep(0.1)
-    return found
+    return document
 
 
-def states(found: dict[str, Any]) -> list[str]:
-    return [m["state"] for m in found["members"]]
+def states(document: dict[str, Any]) -> list[str]:
+    return [member["state"] for member in document["members"]]
 
 
-def test_sidecars_count_each_other_through_a_kill_and_a_farewell(tmp_path: Path) -> None:
+def test_sidecars_count_each_other_when_one_is_killed_and_one_leaves(tmp_path: Path) -> None:
     ports = [free_port() for _ in range(3)]
     seeds = [f"127.0.0.1:{port}" for port in ports[:2]]
     with sidecars(
         tmp_path, [{"cluster": "test", "listen": f"127.0.0.1:{port}", "seeds": seeds} for port in ports]
     ) as running:
         admin = running[0][1]
-        whole = until(admin, lambda found: states(found) == ["present"] * 3 and found["agreed"])
-        assert whole["instances"] == 3 and [m["name"] for m in whole["members"]] == ["n0", "n1", "n2"]
+        complete = wait_until(admin, lambda document: states(document) == ["present"] * 3 and document["agreed"])
+        assert complete["instances"] == 3
+        assert [member["name"] for member in complete["members"]] == ["n0", "n1", "n2"]
         running[2][0].kill()
-        after = until(admin, lambda found: states(found) == ["present", "present", "failed"])
-        assert after["instances"] == 3 and not after["trusted"]  # it may serve on, where nobody here hears it
-        assert "the count is held" in told.lines(after)[0]
+        after = wait_until(admin, lambda document: states(document) == ["present", "present", "failed"])
+        assert after["instances"] == 3
+        assert not after["trusted"]
+        assert "the count is held" in format_lines(after)[0]
         running[1][0].send_signal(signal.SIGTERM)
-        until(admin, lambda found: states(found) == ["present", "left", "failed"])
+        wait_until(admin, lambda document: states(document) == ["present", "left", "failed"])
 
 
-def test_a_sidecar_serves_without_a_membership_that_can_not_be(tmp_path: Path) -> None:
+def test_sidecar_serves_alone_when_its_membership_settings_are_wrong(tmp_path: Path) -> None:
     with sidecars(tmp_path, [{"cluster": "test", "listen": "127.0.0.1:none"}]) as running:
         process, admin = running[0]
-        found = until(admin, lambda found: "not switched on" in found["phase"])
-        assert found["members"] == [] and process.poll() is None
+        document = wait_until(admin, lambda document: "not switched on" in document["phase"])
+        assert document["members"] == []
+        assert process.poll() is None
         assert "fleet.membership.listen: expected host:port" in (tmp_path / "0" / "log").read_text()
 
 
@@ -113,6 +117,6 @@
         ({"cluster": "c", "listen": "h:1", "flor": 2}, ".flor"),
     ],
 )
-def test_a_wrong_switch_names_its_key(raw: Any, key: str) -> None:
-    with pytest.raises(ValueError, match=f"^fleet.membership{key}: expected"):
-        switch(raw, "n", "z")
+def test_parse_membership_settings_names_the_key_when_it_is_wrong(raw: Any, key: str) -> None:
+    with pytest.raises(MembershipSettingsError, match=f"^fleet.membership{key}: expected"):
+        parse_membership_settings(raw, "n", "z")
