--- a/garnetusher/membership/anti_entropy.py
+++ b/garnetusher/membership/anti_entropy.py
@@ -4,9 +4,10 @@
 
 from msgspec import Struct
 
+from garnetusher.membership.codec import DropReason
 from garnetusher.membership.dissemination import Dissemination
 from garnetusher.membership.merge import EntryMerger
-from garnetusher.membership.messages import Address, BucketDigests, DropReason, Entries, Entry
+from garnetusher.membership.messages import Address, BucketDigests, Entries, Entry
 from garnetusher.membership.state import MemberState, Phase
 
 EXCHANGE_INTERVAL_US = 1_000_000  # between exchanges with members whose views differ
--- a/garnetusher/membership/dissemination.py
+++ b/garnetusher/membership/dissemination.py
@@ -7,10 +7,11 @@
 
 from msgspec import structs
 
+from garnetusher.membership import log_events
 from garnetusher.membership.actions import MemberChanged, StopReason
 from garnetusher.membership.messages import Entries, Entry
 from garnetusher.membership.state import MemberState, Phase
-from garnetusher.membership.view import State, state_label
+from garnetusher.membership.view import State
 
 GOSSIP_PERIOD_US = 150_000  # between rounds in which pending broadcasts are sent without another message
 GOSSIP_FANOUT = 3  # members that each round sends to
@@ -49,13 +50,7 @@
         self._state.add_action(MemberChanged(entry, previous))
         if entry.name == self._state.name and previous is None:
             return  # `membership.joined` reports this one
-        self._state.log(
-            f"membership.{state_label(entry.state)}",
-            member=entry.name,
-            boot=entry.generation,
-            incarnation=entry.incarnation,
-            by=entry.reporter,
-        )
+        self._state.add_action(log_events.state_changed(entry))
 
     def run_gossip_round(self) -> None:
         """Send pending broadcasts to a few members, if there are any."""
--- a/garnetusher/membership/join.py
+++ b/garnetusher/membership/join.py
@@ -6,6 +6,7 @@
 
 from msgspec import Struct
 
+from garnetusher.membership import log_events
 from garnetusher.membership.actions import StopReason
 from garnetusher.membership.anti_entropy import AntiEntropy
 from garnetusher.membership.dissemination import Dissemination
@@ -89,7 +90,7 @@
         """Answer a newcomer that wants this process's name."""
         state = self._state
         if state.phase == Phase.PRESENT:
-            state.log("membership.name_taken", by=f"{address[0]}:{address[1]}", boot=state.generation)
+            state.add_action(log_events.name_taken(address, state.generation))
             state.send(address, Ack(ping.probe_id, state.view.digest))
 
     def is_name_claim_answer(self, ack: Ack, address: Address) -> bool:
@@ -126,7 +127,7 @@
         state.present_since_us = state.now_us
         state.persist()
         self._dissemination.apply(state.own_entry)
-        state.log("membership.joined", boot=state.generation, members=state.view.present)
+        state.add_action(log_events.joined(state.generation, state.view.present))
         self._joined()
 
 
--- a/garnetusher/membership/member.py
+++ b/garnetusher/membership/member.py
@@ -8,8 +8,10 @@
 
 from collections import Counter
 
+from garnetusher.membership import log_events
 from garnetusher.membership.actions import Action, StopReason
 from garnetusher.membership.anti_entropy import AntiEntropy, Dispute
+from garnetusher.membership.codec import Codec, DropReason, Received
 from garnetusher.membership.dissemination import GOSSIP_PERIOD_US, Dissemination
 from garnetusher.membership.events import DatagramReceived, Event, LeaveRequested
 from garnetusher.membership.failure_detector import FailureDetector
@@ -20,14 +22,11 @@
     Address,
     Body,
     BucketDigests,
-    Codec,
-    DropReason,
     Entries,
     Join,
     Nack,
     Ping,
     PingRequest,
-    Received,
     Welcome,
 )
 from garnetusher.membership.name_conflicts import NameConflicts
@@ -133,7 +132,7 @@
 
     @property
     def next_us(self) -> int:
-        """When the next timer is due."""
+        """When the next timer has to fire."""
         next_due_us = self._state.timers.next_due_us
         return next_due_us if next_due_us is not None else self._state.now_us + PROBE_PERIOD_US
 
@@ -178,7 +177,7 @@
         return freshness == Freshness.FRESH
 
     def _notify_superseded(self, received: Received, address: Address) -> None:
-        """Tell an earlier process that another has taken its place."""
+        """Notify an earlier process that another has taken its place."""
         entry = self._state.view.entries.get(received.sender)
         if entry is not None and entry.generation > received.generation:
             self._state.send(address, Entries([]), entry)
@@ -281,4 +280,4 @@
         state.timers.postpone_all(late_us)
         self._suspicions.postpone_all(late_us)
         state.local_health.adjust(1)
-        state.log("membership.starved", late_s=round(late_us / 1e6, 3))
+        state.add_action(log_events.starved(late_us))
--- a/garnetusher/membership/name_conflicts.py
+++ b/garnetusher/membership/name_conflicts.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from garnetusher.membership import log_events
 from garnetusher.membership.actions import StopReason
 from garnetusher.membership.dissemination import Dissemination
 from garnetusher.membership.messages import Entries, Entry
@@ -49,7 +50,7 @@
         state.persist()
         self._dissemination.apply(state.own_entry)
         state.local_health.adjust(1)
-        state.log("membership.refuted", incarnation=state.incarnation, by=entry.reporter, state=int(entry.state))
+        state.add_action(log_events.refuted(state.incarnation, entry))
 
     def _handle_later_generation(self, entry: Entry) -> None:
         state = self._state
@@ -60,7 +61,7 @@
         elif state.now_us - state.present_since_us < RECENTLY_JOINED_US:
             state.stop(StopReason.REFUSED, entry.address)
         else:
-            state.log("membership.name_taken", by=f"{entry.host}:{entry.port}", boot=entry.generation)
+            state.add_action(log_events.name_taken(entry.address, entry.generation))
             self._supersede(entry)
             state.send(entry.address, Entries([]), state.own_entry)
 
--- a/garnetusher/membership/state.py
+++ b/garnetusher/membership/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of one member share, and the only functions that send, log and stop."""
+"""The state that the parts of one member share, and the only functions that send and stop."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 import random
 from collections import Counter
 
-from garnetusher.membership.actions import Action, LogEvent, Persist, SendDatagram, Stopped, StopReason
+from garnetusher.membership import log_events
+from garnetusher.membership.actions import Action, Persist, SendDatagram, Stopped, StopReason
+from garnetusher.membership.codec import Codec
 from garnetusher.membership.local_health import LocalHealth
-from garnetusher.membership.messages import Address, Body, Codec, Entries, Entry
+from garnetusher.membership.messages import Address, Body, Entries, Entry
 from garnetusher.membership.settings import MemberSettings
 from garnetusher.membership.timers import Callback, TimerQueue
 from garnetusher.membership.view import State, View
 
 
 class Phase(enum.StrEnum):
-    """Where a process is in its life as a member; the values appear at the admin address."""
+    """How far a process is between joining and its end as a member; the values appear at the admin address."""
 
     JOINING = "joining"
     PRESENT = "present"
@@ -106,14 +108,10 @@
         self._actions.append(SendDatagram(address, data))
 
     def accusation_against(self, name: str) -> Entry | None:
-        """Return the entry of a member that is not held for present: its owner must hear it first, to refute it."""
+        """Return the entry of a member that is not believed present: it must receive that first, to refute it."""
         entry = self.view.entries.get(name)
         return entry if entry is not None and entry.state != State.PRESENT else None
 
-    def log(self, event: str, **fields: object) -> None:
-        """Add a line to the log."""
-        self._actions.append(LogEvent(event, fields))
-
     def persist(self) -> None:
         """Ask that generation and incarnation be written to disk."""
         self._actions.append(Persist(self.generation, self.incarnation))
@@ -126,8 +124,7 @@
         """End this process's membership."""
         self.phase = Phase.STOPPED
         self.timers.clear()
-        by = f"{superseded_by[0]}:{superseded_by[1]}" if superseded_by else ""
-        self.log("membership.stopped", why=reason, by=by)
+        self._actions.append(log_events.stopped(reason, superseded_by))
         self._actions.append(Stopped(reason, superseded_by))
 
     def take_actions(self) -> list[Action]:
--- a/garnetusher/membership/view.py
+++ b/garnetusher/membership/view.py
@@ -9,7 +9,8 @@
 
 import xxhash
 
-from garnetusher.membership.messages import Codec, Entry
+from garnetusher.membership.codec import Codec
+from garnetusher.membership.messages import Entry
 
 BUCKETS = 32  # of names: a full exchange sends only the buckets that differ
 BROADCAST_FACTOR = 4  # times log2 of the view's size that each change is sent or received again: SWIM's lambda
@@ -31,15 +32,6 @@
     LEFT = 3  # as it has said itself
 
 
-# the words of the log and of the admin address, which scripts may read
-_STATE_LABELS = {State.PRESENT: "present", State.SUSPECTED: "doubted", State.FAILED: "failed", State.LEFT: "left"}
-
-
-def state_label(state: int) -> str:
-    """Return the word for a state in the log and at the admin address."""
-    return _STATE_LABELS[State(state)]
-
-
 def is_active(entry: Entry) -> bool:
     """Return whether the member is present or suspected: a suspected member may be well."""
     return entry.state <= State.SUSPECTED
@@ -111,7 +103,7 @@
 
     @property
     def digest(self) -> int:
-        """Digest of the whole view: equal views have equal digests."""
+        """Digest of the complete view: equal views have equal digests."""
         return xxhash.xxh64_intdigest(b"".join(bucket.to_bytes(8, "big") for bucket in self._buckets))
 
     @property
--- a/garnetusher/model/members.py
+++ b/garnetusher/model/members.py
@@ -11,10 +11,11 @@
 
 from garnetusher.errors import GarnetusherError
 from garnetusher.membership.actions import Action, LogEvent, MemberChanged, Persist, SendDatagram, Stopped
+from garnetusher.membership.codec import Codec
 from garnetusher.membership.events import DatagramReceived, Event, LeaveRequested, TimerFired
 from garnetusher.membership.fleet_size import FleetSize, FleetSizeEstimator
 from garnetusher.membership.member import Member
-from garnetusher.membership.messages import Address, Codec, Entry
+from garnetusher.membership.messages import Address, Entry
 from garnetusher.membership.settings import MemberSettings
 from garnetusher.membership.state import Phase
 from garnetusher.membership.view import State, is_active
--- a/garnetusher/sidecar/membership.py
+++ b/garnetusher/sidecar/membership.py
@@ -18,13 +18,15 @@
 from garnetusher.errors import GarnetusherError
 from garnetusher.membership.actions import Action, LogEvent, MemberChanged, Stopped, StopReason
 from garnetusher.membership.anti_entropy import Dispute
+from garnetusher.membership.codec import Codec
 from garnetusher.membership.fleet_size import FleetSize, FleetSizeEstimator
+from garnetusher.membership.key_file import KeyFileError, parse_keys
+from garnetusher.membership.log_events import state_label
 from garnetusher.membership.member import Member
-from garnetusher.membership.messages import Address, Codec, Entry, KeyFileError, parse_keys
+from garnetusher.membership.messages import Address, Entry
 from garnetusher.membership.settings import MemberSettings
 from garnetusher.membership.state import Phase
 from garnetusher.membership.transport import UdpTransport, monotonic_us
-from garnetusher.membership.view import state_label
 
 log = logging.getLogger(__name__)
 
--- a/tests/test_membership_member.py
+++ b/tests/test_membership_member.py
@@ -5,9 +5,9 @@
 import random
 
 from garnetusher.membership.actions import MemberChanged, SendDatagram
+from garnetusher.membership.codec import MAX_DATAGRAM_BYTES, Codec
 from garnetusher.membership.events import LeaveRequested, TimerFired
 from garnetusher.membership.member import Member
-from garnetusher.membership.messages import MAX_DATAGRAM_BYTES, Codec
 from garnetusher.membership.settings import MemberSettings
 from garnetusher.membership.view import State
 from garnetusher.model.members import Members, Node
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -7,8 +7,10 @@
 from hypothesis import strategies as st
 
 from garnetusher.membership.actions import SendDatagram
+from garnetusher.membership.codec import EMPTY_AUTH_TAG, Codec
 from garnetusher.membership.events import DatagramReceived
-from garnetusher.membership.messages import EMPTY_AUTH_TAG, Ack, Codec, Entry, KeyFileError, Ping, parse_keys
+from garnetusher.membership.key_file import KeyFileError, parse_keys
+from garnetusher.membership.messages import Ack, Entry, Ping
 from garnetusher.membership.replay_filter import WINDOW_BITS, Freshness, ReplayFilter
 from garnetusher.membership.view import State
 from garnetusher.model.members import CLUSTER
--- a/tests/test_membership_transport.py
+++ b/tests/test_membership_transport.py
@@ -6,8 +6,9 @@
 from collections.abc import Callable
 
 from garnetusher.membership.actions import Action, Stopped, StopReason
+from garnetusher.membership.codec import Codec
 from garnetusher.membership.member import Member
-from garnetusher.membership.messages import Address, Codec
+from garnetusher.membership.messages import Address
 from garnetusher.membership.settings import MemberSettings
 from garnetusher.membership.transport import UdpTransport
 from garnetusher.membership.view import State
