--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -19,7 +19,7 @@
 from garnetusher.sidecar.admin.handlers import operators_calls
 from garnetusher.sidecar.admin.server import Admin, Route
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
-from garnetusher.sidecar.downstream.connection import DownstreamServer
+from garnetusher.sidecar.downstream.server import DownstreamServer
 from garnetusher.sidecar.reload import Reloader
 from garnetusher.sidecar.requests.messages import monotonic_us
 from garnetusher.sidecar.sidecar import Sidecar
@@ -78,7 +78,7 @@
     while server.busy or (server.connections and lifecycle.closing_for_s < killed_s - ENDS_BEFORE_S / 2):
         server.close_idle(monotonic_us())
         if lifecycle.closing_for_s >= killed_s - ENDS_BEFORE_S:
-            server.turn_away_unread()
+            server.shed_unread()
         await asyncio.sleep(0.01)
 
 
--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -9,7 +9,8 @@
 
 import httptools
 
-from garnetusher.sidecar.downstream.connection import LISTEN_PATIENCE_S, REASONS
+from garnetusher.sidecar.downstream.response_writer import REASONS
+from garnetusher.sidecar.downstream.server import LISTEN_PATIENCE_S
 from garnetusher.sidecar.sockets import Listener, listen_at
 
 log = logging.getLogger(__name__)
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -1,655 +1,440 @@
-"""The application's side: reads its requests over HTTP/1.1 and writes their answers."""
+"""One client connection: it carries one HTTP/1.1 request at a time, from its first byte to the end of its response."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import enum
 import logging
-import socket
-
-import httptools
-
-from garnetusher.policy.settings import Settings
-from garnetusher.sidecar.downstream.router import RequestRejected, RequestRouter, retry_after
-from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
-from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
-from garnetusher.sidecar.requests.messages import (
-    RESPONSE_MARGIN_US,
-    Disposition,
-    FinalResponse,
-    HttpRequest,
-    monotonic_us,
-)
-from garnetusher.sidecar.sockets import Listener, SteadySocket, listen_at
-from garnetusher.sidecar.streaming import (
-    HELD,
-    LAST_CHUNK,
-    LONGEST,
-    STALL_US,
-    BodyMemory,
-    Head,
-    Reading,
-    Source,
-    Upload,
-    chunk,
-)
+from typing import TYPE_CHECKING
+
+from garnetusher.sidecar.downstream.arrival_time import ArrivalTimes
+from garnetusher.sidecar.downstream.errors import RequestRejected
+from garnetusher.sidecar.downstream.request_reader import RequestReader
+from garnetusher.sidecar.downstream.response_writer import ResponseWriter, content_type_header, retry_after_header
+from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Disposition, FinalResponse, monotonic_us
+from garnetusher.sidecar.sockets import SteadySocket
+from garnetusher.sidecar.streaming import STALL_US, Head, Reading, Source, Upload
+
+if TYPE_CHECKING:
+    from garnetusher.sidecar.downstream.server import DownstreamServer
 
 log = logging.getLogger(__name__)
 
-LONGEST_HEAD = 16 * 1024
-LONGEST_READ_US = 2_700_000  # for a request to come whole; strangers are owed an end 3 s after they connect
-FIRST_BODY_US = 900_000  # for the first bytes of a body, behind a head that may have taken 2 s
-SLOWEST_BODY = 32_000  # bytes a second that earn it more time: half of what a slow client sends
-MOST_AHEAD_US = 5_000_000  # more time than this is not earned ahead
-FRAMING = 64 * 1024  # bytes that chunks may take beside the body itself
-FRAMING_PART = 16  # and so many more for each byte of it: pieces may be of any size
-LONGEST_WAIT_US = 5_000_000  # for room for a long body
-UNWRITTEN = 32 * 1024  # of a long answer, before its upstream is held back
-BACKLOG = 512  # connections not yet accepted
-CHECK_S = 0.1  # between looks at what clients have sent
-LISTEN_PATIENCE_S = 10.0  # for an address to come free: clients wait for 30 s at a start
-DRAIN_BACKLOG_S = 1.0  # for accept to work again at the end: a third of the time that is left to answer
-DRAIN_IDLE_S = 1.5  # after which idle connections close: 4 s after the call none may be left that was in use
-QUIET_US = 300_000  # since a connection came or had its answer: its last request may be on its way
-SOON_US = 1_000_000  # after which another process is there in the place of one that ends
-SET_UP_US = 20_000  # what is read so soon after a connection was set up, or after another piece, may have come with it
-MOST_HELD_US = 500_000  # of a body that streams on and on after a hold-up, so much is what had come in it
-LINGER_S = 1.0  # how long a connection that is to end stays for its client to read what it was told
-REASONS = {
-    200: b"OK",
-    400: b"Bad Request",
-    404: b"Not Found",
-    405: b"Method Not Allowed",
-    408: b"Request Timeout",
-    413: b"Content Too Large",
-    417: b"Expectation Failed",
-    500: b"Internal Server Error",
-    501: b"Not Implemented",
-    503: b"Service Unavailable",
-}
+CHECK_INTERVAL_S = 0.1  # between checks of all connections
+BODY_MEMORY_TIMEOUT_US = 5_000_000  # for memory for a long body to come free
+RESTART_RETRY_AFTER_US = 1_000_000  # after which another process has taken the place of one that stops
+LINGER_INTERVAL_S = 1.0  # between checks whether a client has read its last response
+
+
+class ConnectionState(enum.Enum):
+    """Whether a connection takes further requests."""
+
+    ACTIVE = "active"
+    CLOSE_SCHEDULED = "close scheduled"  # it closes after two rounds of the loop if no request has been read by then
+    CLOSING = "closing"  # what still comes is discarded
 
 
 class DownstreamConnection(Reading):
-    """One connection of the application; it carries one request at a time."""
+    """A client's connection.
+
+    Attributes:
+        state: whether it takes further requests.
+        reader: the request that is being read.
+        writer: the response that is being written.
+        arrival_times: when what was read arrived.
+        has_open_request: the dispatcher has a request of it that has no final response yet.
+        has_sent_valid_request: a valid request has been read from it, so its next one has the full read time-out.
+        idle_since_us: when it was set up, or its last response or discarded bytes ended.
+    """
 
     def __init__(self, server: DownstreamServer, sock: SteadySocket | None = None) -> None:
-        """`sock` is the connection's own; without one its peer can't be asked for."""
+        """Begin with a connection that has just been accepted.
+
+        Args:
+            server: the server that accepted it.
+            sock: its socket; without one the kernel can't be asked about its client.
+        """
         self.server = server
-        self.sock = sock
-        self.transport: asyncio.Transport | None = None
-        self.parser = httptools.HttpRequestParser(self)
-        self.open = False  # a request has been taken and not answered
-        self.request_id = 0  # the host's name for it
-        self.made_us = server.accepted_us()  # when it connected
-        self.set_up_us = 0  # when the loop began to read it
-        self.quiet_us = 0  # since when it has been idle, if it is
-        self.begun_us = 0  # when the message now being read began
-        self.limit_us = 0  # when more of it must have come
-        self.proven = False  # it has sent a proper request
-        self.extra = False  # bytes came while a request was open
-        self.last = False  # the connection closes with the next answer
-        self.ending = False  # what still comes is not read any more
-        self.left = False  # its client sends nothing more
-        self.leaving = False  # it closes unless a request of it is here
-        self.blocked_us = 0  # since when what we write is not taken
-        self.unwritten = 0  # and how much of it is left, as last seen
-        self.reset()
-
-    def reset(self) -> None:
-        self.whole = self.headed = False
-        self.begun_us = 0
-        self.method = self.target = b""
-        self.old = False  # of HTTP/1.0, which knows no chunks
-        self.headers: list[tuple[bytes, bytes]] = []
-        self.size = self.head = self.passed = 0  # bytes in all, of headers, and of the body
-        self.length: int | None = None  # of the body, where the head tells
-        self.chunked = False
-        self.body = bytearray()
-        self.http_request: HttpRequest | None = None  # as the head tells
-        self.router: RequestRouter | None = None  # that it was read by
-        self.upload: Upload | None = None
-        self.waits_us = 0  # since when a long body is not read on
-        self.looked_us = 0  # when the rest of it was last seen not to be here yet
-        self.rest_since_us = 0  # since when it has been; 0: it was not seen
-        self.read_us = 0  # when what was read last had come, at the soonest
-        self.read_at_us = 0  # and when it was read
-        self.source: Source | None = None  # of a long answer
-        self.framed = False  # it goes out in chunks
+        self.state = ConnectionState.ACTIVE
+        self.reader = RequestReader(self._on_head_complete)
+        self.writer = ResponseWriter()
+        self.arrival_times = ArrivalTimes(server.accepted_us(), server.event_loop_lag.earliest_arrival_us, sock)
+        self.has_open_request = False
+        self.has_sent_valid_request = False
+        self.idle_since_us = 0
+        self._sock = sock
+        self._request_id = 0  # the dispatcher's number for the request
+        self._close_after_response = False
+        self._client_half_closed = False  # the client sends nothing more
+
+    @property
+    def transport(self) -> asyncio.Transport:
+        """The transport; raises `NotConnectedError` before `connection_made`."""
+        return self.writer.transport
+
+    @property
+    def closing(self) -> bool:
+        """Whether what still comes is discarded."""
+        return self.state is ConnectionState.CLOSING
+
+    @property
+    def idle(self) -> bool:
+        """Whether it waits for the first bytes of a request."""
+        return not self.has_open_request and not self.closing and self.reader.message_started_us == 0
+
+    # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        transport.set_write_buffer_limits(high=UNWRITTEN)
-        self.set_up_us = self.quiet_us = monotonic_us()
-        self.limit_us = self.made_us + LONGEST_READ_US
+        """Begin to read."""
+        self.writer.connect(transport)
+        self.idle_since_us = self.arrival_times.start_reading()
+        self.reader.set_deadline(self.arrival_times.accepted_us)
         self.server.connected(self)
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection; its request goes no further."""
         self.server.connections.pop(self, None)
-        self.drop()
+        self._drop_request()
 
     def eof_received(self) -> bool:
-        """Its client sends nothing more. Hazard: whether it has left or only waits for its answer no socket tells
-        before something is written; so nothing is sent on for it from now on, and it gets an answer."""
-        if not (self.open and self.whole):
-            if self.source is not None:
-                self.turn_away(400)  # a mere end would make the answer to half a body look whole
+        """Handle the end of the client's sending side; return whether the connection stays open.
+
+        No socket tells whether the client has disconnected or only waits for its response before something is
+        written. So nothing is forwarded for it from now on, and it gets a response.
+        """
+        if not (self.has_open_request and self.reader.complete):
+            if self.writer.source is not None:
+                self._reject(400)  # a plain end would make the response to half a body look complete
             return False
-        self.last = self.left = True
-        self.server.dispatcher.on_client_half_closed(self.request_id)
+        self._close_after_response = True
+        self._client_half_closed = True
+        self.server.dispatcher.on_client_half_closed(self._request_id)
         return True
 
-    def drop(self) -> None:
-        """Whatever of a request is here goes no further."""
-        if self.upload is not None:
-            self.server.body_memory.leave(self.enter)
-            self.upload = None
-        if self.open:
-            self.open = False
-            self.server.dispatcher.on_client_disconnected(self.request_id)
-
-    # A request, as the parser reads it
-
-    def on_message_begin(self) -> None:
-        if self.whole:
-            self.extra = True
-
-    def on_url(self, url: bytes) -> None:
-        if not self.whole:
-            self.target += url
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        if self.whole:
-            return
-        self.head += len(name) + len(value)
-        if self.head > LONGEST_HEAD:
-            raise RequestRejected(413, "the head is too long")
-        if self.headed:  # what comes behind the body is none of the head
-            return
-        lower, value = name.lower(), value.strip(b" \t")  # the parser leaves blanks behind it
-        if lower == b"transfer-encoding":
-            if value.lower() != b"chunked":
-                raise RequestRejected(501, "no transfer coding but chunked")
-            self.chunked = True
-        elif lower == b"content-length":
-            self.length = int(value)
-        self.headers.append((name, value))
-
-    def on_headers_complete(self) -> None:
-        if self.whole:
-            return
-        self.headed = True
-        self.method, self.old = self.parser.get_method(), self.parser.get_http_version() == "1.0"
-        if not self.parser.should_keep_alive():
-            self.last = True
-        if self.target[:7].lower() == b"http://":  # the form that a client gives a proxy
-            self.target = b"/" + self.target[7:].partition(b"/")[2]
-        if self.is_up():
-            return
-        self.look_up()
-        # hazard: the first bytes of a body may be late behind a slow head; strangers are owed an end by then
-        pause_us = LONGEST_READ_US if self.proven else FIRST_BODY_US
-        self.limit_us = max(self.limit_us, monotonic_us() + pause_us)
-        if (self.length or 0) > LONGEST:
-            raise RequestRejected(413, "the body is too long")
-        expected = next((value for name, value in self.headers if name.lower() == b"expect"), b"")
-        if expected.lower() not in (b"", b"100-continue"):
-            raise RequestRejected(417, "unknown expectation")
-        if expected and (self.chunked or self.length) and not self.old:
-            assert self.transport is not None
-            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-
-    def look_up(self) -> HttpRequest:
-        """Its place in the settings. Hazard: what has not come whole when they change is a new request, and a
-        restriction holds for it."""
-        if self.http_request is None or self.router is not self.server.router:
-            self.router = self.server.router
-            self.http_request = self.router.route(self.method, self.target, self.headers)
-        return self.http_request
-
-    def is_up(self) -> bool:
-        return self.target == b"/up" and self.method == b"GET"
-
-    def on_body(self, data: bytes) -> None:
-        if self.whole:
-            return
-        self.passed += len(data)
-        if self.passed > LONGEST:
-            raise RequestRejected(413, "the body is too long")
-        earned_us = len(data) * 1_000_000 // SLOWEST_BODY
-        self.limit_us = max(self.limit_us, min(self.limit_us + earned_us, monotonic_us() + MOST_AHEAD_US))
-        if self.upload is None:
-            self.body += data
-        else:
-            self.upload.feed(data)
+    def pause_writing(self) -> None:
+        """Hold back the source of the response."""
+        self.writer.pause()
 
-    def on_message_complete(self) -> None:
-        self.whole = True
+    def resume_writing(self) -> None:
+        """Let the source of the response go on."""
+        self.writer.resume()
 
     def data_received(self, data: bytes) -> None:
-        if self.ending:
-            self.quiet_us = monotonic_us()
+        """Read bytes of a request."""
+        if self.closing:
+            self.idle_since_us = monotonic_us()
             return
-        if self.open and self.whole:
-            self.extra = True  # pipelined: the open request is answered, then the connection ends
+        if self.has_open_request and self.reader.complete:
+            self.reader.has_extra_bytes = True  # pipelined: the open request gets its response, then the end
             return
-        if self.begun_us == 0:
-            self.begun_us = monotonic_us()
-            if self.proven:
-                self.limit_us = self.begun_us + LONGEST_READ_US
-        self.size += len(data)
-        self.note_read()
+        self.reader.start_message(renew_deadline=self.has_sent_valid_request)
+        self.arrival_times.record_read(first_request=not self.has_sent_valid_request)
         try:
-            self.feed(data)
-            if self.ending:
-                return  # answered while its body was still coming
-            if self.whole:
-                self.take()
-            elif self.upload is None and len(self.body) > HELD:
-                self.pass_on()
-        except RequestRejected as reject:
-            self.reject(reject)
+            self._read_request(data)
+        except RequestRejected as rejection:
+            self._reject_with_reason(rejection)
         except Exception:
-            # hazard: a fault with one request must end neither the process nor other requests
+            # a fault with one request must end neither the process nor other requests
             log.exception("a request could not be read")
-            self.turn_away(500)
-
-    def note_read(self) -> None:
-        """Hazard: after a hold-up all that had come meanwhile is read piece by piece, at once."""
-        now_us, arrived_us = monotonic_us(), self.arrived_us()
-        at_once = now_us < self.read_at_us + SET_UP_US and self.read_us < self.read_at_us - SET_UP_US
-        if at_once and arrived_us < self.read_us + MOST_HELD_US:
-            arrived_us = min(arrived_us, self.read_us)
-        self.read_us, self.read_at_us = arrived_us, now_us
-
-    def reject(self, reject: RequestRejected) -> None:
-        self.turn_away(reject.status, str(reject).encode() + b"\n")
-
-    def turn_away(self, status: int, body: bytes = b"", head: bytes = b"") -> None:
-        begun = self.source is not None
-        self.drop()
-        if begun:  # hazard: what is written now would be read as part of the answer
-            self.finish_response(whole=False)
+            self._reject(500)
+
+    # Reading a request
+
+    def _read_request(self, data: bytes) -> None:
+        self.reader.feed(data)
+        if self.closing:
+            return  # it got its response while its body was still coming
+        if self.reader.complete:
+            self._on_request_complete()
+        elif self.reader.exceeds_buffer:
+            self._start_upload()
+
+    def _on_head_complete(self) -> None:
+        if not self.reader.keep_alive:
+            self._close_after_response = True
+        if self.reader.is_readiness_check:
+            return
+        self.reader.route(self.server.router)
+        if self.has_sent_valid_request:
+            self.reader.extend_deadline()
+        else:
+            self.reader.extend_deadline_for_first_body()
+        self.reader.check_head()
+        if self.reader.expects_continue:
+            self.writer.write_continue()
+
+    def _on_request_complete(self) -> None:
+        """Hand over the request, or the end of its body."""
+        self.has_sent_valid_request = True
+        if self.reader.is_readiness_check:
+            self._write_response(200 if self.server.ready else 503, b"")
+        elif self.reader.upload is not None:
+            self._finish_upload(self.reader.upload)
         else:
-            self.write(status, body, head, last=True)
+            self._dispatch_buffered_request()
 
-    def refuse_unread(self, after_us: int = SOON_US) -> None:
-        """It has not come whole, and so has not run."""
-        settings = self.server.router.settings
-        after_us = min(after_us, settings.max_retry_after_us) if settings.send_retry_after else 0
-        self.turn_away(503, head=retry_after(after_us))
+    def _dispatch_buffered_request(self) -> None:
+        http_request = self.reader.route(self.server.router)
+        http_request.arrived_us = self.arrival_times.arrived_us
+        http_request.body = bytes(self.reader.body)
+        self.has_open_request = True
+        self._request_id = self.server.dispatcher.on_request(http_request, self)
 
-    def feed(self, data: bytes) -> None:
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserCallbackError as error:
-            cause = error.__context__
-            raise cause if isinstance(cause, RequestRejected) else error from None
-        except httptools.HttpParserError:
-            if not self.whole:
-                raise RequestRejected(400, "malformed request") from None
-            self.extra = True
-        if not self.headed and self.size > LONGEST_HEAD + FRAMING_PART:
-            raise RequestRejected(413, "the head is too long")  # hazard: one without end would fill the memory
-        if not self.whole and self.size > LONGEST_HEAD + FRAMING + FRAMING_PART * self.passed:
-            raise RequestRejected(413, "the body's framing is too long")
-
-    def take(self) -> None:
-        """The request has come whole."""
-        arrived_us = self.read_us
-        self.proven = True
-        if self.is_up():
-            self.write(200 if self.server.ready else 503, b"")
-        elif self.upload is not None:
-            self.upload.finish()
-            if self.open:
-                self.server.dispatcher.on_body_complete(self.request_id, arrived_us)
-        else:
-            call = self.look_up()
-            call.arrived_us = arrived_us
-            call.body = bytes(self.body)
-            self.open = True
-            self.request_id = self.server.dispatcher.on_request(call, self)
-
-    # A long body
-
-    def pass_on(self) -> None:
-        """The body is longer than what is held: it goes on as it comes, once there is room for it."""
-        self.upload = Upload(bytes(self.body), None if self.chunked else self.length, self.flow, self.gave_up)
-        self.body = bytearray()
-        self.flow(False)
-        self.server.body_memory.enter(self.enter)
-
-    def enter(self) -> None:
-        try:
-            call = self.look_up()
-        except RequestRejected as reject:
-            self.reject(reject)
-            return
-        call.upload = self.upload
-        call.arrived_us = monotonic_us()
-        self.open = self.proven = True
-        self.request_id = self.server.dispatcher.on_request(call, self, whole=False)
+    # A body that is longer than what is buffered
 
-    def gave_up(self) -> None:
-        self.server.dispatcher.on_not_replayable(self.request_id)
+    def _start_upload(self) -> None:
+        """Stream the body on as it comes, once there is memory for it."""
+        self.reader.upload = Upload(bytes(self.reader.body), self.reader.body_length, self)
+        self.reader.body = bytearray()
+        self.pause_body()
+        self.server.body_memory.acquire(self._dispatch_streamed_request)
 
-    def flow(self, on: bool) -> None:
-        """Read on, or not: the upstream does not take what comes, or there is none."""
-        if self.transport is None or self.upload is None:
+    def _dispatch_streamed_request(self) -> None:
+        try:
+            http_request = self.reader.route(self.server.router)
+        except RequestRejected as rejection:
+            self._reject_with_reason(rejection)
             return
-        if on:
-            self.waits_us = self.looked_us = 0
-            self.limit_us = max(self.limit_us, monotonic_us() + LONGEST_READ_US)
-            self.transport.resume_reading()
-        elif not self.whole:
-            self.waits_us = self.waits_us or self.server.arrived_us()
-            self.transport.pause_reading()
-
-    # Its answer
-
-    def send_response(self, answer: FinalResponse) -> None:
-        self.open = False
-        if answer.disposition is Disposition.SERVED:
-            head = b"Content-Type: %s\r\n" % answer.content_type if answer.content_type else b""
-            self.write(200, answer.body, head)
-        elif answer.disposition is Disposition.SHED:
-            self.write(503, b"", retry_after(answer.retry_after_us))
-        else:
-            self.write(500, b"")
+        http_request.upload = self.reader.upload
+        http_request.arrived_us = monotonic_us()
+        self.has_open_request = True
+        self.has_sent_valid_request = True
+        self._request_id = self.server.dispatcher.on_request(http_request, self, whole=False)
+
+    def _finish_upload(self, upload: Upload) -> None:
+        arrived_us = self.arrival_times.arrived_us  # the end of the upload may bring a response, which resets it
+        upload.finish()
+        if self.has_open_request:
+            self.server.dispatcher.on_body_complete(self._request_id, arrived_us)
+
+    def pause_body(self) -> None:
+        """Read no more of the body: no upstream takes it."""
+        if self.reader.upload is None or self.reader.complete:
+            return
+        self.arrival_times.pause()
+        self.transport.pause_reading()
 
-    def write(self, status: int, body: bytes, head: bytes = b"", last: bool = False) -> None:
-        assert self.transport is not None
-        if self.transport.is_closing() or self.ending:
+    def resume_body(self) -> None:
+        """Read more of the body."""
+        if self.reader.upload is None:
             return
-        self.decide_last(last)
-        self.transport.write(self.head_of(status, head + b"Content-Length: %d\r\n" % len(body)) + body)
-        self.over()
+        self.arrival_times.resume()
+        self.reader.extend_deadline()
+        self.transport.resume_reading()
+
+    def body_not_replayable(self) -> None:
+        """Tell the dispatcher that more of the body was streamed on than is buffered."""
+        self.server.dispatcher.on_not_replayable(self._request_id)
+
+    # Rejecting a request without the dispatcher
+
+    def shed_unread(self, retry_after_us: int = RESTART_RETRY_AFTER_US) -> None:
+        """Shed a request that has not been read completely, and so has not run.
+
+        Args:
+            retry_after_us: told to the client as far as the settings allow.
+        """
+        settings = self.server.router.settings
+        retry_after_us = min(retry_after_us, settings.max_retry_after_us) if settings.send_retry_after else 0
+        self._reject(503, headers=retry_after_header(retry_after_us))
+
+    def _reject_with_reason(self, rejection: RequestRejected) -> None:
+        self._reject(rejection.status, str(rejection).encode() + b"\n")
 
-    def decide_last(self, last: bool = False) -> None:
-        """Hazard: after an answer to a body that is still coming, what follows would be read as a request."""
-        self.last = self.last or last or not self.whole or self.server.lifecycle.closing
+    def _reject(self, status: int, body: bytes = b"", headers: bytes = b"") -> None:
+        """Drop the request and close the connection behind an error response.
 
-    def head_of(self, status: int, head: bytes) -> bytes:
-        close = b"Connection: close\r\n" if self.last else b""
-        return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (status, REASONS[status], head, close)
+        Where a streamed response has begun, an error would be read as part of it: the connection is reset instead.
+        """
+        response_started = self.writer.source is not None
+        self._drop_request()
+        if response_started:
+            self.finish_response(whole=False)
+        else:
+            self._write_response(status, body, headers, close=True)
+
+    def _drop_request(self) -> None:
+        """Take a request that is here no further."""
+        if self.reader.upload is not None:
+            self.server.body_memory.release(self._dispatch_streamed_request)
+            self.reader.upload = None
+        if self.has_open_request:
+            self.has_open_request = False
+            self.server.dispatcher.on_client_disconnected(self._request_id)
+
+    # The response, as the dispatcher hands it over
+
+    def send_response(self, response: FinalResponse) -> None:
+        """Write the one final response, unless a streamed one has begun."""
+        self.has_open_request = False
+        if response.disposition is Disposition.SERVED:
+            self._write_response(200, response.body, content_type_header(response.content_type))
+        elif response.disposition is Disposition.SHED:
+            self._write_response(503, b"", retry_after_header(response.retry_after_us))
+        else:
+            self._write_response(500, b"")
 
     def begin_response(self, head: Head, source: Source) -> None:
-        """A long answer: its length tells its end, or a last chunk, or else the end of the connection."""
-        assert self.transport is not None
-        self.source = source
-        self.framed = head.length is None and not self.old
-        self.decide_last(last=head.length is None and not self.framed)
-        lines = b"Content-Type: %s\r\n" % head.content_type if head.content_type else b""
-        if self.framed:
-            lines += b"Transfer-Encoding: chunked\r\n"
-        elif head.length is not None:
-            lines += b"Content-Length: %d\r\n" % head.length
-        self.transport.write(self.head_of(200, lines))
+        """Write the head of the final response, which is long and is streamed."""
+        ends_with_connection = self.writer.start_stream(head, source, allow_chunked=not self.reader.is_http_1_0)
+        self._decide_close(close=ends_with_connection)
+        self.writer.write_stream_head(head, close=self._close_after_response)
 
     def write_chunk(self, data: bytes) -> None:
-        assert self.transport is not None
-        if data and not self.transport.is_closing():
-            if self.framed:
-                self.transport.writelines(chunk(data))
-            else:
-                self.transport.write(data)
+        """Write the next bytes of a streamed response."""
+        self.writer.write_chunk(data)
 
-    def finish_response(self, whole: bool) -> None:
-        """Hazard: a break that looked like an end would pass half an answer off as a whole one."""
-        assert self.transport is not None
-        self.open = False
-        self.source = None
+    def finish_response(self, whole: bool) -> None:  # noqa: FBT001 - the dispatcher passes it by position
+        """End a streamed response.
+
+        Args:
+            whole: it is complete; else the connection is reset, as a plain end would make it look complete.
+        """
+        self.has_open_request = False
+        self.writer.source = None
         if not whole:
-            if self.sock is not None:  # a reset, and no mere end, which would end an answer without length
-                self.sock.reset_at_close()
+            if self._sock is not None:
+                self._sock.reset_at_close()
             self.transport.abort()
         elif not self.transport.is_closing():
-            if self.framed:
-                self.transport.write(LAST_CHUNK)
-            self.over()
-
-    def over(self) -> None:
-        """The answer is whole: on to the next request, or to the connection's end."""
-        assert self.transport is not None
-        self.drop()
-        if self.extra and not self.last:
-            self.transport.write(b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-        if self.last or self.extra:
-            self.end()
-        else:
-            self.reset()
-            self.quiet_us = monotonic_us()
-            self.transport.resume_reading()
+            self.writer.end_stream()
+            self._on_response_complete()
 
-    def pause_writing(self) -> None:
-        self.blocked_us = monotonic_us()
-        if self.source is not None:
-            self.source.pause()
+    def client_has_closed(self) -> bool:
+        """Return whether the client has closed, or ended its sending side, as far as the kernel knows.
 
-    def resume_writing(self) -> None:
-        self.blocked_us = 0
-        if self.source is not None:
-            self.source.resume()
-
-    def end(self) -> None:
-        """Hazard: closing with bytes unread resets the connection, and the client may lose its answer."""
-        assert self.transport is not None
-        self.ending = True
-        if self.left:  # nothing unread can come, and a burst of clients that left would hold descriptors for a second
+        The event loop reads a request before the end behind it, and nothing while reading is paused.
+        """
+        if self._client_half_closed or self.transport.is_closing():
+            return True
+        return self._sock is not None and self._sock.peer_has_ended()
+
+    def body_complete_since_us(self) -> int:
+        """Return since when a body that has not been read completely may have been sent completely, at the earliest.
+
+        Its last bytes may be in the client's kernel. While it is read as it comes that is about now.
+        """
+        return self._complete_unread_since_us() or self.arrival_times.arrived_us
+
+    def _complete_unread_since_us(self) -> int:
+        return self.arrival_times.complete_unread_since_us(self.reader.missing_size)
+
+    def _write_response(self, status: int, body: bytes, headers: bytes = b"", *, close: bool = False) -> None:
+        if self.transport.is_closing() or self.closing:
+            return
+        self._decide_close(close=close)
+        self.writer.write_response(status, body, headers, close=self._close_after_response)
+        self._on_response_complete()
+
+    def _decide_close(self, *, close: bool) -> None:
+        """Close after a response to a body that is still coming: what follows would be read as a request."""
+        if close or not self.reader.complete or self.server.lifecycle.closing:
+            self._close_after_response = True
+
+    def _on_response_complete(self) -> None:
+        """Go on to the next request, or end the connection."""
+        self._drop_request()
+        if self.reader.has_extra_bytes and not self._close_after_response:
+            self.writer.write_pipelining_error()
+        if self._close_after_response or self.reader.has_extra_bytes:
+            self._end()
+            return
+        self.reader.reset()
+        self.writer.reset()
+        self.arrival_times.reset()
+        self.idle_since_us = monotonic_us()
+        self.transport.resume_reading()
+
+    # The end of the connection
+
+    def _end(self) -> None:
+        """End the sending side and discard what still comes.
+
+        Closing with bytes unread would reset the connection, and the client might lose its response.
+        """
+        self.state = ConnectionState.CLOSING
+        if self._client_half_closed:  # no bytes can come any more, and the descriptor is free at once
             self.transport.close()
             return
         self.transport.resume_reading()
-        with contextlib.suppress(OSError):  # its client has reset it in this moment; what was written is gone or there
+        with contextlib.suppress(OSError):  # the client has just reset the connection
             self.transport.write_eof()
-        self.quiet_us = monotonic_us()
-        self.linger(self.quiet_us + STALL_US)
+        self.idle_since_us = monotonic_us()
+        self._linger(self.idle_since_us + STALL_US)
+
+    def _linger(self, deadline_us: int) -> None:
+        """Abort once the client, which may read slowly or still send, has the end of its response.
 
-    def linger(self, until_us: int) -> None:
-        """Hazard: a client that reads slowly, or still sends, must not lose the end of its answer."""
-        assert self.transport is not None
+        Args:
+            deadline_us: a client that sends without end is waited for no longer than this.
+        """
         now_us = monotonic_us()
-        sends = self.quiet_us + LINGER_S * 1e6 > now_us and until_us > now_us
-        if self.transport.get_write_buffer_size() or sends:
-            asyncio.get_running_loop().call_later(LINGER_S, self.linger, until_us)
+        still_sends = self.idle_since_us + LINGER_INTERVAL_S * 1e6 > now_us and deadline_us > now_us
+        if self.writer.unsent_size or still_sends:
+            asyncio.get_running_loop().call_later(LINGER_INTERVAL_S, self._linger, deadline_us)
         else:
             self.transport.abort()
 
-    @property
-    def unwritten_size(self) -> int:
-        """Bytes of answers that its client has not taken yet."""
-        return self.transport.get_write_buffer_size() if self.transport is not None else 0
+    def schedule_close(self) -> None:
+        """Close an idle connection after two rounds of the loop, in which what the kernel holds of it is read.
 
-    @property
-    def idle(self) -> bool:
-        return not self.open and not self.ending and self.begun_us == 0
-
-    def client_has_closed(self) -> bool:
-        """Whether its client has closed, or ended its sending side, as far as the kernel knows. Hazard: the loop reads
-        a request before the end behind it, and nothing while reading is paused."""
-        assert self.transport is not None
-        if self.left or self.transport.is_closing():
-            return True
-        return self.sock is not None and self.sock.peer_has_ended()
-
-    def arrived_us(self) -> int:
-        """When what was just read had come, at the soonest. Hazard: time that it waited in the kernel, while this
-        process was held up or short, its client has not got any more."""
-        arrived_us = self.server.arrived_us()
-        if not self.proven and monotonic_us() < self.set_up_us + SET_UP_US:
-            arrived_us = min(arrived_us, self.made_us)
-        if self.sock is not None:
-            arrived_us = min(arrived_us, self.sock.reads.since_us() or arrived_us)
-        return min(arrived_us, self.rest_since_us or arrived_us)
-
-    def body_complete_since_us(self) -> int:
-        """Since when a body that has not been read whole may have been written whole, at the soonest: its last bytes
-        may be in its client's kernel. While it is read as it comes that is about now."""
-        return self.waits_whole_since_us() or self.read_us
-
-    def waits_whole_since_us(self) -> int:
-        """Since when all of a body that is not read on has been in the kernel, at the soonest; 0: it is still to come.
-        Hazard: its client's time has begun, though the last byte has not been read."""
-        if self.waits_us and not self.rest_since_us and self.length is not None and self.sock is not None:
-            if self.sock.unread() >= self.length - self.passed:
-                self.rest_since_us = self.looked_us or min(self.waits_us, self.read_us)
-            else:
-                self.looked_us = monotonic_us()
-        return self.rest_since_us
-
-    def out_of_time(self, now_us: int) -> bool:
-        """Whether a body that waits whole has to be answered before the next look. No upstream has had all of it."""
-        since_us = self.waits_whole_since_us()
-        return (
-            bool(since_us)
-            and self.http_request is not None
-            and now_us + int(CHECK_S * 1e6) > since_us + self.http_request.client_timeout_us - RESPONSE_MARGIN_US
-        )
-
-    @property
-    def unproven(self) -> bool:
-        return not self.proven and not self.ending
-
-    def close_soon(self) -> None:
-        """End an idle connection, but first read what the kernel holds of it: two rounds of the loop. Hazard: closing
-        resets a connection with a request in it that is there and was not read."""
-        if not self.leaving:
-            self.leaving = True
+        Closing at once would reset a connection with a request that has arrived and was not read.
+        """
+        if self.state is ConnectionState.ACTIVE:
+            self.state = ConnectionState.CLOSE_SCHEDULED
             loop = asyncio.get_running_loop()
-            loop.call_soon(loop.call_soon, self.close_if_idle)
+            loop.call_soon(loop.call_soon, self._close_if_idle)
 
-    def close_if_idle(self) -> None:
-        self.leaving = False
+    def _close_if_idle(self) -> None:
+        if self.state is ConnectionState.CLOSE_SCHEDULED:
+            self.state = ConnectionState.ACTIVE
         if self.idle:
             self.close()
 
     def close(self) -> None:
-        """End a connection that carries no whole request."""
-        assert self.transport is not None
-        if not self.server.dispatcher.write_gate.may_close(self.request_id, self.open and self.whole):
+        """Close a connection that carries no complete request."""
+        carries_request = self.has_open_request and self.reader.complete
+        if not self.server.dispatcher.write_gate.may_close(self._request_id, carries_request):
             return
-        self.ending = True
+        self.state = ConnectionState.CLOSING
         self.transport.close()
 
-    def check(self, now_us: int) -> None:
-        """Hazard: a stranger that sends nothing, or half a request, would hold its connection for ever."""
-        assert self.transport is not None
-        if self.blocked_us:
-            left = self.transport.get_write_buffer_size()
-            if left != self.unwritten:
-                self.blocked_us, self.unwritten = now_us, left
-            elif now_us > self.blocked_us + STALL_US:
-                self.transport.abort()
-        if self.ending or self.whole or (self.proven and self.begun_us == 0):
-            return
-        if self.waits_us:
-            if self.client_has_closed() or self.out_of_time(now_us):
-                self.refuse_unread()
-            elif not self.open and now_us > self.waits_us + LONGEST_WAIT_US:
-                self.refuse_unread(LONGEST_WAIT_US)
-            elif self.open and now_us > self.waits_us + STALL_US:
-                self.server.dispatcher.on_body_stalled(self.request_id)
-        elif now_us > self.limit_us:
-            if self.begun_us:
-                self.turn_away(408)
-            else:
-                self.close_soon()
-
-
-class DownstreamServer:
-    """All connections of the application."""
-
-    def __init__(
-        self,
-        host: RequestDispatcher,
-        settings: Settings,
-        most_clients: int,
-        lifecycle: Lifecycle,
-        room: int = 64 * 1024 * 1024,
-    ) -> None:
-        self.dispatcher = host
-        self.lifecycle = lifecycle
-        self.body_memory = BodyMemory(room)
-        self.router = RequestRouter(settings)
-        self.max_connections = most_clients
-        self.connections: dict[DownstreamConnection, None] = {}  # in the order of their coming
-        self.listener: Listener | None = None
-        self.check_at_us = 0  # when the next look at the clients is due
-
-    def arrived_us(self) -> int:
-        """When what is read now has come, at the soonest. Hazard: where this process was held up it may have waited in
-        the kernel; the time of its client has run meanwhile. A look that is overdue tells for how long."""
-        return min(monotonic_us(), self.check_at_us) if self.check_at_us else monotonic_us()
-
-    def accepted_us(self) -> int:
-        """When a connection that is accepted now was made, at the soonest."""
-        stalled_since_us = self.listener.stall.since_us() if self.listener is not None else 0
-        return min(self.arrived_us(), stalled_since_us or monotonic_us())
+    # Time-outs
 
-    @property
-    def ready(self) -> bool:
-        return self.dispatcher.ready and self.lifecycle.serving
-
-    async def listen(self, where: tuple[str, int] | socket.socket) -> None:
-        """Take clients at an address of our own, or from a socket that other processes hold too."""
-        sock = where if isinstance(where, socket.socket) else await listen_at(where, BACKLOG, LISTEN_PATIENCE_S)
-        self.listener = Listener(sock, lambda accepted: DownstreamConnection(self, accepted))
-        self.listener.start()
-        self.check()
-
-    def connected(self, client: DownstreamConnection) -> None:
-        """Hazard: with no descriptor left no upstream could be reached, so the oldest client without an open
-        request goes, a stranger before one that has sent proper requests."""
-        if len(self.connections) >= self.max_connections:
-            staying = [other for other in self.connections if not other.leaving]
-            oldest = next((other for other in staying if other.unproven), None)
-            oldest = oldest or next((other for other in staying if other.idle), None)
-            if oldest is not None and oldest.idle:
-                oldest.close_soon()
-            elif oldest is not None:
-                oldest.close()
-        self.connections[client] = None
-
-    def check(self) -> None:
-        asyncio.get_running_loop().call_later(CHECK_S, self.check)
-        now_us = monotonic_us()
-        # hazard: after a hold-up timers may run before what has come is read, and its time is to be told by this look
-        loop = asyncio.get_running_loop()
-        loop.call_soon(loop.call_soon, self.looked, now_us)
-        for client in list(self.connections):
-            client.check(now_us)
-        if self.lifecycle.state is LifecycleState.DRAINING and self.lifecycle.closing_for_s > DRAIN_IDLE_S:
-            self.close_idle(now_us - QUIET_US)
-
-    def looked(self, at_us: int) -> None:
-        """What had come by this look at the clients has been read."""
-        self.check_at_us = at_us + int(CHECK_S * 1e6)
-
-    def close_idle(self, quiet_since_us: int) -> None:
-        """Close the connections that have been idle since then. Hazard: the first request of a new one is on its way,
-        and clients do not send that again."""
-        new_us = monotonic_us() - QUIET_US
-        for client in list(self.connections):
-            if client.idle and client.quiet_us <= (quiet_since_us if client.proven else min(quiet_since_us, new_us)):
-                client.close_soon()
+    def check_timeouts(self, now_us: int) -> None:
+        """End what has taken too long: a client that sends nothing or half a request would stay for ever.
 
-    @property
-    def busy(self) -> bool:
-        """Whether something is under way: a request, or an answer that is not yet written."""
-        return any(client.open or client.unwritten_size for client in self.connections)
-
-    def turn_away_unread(self) -> None:
-        """Refuse what has not come whole: there is no time left for it."""
-        for client in list(self.connections):
-            if client.begun_us and not client.whole and not client.ending and client.source is None:
-                client.refuse_unread()
-
-    async def stop_listening(self, shared: bool) -> None:
-        """Accept nobody from now on, and close this copy of the socket. What the kernel has queued is taken first,
-        unless another process has the socket too and will take it: a close would reset it."""
-        if self.listener is None:
+        Args:
+            now_us: the time of the check, which all connections share.
+        """
+        self.writer.abort_if_stalled(now_us)
+        if self.closing or self.reader.complete:
             return
-        if not shared:
-            await self.listener.drain(DRAIN_BACKLOG_S)
-        self.listener.close()
-        await self.listener.settled()
+        if self.has_sent_valid_request and self.reader.message_started_us == 0:
+            return  # idle between two requests
+        if self.arrival_times.paused_since_us:
+            self._check_paused_body(now_us)
+        elif now_us > self.reader.deadline_us:
+            if self.reader.message_started_us:
+                self._reject(408)
+            else:
+                self.schedule_close()
+
+    def _check_paused_body(self, now_us: int) -> None:
+        paused_us = now_us - self.arrival_times.paused_since_us
+        if self.client_has_closed() or self._must_respond_before_next_check(now_us):
+            self.shed_unread()
+        elif not self.has_open_request and paused_us > BODY_MEMORY_TIMEOUT_US:
+            self.shed_unread(BODY_MEMORY_TIMEOUT_US)
+        elif self.has_open_request and paused_us > STALL_US:
+            self.server.dispatcher.on_body_stalled(self._request_id)
+
+    def _must_respond_before_next_check(self, now_us: int) -> bool:
+        """Whether the client's time for a body that has arrived, but can't be read on, is nearly over."""
+        complete_since_us = self._complete_unread_since_us()
+        http_request = self.reader.http_request
+        if not complete_since_us or http_request is None:
+            return False
+        response_due_us = complete_since_us + http_request.client_timeout_us - RESPONSE_MARGIN_US
+        return now_us + int(CHECK_INTERVAL_S * 1e6) > response_due_us
--- a/garnetusher/sidecar/downstream/router.py
+++ b/garnetusher/sidecar/downstream/router.py
@@ -1,12 +1,16 @@
-"""The classes and tenants that requests name, and the checks of a request's head against them."""
+"""Checks a request's head against the settings, and finds its class and tenant in them."""
 
 from __future__ import annotations
 
 from garnetusher.policy.settings import Settings
+from garnetusher.sidecar.downstream.errors import RequestRejected
 from garnetusher.sidecar.requests.messages import HttpRequest, monotonic_us
 
-OWN_HEADERS = frozenset(
-    (  # of this connection, or written anew for each attempt
+MAX_INTEGER_DIGITS = 12
+AFFINITY_KEY_MASK = 0xFFFF_FFFF_FFFF_FFFF
+# headers that are not forwarded: they belong to this connection, or are written anew for each attempt
+CONNECTION_HEADERS = frozenset(
+    (
         b"host",
         b"connection",
         b"keep-alive",
@@ -22,61 +26,74 @@
 )
 
 
-class RequestRejected(Exception):
-    """Input that is not taken: it is answered with this status, and the connection closed."""
+def parse_integer(text: bytes, header_name: str) -> int:
+    """Return the number in a header.
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status = status
-
-
-def whole_number(text: bytes, what: str) -> int:
-    if not text.isdigit() or len(text) > 12:
-        raise RequestRejected(400, f"{what} is no whole number")
+    Raises:
+        RequestRejected: there is no number, or it is too large.
+    """
+    if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS:
+        raise RequestRejected(400, f"{header_name} is no whole number")
     return int(text)
 
 
-def retry_after(after_us: int) -> bytes:
-    return b"Retry-After: %.3f\r\n" % (after_us / 1e6) if after_us else b""
-
-
 class RequestRouter:
-    """The classes and tenants that requests name."""
+    """The classes and tenants that requests may name, in one version of the settings.
+
+    Attributes:
+        settings: that version.
+        class_indexes: each class's place in it, by the name as it is on the wire.
+        tenant_indexes: each tenant's place in it, likewise.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.classes = {kind.name.encode(): i for i, kind in enumerate(settings.classes)}
-        self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
+        self.class_indexes = {each.name.encode(): i for i, each in enumerate(settings.classes)}
+        self.tenant_indexes = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
 
     def route(self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]]) -> HttpRequest:
-        """Check a request's head and give it its place in the settings."""
-        found = {name.lower(): value for name, value in headers}
-        name = target.split(b"?")[0].lstrip(b"/").split(b"/")[0]
-        index = self.classes.get(name)
-        if index is None or found.get(b"x-class", name) != name:
-            raise RequestRejected(404, "unknown class")
-        if not found.get(b"x-request-id"):
-            raise RequestRejected(400, "no X-Request-Id")
-        effect = self.settings.classes[index].effect
-        if method != (b"GET" if effect == "idempotent" else b"POST"):
-            raise RequestRejected(400, "not the method of this class")
-        if effect == "deduplicated" and not found.get(b"idempotency-key"):
-            raise RequestRejected(400, "no Idempotency-Key")
-        key = found.get(b"x-key")
-        cost = found.get(b"x-cost-hint")
+        """Check a request's head and return the request with its place in the settings.
+
+        Raises:
+            RequestRejected: the class is unknown, or the head does not fit it.
+        """
+        values = {name.lower(): value for name, value in headers}
+        class_index = self._find_class(target, values)
+        self._check_class_rules(class_index, method, values)
+        affinity_key = values.get(b"x-key")
+        cost_hint = values.get(b"x-cost-hint")
         return HttpRequest(
             method,
             target,
-            [(n, v) for n, v in headers if n.lower() not in OWN_HEADERS],
+            [(name, value) for name, value in headers if name.lower() not in CONNECTION_HEADERS],
             b"",
             monotonic_us(),
-            client_timeout_us=1000 * whole_number(found.get(b"x-deadline-ms", b""), "X-Deadline-Ms"),
-            class_index=index,
-            tenant_index=self.tenants.get(
-                found.get(b"x-tenant", b""), len(self.tenants)
-            ),  # beyond all: it is none of them
-            affinity_key=hash(key) & 0xFFFF_FFFF_FFFF_FFFF if key else 0,
-            expected_work_us=whole_number(cost, "X-Cost-Hint") if cost else 0,
-            client_retry=found.get(b"x-retry") == b"1",
-            client_request_id=found[b"x-request-id"].decode("latin-1"),
+            client_timeout_us=1000 * parse_integer(values.get(b"x-deadline-ms", b""), "X-Deadline-Ms"),
+            class_index=class_index,
+            tenant_index=self._tenant_index(values),
+            affinity_key=hash(affinity_key) & AFFINITY_KEY_MASK if affinity_key else 0,
+            expected_work_us=parse_integer(cost_hint, "X-Cost-Hint") if cost_hint else 0,
+            client_retry=values.get(b"x-retry") == b"1",
+            client_request_id=values[b"x-request-id"].decode("latin-1"),
         )
+
+    def _find_class(self, target: bytes, values: dict[bytes, bytes]) -> int:
+        """The class is the first part of the path; the header X-Class may repeat it."""
+        class_name = target.split(b"?")[0].lstrip(b"/").split(b"/")[0]
+        class_index = self.class_indexes.get(class_name)
+        if class_index is None or values.get(b"x-class", class_name) != class_name:
+            raise RequestRejected(404, "unknown class")
+        return class_index
+
+    def _check_class_rules(self, class_index: int, method: bytes, values: dict[bytes, bytes]) -> None:
+        if not values.get(b"x-request-id"):
+            raise RequestRejected(400, "no X-Request-Id")
+        effect = self.settings.classes[class_index].effect
+        if method != (b"GET" if effect == "idempotent" else b"POST"):
+            raise RequestRejected(400, "not the method of this class")
+        if effect == "deduplicated" and not values.get(b"idempotency-key"):
+            raise RequestRejected(400, "no Idempotency-Key")
+
+    def _tenant_index(self, values: dict[bytes, bytes]) -> int:
+        """An index beyond all tenants stands for none of them."""
+        return self.tenant_indexes.get(values.get(b"x-tenant", b""), len(self.tenant_indexes))
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -7,8 +7,8 @@
 
 from garnetusher.sidecar import configuration as config
 from garnetusher.sidecar.discovery.watch import EndpointList, EndpointWatcher
-from garnetusher.sidecar.downstream.connection import DownstreamServer
 from garnetusher.sidecar.downstream.router import RequestRouter
+from garnetusher.sidecar.downstream.server import DownstreamServer
 from garnetusher.sidecar.lifecycle import Lifecycle
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
 from garnetusher.sidecar.requests.trace import Trace
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -219,7 +219,7 @@
             self.unfinished = True
             held = attempt.upload.attach(self)
             self.write_body_chunk(held)
-            if attempt.upload.whole:
+            if attempt.upload.complete:
                 self.end_body()
             if self.unsent:
                 attempt.upload.flow(False)
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -13,7 +13,7 @@
 from garnetusher.policy.slots import Server
 from garnetusher.sidecar import __main__ as program
 from garnetusher.sidecar.discovery import watch as discovery
-from garnetusher.sidecar.downstream import connection as server
+from garnetusher.sidecar.downstream.connection import DownstreamConnection
 from garnetusher.sidecar.requests import dispatcher as host
 from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, monotonic_us
 from garnetusher.sidecar.requests.write_gate import WriteGate
@@ -22,17 +22,17 @@
 
 def answers_twice() -> None:
     """One answer in fifty is written again behind itself."""
-    write: Callable[..., None] = server.DownstreamConnection.write
+    write: Callable[..., None] = DownstreamConnection._write_response
     count = 0
 
-    def twice(self: Any, status: int, body: bytes, head: bytes = b"", last: bool = False) -> None:
+    def twice(self: Any, status: int, body: bytes, headers: bytes = b"", *, close: bool = False) -> None:
         nonlocal count
-        write(self, status, body, head, last)
+        write(self, status, body, headers, close=close)
         count += 1
-        if count % 50 == 0 and not self.ending:
+        if count % 50 == 0 and not self.closing:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-    server.DownstreamConnection.write = twice  # type: ignore[method-assign]
+    DownstreamConnection._write_response = twice  # type: ignore[method-assign]
 
 
 def repeats_unsafe() -> None:
@@ -75,16 +75,16 @@
 
 def loses_requests() -> None:
     """One answer in five is never written."""
-    respond = server.DownstreamConnection.send_response
+    respond = DownstreamConnection.send_response
     count = 0
 
-    def forgetful(self: server.DownstreamConnection, answer: FinalResponse) -> None:
+    def forgetful(self: DownstreamConnection, response: FinalResponse) -> None:
         nonlocal count
         count += 1
         if count % 5:
-            respond(self, answer)
+            respond(self, response)
 
-    server.DownstreamConnection.send_response = forgetful  # type: ignore[method-assign]
+    DownstreamConnection.send_response = forgetful  # type: ignore[method-assign]
 
 
 def sends_for_who_left() -> None:
@@ -97,7 +97,7 @@
     upstreams.ConnectionPool.open = later  # type: ignore[method-assign]
     upstreams.UpstreamAttempt.abandon = lambda self: None  # type: ignore[method-assign]
     WriteGate.denial = lambda self, request, number, now_us: None  # type: ignore[method-assign]
-    server.DownstreamConnection.client_has_closed = lambda self: False  # type: ignore[method-assign]
+    DownstreamConnection.client_has_closed = lambda self: False  # type: ignore[method-assign]
 
 
 def tells_more_time() -> None:
@@ -108,32 +108,32 @@
 
 def refuses_what_ran() -> None:
     """What has failed is called refused."""
-    respond = server.DownstreamConnection.send_response
+    respond = DownstreamConnection.send_response
 
-    def refused(self: server.DownstreamConnection, answer: FinalResponse) -> None:
-        respond(self, FinalResponse(Disposition.SHED) if answer.disposition is Disposition.FAILED else answer)
+    def refused(self: DownstreamConnection, response: FinalResponse) -> None:
+        respond(self, FinalResponse(Disposition.SHED) if response.disposition is Disposition.FAILED else response)
 
-    server.DownstreamConnection.send_response = refused  # type: ignore[method-assign]
+    DownstreamConnection.send_response = refused  # type: ignore[method-assign]
 
 
 def dies() -> None:
     """The process ends at its tenth request."""
-    take = server.DownstreamConnection.take
+    take = DownstreamConnection._on_request_complete
     count = 0
 
-    def last(self: server.DownstreamConnection) -> None:
+    def last(self: DownstreamConnection) -> None:
         nonlocal count
         count += 1
         if count == 10:
             os._exit(3)
         take(self)
 
-    server.DownstreamConnection.take = last  # type: ignore[method-assign]
+    DownstreamConnection._on_request_complete = last  # type: ignore[method-assign]
 
 
 def leaves_strangers_waiting() -> None:
     """Nobody looks at connections on which nothing comes."""
-    server.DownstreamConnection.check = lambda self, now_us: None  # type: ignore[method-assign]
+    DownstreamConnection.check_timeouts = lambda self, now_us: None  # type: ignore[method-assign]
 
 
 MISDEEDS = {
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from garnetusher.sidecar.streaming import SEAT, BodyMemory
+from garnetusher.sidecar.streaming import UPLOAD_MEMORY_SIZE, BodyMemory
 from tests.net import OK, Upstream, answering, entry, listing, read_message, request, sidecar, until
 from tests.test_crossing_stop import never_up
 from tests.test_long import upload
@@ -120,7 +120,7 @@
 
 
 def test_a_client_that_leaves_while_its_long_body_waits_is_seen_to(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("garnetusher.sidecar.downstream.connection.BodyMemory", lambda size: BodyMemory(SEAT))  # for one
+    monkeypatch.setattr("garnetusher.sidecar.downstream.server.BodyMemory", lambda size: BodyMemory(UPLOAD_MEMORY_SIZE))
 
     async def test() -> None:
         upstream = Upstream(answering(OK))
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from garnetusher.sidecar.downstream import connection as server_module
-from garnetusher.sidecar.downstream.connection import DownstreamServer
+from garnetusher.sidecar.downstream import request_reader
+from garnetusher.sidecar.downstream import server as downstream_server
+from garnetusher.sidecar.downstream.server import DownstreamServer
 from tests.net import OK, Upstream, answering, request, sidecar
 from tests.test_sidecar import run, status
 
@@ -45,7 +46,7 @@
 
 
 def test_the_first_request_of_a_new_connection_is_waited_for_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_module, "QUIET_US", 20_000_000)  # no busy machine is slower than that
+    monkeypatch.setattr(downstream_server, "MIN_IDLE_US", 20_000_000)  # no busy machine is slower than that
 
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
@@ -67,7 +68,7 @@
 ) -> None:
     async def test() -> None:
         resting: list[socket.socket] = []
-        check = DownstreamServer.check
+        check = DownstreamServer.check_connections
 
         def look(server: DownstreamServer) -> None:
             if resting and len(server.connections) != 1:  # the fixture's own connection is still there
@@ -77,9 +78,9 @@
                 resting.pop().send(request())  # after the loop's last look, and before the look at the time
             check(server)
 
-        monkeypatch.setattr(DownstreamServer, "check", look)
+        monkeypatch.setattr(DownstreamServer, "check_connections", look)
         async with sidecar(Upstream(answering(OK))) as it:
-            monkeypatch.setattr(server_module, "LONGEST_READ_US", 0)
+            monkeypatch.setattr(request_reader, "READ_TIMEOUT_US", 0)
             with socket.create_connection(("127.0.0.1", it.port)) as sock:
                 resting.append(sock)
                 assert await answer_of(sock) == 200
--- a/tests/test_crossing_long.py
+++ b/tests/test_crossing_long.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from garnetusher.sidecar.downstream.connection import DownstreamConnection
+from garnetusher.sidecar.downstream.request_reader import RequestReader
 from tests.net import request, sidecar
 from tests.test_crossing_idle import answer_of
 from tests.test_long import LONG, Raw, upload
@@ -63,7 +63,7 @@
                     sock.sendall(b"no chunk\r\n" * 200)  # over the end of the one that is open
                 elif how == "stalls":  # till its time is up, which is now
                     monkeypatch.setattr(
-                        DownstreamConnection, "limit_us", property(lambda it: 0, lambda it, to: None), raising=False
+                        RequestReader, "deadline_us", property(lambda it: 0, lambda it, to: None), raising=False
                     )
                 else:
                     sock.shutdown(socket.SHUT_WR)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -10,7 +10,7 @@
 import pytest
 
 from garnetusher.policy.settings import RequestClass, Settings
-from garnetusher.sidecar.downstream import connection as server_module
+from garnetusher.sidecar.downstream import connection, request_reader
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
 from garnetusher.sidecar.streaming import LONGEST, BodyMemory, Head, Source, Upload
@@ -313,8 +313,8 @@
 
 
 def test_a_client_that_stops_in_a_long_body_is_told_and_its_request_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_module, "LONGEST_READ_US", 300_000)
-    monkeypatch.setattr(server_module, "MOST_AHEAD_US", 500_000)
+    monkeypatch.setattr(request_reader, "READ_TIMEOUT_US", 300_000)
+    monkeypatch.setattr(request_reader, "MAX_DEADLINE_AHEAD_US", 500_000)
 
     async def test() -> None:
         ended = asyncio.Event()
@@ -411,14 +411,14 @@
     room, begun = BodyMemory(2 * 256 * 1024), list[int]()
     entries = [lambda number=number: begun.append(number) for number in range(5)]
     for each in entries:
-        room.enter(each)
+        room.acquire(each)
     assert begun == [0, 1]
-    room.leave(entries[2])  # its client has gone
-    room.leave(entries[0])
+    room.release(entries[2])  # its client has gone
+    room.release(entries[0])
     assert begun == [0, 1, 3]
     for number in (1, 3, 4):
-        room.leave(entries[number])
-    assert begun == [0, 1, 3, 4] and room.left == 2
+        room.release(entries[number])
+    assert begun == [0, 1, 3, 4] and room.free == 2
 
 
 def test_a_long_body_is_read_on_only_while_an_attempt_takes_it() -> None:
@@ -432,8 +432,23 @@
         def end_body(self) -> None:
             self.got += b"."
 
-    flows, passed = list[bool](), list[bool]()
-    body = Upload(b"held", None, flows.append, lambda: passed.append(True))
+    class Client:
+        def __init__(self) -> None:
+            self.flows = list[bool]()
+            self.passed = list[bool]()
+
+        def pause_body(self) -> None:
+            self.flows.append(False)
+
+        def resume_body(self) -> None:
+            self.flows.append(True)
+
+        def body_not_replayable(self) -> None:
+            self.passed.append(True)
+
+    client = Client()
+    flows, passed = client.flows, client.passed
+    body = Upload(b"held", None, client)
     first, second = Taker(), Taker()
     assert body.attach(first) == b"held"
     body.detach(first)
@@ -442,7 +457,7 @@
     body.detach(first)  # no longer its taker
     body.feed(b"more")
     body.finish()
-    assert second.got == b"more." and passed == [True] and body.held == b"" and flows[-1]
+    assert second.got == b"more." and passed == [True] and body.buffered == b"" and flows[-1]
 
 
 def test_a_break_is_seen_even_where_the_end_of_the_connection_ends_the_answer() -> None:
@@ -492,7 +507,7 @@
         client.data_received(whole[:1000])
         client.server.router = RequestRouter(Settings([RequestClass("read", 1_000_000, 2_000_000)]))
         client.data_received(whole[1000:70_000])
-        assert client.ending and not client.open
+        assert client.closing and not client.has_open_request
 
     run(test)
 
@@ -552,15 +567,15 @@
             self.sent += data
 
     async def test() -> None:
-        client, wire = a_client(), Wire()
-        client.transport = wire
-        client.server.body_memory.left = 0
+        wire = Wire()
+        client = a_client(wire)
+        client.server.body_memory.free = 0
         client.server.router = RequestRouter(Settings(classes(), max_retry_after_us=2_000_000))
         client.data_received(request("pay", body=LONG)[:70_000])
-        assert not client.open
-        client.check(client.waits_us + 4_000_000)
+        assert not client.has_open_request
+        client.check_timeouts(client.arrival_times.paused_since_us + 4_000_000)
         assert not wire.sent
-        client.check(client.waits_us + 6_000_000)
+        client.check_timeouts(client.arrival_times.paused_since_us + 6_000_000)
         assert wire.sent.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 2.000\r\n" in wire.sent
         assert not client.server.body_memory.waiting
 
@@ -604,7 +619,7 @@
 
 
 def test_an_upstream_that_takes_no_more_of_a_long_body_has_not_begun_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_module, "STALL_US", 500_000)
+    monkeypatch.setattr(connection, "STALL_US", 500_000)
 
     async def test() -> None:
         tries, over = [], asyncio.Event()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -15,7 +15,8 @@
 from garnetusher.policy.settings import Settings
 from garnetusher.sidecar.discovery.watch import EndpointList
 from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
-from garnetusher.sidecar.downstream.connection import DownstreamConnection, DownstreamServer
+from garnetusher.sidecar.downstream.connection import DownstreamConnection
+from garnetusher.sidecar.downstream.server import DownstreamServer
 from garnetusher.sidecar.lifecycle import Lifecycle
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
 from garnetusher.sidecar.requests.messages import AttemptResult, Disposition, FinalResponse, HttpRequest, monotonic_us
@@ -399,7 +400,7 @@
         pass
 
 
-def a_client() -> DownstreamConnection:
+def a_client(transport: asyncio.Transport | None = None) -> DownstreamConnection:
     """A client's connection, and no more of the sidecar behind it than takes its requests."""
     settings = Settings(classes())
 
@@ -411,7 +412,7 @@
             return 1
 
     client = DownstreamConnection(DownstreamServer(cast(RequestDispatcher, Taker()), settings, 100, Lifecycle()))
-    client.connection_made(Sink())
+    client.connection_made(transport or Sink())
     return client
 
 
@@ -433,15 +434,15 @@
         client = a_client()
         for data in sent:
             client.data_received(data)
-            if client.open:
+            if client.has_open_request:
                 client.send_response(FinalResponse(Disposition.FAILED))
-        since_us = client.begun_us or client.made_us
-        client.check(since_us + 2_400_000)
-        assert not client.ending
-        client.check(since_us + 2_900_000)
+        since_us = client.reader.message_started_us or client.arrival_times.accepted_us
+        client.check_timeouts(since_us + 2_400_000)
+        assert not client.closing
+        client.check_timeouts(since_us + 2_900_000)
         for _ in range(2):  # rounds of the loop, in which a request that is here after all would be read
             await asyncio.sleep(0)
-        assert client.ending
+        assert client.closing
 
     run(test)
 
@@ -451,7 +452,7 @@
         client = a_client()
         client.data_received(request())
         client.send_response(FinalResponse(Disposition.FAILED))
-        client.check(client.made_us + 60_000_000)
+        client.check_timeouts(client.arrival_times.accepted_us + 60_000_000)
         assert client.idle
 
     run(test)
