--- a/tests/net.py
+++ b/tests/net.py
@@ -19,6 +19,7 @@
 
 PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 Script = Callable[["Upstream", int, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -203,11 +204,13 @@
     async with asyncio.timeout(PATIENCE_S):
         while True:
             try:
-                (await asyncio.open_connection("127.0.0.1", port))[1].close()
-                return
+                _, writer = await asyncio.open_connection("127.0.0.1", port)
             except ConnectionRefusedError:
                 assert alive()
                 await asyncio.sleep(0.01)
+            else:
+                writer.close()
+                return
 
 
 @dataclass
@@ -293,5 +296,5 @@
 async def until(condition: Callable[[], bool]) -> None:
     """Wait until it holds."""
     async with asyncio.timeout(PATIENCE_S):
-        while not condition():
+        while not condition():  # noqa: ASYNC110 - a condition on state of the sidecar, which sets no event
             await asyncio.sleep(0.005)
--- /dev/null
+++ b/tests/streams.py
@@ -0,0 +1,60 @@
+"""Long bodies and responses, and upstreams that handle their connections by a function of the test."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from tests.net import OK, Upstream, answering, request
+
+LONG_BODY = bytes(range(256)) * 4096  # 1 MiB
+CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Not-Run\r\n\r\n"
+Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+class FunctionUpstream(Upstream):
+    """An upstream whose connections are handled by a function."""
+
+    def __init__(self, play: Serve) -> None:
+        super().__init__(answering(OK))
+        self.play = play
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.connections += 1
+        try:
+            await self.play(reader, writer)
+        except (asyncio.IncompleteReadError, ConnectionError):
+            pass
+        finally:
+            writer.close()
+
+
+def chunked(data: bytes, size: int, extra: bytes = b"") -> bytes:
+    """Return data in chunks of such a size, each with an extension."""
+    return b"".join(
+        b"%x%s\r\n%s\r\n" % (len(data[at : at + size]), extra, data[at : at + size]) for at in range(0, len(data), size)
+    )
+
+
+async def read_body(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
+    """Return head and body of a message with a length, in chunks, or up to the end."""
+    head = await reader.readuntil(b"\r\n\r\n")
+    lower = head.lower()
+    if b"transfer-encoding: chunked" in lower:
+        body = bytearray()
+        while size := int((await reader.readuntil(b"\n")).split(b";")[0], 16):
+            body += await reader.readexactly(size)
+            await reader.readexactly(2)
+        await reader.readline()
+        return head, bytes(body)
+    if b"content-length: " in lower:
+        return head, await reader.readexactly(int(lower.split(b"content-length: ")[1].split(b"\r\n")[0]))
+    return head, await reader.read()
+
+
+def upload_request(body: bytes, chunks: int = 0, extra: str = "") -> bytes:
+    """Return an unsafe request with a long body, in chunks of such a size or with its length."""
+    if not chunks:
+        return request("pay", body=body, extra=extra)
+    head = request("pay", extra=extra).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
+    return head + chunked(body, chunks, b";x") + b"0\r\nX-Trailer: 1\r\n\r\n"
--- a/tests/test_crossing_any.py
+++ b/tests/test_crossing_any.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.crossing_player import Play
-from tests.test_sidecar import run
+from tests.runner import run
 
 SEEDS = range(24)
 STEPS = 120
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -8,9 +8,9 @@
 
 from garnetusher.sidecar.streaming import UPLOAD_MEMORY_SIZE, BodyMemory
 from tests.net import OK, Upstream, answering, entry, listing, read_message, request, sidecar, until
+from tests.runner import run, status
+from tests.streams import upload_request
 from tests.test_crossing_stop import never_up
-from tests.test_long import upload
-from tests.test_sidecar import run, status
 
 NOT_SENT_AFTER_S = 0.3  # what waits is not sent on later than this after its client has left
 
@@ -19,7 +19,7 @@
     await until(lambda: len(upstream.requests) == count)
 
 
-def test_what_waits_in_the_buffer_is_refused_once_its_client_sends_no_more() -> None:
+def test_buffered_request_is_shed_when_client_half_closes() -> None:
     async def test() -> None:
         go = asyncio.Event()
 
@@ -39,7 +39,8 @@
             writer.write(request("pay", "waits", b"b"))
             await asyncio.sleep(0.1)
             writer.write_eof()
-            assert status(await read_message(reader)) == 503 and await reader.read() == b""
+            assert status(await read_message(reader)) == 503
+            assert await reader.read() == b""
             go.set()
             for each, _ in out:
                 assert status(await read_message(each)) == 200
@@ -50,7 +51,7 @@
     run(test)
 
 
-def test_what_waits_for_a_connection_is_refused_once_its_client_sends_no_more() -> None:
+def test_unwritten_attempt_is_withdrawn_when_client_half_closes() -> None:
     async def test() -> None:
         with never_up() as port:
             async with sidecar(known=listing(entry("u", port)), connect_timeout_us=60_000_000) as it:
@@ -65,7 +66,7 @@
 
 
 @pytest.mark.parametrize("answer", [OK, b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70_000])
-def test_what_is_out_when_its_client_ends_its_sending_side_is_answered(answer: bytes) -> None:
+def test_outstanding_request_gets_response_when_client_half_closes(answer: bytes) -> None:
     async def test() -> None:
         go = asyncio.Event()
 
@@ -92,7 +93,7 @@
     run(test)
 
 
-def test_what_was_out_for_a_client_that_sends_no_more_is_not_tried_again() -> None:
+def test_outstanding_request_is_not_retried_when_client_half_closes() -> None:
     async def test() -> None:
         go = asyncio.Event()
 
@@ -119,17 +120,17 @@
     run(test)
 
 
-def test_a_client_that_leaves_while_its_long_body_waits_is_seen_to(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_waiting_body_frees_its_place_when_client_disconnects(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("garnetusher.sidecar.downstream.server.BodyMemory", lambda size: BodyMemory(UPLOAD_MEMORY_SIZE))
 
     async def test() -> None:
         upstream = Upstream(answering(OK))
         async with sidecar(upstream) as it:
             _, first = await it.connect()
-            first.write(upload(b"x" * 200_000)[:-1])
+            first.write(upload_request(b"x" * 200_000)[:-1])
             await asyncio.sleep(0.2)
             _, second = await it.connect()
-            second.write(upload(b"y" * 180_000))
+            second.write(upload_request(b"y" * 180_000))
             await second.drain()
             await asyncio.sleep(0.2)
             second.close()
@@ -137,7 +138,8 @@
             first.transport.abort()
             await asyncio.sleep(0.3)
             assert not upstream.requests
-            answer = await it.ask(upload(b"z" * 180_000))  # there is room again
-            assert status(answer) == 200 and len(upstream.requests) == 1
+            answer = await it.ask(upload_request(b"z" * 180_000))  # there is room again
+            assert status(answer) == 200
+            assert len(upstream.requests) == 1
 
     run(test)
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -11,7 +11,7 @@
 from garnetusher.sidecar.downstream import server as downstream_server
 from garnetusher.sidecar.downstream.server import DownstreamServer
 from tests.net import OK, Upstream, answering, request, sidecar
-from tests.test_sidecar import run, status
+from tests.runner import run, status
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/tests/test_crossing_long.py
+++ b/tests/test_crossing_long.py
@@ -9,54 +9,54 @@
 
 from garnetusher.sidecar.downstream.request_reader import RequestReader
 from tests.net import request, sidecar
+from tests.runner import run, status
+from tests.streams import LONG_BODY, FunctionUpstream, upload_request
 from tests.test_crossing_idle import answer_of
-from tests.test_long import LONG, Raw, upload
-from tests.test_sidecar import run, status
 
 DEADLINE_S = 0.5
 
 
-def test_a_long_answer_that_begins_before_its_body_is_whole_is_not_cut_at_the_deadline() -> None:
+def test_response_is_not_cut_at_deadline_when_it_began_before_body_was_complete() -> None:
     async def test() -> None:
         go = asyncio.Event()
 
         async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(len(LONG) - 1)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG[:100_000])
+            await reader.readexactly(len(LONG_BODY) - 1)
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:100_000])
             await reader.readexactly(1)
             await go.wait()
-            writer.write(LONG[100_000:])
+            writer.write(LONG_BODY[100_000:])
             await reader.read()
 
-        async with sidecar(Raw(play)) as it:
+        async with sidecar(FunctionUpstream(play)) as it:
             reader, writer = await it.connect()
-            whole = request("pay", body=LONG, deadline_ms=int(1000 * DEADLINE_S))
+            whole = request("pay", body=LONG_BODY, deadline_ms=int(1000 * DEADLINE_S))
             writer.write(whole[:-1])
             assert status((await reader.readuntil(b"\r\n\r\n"), b"")) == 200
             writer.write(whole[-1:])
             await asyncio.sleep(2 * DEADLINE_S)  # its time, from the last byte of its body on, is over
             go.set()
-            assert await reader.readexactly(len(LONG)) == LONG
+            assert await reader.readexactly(len(LONG_BODY)) == LONG_BODY
             writer.close()
 
     run(test)
 
 
 @pytest.mark.parametrize("how", ["malformed", "stalls", "leaves"])
-def test_nothing_is_written_into_an_answer_that_has_begun(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_started_response_is_reset_when_rest_of_body_fails(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What goes wrong with the rest of its body then ends the answer in a way that its client can tell."""
 
     async def test() -> None:
         async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(80_000)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG[:100_000])
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:100_000])
             await reader.read()
 
-        async with sidecar(Raw(play)) as it:
+        async with sidecar(FunctionUpstream(play)) as it:
             with socket.create_connection(("127.0.0.1", it.port)) as sock:
-                whole = upload(LONG, 1000)
+                whole = upload_request(LONG_BODY, 1000)
                 sock.sendall(whole[:100_000])
                 assert await answer_of(sock) == 200
                 if how == "malformed":
@@ -67,7 +67,7 @@
                     )
                 else:
                     sock.shutdown(socket.SHUT_WR)
-                with pytest.raises(ConnectionResetError):
+                with pytest.raises(ConnectionResetError):  # noqa: PT012 - any of the reads may meet the reset
                     while data := await asyncio.get_running_loop().sock_recv(sock, 65536):
                         assert b"HTTP/1.1" not in data
 
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -14,6 +14,7 @@
 from garnetusher.sidecar.upstream import pool as upstreams_module
 from garnetusher.sidecar.upstream.pool import ConnectionPool, UpstreamConnection
 from tests.net import (
+    ERROR,
     OK,
     Discovery,
     Upstream,
@@ -26,9 +27,9 @@
     sidecar,
     until,
 )
+from tests.runner import run, status
 from tests.test_crossing_stop import never_up
 from tests.test_crossing_watch import Wire
-from tests.test_sidecar import ERROR, run, status
 from tests.world import World, settings, upstreams
 
 
--- a/tests/test_crossing_stop.py
+++ b/tests/test_crossing_stop.py
@@ -27,9 +27,9 @@
     silent,
     until,
 )
-from tests.test_long import upload
+from tests.runner import run, status
+from tests.streams import upload_request
 from tests.test_program import SETTINGS, configuration, program
-from tests.test_sidecar import run, status
 
 LONG_US = 20_000_000  # deadlines far beyond the 3.7 s after which SIGKILL comes at the soonest
 PATIENT: dict[str, Any] = SETTINGS | {
@@ -90,7 +90,7 @@
     return await asyncio.to_thread(process.wait, PATIENCE_S)
 
 
-def test_what_outlasts_the_process_has_its_answer_before_the_end(tmp_path: Path) -> None:
+def test_stop_responds_before_exit_when_request_outlasts_process(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = Upstream(silent)
         await upstream.start()
@@ -100,7 +100,7 @@
             await until(lambda: len(upstream.requests) == 3)  # its slots
             buffered = await send(request("pay", "q", b"b"))
             half = await send(request("pay", "h", b"four")[:-2])
-            long = await send(upload(b"x" * 200_000)[:100_000])
+            long = await send(upload_request(b"x" * 200_000)[:100_000])
             await asyncio.sleep(0.2)
             process.send_signal(signal.SIGTERM)
             assert [await client.status() for client in out] == [500, 500]  # they may have run
@@ -113,7 +113,7 @@
     run(test)
 
 
-def test_what_waits_for_a_connection_at_the_end_is_refused(tmp_path: Path) -> None:
+def test_stop_sheds_request_when_its_connection_is_not_up(tmp_path: Path) -> None:
     async def test() -> None:
         with never_up() as port:
             async with running(tmp_path, port) as (process, send):
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("size", [100_000, 6_000_000])  # the larger one fills all buffers, as its client does not read
-def test_a_long_answer_under_way_is_not_cut_by_a_process_that_ends_by_itself(tmp_path: Path, size: int) -> None:
+def test_stop_completes_response_when_it_is_streamed(tmp_path: Path, size: int) -> None:
     async def test() -> None:
         on = asyncio.Event()
 
@@ -165,7 +165,9 @@
         (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM),
     ],
 )
-def test_signals_that_cross_leave_what_is_out_alone(tmp_path: Path, signals: tuple[signal.Signals, ...]) -> None:
+def test_stop_keeps_outstanding_requests_when_signals_cross(
+    tmp_path: Path, signals: tuple[signal.Signals, ...]
+) -> None:
     async def test() -> None:
         go = asyncio.Event()
 
@@ -197,7 +199,7 @@
     run(test)
 
 
-def test_a_process_without_a_list_ends_as_well(tmp_path: Path) -> None:
+def test_stop_exits_when_there_is_no_endpoint_list(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as (process, send):
             process.send_signal(signal.SIGTERM)
@@ -207,7 +209,7 @@
     run(test)
 
 
-def test_short_deadlines_bring_the_last_answers_forward(tmp_path: Path) -> None:
+def test_stop_responds_earlier_when_deadlines_are_short(tmp_path: Path) -> None:
     short: dict[str, Any] = SETTINGS | {
         "request-classes": [
             {"name": "pay", "aim": 200_000, "deadline": 300_000, "effect": "at_most_once", "worth": 1.0}
@@ -224,7 +226,8 @@
             process.send_signal(signal.SIGTERM)
             told = loop.time()
             assert await half.status() == 503  # not after 2.7 s, when its time to come whole is over
-            assert loop.time() - told < 2.0 and not upstream.requests
+            assert loop.time() - told < 2.0
+            assert not upstream.requests
             half.writer.close()
             assert await ended(process) == 0
         upstream.stop()
--- a/tests/test_crossing_watch.py
+++ b/tests/test_crossing_watch.py
@@ -12,8 +12,9 @@
 from garnetusher.sidecar.configuration import parse_address
 from garnetusher.sidecar.discovery.watch import PIECE, Address, EndpointList, Watch
 from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
+from tests.driven_loop import DrivenLoop
 from tests.net import OK, Discovery, Upstream, answering, entry, listing, request, sidecar, until
-from tests.test_sidecar import DrivenLoop, run, status
+from tests.runner import run, status
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- /dev/null
+++ b/tests/test_endpoint_watch.py
@@ -0,0 +1,121 @@
+"""The endpoint list as the sidecar polls and watches it."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import cast
+
+from garnetusher.sidecar.discovery.watch import EndpointList
+from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
+from tests.driven_loop import DrivenLoop
+from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listing, request, sidecar
+from tests.runner import run, status
+
+
+def test_sidecar_uses_cached_endpoints_at_once_and_updates_as_they_come() -> None:
+    async def test() -> None:
+        old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
+        await new.start()
+        async with sidecar(old, discovery=discovery) as it:
+            assert status(await it.ask(request())) == 200
+            assert len(old.requests) == 1
+            await discovery.watched()
+            assert b"follow=1&since=1 " in discovery.calls[0]
+            changes = [entry("u0", old.port, "leaving"), entry("u1", new.port)]
+            discovery.line(listing(*changes, rev=2, full=False))
+
+            async def moved() -> bool:
+                assert status(await it.ask(request())) == 200
+                return bool(new.requests)
+
+            while not await moved():
+                pass
+            before = len(old.requests)
+            for _ in range(5):
+                await moved()
+            assert len(old.requests) == before
+            discovery.writers[-1].transport.abort()
+            await discovery.watched()
+            assert b"since=2 " in discovery.calls[1]
+        new.stop()
+
+    run(test)
+
+
+def test_sidecar_keeps_watch_open_when_updates_are_pushed() -> None:
+    async def test() -> None:
+        old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
+        await new.start()
+        async with sidecar(old, discovery=discovery, poll_endpoints=False) as it:
+            await discovery.watched()
+            discovery.line(listing(entry("u0", old.port, "left"), entry("u1", new.port), rev=2, full=False))
+            while not new.requests:
+                assert status(await it.ask(request())) == 200
+            before = len(old.requests)
+            assert status(await it.ask(request())) == 200
+            assert len(old.requests) == before
+            discovery.writers[-1].transport.abort()  # the call fails, and is made again
+            await discovery.watched()
+            assert b"follow=1&since=2 " in discovery.calls[1]
+        new.stop()
+
+    run(test)
+
+
+def test_watcher_keeps_old_list_and_ends_watch_when_update_is_unreadable() -> None:
+    async def test() -> None:
+        upstream, discovery = Upstream(answering(OK)), Discovery()
+        async with sidecar(upstream, discovery=discovery) as it:
+            await discovery.watched()
+            discovery.line({"rev": 2, "all": True, "targets": [{"uid": "u0"}]})
+            await discovery.watched()
+            assert status(await it.ask(request())) == 200
+
+    run(test)
+
+
+def test_watcher_polls_when_cached_endpoints_are_unreadable() -> None:
+    async def test() -> None:
+        up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+        upstream, discovery = Upstream(answering(OK)), Discovery()
+        known = {"rev": 7, "all": True, "targets": [{"uid": "u0", "state": "unheard of"}]}
+        async with sidecar(upstream, discovery=discovery, known=known) as it:
+            assert status(await it.ask(up)) == 503
+            await discovery.watched()
+            assert b"since=0 " in discovery.calls[0]
+            discovery.line(listing(entry("u0", upstream.port), rev=8))
+            async with asyncio.timeout(PATIENCE_S):
+                while status(await it.ask(up)) != 200:
+                    pass
+            assert status(await it.ask(request())) == 200
+
+    run(test)
+
+
+def test_watcher_reconnects_when_watch_is_silent() -> None:
+    async def test() -> None:
+        discovery = Discovery()
+        async with sidecar(Upstream(answering(OK)), discovery=discovery):
+            await discovery.watched()
+            discovery.line(listing(rev=2, full=False))
+            await discovery.watched()
+            assert len(discovery.calls) == 2
+
+    run(test)
+
+
+def test_watcher_connects_twice_within_7_s_when_discovery_is_silent() -> None:
+    async def test() -> None:
+        loop = DrivenLoop()
+        discovery = Discovering(("127.0.0.1", 1), EndpointList(["a"], ["m"]), lambda event, addresses: None)
+        discovery.loop = cast(asyncio.AbstractEventLoop, loop)
+        discovery.watch_permanently()
+        assert discovery.watch is not None
+        discovery.watch.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+        before = loop.dials
+        loop.advance(2.5)  # an empty line is late
+        assert loop.dials == before
+        loop.advance(6.9)  # told at 6 s, whether it arrived or not, and 1 s of grace
+        assert loop.dials == before + 2
+
+    run(test)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,8 +12,8 @@
 from garnetusher.sidecar.configuration import load
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from tests.net import OK, Upstream, answering, read_message, request, sidecar
+from tests.runner import run, status
 from tests.test_program import configuration
-from tests.test_sidecar import run, status
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -28,8 +28,8 @@
     request,
     sidecar,
 )
+from tests.runner import run, status
 from tests.test_program import configuration, program
-from tests.test_sidecar import run, status
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- /dev/null
+++ b/tests/test_streamed_responses.py
@@ -0,0 +1,216 @@
+"""Responses that are longer than what is buffered, and the framings that HTTP/1.1 gives them."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
+from garnetusher.sidecar.streaming import LONGEST, Head, Source
+from garnetusher.sidecar.upstream.pool import SETTLE_US, ConnectionPool
+from tests.net import OK, Upstream, allowed, answering, read_message, request, sidecar, until
+from tests.runner import run, status
+from tests.streams import CHUNKED, LONG_BODY, FunctionUpstream, chunked, read_body
+
+
+@pytest.mark.parametrize(
+    ("answer", "body"),
+    [
+        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY, LONG_BODY),
+        (CHUNKED + chunked(LONG_BODY, 999, b";a=b") + b"0\r\nX-Not-Run: 1\r\n\r\n", LONG_BODY),
+        (CHUNKED + chunked(LONG_BODY[:5000], 1, b';a="b c"') + b"0\r\nX-Sum: 1\r\n\r\n", LONG_BODY[:5000]),
+        (b"HTTP/1.1 200 OK\r\n\r\n" + LONG_BODY, LONG_BODY),
+        (b"HTTP/1.0 200 Fine\r\n\r\n" + LONG_BODY[:100], LONG_BODY[:100]),
+        (b"HTTP/1.1 200\r\nConnection: close\r\n\r\n", b""),
+        (
+            b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + CHUNKED + b"0\r\n\r\n",
+            b"",
+        ),
+    ],
+)
+def test_sidecar_forwards_response_unchanged_in_every_framing(answer: bytes, body: bytes) -> None:
+    async def test() -> None:
+        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(answer)
+            await writer.drain()
+
+        async with sidecar(FunctionUpstream(play)) as it:
+            reader, writer = await it.connect()
+            writer.write(request())
+            head, found = await read_body(reader)
+            writer.close()
+            assert status((head, found)) == 200
+            assert found == body
+
+    run(test)
+
+
+def test_sidecar_streams_long_response_and_keeps_connection() -> None:
+    async def test() -> None:
+        seen = asyncio.Event()
+
+        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            while True:
+                await read_message(reader)
+                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:10])
+                await seen.wait()
+                writer.write(LONG_BODY[10:])
+
+        upstream = FunctionUpstream(play)
+        async with sidecar(upstream) as it:
+            reader, writer = await it.connect()
+            for _ in range(3):
+                seen.clear()
+                writer.write(request())
+                await reader.readuntil(b"\r\n\r\n")
+                assert await reader.readexactly(10) == LONG_BODY[:10]
+                seen.set()
+                assert await reader.readexactly(len(LONG_BODY) - 10) == LONG_BODY[10:]
+                await asyncio.sleep(2 * SETTLE_US / 1e6)
+            writer.close()
+        assert upstream.connections == 1
+
+    run(test)
+
+
+def test_sidecar_streams_short_response_when_it_trickles() -> None:
+    async def test() -> None:
+        seen = asyncio.Event()
+
+        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(CHUNKED + b"3\r\nabc\r\n")
+            await seen.wait()
+            writer.write(b"3\r\ndef\r\n0\r\n\r\n")
+
+        async with sidecar(FunctionUpstream(play)) as it:
+            reader, writer = await it.connect()
+            writer.write(request())
+            await reader.readuntil(b"abc\r\n")
+            seen.set()
+            assert (await reader.readuntil(b"0\r\n\r\n")).startswith(b"3\r\ndef")
+            writer.close()
+
+    run(test)
+
+
+@pytest.mark.parametrize("kind", ["read", "pay"])
+@pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", CHUNKED + b"20000\r\n"])
+def test_sidecar_breaks_response_without_retry_when_upstream_breaks_it(kind: str, head: bytes) -> None:
+    async def test() -> None:
+        requests = []
+
+        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            requests.append(await read_message(reader))
+            writer.write(head + b"x" * 100_000)
+            await writer.drain()
+
+        async with sidecar(FunctionUpstream(play), FunctionUpstream(play)) as it:
+            reader, writer = await it.connect()
+            writer.write(request(kind))
+            with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
+                await read_body(reader)
+            writer.close()
+        assert len(requests) == 1
+
+    run(test)
+
+
+def test_sidecar_pauses_upstream_when_client_reads_slowly() -> None:
+    async def test() -> None:
+        sent, size = [0], 24 * 1024 * 1024
+
+        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
+            while sent[0] < size:
+                writer.write(b"x" * 65536)
+                await writer.drain()
+                sent[0] += 65536
+
+        async with sidecar(FunctionUpstream(play), Upstream(answering(OK))) as it:
+            reader, writer = await asyncio.open_connection("127.0.0.1", it.port, limit=4096)
+            writer.write(request())
+            await until(lambda: sent[0] > 0)
+            before = -1
+            while before != sent[0]:  # till nothing moves any more
+                before = sent[0]
+                await asyncio.sleep(0.2)
+            assert sent[0] < size
+            await reader.readuntil(b"\r\n\r\n")
+            got = 0
+            while got < size:
+                got += len(await reader.read(1 << 20))
+            assert got == sent[0] == size
+            writer.close()
+
+    run(test)
+
+
+def test_attempt_fails_when_response_exceeds_limit() -> None:
+    async def test() -> None:
+        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx" % (LONGEST + 1))
+            await reader.read()
+
+        async with sidecar(FunctionUpstream(play)) as it:
+            assert status(await it.ask(request("pay"))) == 500
+
+    run(test)
+
+
+def test_sidecar_resets_http_1_0_client_when_response_breaks() -> None:
+    async def test() -> None:
+        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(CHUNKED + chunked(LONG_BODY[:100_000], 1000))
+            await writer.drain()
+
+        async with sidecar(FunctionUpstream(play)) as it:
+            reader, writer = await it.connect()
+            writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+            with pytest.raises(ConnectionResetError):
+                await reader.read()
+            writer.close()
+
+    run(test)
+
+
+def test_pool_closes_connection_when_client_of_long_response_has_gone() -> None:
+    async def test() -> None:
+        ended = asyncio.Event()
+
+        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:100])
+            assert await reader.read() == b""
+            ended.set()
+
+        upstream = FunctionUpstream(play)
+        await upstream.start()
+        pool = ConnectionPool(60_000_000, 10_000_000)
+        pool.sweeper.cancel()
+        results, source = list[AttemptResult](), list[Source]()
+
+        class Nowhere:
+            def write_chunk(self, data: bytes) -> None:
+                pass
+
+        def began(head: Head, of: Source) -> Nowhere:
+            source.append(of)
+            return Nowhere()
+
+        call = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
+        flight = pool.start_attempt(("127.0.0.1", upstream.port), call, allowed, results.append, began)
+        await until(lambda: bool(source))
+        assert len(pool.passing) == 1
+        flight.abandon()
+        await ended.wait()
+        assert not pool.passing
+        assert not results
+        upstream.stop()
+
+    run(test)
--- /dev/null
+++ b/tests/test_upstream_connections.py
@@ -0,0 +1,125 @@
+"""Connections to upstreams: reuse, idle time-outs and incomplete writes."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+
+from garnetusher.policy.events import Outcome
+from garnetusher.sidecar.requests.messages import AttemptResult, monotonic_us
+from garnetusher.sidecar.upstream.pool import SETTLE_US, ConnectionPool, IdleReuseEstimator, UpstreamConnection
+from tests.net import OK, Upstream, answering, attempt_at, request, sidecar, until
+from tests.runner import run
+
+
+def test_pool_reuses_connection_except_when_it_has_ended_or_sent_extra_bytes() -> None:
+    async def test() -> None:
+        more, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
+        upstream = Upstream(answering(OK, more, OK, closing, OK))
+        async with sidecar(upstream) as it:
+            for number in range(5):
+                assert (await it.ask(request(ident=str(number))))[1] == b"done"
+                await asyncio.sleep(2 * SETTLE_US / 1e6)  # sooner, a second answer may be on its way
+        assert upstream.connections == 3
+
+    run(test)
+
+
+def test_idle_reuse_estimator_lowers_limit_when_idle_connections_lose_requests() -> None:
+    trust = IdleReuseEstimator(4_700_000)
+    for _ in range(40):  # one in ten is lost at any age: no lesson
+        for age_us in (10_000, 60_000, 110_000, 300_000):
+            for number in range(10):
+                trust.used(age_us, number == 0)
+    assert trust.limit_us() == 4_700_000
+    for _ in range(10):
+        trust.used(60_000, False)
+        trust.used(110_000, True)
+    assert 60_000 < trust.limit_us() <= 110_000
+    for _ in range(600):  # a minute's sweeps
+        trust.fade()
+    assert trust.limit_us() == 4_700_000
+
+
+@pytest.mark.parametrize("longest_us", [0, 10_000, 25_000, 99_000, 60_000_000])
+def test_idle_reuse_estimator_never_exceeds_idle_timeout(longest_us: int) -> None:
+    trust = IdleReuseEstimator(longest_us)
+    for age_us in (-1, 0, 24_999, 25_000, longest_us, 2 * longest_us):
+        for _ in range(20):
+            trust.used(age_us, True)
+            assert 0 <= trust.limit_us() <= longest_us
+
+
+def test_pool_closes_connections_idle_as_long_when_requests_are_lost() -> None:
+    async def test() -> None:
+        pool, address = ConnectionPool(60_000_000, 10_000_000), ("127.0.0.1", 1)
+        pool.sweeper.cancel()
+        with socket.socket() as sock:
+            connection = UpstreamConnection(pool, address, sock)
+            connection.idle_since_us = monotonic_us() - 60_000
+            pool.idle[address] = [connection]
+            pool.sweep()
+            pool.sweeper.cancel()
+            assert pool.idle == {address: [connection]}
+            for _ in range(10):
+                used_again = UpstreamConnection(pool, address, sock)
+                used_again.idled_us, used_again.closed = 60_000, True
+                used_again.finish(Outcome.RESET)
+            pool.sweep()
+            pool.sweeper.cancel()
+            assert pool.idle == {}
+            assert connection.closed
+
+    run(test)
+
+
+def test_pool_closes_idle_connection_before_upstream_does() -> None:
+    async def test() -> None:
+        ended = asyncio.Event()
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(OK)
+            if not await reader.read(1):
+                ended.set()
+            raise ConnectionResetError
+
+        async with sidecar(Upstream(script), idle_us=400_000) as it:
+            await it.ask(request())
+            await ended.wait()
+
+    run(test)
+
+
+@pytest.mark.parametrize("early", [b"", OK])
+def test_connection_closes_when_request_was_not_written_completely(early: bytes) -> None:
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        pool, results = ConnectionPool(60_000_000, 10_000_000), list[AttemptResult]()
+        with socket.socket() as listener:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            listener.bind(("127.0.0.1", 0))
+            listener.listen()
+            sock, peer = socket.socket(), None
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            sock.connect(listener.getsockname())
+            sock.setblocking(False)
+            peer, _ = listener.accept()
+        connection = UpstreamConnection(pool, peer.getsockname(), sock)
+        connection.attempt = attempt_at(pool, connection.address, results.append, b"x" * 1_000_000)
+        await loop.create_connection(lambda: connection, sock=sock)
+        assert connection.unsent
+        if early:
+            peer.sendall(early)
+            await until(lambda: bool(results))
+        peer.close()
+        await until(lambda: bool(results))
+        assert [result.outcome for result in results] == [Outcome.OK if early else Outcome.CONNECT_FAILED]
+        assert pool.idle == {}
+        assert connection.closed
+        pool.sweeper.cancel()
+
+    run(test)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -16,7 +16,7 @@
 from garnetusher.policy.zones import QUIET_US, State, Zone, Zones
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
-from tests.test_sidecar import run
+from tests.runner import run
 from tests.world import World as Stand
 from tests.world import settings, upstreams
 
