--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -14,7 +14,7 @@
 from garnetusher.sidecar.downstream.response_writer import ResponseWriter, content_type_header, retry_after_header
 from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Disposition, FinalResponse, monotonic_us
 from garnetusher.sidecar.sockets import SteadySocket
-from garnetusher.sidecar.streaming import STALL_US, Head, Reading, Source, Upload
+from garnetusher.sidecar.streaming import STALL_TIMEOUT_US, Head, SharedBufferProtocol, Source, Upload
 
 if TYPE_CHECKING:
     from garnetusher.sidecar.downstream.server import DownstreamServer
@@ -35,7 +35,7 @@
     CLOSING = "closing"  # what still comes is discarded
 
 
-class DownstreamConnection(Reading):
+class DownstreamConnection(SharedBufferProtocol):
     """A client's connection.
 
     Attributes:
@@ -361,7 +361,7 @@
         with contextlib.suppress(OSError):  # the client has just reset the connection
             self.transport.write_eof()
         self.idle_since_us = monotonic_us()
-        self._linger(self.idle_since_us + STALL_US)
+        self._linger(self.idle_since_us + STALL_TIMEOUT_US)
 
     def _linger(self, deadline_us: int) -> None:
         """Abort once the client, which may read slowly or still send, has the end of its response.
@@ -427,7 +427,7 @@
             self.shed_unread()
         elif not self.has_open_request and paused_us > BODY_MEMORY_TIMEOUT_US:
             self.shed_unread(BODY_MEMORY_TIMEOUT_US)
-        elif self.has_open_request and paused_us > STALL_US:
+        elif self.has_open_request and paused_us > STALL_TIMEOUT_US:
             self.server.dispatcher.on_body_stalled(self._request_id)
 
     def _must_respond_before_next_check(self, now_us: int) -> bool:
--- a/garnetusher/sidecar/downstream/request_reader.py
+++ b/garnetusher/sidecar/downstream/request_reader.py
@@ -10,7 +10,7 @@
 from garnetusher.sidecar.downstream.errors import RequestRejected
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.requests.messages import HttpRequest, monotonic_us
-from garnetusher.sidecar.streaming import HELD, LONGEST, Upload
+from garnetusher.sidecar.streaming import MAX_BODY_SIZE, MAX_BUFFERED_SIZE, Upload
 
 MAX_HEAD_SIZE = 16 * 1024  # bytes
 READ_TIMEOUT_US = 2_700_000  # for a complete request; a new client is owed a response or an end 3 s after it connects
@@ -99,7 +99,7 @@
     @property
     def exceeds_buffer(self) -> bool:
         """Whether more of the body has been read than is buffered, and it has to be streamed."""
-        return self.upload is None and len(self.body) > HELD
+        return self.upload is None and len(self.body) > MAX_BUFFERED_SIZE
 
     def start_message(self, *, renew_deadline: bool) -> None:
         """Record the first bytes of a message; does nothing on later ones.
@@ -144,7 +144,7 @@
         Raises:
             RequestRejected: one of them is not accepted.
         """
-        if (self._content_length or 0) > LONGEST:
+        if (self._content_length or 0) > MAX_BODY_SIZE:
             raise RequestRejected(413, "the body is too long")
         if self._expectation().lower() not in (b"", b"100-continue"):
             raise RequestRejected(417, "unknown expectation")
@@ -232,7 +232,7 @@
         if self.complete:
             return
         self._body_size += len(data)
-        if self._body_size > LONGEST:
+        if self._body_size > MAX_BODY_SIZE:
             raise RequestRejected(413, "the body is too long")
         earned_us = len(data) * 1_000_000 // MIN_BODY_RATE
         extended_us = min(self.deadline_us + earned_us, monotonic_us() + MAX_DEADLINE_AHEAD_US)
--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -6,7 +6,7 @@
 
 from garnetusher.sidecar.downstream.errors import NotConnectedError
 from garnetusher.sidecar.requests.messages import monotonic_us
-from garnetusher.sidecar.streaming import LAST_CHUNK, STALL_US, Head, Source, chunk
+from garnetusher.sidecar.streaming import LAST_CHUNK, STALL_TIMEOUT_US, Head, Source, chunk
 
 WRITE_BUFFER_LIMIT = 32 * 1024  # unsent bytes of a long response before its upstream is paused
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -158,5 +158,5 @@
         if unsent_size != self._blocked_size:
             self._blocked_since_us = now_us
             self._blocked_size = unsent_size
-        elif now_us > self._blocked_since_us + STALL_US:
+        elif now_us > self._blocked_since_us + STALL_TIMEOUT_US:
             self.transport.abort()
--- a/garnetusher/sidecar/streaming.py
+++ b/garnetusher/sidecar/streaming.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-HELD = 64 * 1024  # bytes of a body or a response that are buffered; what is longer is streamed
-LONGEST = 32 * 1024 * 1024  # bytes of a body or a response
-STALL_US = 10_000_000  # a peer that takes or sends nothing for so long has gone; a slow one may take seconds
+MAX_BUFFERED_SIZE = 64 * 1024  # bytes of a body or a response that are buffered; what is longer is streamed
+MAX_BODY_SIZE = 32 * 1024 * 1024  # bytes of a body or a response
+STALL_TIMEOUT_US = 10_000_000  # a peer that takes or sends nothing for so long has gone; a slow one may take seconds
 UPLOAD_MEMORY_SIZE = 256 * 1024  # bytes that a long body takes at the most: buffered, read, and not yet written
 READ_BUFFER_SIZE = 64 * 1024  # bytes read at once; each stream that waits for its peer holds so many
 LAST_CHUNK = b"0\r\n\r\n"
@@ -21,7 +21,7 @@
     return [b"%x\r\n" % len(data), data, b"\r\n"]
 
 
-class Reading(asyncio.BufferedProtocol):
+class SharedBufferProtocol(asyncio.BufferedProtocol):
     """Reads pieces of a bounded size into one buffer that all connections share, as each is used at once.
 
     The event loop's own pieces are of 256 KiB, and hundreds of streams would hold one each.
@@ -42,7 +42,7 @@
         raise NotImplementedError
 
 
-class Taker(Protocol):
+class BodySink(Protocol):
     """Takes a long body: an attempt at an upstream."""
 
     def write_body_chunk(self, data: bytes) -> None:
@@ -110,23 +110,23 @@
         self.complete = False
         self._buffer = bytearray(buffered)
         self._source = source
-        self._taker: Taker | None = None
+        self._sink: BodySink | None = None
 
     @property
     def buffered(self) -> bytes:
         """What is buffered."""
         return bytes(self._buffer)
 
-    def attach(self, taker: Taker) -> bytes:
+    def attach(self, sink: BodySink) -> bytes:
         """Let an attempt take the body; return what is buffered, which goes first."""
-        self._taker = taker
+        self._sink = sink
         self._source.resume_body()
         return self.buffered
 
-    def detach(self, taker: Taker) -> None:
+    def detach(self, sink: BodySink) -> None:
         """Let an attempt take no more; does nothing if another one has taken its place."""
-        if self._taker is taker:
-            self._taker = None
+        if self._sink is sink:
+            self._sink = None
             self._source.pause_body()
 
     def flow(self, on: bool) -> None:  # noqa: FBT001 - the upstream side passes it by position
@@ -142,7 +142,7 @@
 
     def feed(self, data: bytes) -> None:
         """Take the next bytes: they are buffered until an attempt takes the body, and streamed on from then."""
-        if self._taker is None:
+        if self._sink is None:
             if self.replayable:  # else no attempt can use them
                 self._buffer += data
             return
@@ -150,14 +150,14 @@
             self.replayable = False
             self._buffer = bytearray()
             self._source.body_not_replayable()
-        if self._taker is not None:  # the attempt may have been given up on that notice
-            self._taker.write_body_chunk(data)
+        if self._sink is not None:  # the attempt may have been given up on that notice
+            self._sink.write_body_chunk(data)
 
     def finish(self) -> None:
         """Note the last byte."""
         self.complete = True
-        if self._taker is not None:
-            self._taker.end_body()
+        if self._sink is not None:
+            self._sink.end_body()
 
 
 class BodyMemory:
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -15,12 +15,12 @@
 from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.sockets import RETRY_S, SteadySocket, is_own
 from garnetusher.sidecar.streaming import (
-    HELD,
     LAST_CHUNK,
-    LONGEST,
-    STALL_US,
+    MAX_BODY_SIZE,
+    MAX_BUFFERED_SIZE,
+    STALL_TIMEOUT_US,
     Head,
-    Reading,
+    SharedBufferProtocol,
     Sink,
     Source,
     chunk,
@@ -135,7 +135,7 @@
         self.ended(result)
 
 
-class UpstreamConnection(Reading):
+class UpstreamConnection(SharedBufferProtocol):
     """A connection to an upstream; it carries one attempt at a time."""
 
     def __init__(self, pool: ConnectionPool, address: Address, sock: socket.socket) -> None:
@@ -309,22 +309,22 @@
             return
         self.status = self.parser.get_status_code()
         self.headed = self.status >= 200
-        if (self.length or 0) > LONGEST:
+        if (self.length or 0) > MAX_BODY_SIZE:
             raise ValueError("the answer is too long")
-        if self.status == 200 and (self.length or 0) > HELD:
+        if self.status == 200 and (self.length or 0) > MAX_BUFFERED_SIZE:
             self.begin()
 
     def on_body(self, data: bytes) -> None:
         if self.complete:
             return
         self.passed += len(data)
-        if self.passed > LONGEST:
+        if self.passed > MAX_BODY_SIZE:
             raise ValueError("the answer is too long")
         if self.sink is not None:
             self.sink.write_chunk(data)
         else:
             self.body += data
-            if len(self.body) > HELD:
+            if len(self.body) > MAX_BUFFERED_SIZE:
                 if self.status != 200:
                     raise ValueError("the error is too long")
                 self.begin()
@@ -572,7 +572,7 @@
         """Close what upstreams are about to close."""
         self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
         self.trust.fade()
-        silent_us = monotonic_us() - STALL_US
+        silent_us = monotonic_us() - STALL_TIMEOUT_US
         for connection in [c for c in self.passing if not c.paused and c.heard_us <= silent_us]:
             connection.break_off()
         oldest_us = monotonic_us() - self.trust.limit_us()
--- a/tests/test_streamed_bodies.py
+++ b/tests/test_streamed_bodies.py
@@ -159,7 +159,7 @@
 
 
 def test_upload_reads_on_only_while_an_attempt_takes_it() -> None:
-    class Taker:
+    class RecordingSink:
         def __init__(self) -> None:
             self.got = b""
 
@@ -169,7 +169,7 @@
         def end_body(self) -> None:
             self.got += b"."
 
-    class Client:
+    class RecordingSource:
         def __init__(self) -> None:
             self.flows = list[bool]()
             self.passed = list[bool]()
@@ -183,16 +183,16 @@
         def body_not_replayable(self) -> None:
             self.passed.append(True)
 
-    client = Client()
-    flows, passed = client.flows, client.passed
-    body = Upload(b"held", None, client)
-    first, second = Taker(), Taker()
+    source = RecordingSource()
+    flows, passed = source.flows, source.passed
+    body = Upload(b"held", None, source)
+    first, second = RecordingSink(), RecordingSink()
     assert body.attach(first) == b"held"
     body.detach(first)
     assert flows == [True, False]
     assert not passed
     assert body.attach(second) == b"held"
-    body.detach(first)  # no longer its taker
+    body.detach(first)  # another attempt has it
     body.feed(b"more")
     body.finish()
     assert second.got == b"more."
@@ -215,7 +215,7 @@
 
 
 def test_sidecar_sheds_when_upstream_stops_taking_long_body(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "STALL_US", 500_000)
+    monkeypatch.setattr(connection, "STALL_TIMEOUT_US", 500_000)
 
     async def test() -> None:
         tries, over = [], asyncio.Event()
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
-from garnetusher.sidecar.streaming import LONGEST, Head, Source
+from garnetusher.sidecar.streaming import MAX_BODY_SIZE, Head, Source
 from garnetusher.sidecar.upstream.pool import SETTLE_US, ConnectionPool
 from tests.net import OK, Upstream, allowed, answering, read_message, request, sidecar, until
 from tests.runner import run, status
@@ -153,7 +153,7 @@
     async def test() -> None:
         async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx" % (LONGEST + 1))
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx" % (MAX_BODY_SIZE + 1))
             await reader.read()
 
         async with sidecar(FunctionUpstream(play)) as it:
