--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -10,7 +10,7 @@
 import httptools
 
 from garnetusher.sidecar.downstream.connection import LISTEN_PATIENCE_S, REASONS
-from garnetusher.sidecar.sockets import Listener, listen_at
+from garnetusher.sidecar.downstream.listener import Listener, listen_at
 
 log = logging.getLogger(__name__)
 
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -10,6 +10,7 @@
 import httptools
 
 from garnetusher.policy.settings import Settings
+from garnetusher.sidecar.downstream.listener import Listener, listen_at
 from garnetusher.sidecar.downstream.router import RequestRejected, RequestRouter, retry_after
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
@@ -20,7 +21,7 @@
     HttpRequest,
     monotonic_us,
 )
-from garnetusher.sidecar.sockets import Listener, SteadySocket, listen_at
+from garnetusher.sidecar.sockets import SteadySocket
 from garnetusher.sidecar.streaming import (
     HELD,
     LAST_CHUNK,
