--- a/tests/test_crossing_long.py
+++ b/tests/test_crossing_long.py
@@ -9,7 +9,7 @@
 
 from garnetusher.sidecar.downstream.connection import DownstreamConnection
 from tests.net import request, sidecar
-from tests.test_crossing_idle import answer_of
+from tests.test_crossing_idle import next_status
 from tests.test_long import LONG, Raw, upload
 from tests.test_sidecar import run, status
 
@@ -58,7 +58,7 @@
             with socket.create_connection(("127.0.0.1", it.port)) as sock:
                 whole = upload(LONG, 1000)
                 sock.sendall(whole[:100_000])
-                assert await answer_of(sock) == 200
+                assert await next_status(sock) == 200
                 if how == "malformed":
                     sock.sendall(b"no chunk\r\n" * 200)  # over the end of the one that is open
                 elif how == "stalls":  # till its time is up, which is now
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -1,4 +1,4 @@
-"""Crossings of attempts: the list, time and the connection change between choice, send and answer."""
+"""Attempts while the endpoint list, the time or the connection changes between choice, write and response."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 from tests.world import World, settings, upstreams
 
 
-def test_what_waits_for_a_connection_to_an_upstream_that_drains_goes_elsewhere() -> None:
+def test_attempt_waiting_for_its_connection_goes_elsewhere_when_the_upstream_drains() -> None:
     async def test() -> None:
         other, discovery = Upstream(answering(OK)), Discovery()
         await other.start()
         with never_up() as port:
             async with sidecar(
                 known=listing(entry("u0", port)), discovery=discovery, connect_timeout_us=60_000_000
-            ) as it:
+            ) as running:
                 await discovery.watched()
-                reader, writer = await it.connect()
+                reader, writer = await running.connect()
                 writer.write(request("pay", body=b"b"))
                 await asyncio.sleep(0.1)
                 discovery.line(listing(entry("u0", port, "leaving"), entry("u1", other.port), rev=2, full=False))
@@ -54,8 +54,8 @@
     run(test)
 
 
-def test_what_waits_for_a_connection_to_an_upstream_that_starts_anew_goes_elsewhere() -> None:
-    """It was chosen as a warm one; the connection would come up to a cold one."""
+def test_attempt_waiting_for_its_connection_goes_elsewhere_when_the_upstream_restarts() -> None:
+    """It was chosen as warmed up; the connection would come up to a process that is warming up."""
 
     async def test() -> None:
         other, discovery = Upstream(answering(OK)), Discovery()
@@ -66,9 +66,9 @@
                 discovery=discovery,
                 warm_up_us=60_000_000,
                 connect_timeout_us=60_000_000,
-            ) as it:
+            ) as running:
                 await discovery.watched()
-                reader, writer = await it.connect()
+                reader, writer = await running.connect()
                 writer.write(request("pay", body=b"b"))
                 await asyncio.sleep(0.1)
                 anew = entry("u0", port, boot_ms=int(time.time() * 1000))
@@ -82,14 +82,14 @@
 
 
 @pytest.mark.parametrize("moved", [True, False])
-def test_what_is_chosen_and_recalled_in_one_round_of_the_loop_is_sent_once(moved: bool) -> None:
+def test_attempt_is_sent_once_when_withdrawn_in_the_event_loop_round_that_chose_it(moved: bool) -> None:
     async def test() -> None:
         old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
         await old.start()
         await new.start()
-        async with sidecar(known=listing(entry("u0", old.port)), discovery=discovery) as it:
+        async with sidecar(known=listing(entry("u0", old.port)), discovery=discovery) as running:
             await discovery.watched()
-            reader, writer = await it.connect()
+            reader, writer = await running.connect()
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert status(await read_message(reader)) == 200  # it is set up, and so is the watch
             # no round of the loop between: the request is read, then the list, and then the connection is begun
@@ -97,7 +97,7 @@
             told = entry("u0", new.port) if moved else entry("u0", old.port, "leaving")
             discovery.line(listing(told, entry("u1", new.port), rev=3, full=False))
             assert status(await read_message(reader)) == 200
-            await it.ask(request("pay", "2", b"b"))  # what was begun would have come up by now
+            await running.ask(request("pay", "2", b"b"))  # what was begun would have come up by now
             writer.close()
         assert (len(old.requests), len(new.requests)) == (0, 2)
         old.stop()
@@ -106,15 +106,15 @@
     run(test)
 
 
-def test_what_waits_for_a_connection_where_nobody_is_listed_any_more_is_refused_at_once() -> None:
+def test_request_waiting_for_a_connection_is_shed_at_once_when_the_endpoint_list_is_empty() -> None:
     async def test() -> None:
         discovery = Discovery()
         with never_up() as port:
             async with sidecar(
                 known=listing(entry("u0", port)), discovery=discovery, connect_timeout_us=60_000_000
-            ) as it:
+            ) as running:
                 await discovery.watched()
-                reader, writer = await it.connect()
+                reader, writer = await running.connect()
                 writer.write(request("pay", body=b"b", deadline_ms=60_000))
                 await asyncio.sleep(0.1)
                 discovery.line(listing(rev=2))
@@ -125,15 +125,17 @@
     run(test)
 
 
-@pytest.mark.parametrize(("group", "expected"), [("all", 503), ("cell", 500)])
-def test_a_repeat_that_waits_for_a_connection_is_not_sent_once_the_memory_is_over(group: str, expected: int) -> None:
-    """It is answered then, and not when its own time is up after 15 s."""
-    kind = RequestClass(
+@pytest.mark.parametrize(("scope", "expected"), [("all", 503), ("cell", 500)])
+def test_retry_waiting_for_a_connection_is_not_sent_when_the_deduplication_window_has_ended(
+    scope: str, expected: int
+) -> None:
+    """The answer comes then, and not at the request's own deadline after 15 s."""
+    request_class = RequestClass(
         "mark",
         latency_objective_us=20_000_000,
         deadline_us=20_000_000,
         effect="deduplicated",
-        deduplication_scope=group,
+        deduplication_scope=scope,
         deduplication_window_us=1_000_000,
     )
 
@@ -152,14 +154,14 @@
             async with sidecar(
                 known=listing(entry("u0", first.port)),
                 discovery=discovery,
-                classes=[kind],
+                classes=[request_class],
                 connect_timeout_us=60_000_000,
-            ) as it:
+            ) as running:
                 await discovery.watched()
-                asked = asyncio.create_task(it.ask(request("mark", body=b"b")))
+                asked = asyncio.create_task(running.ask(request("mark", body=b"b")))
                 await until(lambda: len(first.requests) == 1)
                 discovery.line(listing(entry("u1", port), rev=2, full=False))
-                reader, writer = await it.connect()
+                reader, writer = await running.connect()
                 writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                 await read_message(reader)  # the list is taken by then
                 writer.close()
@@ -172,9 +174,9 @@
     run(test)
 
 
-def test_what_was_not_sent_is_placed_again_within_its_attempts() -> None:
-    for most, expected in ((4, 2), (1, 1)):
-        world = World(settings(max_attempts=most, hedging=False))
+def test_request_is_retried_within_max_attempts_when_its_attempt_was_not_written() -> None:
+    for max_attempts, expected in ((4, 2), (1, 1)):
+        world = World(settings(max_attempts=max_attempts, hedging=False))
         world.tell_list(upstreams(2))
         ident = world.arrive(class_index=1)
         first = world.owed[ident].tries[0].upstream
@@ -187,7 +189,7 @@
 
 
 @pytest.mark.parametrize("strays", [True, False])
-def test_a_late_second_answer_is_not_taken_for_that_to_the_next_request(
+def test_connection_does_not_take_a_stray_second_response_for_the_next_one_when_it_is_late(
     monkeypatch: pytest.MonkeyPatch, strays: bool
 ) -> None:
     monkeypatch.setattr(idle_reuse, "RESPONSE_GRACE_US", 3_000_000)  # no busy machine is slower than that
@@ -205,10 +207,10 @@
             writer.write(OK)
 
         upstream = Upstream(script)
-        async with sidecar(upstream) as it:
-            assert await it.ask(request("pay", "1", b"b")) == (ANY, b"done")
-            second = asyncio.create_task(it.ask(request("pay", "2", b"b")))
-            await asyncio.sleep(0.3)  # it is out by then, if it has not to wait for the connection to settle
+        async with sidecar(upstream) as running:
+            assert await running.ask(request("pay", "1", b"b")) == (ANY, b"done")
+            second = asyncio.create_task(running.ask(request("pay", "2", b"b")))
+            await asyncio.sleep(0.3)  # it is written by then, unless it waits for the response grace
             if strays:
                 writers[0].write(OK.replace(b"done", b"late"))
             late.set()
@@ -218,11 +220,11 @@
     run(test)
 
 
-def test_what_is_given_up_while_its_connection_settles_is_not_sent_and_the_connection_is_kept() -> None:
+def test_pool_keeps_the_connection_when_its_attempt_is_abandoned_in_the_response_grace() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweep_timer.cancel()
-        for given_up in (True, False):
+        for abandoned in (True, False):
             here, there = socket.socketpair()
             with here, there:
                 here.setblocking(False)
@@ -230,17 +232,17 @@
                 connection.connection_made(wire)
                 pool.remove(connection)
                 attempt = attempt_at(pool, address, lambda result: None)
-                if given_up:
+                if abandoned:
                     attempt.abandon()
                 pool.send_after_grace(connection, attempt)
-                assert wire.sent[:9] == (b"" if given_up else b"POST /pay")
-                assert pool.idle == ({address: [connection]} if given_up else {})
+                assert wire.sent[:9] == (b"" if abandoned else b"POST /pay")
+                assert pool.idle == ({address: [connection]} if abandoned else {})
                 pool.idle.clear()
 
     run(test)
 
 
-def test_an_attempt_that_is_given_up_has_ended_over_there_before_another_can_be_written() -> None:
+def test_connection_ends_at_the_upstream_at_once_when_its_attempt_is_abandoned() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweep_timer.cancel()
@@ -258,7 +260,7 @@
     run(test)
 
 
-def test_an_answer_that_comes_with_its_time_out_counts_once() -> None:
+def test_response_counts_once_when_it_comes_together_with_its_timeout() -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -268,8 +270,8 @@
                 time.sleep(0.5)  # the loop stands still: answer and time-out are both there in its next round
 
         upstream = Upstream(script)
-        async with sidecar(upstream) as it:
-            reader, writer = await it.connect()
+        async with sidecar(upstream) as running:
+            reader, writer = await running.connect()
             writer.write(request("pay", "1", b"b", deadline_ms=300))
             assert status(await read_message(reader)) == 200
             writer.write(request("pay", "2", b"b"))  # what follows is the next answer, and not a second one
@@ -281,7 +283,7 @@
     run(test)
 
 
-def test_a_connection_that_comes_up_after_its_request_was_given_up_carries_nothing() -> None:
+def test_connection_becomes_idle_unused_when_it_comes_up_after_its_attempt_was_abandoned() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweep_timer.cancel()
@@ -297,7 +299,7 @@
     run(test)
 
 
-def test_a_connection_on_which_something_came_that_nobody_asked_for_is_not_used_again() -> None:
+def test_connection_is_not_reused_when_unrequested_bytes_have_come() -> None:
     async def test() -> None:
         closed = asyncio.Event()
 
@@ -312,17 +314,17 @@
                 closed.set()
 
         upstream = Upstream(script)
-        async with sidecar(upstream) as it:
-            assert status(await it.ask(request("pay", "1", b"b"))) == 200
+        async with sidecar(upstream) as running:
+            assert status(await running.ask(request("pay", "1", b"b"))) == 200
             await closed.wait()
-            assert status(await it.ask(request("pay", "2", b"b"))) == 200
+            assert status(await running.ask(request("pay", "2", b"b"))) == 200
         assert upstream.connections == 2
 
     run(test)
 
 
-@pytest.mark.parametrize("kind", ["pay", "read"])
-def test_an_upstream_that_closes_as_it_is_sent_to_costs_what_may_not_be_repeated_only(kind: str) -> None:
+@pytest.mark.parametrize("class_name", ["pay", "read"])
+def test_request_fails_only_if_not_idempotent_when_the_upstream_closes_while_it_is_written(class_name: str) -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -337,10 +339,10 @@
         def total() -> int:
             return sum(len(each.requests) for each in upstreams)
 
-        async with sidecar(*upstreams) as it:
-            body = b"b" if kind == "pay" else b""
-            answers = [status(await it.ask(request(kind, str(number), body))) for number in range(3)]
-            assert answers == ([200, 500, 200] if kind == "pay" else [200, 200, 200])
-            assert total() == (3 if kind == "pay" else 4)
+        async with sidecar(*upstreams) as running:
+            body = b"b" if class_name == "pay" else b""
+            answers = [status(await running.ask(request(class_name, str(number), body))) for number in range(3)]
+            assert answers == ([200, 500, 200] if class_name == "pay" else [200, 200, 200])
+            assert total() == (3 if class_name == "pay" else 4)
 
     run(test)
