--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -9,9 +9,9 @@
 
 import httptools
 
+from garnetusher.sidecar.downstream.listener import Listener, listen_at
 from garnetusher.sidecar.downstream.response_writer import REASONS
 from garnetusher.sidecar.downstream.server import LISTEN_PATIENCE_S
-from garnetusher.sidecar.sockets import Listener, listen_at
 
 log = logging.getLogger(__name__)
 
--- a/garnetusher/sidecar/streaming.py
+++ b/garnetusher/sidecar/streaming.py
@@ -129,7 +129,7 @@
             self._sink = None
             self._source.pause_body()
 
-    def flow(self, on: bool) -> None:  # noqa: FBT001 - the upstream side passes it by position
+    def flow(self, *, on: bool) -> None:
         """Read on, or read no more for now, as the attempt's connection takes the body.
 
         Args:
--- a/tests/test_crossing_long.py
+++ b/tests/test_crossing_long.py
@@ -11,7 +11,7 @@
 from tests.net import request, sidecar
 from tests.runner import run, status
 from tests.streams import LONG_BODY, FunctionUpstream, upload_request
-from tests.test_crossing_idle import answer_of
+from tests.test_crossing_idle import next_status
 
 DEADLINE_S = 0.5
 
@@ -58,7 +58,7 @@
             with socket.create_connection(("127.0.0.1", it.port)) as sock:
                 whole = upload_request(LONG_BODY, 1000)
                 sock.sendall(whole[:100_000])
-                assert await answer_of(sock) == 200
+                assert await next_status(sock) == 200
                 if how == "malformed":
                     sock.sendall(b"no chunk\r\n" * 200)  # over the end of the one that is open
                 elif how == "stalls":  # till its time is up, which is now
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -8,7 +8,8 @@
 
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, Head, Source
-from garnetusher.sidecar.upstream.pool import SETTLE_US, ConnectionPool
+from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US
+from garnetusher.sidecar.upstream.pool import ConnectionPool
 from tests.net import OK, Upstream, allowed, answering, read_message, request, sidecar, until
 from tests.runner import run, status
 from tests.streams import CHUNKED, LONG_BODY, FunctionUpstream, chunked, read_body
@@ -68,7 +69,7 @@
                 assert await reader.readexactly(10) == LONG_BODY[:10]
                 seen.set()
                 assert await reader.readexactly(len(LONG_BODY) - 10) == LONG_BODY[10:]
-                await asyncio.sleep(2 * SETTLE_US / 1e6)
+                await asyncio.sleep(2 * RESPONSE_GRACE_US / 1e6)
             writer.close()
         assert upstream.connections == 1
 
@@ -192,7 +193,7 @@
         upstream = FunctionUpstream(play)
         await upstream.start()
         pool = ConnectionPool(60_000_000, 10_000_000)
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
         results, source = list[AttemptResult](), list[Source]()
 
         class Nowhere:
@@ -206,10 +207,10 @@
         call = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
         flight = pool.start_attempt(("127.0.0.1", upstream.port), call, allowed, results.append, began)
         await until(lambda: bool(source))
-        assert len(pool.passing) == 1
+        assert len(pool.streaming) == 1
         flight.abandon()
         await ended.wait()
-        assert not pool.passing
+        assert not pool.streaming
         assert not results
         upstream.stop()
 
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -9,7 +9,9 @@
 
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.requests.messages import AttemptResult, monotonic_us
-from garnetusher.sidecar.upstream.pool import SETTLE_US, ConnectionPool, IdleReuseEstimator, UpstreamConnection
+from garnetusher.sidecar.upstream.connection import UpstreamConnection
+from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US, IdleReuseEstimator
+from garnetusher.sidecar.upstream.pool import ConnectionPool
 from tests.net import OK, Upstream, answering, attempt_at, request, sidecar, until
 from tests.runner import run
 
@@ -21,7 +23,7 @@
         async with sidecar(upstream) as it:
             for number in range(5):
                 assert (await it.ask(request(ident=str(number))))[1] == b"done"
-                await asyncio.sleep(2 * SETTLE_US / 1e6)  # sooner, a second answer may be on its way
+                await asyncio.sleep(2 * RESPONSE_GRACE_US / 1e6)  # sooner, a second answer may be on its way
         assert upstream.connections == 3
 
     run(test)
@@ -32,14 +34,14 @@
     for _ in range(40):  # one in ten is lost at any age: no lesson
         for age_us in (10_000, 60_000, 110_000, 300_000):
             for number in range(10):
-                trust.used(age_us, number == 0)
+                trust.record_reuse(age_us, lost=number == 0)
     assert trust.limit_us() == 4_700_000
     for _ in range(10):
-        trust.used(60_000, False)
-        trust.used(110_000, True)
+        trust.record_reuse(60_000, lost=False)
+        trust.record_reuse(110_000, lost=True)
     assert 60_000 < trust.limit_us() <= 110_000
     for _ in range(600):  # a minute's sweeps
-        trust.fade()
+        trust.decay()
     assert trust.limit_us() == 4_700_000
 
 
@@ -48,27 +50,27 @@
     trust = IdleReuseEstimator(longest_us)
     for age_us in (-1, 0, 24_999, 25_000, longest_us, 2 * longest_us):
         for _ in range(20):
-            trust.used(age_us, True)
+            trust.record_reuse(age_us, lost=True)
             assert 0 <= trust.limit_us() <= longest_us
 
 
 def test_pool_closes_connections_idle_as_long_when_requests_are_lost() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 10_000_000), ("127.0.0.1", 1)
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
         with socket.socket() as sock:
             connection = UpstreamConnection(pool, address, sock)
-            connection.idle_since_us = monotonic_us() - 60_000
+            connection.idle.since_us = monotonic_us() - 60_000
             pool.idle[address] = [connection]
             pool.sweep()
-            pool.sweeper.cancel()
+            pool.sweep_timer.cancel()
             assert pool.idle == {address: [connection]}
             for _ in range(10):
                 used_again = UpstreamConnection(pool, address, sock)
-                used_again.idled_us, used_again.closed = 60_000, True
+                used_again.idle.before_attempt_us, used_again.closed = 60_000, True
                 used_again.finish(Outcome.RESET)
             pool.sweep()
-            pool.sweeper.cancel()
+            pool.sweep_timer.cancel()
             assert pool.idle == {}
             assert connection.closed
 
@@ -111,7 +113,7 @@
         connection = UpstreamConnection(pool, peer.getsockname(), sock)
         connection.attempt = attempt_at(pool, connection.address, results.append, b"x" * 1_000_000)
         await loop.create_connection(lambda: connection, sock=sock)
-        assert connection.unsent
+        assert connection.request_writer.has_unsent_bytes
         if early:
             peer.sendall(early)
             await until(lambda: bool(results))
@@ -120,6 +122,6 @@
         assert [result.outcome for result in results] == [Outcome.OK if early else Outcome.CONNECT_FAILED]
         assert pool.idle == {}
         assert connection.closed
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
 
     run(test)
