--- /dev/null
+++ b/garnetusher/sidecar/requests/attempts.py
@@ -0,0 +1,151 @@
+"""The attempts of requests: how they start, are withdrawn or abandoned, and end."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from garnetusher.policy.actions import Forward
+from garnetusher.policy.events import Outcome
+from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.requests.deadlines import Deadlines
+from garnetusher.sidecar.requests.endpoints import ReadyEndpoints
+from garnetusher.sidecar.requests.messages import (
+    Attempt,
+    AttemptResult,
+    Denial,
+    PendingRequest,
+    UpstreamTransport,
+    WritePermit,
+)
+from garnetusher.sidecar.requests.trace import EventName
+from garnetusher.sidecar.requests.write_gate import WriteGate
+from garnetusher.sidecar.streaming import Head, Sink, Source
+
+
+class AttemptListener(Protocol):
+    """What is notified of attempts: the dispatcher."""
+
+    def on_attempt_ended(self, request: PendingRequest, attempt_index: int, result: AttemptResult) -> None:
+        """Handle the end of an attempt; called once for each."""
+
+    def on_response_started(
+        self, request: PendingRequest, attempt_index: int, head: Head, source: Source
+    ) -> Sink | None:
+        """Handle the first bytes of a streamed response; return where it goes, or None if it is not needed."""
+
+    def on_client_half_closed(self, request_id: int) -> None:
+        """Handle a client that was found to send nothing more."""
+
+
+class AttemptController:
+    """Starts attempts and ends each of them exactly once."""
+
+    def __init__(
+        self,
+        transport: UpstreamTransport,
+        write_gate: WriteGate,
+        endpoints: ReadyEndpoints,
+        deadlines: Deadlines,
+        listener: AttemptListener,
+    ) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._transport = transport
+        self._write_gate = write_gate
+        self._endpoints = endpoints
+        self._deadlines = deadlines
+        self._listener = listener
+
+    def start(self, request: PendingRequest, action: Forward) -> None:
+        """Start the attempt that the policy has asked for, or end it at once if it may not start."""
+        now_us = monotonic_us()
+        attempt_index = len(request.attempts)
+        target = self._endpoints.get(action.endpoint_id)
+        attempt = Attempt(
+            action.endpoint_id,
+            now_us,
+            target,
+            timeout_us=action.timeout_us,
+            latest_start_us=action.latest_start_us,
+        )
+        request.attempts.append(attempt)
+        may_start = self._write_gate.may_start(request, attempt_index, now_us)
+        if not may_start or target is None or action.timeout_us < 0:
+            self.end(request, attempt_index, AttemptResult(Outcome.NOT_WRITTEN))
+            return
+        if request.body_complete:
+            self._deadlines.start_attempt_timer(request, attempt_index)
+        attempt.handle = self._transport.start_attempt(
+            target.address,
+            request.http_request,
+            lambda: self._permission(request, attempt_index),
+            lambda result: self.end(request, attempt_index, result),
+            lambda head, source: self._listener.on_response_started(request, attempt_index, head, source),
+        )
+        if action.latest_start_us:
+            self._deadlines.call_at(action.latest_start_us, self.withdraw, request, attempt_index)
+
+    def withdraw(self, request: PendingRequest, attempt_index: int) -> None:
+        """End an attempt of which nothing has been written: it still waits for a connection."""
+        handle = request.attempts[attempt_index].handle
+        if handle is not None and not handle.written:
+            handle.abandon()
+            self.end(request, attempt_index, AttemptResult(Outcome.NOT_WRITTEN))
+
+    def withdraw_unwritten(self, request: PendingRequest) -> None:
+        """Withdraw all attempts of a request that still wait for a connection."""
+        for attempt_index in range(len(request.attempts)):
+            self.withdraw(request, attempt_index)
+
+    def withdraw_stale(self, request: PendingRequest) -> None:
+        """Withdraw the attempts that wait for a connection to an endpoint which has changed since.
+
+        The connection may come up long after the endpoint was reported as draining, and one that has restarted
+        meanwhile is warming up.
+        """
+        for attempt_index, attempt in enumerate(request.attempts):
+            if self._write_gate.endpoint_has_changed(attempt):
+                self.withdraw(request, attempt_index)
+
+    def abandon(self, request: PendingRequest, attempt_index: int, outcome: Outcome) -> None:
+        """Stop waiting for an attempt.
+
+        Args:
+            request: its request.
+            attempt_index: which one.
+            outcome: how it ends; one that has not been written never ran, and ends as `CONNECT_FAILED`.
+        """
+        attempt = request.attempts[attempt_index]
+        if attempt.ended or attempt.handle is None:
+            return
+        if not attempt.handle.written:
+            outcome = Outcome.CONNECT_FAILED
+        attempt.handle.abandon()
+        self.end(request, attempt_index, AttemptResult(outcome))
+
+    def abandon_all(self, request: PendingRequest, outcome: Outcome) -> None:
+        """Stop waiting for all attempts of a request."""
+        for attempt_index in range(len(request.attempts)):
+            self.abandon(request, attempt_index, outcome)
+
+    def end(self, request: PendingRequest, attempt_index: int, result: AttemptResult) -> None:
+        """End an attempt, unless it has ended: the only place where attempts get their outcome."""
+        attempt = request.attempts[attempt_index]
+        if attempt.ended:
+            return
+        attempt.outcome = result.outcome
+        attempt.handle = None
+        self._write_gate.trace.note(
+            EventName.ENDED, request.request_id, attempt_index, attempt.endpoint_id, result.outcome.value
+        )
+        self._deadlines.cancel_attempt_timer(attempt)
+        self._listener.on_attempt_ended(request, attempt_index, result)
+
+    def _permission(self, request: PendingRequest, attempt_index: int) -> WritePermit | Denial:
+        now_us = monotonic_us()
+        permission = self._write_gate.may_write(request, attempt_index, now_us)
+        if isinstance(permission, WritePermit):
+            request.attempts[attempt_index].written_us = now_us
+        elif permission is Denial.CLIENT_LEFT:
+            self._loop.call_soon(self._listener.on_client_half_closed, request.request_id)
+        return permission
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -1,51 +1,62 @@
-"""A client's request and its attempts, as the client's side, the host and the upstreams' side hand them on."""
+"""A client's request, its attempts and its response, as downstream, the dispatcher and upstream exchange them."""
 
 from __future__ import annotations
 
 import asyncio
 import enum
-import time
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from garnetusher.policy.events import Endpoint, Outcome
+from garnetusher.policy.events import Outcome
 from garnetusher.policy.settings import RequestClass
+from garnetusher.sidecar.clock import monotonic_us as monotonic_us  # noqa: PLC0414 - other packages import it from here
+from garnetusher.sidecar.requests.endpoints import Address, ReadyEndpoint
 from garnetusher.sidecar.streaming import Head, Sink, Source, Upload
 
+RESPONSE_MARGIN_US = 10_000  # a response is sent so long before the client's timeout, to arrive in time
 
-def monotonic_us() -> int:
-    """The module's clock."""
-    return time.monotonic_ns() // 1000
-
-
-RESPONSE_MARGIN_US = 10_000  # an answer sets out so long before the client's time is out, to be there in time
-
-# outcomes that prove that an attempt was never begun with
+# outcomes which prove that an upstream never began with an attempt
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN)
 
 
 @dataclass(slots=True)
 class HttpRequest:
-    """A request of the application, as it was read."""
+    """A request of the application, as it was read.
+
+    Attributes:
+        method: the HTTP method.
+        target: the HTTP request target.
+        headers: those that are forwarded to the upstream.
+        body: the body, or what has been read of it when `upload` is set.
+        arrived_us: when it arrived, at the earliest.
+        client_timeout_us: how long the client waits, counted from its arrival.
+        class_index: its class, as an index into the settings' classes.
+        tenant_index: its tenant, as an index into the settings' tenants.
+        affinity_key: requests with the same key go to the same endpoint; 0 = none.
+        expected_work_us: how long the client expects it to take; 0 = unknown.
+        client_retry: whether the client says that it is a retry.
+        client_request_id: the client's `X-Request-Id`.
+        upload: the body, if it is too long to be buffered.
+    """
 
     method: bytes
     target: bytes
-    headers: list[tuple[bytes, bytes]]  # those that go on to the upstream
+    headers: list[tuple[bytes, bytes]]
     body: bytes
     arrived_us: int
-    client_timeout_us: int  # counted from its arrival
+    client_timeout_us: int
     class_index: int
     tenant_index: int = 0
     affinity_key: int = 0
     expected_work_us: int = 0
     client_retry: bool = False
-    client_request_id: str = ""  # its client's: X-Request-Id
-    upload: Upload | None = None  # the body, where it is too long to be held
+    client_request_id: str = ""
+    upload: Upload | None = None
 
 
 class Disposition(enum.Enum):
-    """What the application is told."""
+    """The kind of a final response; the values are counter keys and trace reasons."""
 
     SERVED = "served"
     SHED = "refused"
@@ -54,7 +65,14 @@
 
 @dataclass(slots=True)
 class FinalResponse:
-    """The one final answer to a request."""
+    """The one final response to a request.
+
+    Attributes:
+        disposition: its kind.
+        body: the upstream's body, of a served request.
+        content_type: the upstream's `Content-Type`, of a served request.
+        retry_after_us: when the client of a shed request may retry; 0 = it is told nothing.
+    """
 
     disposition: Disposition
     body: bytes = b""
@@ -64,7 +82,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, as the upstream's side saw it."""
+    """How an attempt ended, with the upstream's response if there is one."""
 
     outcome: Outcome
     body: bytes = b""
@@ -72,26 +90,26 @@
 
 
 class ResponseSink(Sink, Protocol):
-    """The client's side of a request."""
+    """The downstream connection that a request came on."""
 
-    def send_response(self, answer: FinalResponse) -> None:
-        """The one final answer, unless one has begun."""
+    def send_response(self, response: FinalResponse) -> None:
+        """Send the one final response, unless a streamed one has begun."""
 
     def begin_response(self, head: Head, source: Source) -> None:
-        """The final answer, which is long and comes in pieces."""
+        """Begin the final response, which is long and is streamed."""
 
-    def finish_response(self, whole: bool) -> None:
-        """Its end, or its break, which the client has to see."""
+    def finish_response(self, whole: bool) -> None:  # noqa: FBT001 - the signature of the downstream connection
+        """End a streamed response, or break it off so that the client notices."""
 
     def client_has_closed(self) -> bool:
         """Whether the client has closed, or ended its sending side, as far as the kernel knows by now."""
 
     def body_complete_since_us(self) -> int:
-        """Since when a body that has not been read whole may have been written whole, at the soonest."""
+        """Return the earliest time at which the client may have written the last byte of a body still being read."""
 
 
 class Denial(enum.Enum):
-    """Why an attempt may not be written now."""
+    """Why an attempt may not be written now; the names are counter keys and trace reasons."""
 
     REQUEST_OVER = "the request has its final answer, or its client has gone"
     ANSWER_BEGUN = "another attempt's answer has begun to go to the client"
@@ -106,20 +124,24 @@
 
 @dataclass(frozen=True, slots=True)
 class WritePermit:
-    """An attempt may be written now."""
+    """An attempt may be written now.
+
+    Attributes:
+        remaining_us: the time that its upstream is told it has.
+    """
 
-    remaining_us: int  # what its upstream is told that it has
+    remaining_us: int
 
 
 WritePermission = Callable[[], WritePermit | Denial]
 
 
 class AttemptHandle(Protocol):
-    """An attempt that is out."""
+    """An attempt in flight, as the upstream side knows it."""
 
     @property
     def written(self) -> bool:
-        """Whether any of it has been written."""
+        """Whether any byte of it has been written."""
 
     def abandon(self) -> None:
         """Stop waiting: nothing more is written, and a connection that has carried it is closed."""
@@ -130,35 +152,59 @@
 
     def start_attempt(
         self,
-        address: tuple[str, int],
-        call: HttpRequest,
+        address: Address,
+        http_request: HttpRequest,
         permission: WritePermission,
-        ended: Callable[[AttemptResult], None],
-        began: Callable[[Head, Source], Sink | None],
+        on_ended: Callable[[AttemptResult], None],
+        on_response_started: Callable[[Head, Source], Sink | None],
     ) -> AttemptHandle:
-        """Begin an attempt. `permission` is asked when its first byte is to be written. `ended` is called once,
-        later, unless the attempt is given up first; before it `began`, where the answer is a long one, which tells
-        where it goes if anybody still wants it."""
+        """Start an attempt.
+
+        Args:
+            address: where it goes.
+            http_request: what is sent.
+            permission: called when the first byte is about to be written.
+            on_ended: called once, later, unless the attempt is abandoned first.
+            on_response_started: called before it where the response is streamed; returns where the response goes, or
+                None if it is not needed any more.
 
-    def close_idle_connections(self, address: tuple[str, int]) -> None:
-        """Close the idle connections to an upstream."""
+        Returns:
+            The handle to abandon it by.
+        """
+
+    def close_idle_connections(self, address: Address) -> None:
+        """Close the idle connections to an endpoint."""
 
 
 @dataclass(slots=True)
 class Attempt:
+    """One attempt of a request at an endpoint.
+
+    Attributes:
+        endpoint_id: where the policy sent it.
+        started_us: when it started; of a body that is still coming, when that is complete.
+        target: the endpoint as it was listed then; None = it was no longer ready.
+        handle: the upstream side's handle, while the attempt is in flight.
+        timeout_timer: the timer of its timeout.
+        timeout_us: the policy's timeout; 0 = the request's deadline.
+        latest_start_us: it is not written from this time on; 0 = no such limit.
+        outcome: how it ended; None = it is in flight.
+        written_us: when its first byte was written; 0 = not yet.
+    """
+
     endpoint_id: int
     started_us: int
-    address: tuple[str, int] | None  # where it was then; None: it was gone
+    target: ReadyEndpoint | None
     handle: AttemptHandle | None = None
-    timer: asyncio.TimerHandle | None = None
-    timeout_us: int = 0  # as the module said
-    latest_start_us: int = 0  # it is not written later than this; 0: whenever
-    endpoint: Endpoint | None = None  # its upstream, as listed then
-    outcome: Outcome | None = None  # None while it is out
-    written_us: int = 0  # when its first byte was; 0: not yet
+    timeout_timer: asyncio.TimerHandle | None = None
+    timeout_us: int = 0
+    latest_start_us: int = 0
+    outcome: Outcome | None = None
+    written_us: int = 0
 
     @property
     def ended(self) -> bool:
+        """Whether it has an outcome."""
         return self.outcome is not None
 
     @property
@@ -167,16 +213,65 @@
         return self.written_us > 0 and self.outcome not in NEVER_RAN
 
 
+class ResponseState(enum.Enum):
+    """How far the response to a request is."""
+
+    AWAITED = enum.auto()  # nothing has been sent to the client
+    STREAMING = enum.auto()  # the first bytes of an attempt's response have been sent, and no other response can be
+    COMPLETED = enum.auto()  # the client has its response, or has disconnected
+
+
 @dataclass(slots=True)
 class PendingRequest:
+    """A request whose response or attempts are not complete.
+
+    Attributes:
+        request_id: the dispatcher's number for it.
+        http_request: what the client sent.
+        deadline_us: when its response has to be sent.
+        response_sink: where the response goes.
+        body_complete: whether its body has been read to the end; if not, the client's timeout has not begun.
+        request_class: its class as it was at the arrival: later settings do not change it.
+        max_attempts: the limit of attempts at the arrival.
+        response_state: how far its response is.
+        streaming_attempt_index: the attempt whose response is streamed to the client.
+        attempts: in the order in which the policy asked for them.
+        deadline_timer: the timer of its deadline.
+    """
+
     request_id: int
     http_request: HttpRequest
     deadline_us: int
     response_sink: ResponseSink
-    body_complete: bool  # else its body is still coming, and its time has not begun
-    request_class: RequestClass  # as it was when it came
-    max_attempts: int  # likewise
-    streaming_attempt_index: int = -1  # the attempt whose answer has begun to go to the client
+    body_complete: bool
+    request_class: RequestClass
+    max_attempts: int
+    response_state: ResponseState = ResponseState.AWAITED
+    streaming_attempt_index: int | None = None
     attempts: list[Attempt] = field(default_factory=list)
-    timer: asyncio.TimerHandle | None = None
-    completed: bool = False  # it has had its final answer, or the client has gone
+    deadline_timer: asyncio.TimerHandle | None = None
+
+    @property
+    def is_response_awaited(self) -> bool:
+        """Whether nothing has been sent to the client."""
+        return self.response_state is ResponseState.AWAITED
+
+    @property
+    def is_streaming(self) -> bool:
+        """Whether an attempt's response is being streamed to the client."""
+        return self.response_state is ResponseState.STREAMING
+
+    @property
+    def completed(self) -> bool:
+        """Whether the client has its response, or has disconnected."""
+        return self.response_state is ResponseState.COMPLETED
+
+
+@dataclass(frozen=True, slots=True)
+class OverrideRejection:
+    """Why an operator's order for a zone is not followed."""
+
+    reason: str
+
+    def __str__(self) -> str:
+        return self.reason
--- /dev/null
+++ b/garnetusher/sidecar/requests/responses.py
@@ -0,0 +1,68 @@
+"""The one final response to each request."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.requests.attempts import AttemptController
+from garnetusher.sidecar.requests.deadlines import Deadlines
+from garnetusher.sidecar.requests.messages import FinalResponse, PendingRequest, ResponseState
+from garnetusher.sidecar.requests.request_table import RequestTable
+from garnetusher.sidecar.requests.write_gate import WriteGate
+from garnetusher.sidecar.streaming import Head, Source
+
+log = logging.getLogger(__name__)
+
+
+class ResponseSender:
+    """Moves requests through the states of their response, and sends each one response at the most."""
+
+    def __init__(
+        self, requests: RequestTable, attempts: AttemptController, deadlines: Deadlines, write_gate: WriteGate
+    ) -> None:
+        self._requests = requests
+        self._attempts = attempts
+        self._deadlines = deadlines
+        self._write_gate = write_gate
+
+    def complete(self, request: PendingRequest, response: FinalResponse) -> None:
+        """Send the final response, unless the request has one or one is being streamed."""
+        if not request.is_response_awaited:
+            return
+        response = self._write_gate.final_response(request, response, monotonic_us())
+        self.close(request)
+        self._call_sink(request.response_sink.send_response, response)
+
+    def begin_streaming(self, request: PendingRequest, attempt_index: int, head: Head, source: Source) -> None:
+        """Bind the client to an attempt whose response has started; no timer may cut it off any more."""
+        request.response_state = ResponseState.STREAMING
+        request.streaming_attempt_index = attempt_index
+        self._deadlines.cancel_attempt_timer(request.attempts[attempt_index])
+        self._deadlines.cancel_request_timer(request)
+        request.response_sink.begin_response(head, source)
+
+    def finish_streaming(self, request: PendingRequest, *, complete: bool) -> None:
+        """End a streamed response, or break it off, unless its client has disconnected."""
+        if request.completed:
+            return
+        self.close(request)
+        self._call_sink(request.response_sink.finish_response, complete)
+
+    def close(self, request: PendingRequest) -> None:
+        """Mark a request as completed, and withdraw its attempts that have not been written."""
+        request.response_state = ResponseState.COMPLETED
+        self._deadlines.cancel_request_timer(request)
+        self._attempts.withdraw_unwritten(request)
+        self._requests.remove_if_done(request)
+
+    def _call_sink(self, send: Callable[..., None], *args: object) -> None:
+        """Call the downstream side, and log its errors.
+
+        The policy has to be notified of the attempt's end in any case: else its slot would be lost for good.
+        """
+        try:
+            send(*args)
+        except Exception:
+            log.exception("an answer could not be written")
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -14,8 +14,8 @@
 from garnetusher.sidecar import __main__ as program
 from garnetusher.sidecar.discovery import watch as discovery
 from garnetusher.sidecar.downstream import connection as server
-from garnetusher.sidecar.requests import dispatcher as host
-from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, monotonic_us
+from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, PendingRequest, monotonic_us
+from garnetusher.sidecar.requests.responses import ResponseSender
 from garnetusher.sidecar.requests.write_gate import WriteGate
 from garnetusher.sidecar.upstream import pool as upstreams
 
@@ -60,17 +60,16 @@
 
 def holds_back() -> None:
     """What is given up is answered just before the client's time is out."""
-    answer = host.RequestDispatcher._complete_request
+    complete = ResponseSender.complete
 
-    def late(self: host.RequestDispatcher, ident: int, answer_: FinalResponse) -> None:
-        request = self.requests.get(ident)
-        if request is None or request.completed or answer_.disposition is Disposition.SERVED:
-            answer(self, ident, answer_)
+    def late(self: ResponseSender, request: PendingRequest, response: FinalResponse) -> None:
+        if request.completed or response.disposition is Disposition.SERVED:
+            complete(self, request, response)
             return
-        after = max(0.0, (request.deadline_us - 30_000 - monotonic_us()) / 1e6)
-        asyncio.get_running_loop().call_later(after, answer, self, ident, answer_)
+        delay_s = max(0.0, (request.deadline_us - 30_000 - monotonic_us()) / 1e6)
+        asyncio.get_running_loop().call_later(delay_s, complete, self, request, response)
 
-    host.RequestDispatcher._complete_request = late  # type: ignore[method-assign, assignment]
+    ResponseSender.complete = late  # type: ignore[method-assign]
 
 
 def loses_requests() -> None:
@@ -96,7 +95,7 @@
 
     upstreams.ConnectionPool.open = later  # type: ignore[method-assign]
     upstreams.UpstreamAttempt.abandon = lambda self: None  # type: ignore[method-assign]
-    WriteGate.denial = lambda self, request, number, now_us: None  # type: ignore[method-assign]
+    WriteGate.denial = lambda self, request, attempt_index, now_us: None  # type: ignore[method-assign]
     server.DownstreamConnection.client_has_closed = lambda self: False  # type: ignore[method-assign]
 
 
--- /dev/null
+++ b/tests/test_write_gate.py
@@ -0,0 +1,236 @@
+"""The write gate, each rule alone: what may be written, shed and closed at one moment; and the trace."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, Outcome, UpdateKind
+from garnetusher.policy.settings import RequestClass, Settings
+from garnetusher.sidecar.requests.endpoints import ReadyEndpoints
+from garnetusher.sidecar.requests.messages import (
+    Attempt,
+    Denial,
+    Disposition,
+    FinalResponse,
+    HttpRequest,
+    PendingRequest,
+    ResponseState,
+    WritePermit,
+)
+from garnetusher.sidecar.requests.trace import LAST_EVENTS, EventName, Trace
+from garnetusher.sidecar.requests.write_gate import LATE_RESPONSE_US, WriteGate
+from garnetusher.sidecar.streaming import Head, Source
+
+NOW_US = 10_000_000
+CLASSES = {
+    effect: RequestClass(
+        effect,
+        latency_objective_us=500_000,
+        deadline_us=1_000_000,
+        effect=effect,
+        deduplication_scope="cell",
+        deduplication_window_us=400_000,
+    )
+    for effect in ("idempotent", "deduplicated", "at_most_once")
+}
+ADDRESS = ("127.0.0.1", 1)
+
+
+class Client:
+    """A downstream connection that is open, or has closed."""
+
+    closed = False
+    body_complete_at_us = NOW_US
+
+    def client_has_closed(self) -> bool:
+        return self.closed
+
+    def body_complete_since_us(self) -> int:
+        return self.body_complete_at_us
+
+    def send_response(self, response: FinalResponse) -> None: ...
+    def begin_response(self, head: Head, source: Source) -> None: ...
+    def finish_response(self, whole: bool) -> None: ...
+    def write_chunk(self, data: bytes) -> None: ...
+
+
+class Case:
+    """A request with one attempt that is to be written now, at an endpoint that is ready."""
+
+    def __init__(self, effect: str = "idempotent") -> None:
+        self.endpoints = ReadyEndpoints()
+        for endpoint_id in range(4):
+            self.update(Endpoint(endpoint_id, cell=endpoint_id // 2))
+        self.gate = WriteGate(Trace(), Settings(list(CLASSES.values()), max_attempts=3, hedging=True), self.endpoints)
+        self.client = Client()
+        http_request = HttpRequest(b"POST", b"/x", [], b"", NOW_US, 1_000_000, 0)
+        self.request = PendingRequest(1, http_request, NOW_US + 800_000, self.client, True, CLASSES[effect], 3)
+        self.add_attempt(0)
+
+    def update(self, endpoint: Endpoint, address: tuple[str, int] = ADDRESS) -> None:
+        """Let the endpoint list say this of an endpoint."""
+        self.endpoints.update(EndpointsUpdated(UpdateKind.DELTA, [endpoint]), {endpoint.id: address})
+
+    def add_attempt(self, endpoint_id: int, **changes: object) -> Attempt:
+        attempt = Attempt(endpoint_id, NOW_US, self.endpoints.get(endpoint_id))
+        attempt = replace(attempt, **changes)  # type: ignore[arg-type]
+        self.request.attempts.append(attempt)
+        return attempt
+
+    def add_earlier_attempt(
+        self, endpoint_id: int, outcome: Outcome | None, written_us: int = NOW_US - 100_000
+    ) -> None:
+        """Add an attempt before the one that is to be written."""
+        self.add_attempt(endpoint_id, outcome=outcome, written_us=written_us)
+        self.request.attempts.insert(0, self.request.attempts.pop())
+
+    def may_write(self) -> WritePermit | Denial:
+        """Ask the gate for the last attempt."""
+        return self.gate.may_write(self.request, len(self.request.attempts) - 1, NOW_US)
+
+
+def test_write_gate_permits_the_remaining_time_when_nothing_forbids_it() -> None:
+    case = Case()
+    assert case.may_write() == WritePermit(800_000)
+    case.request.attempts[0].timeout_us = 300_000
+    assert case.may_write() == WritePermit(300_000)
+    case.request.body_complete, case.client.body_complete_at_us = False, NOW_US - 400_000
+    case.request.attempts[0].timeout_us = 0
+    assert case.may_write() == WritePermit(1_000_000 - 400_000 - 10_000)
+    assert not case.gate.trace.counts
+
+
+@pytest.mark.parametrize(
+    "denial",
+    [
+        Denial.REQUEST_OVER,
+        Denial.ANSWER_BEGUN,
+        Denial.CLIENT_LEFT,
+        Denial.TIME_OVER,
+        Denial.WINDOW_OVER,
+        Denial.ENDPOINT_CHANGED,
+        Denial.TOO_MANY,
+        Denial.STILL_OUT,
+    ],
+)
+def test_write_gate_denies_and_counts_when_something_has_changed_since_the_choice(denial: Denial) -> None:
+    case = Case()
+    attempt = case.request.attempts[0]
+    if denial is Denial.REQUEST_OVER:
+        case.request.response_state = ResponseState.COMPLETED
+    elif denial is Denial.ANSWER_BEGUN:
+        case.request.response_state = ResponseState.STREAMING
+    elif denial is Denial.CLIENT_LEFT:
+        case.client.closed = True
+    elif denial is Denial.TIME_OVER:
+        case.request.deadline_us = NOW_US
+    elif denial is Denial.WINDOW_OVER:
+        attempt.latest_start_us = NOW_US
+    elif denial is Denial.ENDPOINT_CHANGED:
+        case.update(Endpoint(0, started_us=5))
+    elif denial is Denial.TOO_MANY:
+        case.gate.settings = Settings(list(CLASSES.values()), max_attempts=1)
+        case.add_earlier_attempt(1, Outcome.OVERLOADED)
+    else:
+        case.gate.settings = Settings(list(CLASSES.values()), max_attempts=3, hedging=False)
+        case.add_earlier_attempt(1, None)
+    assert case.may_write() is denial
+    assert case.gate.trace.counts == {f"denied: {denial.name}": 1}
+    assert [event.name for event in case.gate.trace.of_request(1)] == [EventName.DENIED]
+
+
+@pytest.mark.parametrize("change", ["drained", "moved"])
+def test_write_gate_denies_when_the_chosen_endpoint_has_changed(change: str) -> None:
+    case = Case()
+    if change == "drained":
+        case.update(Endpoint(0, status=EndpointStatus.DRAINING))
+    else:
+        case.update(Endpoint(0), ("127.0.0.1", 2))
+    assert case.may_write() is Denial.ENDPOINT_CHANGED
+
+
+@pytest.mark.parametrize(
+    ("effect", "upstream", "outcome"),
+    [
+        ("idempotent", 3, Outcome.RESET),
+        ("at_most_once", 1, Outcome.OVERLOADED),
+        ("at_most_once", 1, Outcome.CONNECT_FAILED),
+        ("deduplicated", 1, Outcome.TIMEOUT),
+        ("deduplicated", 3, Outcome.OVERLOADED),
+    ],
+)
+def test_write_gate_permits_a_retry_when_the_class_allows_it(effect: str, upstream: int, outcome: Outcome) -> None:
+    case = Case(effect)
+    case.add_earlier_attempt(upstream, outcome)
+    assert isinstance(case.may_write(), WritePermit)
+
+
+@pytest.mark.violates
+@pytest.mark.parametrize(
+    ("effect", "upstream", "outcome"),
+    [
+        ("at_most_once", 1, Outcome.RESET),
+        ("at_most_once", 1, Outcome.TIMEOUT),
+        ("at_most_once", 1, None),
+        ("deduplicated", 3, Outcome.RESET),
+        ("deduplicated", 2, None),
+    ],
+)
+def test_write_gate_records_a_violation_when_a_retry_may_run_twice(
+    effect: str, upstream: int, outcome: Outcome | None
+) -> None:
+    case = Case(effect)
+    case.add_earlier_attempt(upstream, outcome)
+    assert case.may_write() is Denial.MAY_HAVE_RUN
+    assert case.gate.trace.counts[f"violation: {Denial.MAY_HAVE_RUN.value}"] == 1
+
+
+def test_write_gate_denies_a_retry_when_the_deduplication_window_is_over() -> None:
+    case = Case("deduplicated")
+    case.add_earlier_attempt(1, Outcome.RESET, written_us=NOW_US - 400_000)
+    assert case.may_write() is Denial.WINDOW_OVER
+
+
+@pytest.mark.violates
+def test_write_gate_fails_a_request_when_it_is_shed_but_may_have_run() -> None:
+    case = Case("at_most_once")
+    case.add_earlier_attempt(1, Outcome.ERROR)
+    answer = case.gate.final_response(case.request, FinalResponse(Disposition.SHED, retry_after_us=5), NOW_US)
+    assert answer == FinalResponse(Disposition.FAILED)
+
+
+def test_write_gate_sheds_and_counts_late_responses_when_nothing_ran() -> None:
+    case = Case("at_most_once")
+    case.add_earlier_attempt(1, Outcome.OVERLOADED)
+    refused = FinalResponse(Disposition.SHED, retry_after_us=5)
+    late_us = case.request.deadline_us + LATE_RESPONSE_US + 1
+    assert case.gate.final_response(case.request, refused, late_us) is refused
+    assert case.gate.trace.counts == {"answered: refused": 1, "answered late": 1}
+
+
+@pytest.mark.violates
+def test_write_gate_forbids_closing_when_a_request_is_unanswered() -> None:
+    case = Case()
+    assert case.gate.may_close(1, unanswered=False)
+    assert not case.gate.may_close(1, unanswered=True)
+
+
+def test_trace_keeps_the_last_events_and_finds_a_request_by_its_client_request_id() -> None:
+    trace = Trace()
+    for number in range(1, LAST_EVENTS):
+        trace.note(EventName.RECEIVED, number, reason=f"r{number}")
+        trace.note(EventName.ENDED, number, 0, 3, "ok")
+    assert len(trace.events) == LAST_EVENTS
+    assert trace.find("r1") == []
+    last = trace.find(f"r{LAST_EVENTS - 1}")
+    assert [event.name for event in last] == [EventName.RECEIVED, EventName.ENDED]
+    assert last[1].shown() == {
+        "at_us": last[1].at_us,
+        "what": "ended",
+        "request": LAST_EVENTS - 1,
+        "attempt": 0,
+        "upstream": 3,
+        "reason": "ok",
+    }
