--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -23,10 +23,10 @@
     return [(b"X-Request-Id", b"1"), (b"X-Deadline-Ms", b"900"), (b"X-Class", b"read"), *named]
 
 
-def test_a_request_of_no_known_tenant_has_no_tenants_limits() -> None:
-    catalogue = RequestRouter(Settings(classes(), tenants=TENANTS))
-    for tenant, place in (("b", 0), ("b-b", 1), ("x", 2), ("", 2), (None, 2)):
-        assert catalogue.route(b"GET", b"/read/it", headers(tenant)).tenant_index == place
+def test_router_and_policy_apply_no_tenant_limits_when_the_tenant_is_unknown() -> None:
+    router = RequestRouter(Settings(classes(), tenants=TENANTS))
+    for tenant, tenant_index in (("b", 0), ("b-b", 1), ("x", 2), ("", 2), (None, 2)):
+        assert router.route(b"GET", b"/read/it", headers(tenant)).tenant_index == tenant_index
     assert (
         RequestRouter(Settings(classes())).route(b"GET", b"/read/it", headers(None)).tenant_index == 0
     )  # where there are none
@@ -44,36 +44,37 @@
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site["name"])
-def test_a_class_is_known_by_its_whole_name(site: dict[str, list[dict[str, str]]]) -> None:
+def test_router_finds_class_and_tenant_when_a_name_begins_with_another(site: dict[str, list[dict[str, str]]]) -> None:
     """Also where one's name is another's beginning, or has letters that are odd but legal in a path."""
     effects = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
-    kinds = [RequestClass(kind["name"], 1, 1, effect=effects[kind["effect"]]) for kind in site["class"]]
+    request_classes = [RequestClass(entry["name"], 1, 1, effect=effects[entry["effect"]]) for entry in site["class"]]
     tenants = [Tenant(tenant["name"], 1.0) for tenant in site.get("tenant", [])]
-    catalogue = RequestRouter(Settings(kinds, tenants=tenants))
-    for place, kind in enumerate(kinds):
-        for number, tenant in enumerate(tenants):
-            method = b"GET" if kind.effect == "idempotent" else b"POST"
-            call = catalogue.route(
+    router = RequestRouter(Settings(request_classes, tenants=tenants))
+    for class_index, request_class in enumerate(request_classes):
+        for tenant_index, tenant in enumerate(tenants):
+            method = b"GET" if request_class.effect == "idempotent" else b"POST"
+            http_request = router.route(
                 method,
-                f"/{kind.name}/a/b?c=/x".encode(),
+                f"/{request_class.name}/a/b?c=/x".encode(),
                 [
                     (b"X-Request-Id", b"1"),
                     (b"X-Deadline-Ms", b"9"),
                     (b"Idempotency-Key", b"k"),
-                    (b"X-Class", kind.name.encode()),
+                    (b"X-Class", request_class.name.encode()),
                     (b"X-Tenant", tenant.name.encode()),
                 ],
             )
-            assert (call.class_index, call.tenant_index) == (place, number)
+            assert (http_request.class_index, http_request.tenant_index) == (class_index, tenant_index)
 
 
-def test_nothing_names_a_deployment() -> None:
+def test_program_names_no_class_tenant_or_zone_when_searched_for_those_of_the_sites() -> None:
     """Neither the program nor the deploy file knows a class, a tenant or a zone of any site."""
     files = [ROOT / "deploy" / "balancer.toml"]
     for package in ("policy", "simulator", "sidecar"):
         files.extend((ROOT / "garnetusher" / package).rglob("*.py"))
     text = {str(path.relative_to(ROOT)): path.read_text() for path in files}
-    assert len(SITES) >= 2 and len(text) > 10
+    assert len(SITES) >= 2
+    assert len(text) > 10
     for site in SITES:
         names = [
             site["name"],
@@ -89,7 +90,7 @@
                 assert name not in what, f"{where} names {json.dumps(name)} of {site['name']}"
 
 
-def test_figures_of_tenants_and_classes_follow_their_names_whatever_the_order() -> None:
+def test_policy_keeps_estimates_by_name_when_settings_change_the_order() -> None:
     kinds = classes()
     world = World(settings(tenants=TENANTS))
     world.tell_list(upstreams(2))
