--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -18,10 +18,10 @@
 from garnetusher.sidecar import logs
 from garnetusher.sidecar.admin.handlers import operators_calls
 from garnetusher.sidecar.admin.server import Admin, Route
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from garnetusher.sidecar.downstream.connection import DownstreamServer
 from garnetusher.sidecar.reload import Reloader
-from garnetusher.sidecar.requests.messages import monotonic_us
 from garnetusher.sidecar.sidecar import Sidecar
 from garnetusher.sidecar.sockets import RETRY_S, PatientSelector, is_own
 
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -12,9 +12,9 @@
 import httptools
 
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, UpdateKind
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.configuration import parse_address
 from garnetusher.sidecar.discovery.start_times import StartTimes
-from garnetusher.sidecar.requests.messages import monotonic_us
 
 log = logging.getLogger(__name__)
 
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -10,6 +10,7 @@
 import httptools
 
 from garnetusher.policy.settings import Settings
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.router import RequestRejected, RequestRouter, retry_after
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
@@ -18,7 +19,6 @@
     Disposition,
     FinalResponse,
     HttpRequest,
-    monotonic_us,
 )
 from garnetusher.sidecar.sockets import Listener, SteadySocket, listen_at
 from garnetusher.sidecar.streaming import (
--- a/garnetusher/sidecar/downstream/router.py
+++ b/garnetusher/sidecar/downstream/router.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from garnetusher.policy.settings import Settings
-from garnetusher.sidecar.requests.messages import HttpRequest, monotonic_us
+from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.requests.messages import HttpRequest
 
 OWN_HEADERS = frozenset(
     (  # of this connection, or written anew for each attempt
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -10,7 +10,6 @@
 
 from garnetusher.policy.events import Outcome
 from garnetusher.policy.settings import RequestClass
-from garnetusher.sidecar.clock import monotonic_us as monotonic_us  # noqa: PLC0414 - other packages import it from here
 from garnetusher.sidecar.requests.endpoints import Address, ReadyEndpoint
 from garnetusher.sidecar.streaming import Head, Sink, Source, Upload
 
@@ -71,7 +70,7 @@
         disposition: its kind.
         body: the upstream's body, of a served request.
         content_type: the upstream's `Content-Type`, of a served request.
-        retry_after_us: when the client of a shed request may retry; 0 = it is told nothing.
+        retry_after_us: when the client of a shed request may retry; 0 = no Retry-After is sent.
     """
 
     disposition: Disposition
@@ -127,7 +126,7 @@
     """An attempt may be written now.
 
     Attributes:
-        remaining_us: the time that its upstream is told it has.
+        remaining_us: the time left, which is sent to its upstream.
     """
 
     remaining_us: int
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -11,7 +11,8 @@
 import httptools
 
 from garnetusher.policy.events import Outcome
-from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermission, WritePermit, monotonic_us
+from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermission, WritePermit
 from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.sockets import RETRY_S, SteadySocket, is_own
 from garnetusher.sidecar.streaming import (
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -12,9 +12,10 @@
 from garnetusher.policy.events import EndpointStatus
 from garnetusher.policy.slots import Server
 from garnetusher.sidecar import __main__ as program
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.discovery import watch as discovery
 from garnetusher.sidecar.downstream import connection as server
-from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, PendingRequest, monotonic_us
+from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, PendingRequest
 from garnetusher.sidecar.requests.responses import ResponseSender
 from garnetusher.sidecar.requests.write_gate import WriteGate
 from garnetusher.sidecar.upstream import pool as upstreams
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -13,12 +13,13 @@
 from garnetusher.policy.balancer import Balancer
 from garnetusher.policy.events import Event, Outcome
 from garnetusher.policy.settings import Settings
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.discovery.watch import EndpointList
 from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
 from garnetusher.sidecar.downstream.connection import DownstreamConnection, DownstreamServer
 from garnetusher.sidecar.lifecycle import Lifecycle
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
-from garnetusher.sidecar.requests.messages import AttemptResult, Disposition, FinalResponse, HttpRequest, monotonic_us
+from garnetusher.sidecar.requests.messages import AttemptResult, Disposition, FinalResponse, HttpRequest
 from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.requests.write_gate import WriteGate
 from garnetusher.sidecar.upstream.pool import SETTLE_US, ConnectionPool, IdleReuseEstimator, UpstreamConnection
