--- a/garnetusher/sidecar/downstream/arrival_time.py
+++ b/garnetusher/sidecar/downstream/arrival_time.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from garnetusher.sidecar.requests.messages import monotonic_us
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.sockets import SteadySocket
 
 BURST_WINDOW_US = (
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -8,11 +8,12 @@
 import logging
 from typing import TYPE_CHECKING
 
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.arrival_time import ArrivalTimes
 from garnetusher.sidecar.downstream.errors import RequestRejected
 from garnetusher.sidecar.downstream.request_reader import RequestReader
 from garnetusher.sidecar.downstream.response_writer import ResponseWriter, content_type_header, retry_after_header
-from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Disposition, FinalResponse, monotonic_us
+from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Disposition, FinalResponse
 from garnetusher.sidecar.sockets import SteadySocket
 from garnetusher.sidecar.streaming import STALL_TIMEOUT_US, Head, SharedBufferProtocol, Source, Upload
 
--- a/garnetusher/sidecar/downstream/request_reader.py
+++ b/garnetusher/sidecar/downstream/request_reader.py
@@ -7,9 +7,10 @@
 
 import httptools
 
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.errors import RequestRejected
 from garnetusher.sidecar.downstream.router import RequestRouter
-from garnetusher.sidecar.requests.messages import HttpRequest, monotonic_us
+from garnetusher.sidecar.requests.messages import HttpRequest
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, MAX_BUFFERED_SIZE, Upload
 
 MAX_HEAD_SIZE = 16 * 1024  # bytes
--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.errors import NotConnectedError
-from garnetusher.sidecar.requests.messages import monotonic_us
 from garnetusher.sidecar.streaming import LAST_CHUNK, STALL_TIMEOUT_US, Head, Source, chunk
 
 WRITE_BUFFER_LIMIT = 32 * 1024  # unsent bytes of a long response before its upstream is paused
--- a/garnetusher/sidecar/downstream/router.py
+++ b/garnetusher/sidecar/downstream/router.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from garnetusher.policy.settings import Settings
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.errors import RequestRejected
-from garnetusher.sidecar.requests.messages import HttpRequest, monotonic_us
+from garnetusher.sidecar.requests.messages import HttpRequest
 
 MAX_INTEGER_DIGITS = 12
 AFFINITY_KEY_MASK = 0xFFFF_FFFF_FFFF_FFFF
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -6,13 +6,13 @@
 import socket
 
 from garnetusher.policy.settings import Settings
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.arrival_time import EventLoopLag
 from garnetusher.sidecar.downstream.connection import CHECK_INTERVAL_S, ConnectionState, DownstreamConnection
 from garnetusher.sidecar.downstream.listener import Listener, listen_at
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
-from garnetusher.sidecar.requests.messages import monotonic_us
 from garnetusher.sidecar.streaming import BodyMemory
 
 LISTEN_BACKLOG = 512  # connections that are not accepted yet
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -9,7 +9,8 @@
 
 from garnetusher.errors import GarnetusherError
 from garnetusher.policy.events import Outcome
-from garnetusher.sidecar.requests.messages import AttemptResult, monotonic_us
+from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.requests.messages import AttemptResult
 from garnetusher.sidecar.streaming import Head, SharedBufferProtocol, Sink
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
 from garnetusher.sidecar.upstream.idle_reuse import IdleTiming
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -6,7 +6,8 @@
 import socket
 from collections.abc import Callable
 
-from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermission, monotonic_us
+from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermission
 from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.sockets import RETRY_S
 from garnetusher.sidecar.streaming import STALL_TIMEOUT_US, Head, Sink, Source
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -12,10 +12,11 @@
 from garnetusher.policy.events import EndpointStatus
 from garnetusher.policy.slots import Server
 from garnetusher.sidecar import __main__ as program
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.discovery import watch as discovery
 from garnetusher.sidecar.downstream.connection import DownstreamConnection
-from garnetusher.sidecar.requests import dispatcher as host
-from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, monotonic_us
+from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, PendingRequest
+from garnetusher.sidecar.requests.responses import ResponseSender
 from garnetusher.sidecar.requests.write_gate import WriteGate
 from garnetusher.sidecar.upstream import request_writer
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
@@ -62,17 +63,16 @@
 
 def holds_back() -> None:
     """What is given up is answered just before the client's time is out."""
-    answer = host.RequestDispatcher._complete_request
+    complete = ResponseSender.complete
 
-    def late(self: host.RequestDispatcher, ident: int, answer_: FinalResponse) -> None:
-        request = self.requests.get(ident)
-        if request is None or request.completed or answer_.disposition is Disposition.SERVED:
-            answer(self, ident, answer_)
+    def late(self: ResponseSender, request: PendingRequest, response: FinalResponse) -> None:
+        if request.completed or response.disposition is Disposition.SERVED:
+            complete(self, request, response)
             return
-        after = max(0.0, (request.deadline_us - 30_000 - monotonic_us()) / 1e6)
-        asyncio.get_running_loop().call_later(after, answer, self, ident, answer_)
+        delay_s = max(0.0, (request.deadline_us - 30_000 - monotonic_us()) / 1e6)
+        asyncio.get_running_loop().call_later(delay_s, complete, self, request, response)
 
-    host.RequestDispatcher._complete_request = late  # type: ignore[method-assign, assignment]
+    ResponseSender.complete = late  # type: ignore[method-assign]
 
 
 def loses_requests() -> None:
@@ -98,7 +98,7 @@
 
     ConnectionPool.open_connection = later  # type: ignore[method-assign]
     UpstreamAttempt.abandon = lambda self: None  # type: ignore[method-assign]
-    WriteGate.denial = lambda self, request, number, now_us: None  # type: ignore[method-assign]
+    WriteGate.denial = lambda self, request, attempt_index, now_us: None  # type: ignore[method-assign]
     DownstreamConnection.client_has_closed = lambda self: False  # type: ignore[method-assign]
 
 
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -8,7 +8,8 @@
 import pytest
 
 from garnetusher.policy.events import Outcome
-from garnetusher.sidecar.requests.messages import AttemptResult, monotonic_us
+from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.requests.messages import AttemptResult
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
 from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US, IdleReuseEstimator
 from garnetusher.sidecar.upstream.pool import ConnectionPool
