--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -117,11 +117,11 @@
     and clients that are let in before would be sent to upstreams that have gone."""
     if discovery.watch is None:
         discovery.watch_endpoints(True)  # at once: the module would spread its first call over the fleet's seconds
-    waits = [asyncio.create_task(event.wait()) for event in (discovery.fresh, stop)]
+    waits = [asyncio.create_task(event.wait()) for event in (discovery.has_current_list, stop)]
     await asyncio.wait(waits, timeout=FRESH_LIST_S, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
         wait.cancel()
-    if not discovery.fresh.is_set():
+    if not discovery.has_current_list.is_set():
         log.warning("discovery is silent: starting from the list as it was known")
 
 
--- a/garnetusher/sidecar/discovery/__init__.py
+++ b/garnetusher/sidecar/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list and the watch on its changes."""
+"""The endpoint list: how it is received from discovery, watched for changes, and made known to the policy."""
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -6,7 +6,8 @@
 import socket
 
 from garnetusher.sidecar import configuration as config
-from garnetusher.sidecar.discovery.watch import EndpointList, EndpointWatcher
+from garnetusher.sidecar.discovery.endpoint_list import EndpointList
+from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from garnetusher.sidecar.downstream.connection import DownstreamServer
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.lifecycle import Lifecycle
@@ -55,7 +56,7 @@
         """Take the file anew: all of it, once it has been checked whole; raises on what is wrong with it."""
         settings = config.reload(path, self.configuration)
         before, self.configuration = self.configuration, settings
-        self.endpoint_list.zones, self.endpoint_list.kinds = settings.zones, settings.machine_types
+        self.endpoint_list.zones, self.endpoint_list.machine_types = settings.zones, settings.machine_types
         self.connection_pool.apply_settings(settings.idle_timeout_us, settings.settings.connect_timeout_us)
         self.server.router = RequestRouter(settings.settings)
         self.dispatcher.apply_settings(settings.settings)
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -12,7 +12,7 @@
 from garnetusher.policy.events import EndpointStatus
 from garnetusher.policy.slots import Server
 from garnetusher.sidecar import __main__ as program
-from garnetusher.sidecar.discovery import watch as discovery
+from garnetusher.sidecar.discovery import messages as discovery_messages
 from garnetusher.sidecar.downstream import connection as server
 from garnetusher.sidecar.requests import dispatcher as host
 from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, monotonic_us
@@ -44,7 +44,7 @@
 
 def sends_to_drained() -> None:
     """An upstream that leaves is taken for a ready one."""
-    discovery.STATES["leaving"] = EndpointStatus.READY
+    discovery_messages.STATUSES["leaving"] = EndpointStatus.READY
 
 
 def pushes_cold_over() -> None:
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -8,7 +8,9 @@
 
 from garnetusher.policy.actions import SetTimer, WatchEndpoints
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, Outcome, UpdateKind
-from garnetusher.sidecar.discovery.watch import PIECE, EndpointList, EndpointWatcher
+from garnetusher.sidecar.discovery.endpoint_list import PIECE_SIZE, EndpointList
+from garnetusher.sidecar.discovery.messages import parse_list
+from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from tests.world import START_US, World, settings, upstreams
 
 
@@ -176,28 +178,32 @@
     }
 
 
-def test_a_long_list_is_taken_in_pieces_and_nothing_of_it_is_lost() -> None:
+def test_endpoint_watcher_applies_all_pieces_when_a_list_is_long() -> None:
     async def test() -> None:
         heard: list[EndpointsUpdated] = []
         discovery = EndpointWatcher(
             ("127.0.0.1", 9), EndpointList(["a"], ["m"]), lambda event, addresses: heard.append(event)
         )
-        discovery.changed({"rev": 1, "all": True, "targets": [entry(f"old-{n}") for n in range(PIECE)]})
+        discovery.take_list(
+            parse_list({"rev": 1, "all": True, "targets": [entry(f"old-{n}") for n in range(PIECE_SIZE)]})
+        )
         assert len(heard) == 1 and discovery.version == 1
         old = {e.id for e in heard[0].endpoints}
-        whole = [entry(f"new-{n}") for n in range(3 * PIECE)]
-        discovery.changed({"rev": 2, "all": True, "targets": whole})
-        discovery.changed({"rev": 3, "all": False, "targets": [entry("new-7", "leaving")]})
+        whole = [entry(f"new-{n}") for n in range(3 * PIECE_SIZE)]
+        discovery.take_list(parse_list({"rev": 2, "all": True, "targets": whole}))
+        discovery.take_list(parse_list({"rev": 3, "all": False, "targets": [entry("new-7", "leaving")]}))
         assert discovery.version == 1  # else a watch that breaks now would never be told the rest
-        while discovery.pieces:
+        while discovery.pending_steps:
             await asyncio.sleep(0)
-        assert discovery.version == 3 and max(len(event.endpoints) for event in heard) <= PIECE
+        assert discovery.version == 3 and max(len(event.endpoints) for event in heard) <= PIECE_SIZE
         states = {e.id: e.status for event in heard for e in event.endpoints}
         assert all(states[ident] is EndpointStatus.REMOVED for ident in old)
-        assert sum(state is EndpointStatus.READY for state in states.values()) == 3 * PIECE - 1
-        discovery.changed({"rev": 4, "all": True, "targets": whole[: 2 * PIECE]})
-        discovery.changed({"rev": 5, "all": True, "targets": whole[:1]})  # overtakes what is not yet taken
-        assert discovery.version == 5 and not discovery.pieces
+        assert sum(state is EndpointStatus.READY for state in states.values()) == 3 * PIECE_SIZE - 1
+        discovery.take_list(parse_list({"rev": 4, "all": True, "targets": whole[: 2 * PIECE_SIZE]}))
+        discovery.take_list(
+            parse_list({"rev": 5, "all": True, "targets": whole[:1]})
+        )  # overtakes what is not yet taken
+        assert discovery.version == 5 and not discovery.pending_steps
         assert heard[-1].update_kind is UpdateKind.SNAPSHOT and len(heard[-1].endpoints) == 1
 
     asyncio.run(test())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -13,7 +13,7 @@
 from garnetusher.policy.balancer import Balancer
 from garnetusher.policy.events import Event, Outcome
 from garnetusher.policy.settings import Settings
-from garnetusher.sidecar.discovery.watch import EndpointList
+from garnetusher.sidecar.discovery.endpoint_list import EndpointList
 from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
 from garnetusher.sidecar.downstream.connection import DownstreamConnection, DownstreamServer
 from garnetusher.sidecar.lifecycle import Lifecycle
--- a/tests/test_boot_times.py
+++ b/tests/test_start_times.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("wrong_s", [0.0, 10.0, HOUR_S])
-def test_a_wall_clock_that_is_ahead_makes_nobody_older(wrong_s: float) -> None:
+def test_start_times_make_no_endpoint_older_when_the_wall_clock_is_ahead(wrong_s: float) -> None:
     clocks = Clocks(wrong_s)
     assert clocks.ages_s(old=-100.0, new=-2.0) == {"old": 98.0, "new": 0.0}
     clocks.passed_s = 5.0
@@ -40,19 +40,19 @@
 
 
 @pytest.mark.parametrize("wrong_s", [-10.0, -HOUR_S])
-def test_a_wall_clock_that_is_behind_keeps_nobody_cold_for_longer_than_a_warm_up(wrong_s: float) -> None:
+def test_start_times_end_after_one_warm_up_when_the_wall_clock_is_behind(wrong_s: float) -> None:
     clocks = Clocks(wrong_s)
     assert clocks.ages_s(new=-2.0) == {"new": 0.0}
     clocks.passed_s = 24.0
     assert clocks.ages_s(new=-2.0) == {"new": 24.0}
 
 
-def test_an_upstream_whose_own_clock_is_ahead_makes_no_other_older() -> None:
+def test_start_times_make_no_other_endpoint_older_when_one_clock_is_ahead() -> None:
     clocks = Clocks()
     assert clocks.ages_s(ahead=HOUR_S, new=-2.0) == {"ahead": 0.0, "new": 2.0}
 
 
-def test_a_step_while_the_process_runs_changes_no_start_that_is_known() -> None:
+def test_start_times_keep_known_starts_when_the_wall_clock_is_stepped() -> None:
     clocks = Clocks()
     before = clocks.ages_s(one=-30.0, two=-1.0)
     for wrong_s in (HOUR_S, -HOUR_S):
@@ -61,7 +61,7 @@
     assert clocks.ages_s(long_ago=-TRUE_S)["long_ago"] == UP_S  # 0: no start is told
 
 
-def test_a_new_start_under_the_same_name_counts_anew() -> None:
+def test_start_times_estimate_anew_when_an_endpoint_restarts() -> None:
     clocks = Clocks()
     clocks.ages_s(one=-30.0, two=-1.0)
     clocks.passed_s = 50.0
