--- a/garnetusher/sidecar/admin/__init__.py
+++ b/garnetusher/sidecar/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP calls at an address of their own."""
+"""The HTTP calls of operators, at an address of their own."""
--- a/garnetusher/sidecar/admin/handlers.py
+++ b/garnetusher/sidecar/admin/handlers.py
@@ -1,63 +1,98 @@
-"""The operators' calls at the admin address: readiness, drain, zones, the last events and the counters."""
+"""The operators' calls: readiness, draining, zones, the latest events, counters and members."""
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
+from http import HTTPStatus
+from typing import TYPE_CHECKING
 
-from garnetusher.sidecar.admin.server import Route
+from garnetusher.sidecar.admin.messages import AdminRequest, AdminResponse, Route
 from garnetusher.sidecar.sidecar import Sidecar
 
+if TYPE_CHECKING:
+    from garnetusher.sidecar.membership import Members
 
-def operators_calls(sidecar: Sidecar) -> dict[bytes, Route]:
-    """The calls at the admin address."""
-    server, lifecycle = sidecar.server, sidecar.lifecycle
-
-    def ready(query: str) -> tuple[bool, str]:
-        return server.ready, lifecycle.state.value if server.dispatcher.ready else "no upstream"
-
-    def drain(query: str) -> tuple[bool, str]:
-        lifecycle.drain()
-        return True, lifecycle.state.value
-
-    def undrain(query: str) -> tuple[bool, str]:
-        lifecycle.undrain()
-        return True, lifecycle.state.value
-
-    def zones(query: str) -> tuple[bool, str]:
-        return True, json.dumps(server.dispatcher.zone_reports(sidecar.configuration.zones))
-
-    def trace(query: str) -> tuple[bool, str]:
-        name = query.removeprefix("request=")
-        events = sidecar.trace.find(name) if query else list(sidecar.trace.events)
-        return True, "\n".join(json.dumps(event.shown()) for event in events)
-
-    def counters(query: str) -> tuple[bool, str]:
-        return True, json.dumps(sidecar.trace.counts)
-
-    def order(leave: bool) -> Callable[[str], tuple[bool, str]]:
-        def call(query: str) -> tuple[bool, str]:
-            names = sidecar.configuration.zones
-            name = query.removeprefix("zone=")
-            if name not in names:
-                return False, f"expected ?zone= and one of {', '.join(names)}, got {name!r}"
-            objection = server.dispatcher.override_zone(names.index(name), leave)
-            return (
-                not objection,
-                f"zone {name} is not left: {objection}"
-                if objection
-                else f"zone {name} is {'left' if leave else 'returned to'} by an operator's order",
-            )
-
-        return call
-
-    return {
-        b"/_ready": Route(b"GET", ready),
-        b"/_lameduck/on": Route(b"POST", drain),
-        b"/_lameduck/off": Route(b"POST", undrain),
-        b"/_zones": Route(b"GET", zones),
-        b"/_trace": Route(b"GET", trace),
-        b"/_counters": Route(b"GET", counters),
-        b"/_zone/leave": Route(b"POST", order(True)),
-        b"/_zone/return": Route(b"POST", order(False)),
+
+class AdminHandlers:
+    """Answers operators' calls to one sidecar."""
+
+    def __init__(self, sidecar: Sidecar) -> None:
+        self._sidecar = sidecar
+
+    def ready(self, request: AdminRequest) -> AdminResponse:
+        """Tell whether clients may come, and why not."""
+        server = self._sidecar.server
+        text = self._sidecar.lifecycle.state.value if server.dispatcher.ready else "no upstream"
+        return _response(text, is_success=server.ready)
+
+    def drain(self, request: AdminRequest) -> AdminResponse:
+        """Ask clients to go elsewhere from now on."""
+        self._sidecar.lifecycle.drain()
+        return _response(self._sidecar.lifecycle.state.value)
+
+    def undrain(self, request: AdminRequest) -> AdminResponse:
+        """End a drain."""
+        self._sidecar.lifecycle.undrain()
+        return _response(self._sidecar.lifecycle.state.value)
+
+    def zones(self, request: AdminRequest) -> AdminResponse:
+        """Tell what the policy knows of each zone."""
+        reports = self._sidecar.server.dispatcher.zone_reports(self._sidecar.configuration.zones)
+        return _response(json.dumps(reports))
+
+    def trace(self, request: AdminRequest) -> AdminResponse:
+        """Tell the latest events, or with `?request=` those of the request that its client calls so."""
+        trace = self._sidecar.trace
+        client_request_id = request.query.removeprefix("request=")
+        events = trace.find(client_request_id) if request.query else list(trace.events)
+        return _response("\n".join(json.dumps(event.shown()) for event in events))
+
+    def counters(self, request: AdminRequest) -> AdminResponse:
+        """Tell how often each thing has happened."""
+        return _response(json.dumps(self._sidecar.trace.counts))
+
+    def evacuate_zone(self, request: AdminRequest) -> AdminResponse:
+        """Stop forwarding to the zone that `?zone=` names."""
+        return self._override_zone(request, evacuate=True)
+
+    def restore_zone(self, request: AdminRequest) -> AdminResponse:
+        """Forward again to the zone that `?zone=` names."""
+        return self._override_zone(request, evacuate=False)
+
+    def _override_zone(self, request: AdminRequest, *, evacuate: bool) -> AdminResponse:
+        names = self._sidecar.configuration.zones
+        name = request.query.removeprefix("zone=")
+        if name not in names:
+            text = f"expected ?zone= and one of {', '.join(names)}, got {name!r}"
+            return _response(text, is_success=False)
+        objection = self._sidecar.server.dispatcher.override_zone(names.index(name), leave=evacuate)
+        if objection:
+            return _response(f"zone {name} is not left: {objection}", is_success=False)
+        return _response(f"zone {name} is {'left' if evacuate else 'returned to'} by an operator's order")
+
+
+def admin_routes(sidecar: Sidecar, members: Members | None = None) -> dict[bytes, Route]:
+    """Return the calls at the admin address, by their paths.
+
+    Args:
+        sidecar: what is asked and changed.
+        members: the fleet's members, if membership is switched on.
+    """
+    handlers = AdminHandlers(sidecar)
+    routes = {
+        b"/_ready": Route(b"GET", handlers.ready),
+        b"/_lameduck/on": Route(b"POST", handlers.drain),
+        b"/_lameduck/off": Route(b"POST", handlers.undrain),
+        b"/_zones": Route(b"GET", handlers.zones),
+        b"/_trace": Route(b"GET", handlers.trace),
+        b"/_counters": Route(b"GET", handlers.counters),
+        b"/_zone/leave": Route(b"POST", handlers.evacuate_zone),
+        b"/_zone/return": Route(b"POST", handlers.restore_zone),
     }
+    if members is not None:
+        routes[b"/_members"] = Route(b"GET", lambda _: _response(json.dumps(members.tell())))
+    return routes
+
+
+def _response(text: str, *, is_success: bool = True) -> AdminResponse:
+    return AdminResponse(HTTPStatus.OK if is_success else HTTPStatus.SERVICE_UNAVAILABLE, text)
--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -1,125 +1,144 @@
-"""The operators' calls, at an address of their own: one call to a connection, answered at once."""
+"""The server of the admin address: one call to a connection, answered at once."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Callable
-from dataclasses import dataclass
+from http import HTTPStatus
+from typing import cast
 
 import httptools
 
+from garnetusher.sidecar.addresses import Address
+from garnetusher.sidecar.admin.messages import AdminRequest, AdminResponse, Route
 from garnetusher.sidecar.downstream.connection import LISTEN_PATIENCE_S, REASONS
 from garnetusher.sidecar.sockets import Listener, listen_at
 
 log = logging.getLogger(__name__)
 
-MOST_CALLERS = 16  # connections; a few that stall and some that don't
+MAX_CONNECTIONS = 16  # a few that stall and some that don't
 BACKLOG = 64  # connections not yet accepted
-LONGEST_CALL_S = 2.0  # for a call to come whole; a caller waits 1 s for its answer
-LONGEST_CALL = 8 * 1024  # bytes
+REQUEST_TIMEOUT_S = 2.0  # for a call to arrive in full; a caller waits 1 s for its answer
+MAX_REQUEST_BYTES = 8 * 1024
 
 
-@dataclass(slots=True)
-class Reply:
-    status: int
-    text: str
-    allow: bytes = b""
-
-
-@dataclass(slots=True)
-class Route:
-    method: bytes
-    call: Callable[[str], tuple[bool, str]]  # is told what stands behind the path's `?`; yes or no, and a word on it
-
-
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection, which carries one call."""
 
-    def __init__(self, admin: Admin) -> None:
-        self.admin = admin
-        self.parser = httptools.HttpRequestParser(self)
-        self.transport: asyncio.Transport | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.target = b""
-        self.received = 0
-        self.whole = False
-        self.answered = False
+    def __init__(self, server: AdminServer) -> None:
+        self._server = server
+        self._parser = httptools.HttpRequestParser(self)
+        self._transport: asyncio.Transport | None = None
+        self._timeout: asyncio.TimerHandle | None = None
+        self._target = b""
+        self._received_bytes = 0
+        self._is_request_complete = False
+        self._is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        self.admin.connected(self)
-        self.timer = self.admin.loop.call_later(LONGEST_CALL_S, self.answer, Reply(408, "no whole call"))
+        """Wait for the call, for a bounded time."""
+        self._transport = cast("asyncio.Transport", transport)  # a TCP connection reads and writes
+        self._server.add(self)
+        response = AdminResponse(HTTPStatus.REQUEST_TIMEOUT, "no whole call")
+        self._timeout = self._server.loop.call_later(REQUEST_TIMEOUT_S, self._respond, response)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.admin.callers.pop(self, None)
-        if self.timer is not None:
-            self.timer.cancel()
-
-    def on_url(self, url: bytes) -> None:
-        if not self.whole:
-            self.target += url
-
-    def on_message_complete(self) -> None:
-        if not self.whole:
-            self.whole = True
-            path, _, query = self.target.partition(b"?")
-            self.answer(self.admin.reply(self.parser.get_method(), path, query.decode("latin-1")))
+        """Leave the server."""
+        self._server.remove(self)
+        if self._timeout is not None:
+            self._timeout.cancel()
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:
+        """Read more of the call."""
+        if self._is_answered:
             return
-        self.received += len(data)
+        self._received_bytes += len(data)
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.answer(Reply(400, "malformed call"))
-        if self.received > LONGEST_CALL:
-            self.answer(Reply(413, "the call is too long"))
+            self._respond(AdminResponse(HTTPStatus.BAD_REQUEST, "malformed call"))
+        if self._received_bytes > MAX_REQUEST_BYTES:
+            self._respond(AdminResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is too long"))
+
+    def on_url(self, url: bytes) -> None:
+        """Read a part of the target; only the first call of a connection counts."""
+        if not self._is_request_complete:
+            self._target += url
 
-    def answer(self, reply: Reply) -> None:
-        if self.answered or self.transport is None:
+    def on_message_complete(self) -> None:
+        """Answer the call."""
+        if self._is_request_complete:
+            return
+        self._is_request_complete = True
+        path, _, query = self._target.partition(b"?")
+        request = AdminRequest(self._parser.get_method(), path, query.decode("latin-1"))
+        self._respond(self._server.handle(request))
+
+    def abort(self) -> None:
+        """Close the connection at once."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def _respond(self, response: AdminResponse) -> None:
+        if self._is_answered or self._transport is None:
             return
-        self.answered = True
-        body = reply.text.encode() + b"\n"
-        head = b"Content-Type: text/plain\r\nConnection: close\r\nContent-Length: %d\r\n" % len(body)
-        if reply.allow:
-            head += b"Allow: %s\r\n" % reply.allow
-        line = b"HTTP/1.1 %d %s\r\n" % (reply.status, REASONS[reply.status])
-        self.transport.write(line + head + b"\r\n" + body)
-        self.transport.close()
+        self._is_answered = True
+        self._transport.write(_serialize(response))
+        self._transport.close()
 
 
-class Admin:
-    """Hazard: callers that stall must take no descriptor from clients: they are few, and the oldest goes."""
+class AdminServer:
+    """The connections of operators: few, so that callers that stall take no descriptors from clients."""
 
     def __init__(self, routes: dict[bytes, Route]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.routes = routes
-        self.callers: dict[Caller, None] = {}  # in the order of their coming
-        self.listener: Listener | None = None
-
-    async def listen(self, address: tuple[str, int]) -> None:
-        """Raises OSError where the address stays taken."""
-        self.listener = Listener(await listen_at(address, BACKLOG, LISTEN_PATIENCE_S), lambda sock: Caller(self))
-        self.listener.start()
-
-    def connected(self, caller: Caller) -> None:
-        if len(self.callers) >= MOST_CALLERS:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
-            if oldest.transport is not None:
-                oldest.transport.abort()
-        self.callers[caller] = None
-
-    def reply(self, method: bytes, path: bytes, query: str) -> Reply:
-        route = self.routes.get(path)
+        self._routes = routes
+        self._connections: dict[AdminConnection, None] = {}  # in order of arrival
+        self._listener: Listener | None = None
+
+    async def listen(self, address: Address) -> None:
+        """Accept operators from now on.
+
+        Raises:
+            OSError: the address stays taken.
+        """
+        sock = await listen_at(address, BACKLOG, LISTEN_PATIENCE_S)
+        self._listener = Listener(sock, lambda _: AdminConnection(self))
+        self._listener.start()
+
+    def add(self, connection: AdminConnection) -> None:
+        """Keep a new connection, at the expense of the oldest one if there are too many."""
+        if len(self._connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self._connections))
+            del self._connections[oldest]
+            oldest.abort()
+        self._connections[connection] = None
+
+    def remove(self, connection: AdminConnection) -> None:
+        """Forget a connection that has ended."""
+        self._connections.pop(connection, None)
+
+    def handle(self, request: AdminRequest) -> AdminResponse:
+        """Answer a call."""
+        route = self._routes.get(request.path)
         if route is None:
-            return Reply(404, "unknown call")
-        if method != route.method:
-            return Reply(405, "not the method of this call", route.method)
-        yes, text = route.call(query)
-        if method == b"POST":
-            log.info("an operator called %s: %s", path.decode(), text)
-        return Reply(200 if yes else 503, text)
+            return AdminResponse(HTTPStatus.NOT_FOUND, "unknown call")
+        if request.method != route.method:
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "not the method of this call", route.method)
+        response = route.handle(request)
+        if request.method == b"POST":
+            log.info("an operator called %s: %s", request.path.decode(), response.text)
+        return response
+
+
+def _serialize(response: AdminResponse) -> bytes:
+    body = response.text.encode() + b"\n"
+    lines = [
+        b"HTTP/1.1 %d %s" % (response.status, REASONS[response.status]),
+        b"Content-Type: text/plain",
+        b"Connection: close",
+        b"Content-Length: %d" % len(body),
+    ]
+    if response.allowed_method:
+        lines.append(b"Allow: %s" % response.allowed_method)
+    return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- a/garnetusher/sidecar/configuration.py
+++ b/garnetusher/sidecar/configuration.py
@@ -1,65 +1,254 @@
-"""The configuration of one sidecar: the JSON file that BALANCER_CONFIG names."""
+"""The configuration of one sidecar: the JSON file that BALANCER_CONFIG names, and what the environment adds.
+
+The keys of the file are the platform's own; this module is where they become the sidecar's names.
+"""
 
 from __future__ import annotations
 
 import json
 import socket
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from pathlib import Path
+from typing import Any, TypeVar
 
+from garnetusher.errors import GarnetusherError
 from garnetusher.policy.settings import Settings
 from garnetusher.policy.settings_text import settings_from_pairs
+from garnetusher.sidecar.addresses import Address, AddressError, parse_address
+
+ENVIRONMENT = "environment"  # the place of what is no part of the file
+CONFIG_VARIABLE = "BALANCER_CONFIG"
+ADMIN_VARIABLE = "BALANCER_ADMIN"
+SOCKET_VARIABLE = "BALANCER_SOCKET_FD"
+
+FLEET_KEY = "fleet"
+REGIONS_KEY = "regions"
+
+SEED_BASE = 16
+BYTES_PER_MB = 1024 * 1024
+DEFAULT_MEMORY_BYTES = 192 * BYTES_PER_MB
+
+# Keys that a file may lack though the one before had them: they may be absent, or serve the start only.
+OPTIONAL_KEYS = frozenset(("known", "accounts", "aim-stretch", "passes-deadline", "warm-keys"))
+
+_Number = TypeVar("_Number", int, float)
+
+
+class ConfigurationError(GarnetusherError, ValueError):
+    """A configuration that cannot be used.
+
+    Attributes:
+        key: the key whose value is wrong or missing.
+        place: the path of the object that has the key; empty for the file as a whole.
+        expected: what the value should be.
+        found: what is there instead.
+    """
+
+    def __init__(self, key: str, place: str, expected: str, found: object) -> None:
+        super().__init__(f"{_path(place, key)}: expected {expected}, found {found!r}")
+        self.key = key
+        self.place = place
+        self.expected = expected
+        self.found = found
+
+
+class _Nothing:
+    """Stands for the value of a key that is missing."""
+
+    def __repr__(self) -> str:
+        return "nothing"
+
+
+NOTHING = _Nothing()
+
+
+@dataclass(slots=True)
+class MembershipSection:
+    """The file's `fleet.membership`, which switches on what `garnetusher.sidecar.membership` does.
+
+    Attributes:
+        value: the section as it was read; whoever uses it checks it.
+        instance_name: the name of this sidecar.
+    """
+
+    value: object
+    instance_name: str
 
 
 @dataclass(slots=True)
 class Configuration:
-    """All that a sidecar is told at its start."""
+    """All that a sidecar is told at its start.
 
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    Attributes:
+        listen: where clients connect.
+        discovery: where the endpoint list is.
+        seed: of the policy's random draws.
+        max_descriptors: file descriptors that it may have open.
+        settings: the policy's settings.
+        zones: the names of the zones, by their index in the settings.
+        machine_types: likewise of machine types.
+        idle_timeout_us: upstreams close a connection that has been idle for this long.
+        cached_endpoints: the endpoint list as last known, in discovery's form; None if there is none.
+        admin: where operators call; None if nowhere.
+        memory_bytes: memory that it may use.
+        membership: what switches on membership; None if it is off.
+        document: the file as it was read, to compare a later one with it.
+    """
+
+    listen: Address
+    discovery: Address
     seed: int
-    max_descriptors: int  # file descriptors that it may hold
+    max_descriptors: int
     settings: Settings
     zones: list[str]
     machine_types: list[str]
-    idle_timeout_us: int  # upstreams close a connection that has been idle for this long
-    cached_endpoints: Any  # the upstream list as last had, in discovery's form
-    admin: tuple[str, int] | None = None  # where operators call
-    memory_bytes: int = 192 * 1024 * 1024  # bytes that it may take
-    raw: Any = None  # the file, as it was read
+    idle_timeout_us: int
+    cached_endpoints: object
+    admin: Address | None = None
+    memory_bytes: int = DEFAULT_MEMORY_BYTES
+    membership: MembershipSection | None = None
+    document: object = None
 
 
-# Keys that a file may lack though the one before had them: they may be absent, or serve the start only.
-OPTIONAL = frozenset(("known", "accounts", "aim-stretch", "passes-deadline", "warm-keys"))
-
-
-def missing(before: Any, after: Any, path: str = "") -> str:
-    """The first key of one file that its successor lacks, as one cut short or half written would; else ""."""
-    if isinstance(before, Mapping):
-        if not isinstance(after, Mapping):
-            return path
-        for key in before.keys() - OPTIONAL:
-            inner = f"{path}.{key}" if path else str(key)
-            found = inner if key not in after else missing(before[key], after[key], inner)
-            if found:
-                return found
-    elif isinstance(before, list) and before and all(isinstance(item, Mapping) for item in before):
-        common = {key: None for key in before[0] if all(key in item for item in before)}
-        for place, item in enumerate(after if isinstance(after, list) else [None]):
-            found = missing(common, item, f"{path}.{place}")
-            if found:
-                return found
-    return ""
+class _Section:
+    """An object of the file, whose values are read with checks."""
+
+    def __init__(self, value: object, place: str, key: str) -> None:
+        if not isinstance(value, Mapping):
+            raise ConfigurationError(key, place, "an object", value)
+        self.value = value
+        self.place = _path(place, key)
+
+    def get(self, key: str) -> Any:
+        """Return a value of any type."""
+        if key not in self.value:
+            raise ConfigurationError(key, self.place, "a value", NOTHING)
+        return self.value[key]
+
+    def section(self, key: str) -> _Section:
+        return _Section(self.get(key), self.place, key)
+
+    def items(self, key: str) -> list[Any]:
+        value = self.get(key)
+        if not isinstance(value, list):
+            raise ConfigurationError(key, self.place, "a list", value)
+        return list(value)
+
+    def sections(self, key: str) -> list[_Section]:
+        place = _path(self.place, key)
+        return [_Section(value, place, str(index)) for index, value in enumerate(self.items(key))]
+
+    def number(self, number_type: Callable[[Any], _Number], key: str) -> _Number:
+        """Return a number, which may also stand in the file as text."""
+        value = self.get(key)
+        try:
+            return number_type(value)
+        except (TypeError, ValueError, OverflowError):
+            raise ConfigurationError(key, self.place, "a number", value) from None
+
+    def require_positive(self, key: str) -> None:
+        value = self.get(key)
+        if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
+            raise ConfigurationError(key, self.place, "a positive number", value)
+
+    def address(self, key: str) -> Address:
+        return _address(self.get(key), self.place, key)
+
+    def seed(self, key: str) -> int:
+        text = self.get(key)
+        try:
+            return int(text, SEED_BASE)
+        except (TypeError, ValueError):
+            raise ConfigurationError(key, self.place, "a hexadecimal number", text) from None
+
+
+def load(path: str, admin: str | None = None) -> Configuration:
+    """Read and check the file.
+
+    Args:
+        path: the file.
+        admin: the operators' address by the environment, which goes before the file's: it tells two processes apart
+            that have the same file.
+
+    Raises:
+        OSError: the file cannot be read.
+        ConfigurationError: it is malformed.
+        SettingsTextError: a setting of the policy is missing or wrong.
+    """
+    file = _read(path)
+    settings_section = file.section("settings")
+    for request_class in settings_section.sections("request-classes"):
+        request_class.get("name")
+        request_class.require_positive("aim")
+        request_class.require_positive("deadline")
+    bounds = settings_section.section("bounds")
+    bounds.require_positive("most-tries")
+    zones = settings_section.items("areas")
+    settings = settings_from_pairs(flatten(settings_section.value))
+    settings.zone_regions = _zone_regions(zones, file)
+    limits = file.section("limits")
+    return Configuration(
+        listen=file.address("listen"),
+        discovery=file.address("discovery"),
+        seed=file.seed("seed"),
+        max_descriptors=limits.number(int, "sockets"),
+        settings=settings,
+        zones=zones,
+        machine_types=settings_section.items("kinds"),
+        idle_timeout_us=bounds.number(_whole, "conn-idle"),
+        cached_endpoints=file.value.get("known"),
+        admin=_admin_address(file, admin),
+        memory_bytes=limits.number(_megabytes, "memory_mb"),
+        membership=_membership(file),
+        document=file.value,
+    )
+
 
+def reload(path: str, previous: Configuration) -> Configuration:
+    """Read the file that replaces one in force.
 
-def positive(value: object, what: str) -> None:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        raise ValueError(f"{what}: expected a positive number, got {value!r}")
+    A zone keeps its index, so that what is known of it and what operators have ordered stays with it.
+
+    Raises:
+        OSError: the file cannot be read.
+        ConfigurationError: it is malformed, or incomplete, as one that is still being written may be.
+        SettingsTextError: a setting of the policy is missing or wrong.
+    """
+    configuration = load(path)
+    missing = first_missing_key(previous.document, configuration.document)
+    if missing:
+        place, _, key = missing.rpartition(".")
+        raise ConfigurationError(key, place, "a value, as in the file before", NOTHING)
+    _keep_zone_indexes(configuration, previous.zones)
+    return configuration
+
+
+def inherited_socket(text: str) -> socket.socket:
+    """Return the clients' listening socket, which the platform holds.
+
+    Args:
+        text: its descriptor.
+
+    Raises:
+        ConfigurationError: it is no listening socket.
+    """
+    if not text.isdecimal():
+        raise ConfigurationError(SOCKET_VARIABLE, ENVIRONMENT, "a descriptor's number", text)
+    try:
+        sock = socket.socket(fileno=int(text))
+    except (OSError, OverflowError) as error:
+        found = f"descriptor {text}, which is no socket: {error}"
+        raise ConfigurationError(SOCKET_VARIABLE, ENVIRONMENT, "a socket", found) from None
+    if sock.type != socket.SOCK_STREAM or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        found = f"descriptor {text}, which is no listening socket"
+        raise ConfigurationError(SOCKET_VARIABLE, ENVIRONMENT, "a listening socket", found)
+    return sock
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested settings as the path=value pairs of the simulator's first message."""
+    """Return nested settings as the path=value pairs of the simulator's first message."""
+    items: list[tuple[object, object]]
     if isinstance(value, Mapping):
         items = list(value.items())
     elif isinstance(value, list) and (not value or isinstance(value[0], Mapping)):
@@ -70,88 +259,111 @@
         return {path: str(value).lower() if isinstance(value, bool) else str(value)}
     pairs: dict[str, str] = {}
     for key, item in items:
-        pairs |= flatten(item, f"{path}.{key}" if path else str(key))
+        pairs |= flatten(item, _path(path, str(key)))
     return pairs
 
 
-def parse_address(text: str) -> tuple[str, int]:
-    """The two parts of `host:port`."""
-    host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdecimal() or int(port) >= 1 << 16:
-        raise ValueError(f"expected host:port, got {text!r}")
-    return host, int(port)
+def first_missing_key(previous: object, current: object, path: str = "") -> str:
+    """Return the path of a key that a file lacks though its predecessor has it, as one cut short would; else ""."""
+    if isinstance(previous, Mapping):
+        return _first_missing_of_object(previous, current, path)
+    if isinstance(previous, list) and previous and all(isinstance(item, Mapping) for item in previous):
+        return _first_missing_of_list(previous, current, path)
+    return ""
 
 
-def inherited_socket(text: str) -> socket.socket:
-    """The clients' listening socket, which the platform holds; raises ValueError on anything else."""
-    if not text.isdecimal():
-        raise ValueError(f"BALANCER_SOCKET_FD: expected a descriptor's number, got {text!r}")
-    try:
-        sock = socket.socket(fileno=int(text))
-    except (OSError, OverflowError) as error:
-        raise ValueError(f"BALANCER_SOCKET_FD: descriptor {text} is no socket: {error}") from None
-    if sock.type != socket.SOCK_STREAM or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        raise ValueError(f"BALANCER_SOCKET_FD: descriptor {text} is no listening socket")
-    return sock
+def _first_missing_of_object(previous: Mapping[str, object], current: object, path: str) -> str:
+    if not isinstance(current, Mapping):
+        return path
+    for key in previous.keys() - OPTIONAL_KEYS:
+        inner_path = _path(path, str(key))
+        if key not in current:
+            return inner_path
+        missing = first_missing_key(previous[key], current[key], inner_path)
+        if missing:
+            return missing
+    return ""
 
 
-def reload(path: str, before: Configuration) -> Configuration:
-    """The file that has taken the place of one in force; raises as `load`, on what is incomplete too.
+def _first_missing_of_list(previous: list[Mapping[str, object]], current: object, path: str) -> str:
+    """Compare each item with the keys that all items had before, as items may come, go and change places."""
+    common = {key: None for key in previous[0] if all(key in item for item in previous)}
+    for index, item in enumerate(current if isinstance(current, list) else [None]):
+        missing = first_missing_key(common, item, f"{path}.{index}")
+        if missing:
+            return missing
+    return ""
+
+
+def _read(path: str) -> _Section:
+    text = Path(path).read_bytes()
+    try:
+        value: object = json.loads(text.decode("utf-8"))
+    except ValueError as error:
+        raise ConfigurationError(CONFIG_VARIABLE, ENVIRONMENT, "a JSON file", f"{path}: {error}") from None
+    if not isinstance(value, dict):
+        raise ConfigurationError(CONFIG_VARIABLE, ENVIRONMENT, "a file with an object", value)
+    return _Section(value, "", "")
+
 
-    A zone keeps its place, so that what is known and ordered of it stays its own."""
-    after = load(path)
-    key = missing(before.raw, after.raw)
-    if key:
-        raise ValueError(f"the key {key} is missing")
-    here, names = after.zones[after.settings.zone : after.settings.zone + 1], after.zones
-    regions = dict(zip(names, after.settings.zone_regions, strict=False))
-    after.zones = before.zones + [name for name in names if name not in before.zones]
-    after.settings.zone = after.zones.index(here[0]) if here else after.settings.zone
-    after.settings.zone_regions = [regions.get(name, 0) for name in after.zones] if regions else []
-    return after
+def _keep_zone_indexes(configuration: Configuration, previous_zones: list[str]) -> None:
+    settings, names = configuration.settings, configuration.zones
+    own_names = names[settings.zone : settings.zone + 1]  # none if its index is out of range
+    regions = dict(zip(names, settings.zone_regions, strict=False))
+    configuration.zones = previous_zones + [name for name in names if name not in previous_zones]
+    if own_names:
+        settings.zone = configuration.zones.index(own_names[0])
+    settings.zone_regions = [regions.get(name, 0) for name in configuration.zones] if regions else []
 
 
-def regions_of(zones: list[str], fleet: Any) -> list[int]:
-    """The region of each zone, as `fleet.regions` names them; none where it does not."""
-    named = fleet.get("regions") if isinstance(fleet, Mapping) else None
-    if named is None:
+def _zone_regions(zones: list[str], file: _Section) -> list[int]:
+    """Return the region of each zone, as `fleet.regions` names them; none where it does not."""
+    fleet = file.value.get(FLEET_KEY)
+    regions = fleet.get(REGIONS_KEY) if isinstance(fleet, Mapping) else None
+    if regions is None:
         return []
-    if not isinstance(named, Mapping) or not all(isinstance(some, list) for some in named.values()):
-        raise ValueError("fleet.regions: expected lists of zones by region")
-    place = {zone: number for number, some in enumerate(named.values()) for zone in some}
-    lacking = [zone for zone in zones if zone not in place]
+    if not isinstance(regions, Mapping) or not all(isinstance(names, list) for names in regions.values()):
+        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "lists of zones by region", regions)
+    try:
+        region_of = {zone: index for index, names in enumerate(regions.values()) for zone in names}
+        lacking = [zone for zone in zones if zone not in region_of]
+    except TypeError:
+        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "lists of zones' names", regions) from None
     if lacking:
-        raise ValueError(f"fleet.regions: expected each zone in a region, {lacking[0]} is in none")
-    return [place[zone] for zone in zones]
+        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "each zone in a region", f"{lacking[0]} in none")
+    return [region_of[zone] for zone in zones]
 
 
-def load(path: str, admin: str | None = None) -> Configuration:
-    """Read and check the file; raises ValueError, KeyError or SettingsTextError on what is malformed.
-
-    `admin` is what the environment says of that address: of two processes that are told the same file, it
-    tells them apart, so it goes before the file."""
-    with open(path, encoding="utf-8") as file:
-        raw = json.load(file)
-    settings = raw["settings"]
-    for kind in settings["request-classes"]:
-        for key in ("aim", "deadline"):
-            positive(kind[key], f"{key} of class {kind['name']}")
-    positive(settings["bounds"]["most-tries"], "most-tries")
-    pairs = flatten(settings)
-    admin = admin or raw.get("admin")
-    values = settings_from_pairs(pairs)
-    values.zone_regions = regions_of(list(settings["areas"]), raw.get("fleet"))
-    return Configuration(
-        listen=parse_address(raw["listen"]),
-        discovery=parse_address(raw["discovery"]),
-        seed=int(raw["seed"], 16),
-        max_descriptors=int(raw["limits"]["sockets"]),
-        settings=values,
-        zones=list(settings["areas"]),
-        machine_types=list(settings["kinds"]),
-        idle_timeout_us=int(float(pairs["bounds.conn-idle"])),
-        cached_endpoints=raw.get("known"),
-        admin=parse_address(admin) if admin else None,
-        memory_bytes=int(float(raw["limits"]["memory_mb"]) * 1024 * 1024),
-        raw=raw,
-    )
+def _admin_address(file: _Section, from_environment: str | None) -> Address | None:
+    if from_environment:
+        return _address(from_environment, ENVIRONMENT, ADMIN_VARIABLE)
+    text = file.value.get("admin")
+    return _address(text, "", "admin") if text else None
+
+
+def _membership(file: _Section) -> MembershipSection | None:
+    fleet = file.value.get(FLEET_KEY)
+    if not isinstance(fleet, Mapping) or "membership" not in fleet:
+        return None
+    return MembershipSection(fleet["membership"], str(file.value.get("name", "")))
+
+
+def _address(text: object, place: str, key: str) -> Address:
+    if not isinstance(text, str):
+        raise ConfigurationError(key, place, "host:port", text)
+    try:
+        return parse_address(text)
+    except AddressError:
+        raise ConfigurationError(key, place, "host:port", text) from None
+
+
+def _whole(value: object) -> int:
+    return int(float(str(value)))
+
+
+def _megabytes(value: Any) -> int:
+    return int(float(value) * BYTES_PER_MB)
+
+
+def _path(place: str, key: str) -> str:
+    return f"{place}.{key}" if place else key
--- a/garnetusher/sidecar/lifecycle.py
+++ b/garnetusher/sidecar/lifecycle.py
@@ -1,4 +1,4 @@
-"""What this process is doing: the one place that knows, which all others ask."""
+"""The state of this process: readiness, draining and shutdown go by it, and nothing else holds a copy."""
 
 from __future__ import annotations
 
@@ -8,56 +8,62 @@
 
 
 class LifecycleState(enum.Enum):
-    STARTING = "starting"  # it has no list to serve from yet
+    """What this process is doing."""
+
+    STARTING = "starting"  # it does not accept clients yet
     SERVING = "serving"
-    DRAINING = "draining"  # an operator has asked its clients away, for a time
-    STOPPING = "stopping"  # it ends, and nothing turns that back
+    DRAINING = "draining"  # an operator has asked clients to go elsewhere, for a time
+    STOPPING = "stopping"  # it shuts down, and nothing reverses that
 
 
 class Lifecycle:
-    """Stopping wins over draining, draining over the rest; each may be told again without effect."""
+    """Holds the state: stopping overrides draining, which overrides the others. Repeated calls change nothing."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
         self._started = False
-        self._drained_at: float | None = None
-        self._stopped_at: float | None = None
+        self._drained_at_s: float | None = None
+        self._stopped_at_s: float | None = None
 
     @property
     def state(self) -> LifecycleState:
-        if self._stopped_at is not None:
+        """The present state."""
+        if self._stopped_at_s is not None:
             return LifecycleState.STOPPING
-        if self._drained_at is not None:
+        if self._drained_at_s is not None:
             return LifecycleState.DRAINING
         return LifecycleState.SERVING if self._started else LifecycleState.STARTING
 
     @property
     def serving(self) -> bool:
-        """Whether clients are told to come."""
+        """Whether the readiness check tells clients to come."""
         return self.state is LifecycleState.SERVING
 
     @property
     def closing(self) -> bool:
-        """Whether each answer is the last one of its connection."""
+        """Whether each connection closes after its next response."""
         return self.state in (LifecycleState.DRAINING, LifecycleState.STOPPING)
 
     @property
     def closing_for_s(self) -> float:
-        """How long it has been so; 0 while it is not."""
-        at = self._drained_at if self._stopped_at is None else self._stopped_at
-        return 0.0 if at is None else self._clock() - at
+        """For how long connections have been closing; 0 while they are not."""
+        since_s = self._drained_at_s if self._stopped_at_s is None else self._stopped_at_s
+        return 0.0 if since_s is None else self._clock() - since_s
 
     def start(self) -> None:
+        """Serve from now on."""
         self._started = True
 
     def drain(self) -> None:
-        """Hazard: told again, it must not put off the moment when idle connections close."""
-        if self._drained_at is None:
-            self._drained_at = self._clock()
+        """Drain until `undrain`; a repeated call does not put off when idle connections close."""
+        if self._drained_at_s is None:
+            self._drained_at_s = self._clock()
 
     def undrain(self) -> None:
-        self._drained_at = None
+        """End a drain."""
+        self._drained_at_s = None
 
     def stop(self) -> None:
-        if self._stopped_at is None:
-            self._stopped_at = self._clock()
+        """Shut down."""
+        if self._stopped_at_s is None:
+            self._stopped_at_s = self._clock()
--- a/garnetusher/sidecar/logs.py
+++ b/garnetusher/sidecar/logs.py
@@ -1,4 +1,4 @@
-"""The log of this process on standard error, which must never hold the process up."""
+"""The log of this process on standard error, which must never block the process."""
 
 from __future__ import annotations
 
@@ -7,54 +7,65 @@
 import select
 import time
 
-LINES_A_SECOND = 5
-LONGEST_LINE = 4096  # bytes: what a pipe takes whole, or not at all, without blocking once it says that it takes any
+STANDARD_ERROR = 2
+MAX_LINES_PER_SECOND = 5
+MAX_LINE_BYTES = 4096  # a pipe that takes anything at all takes this much at once, without blocking
 
 
 class RateLimit(logging.Filter):
-    """Lets a few lines a second through."""
+    """Lets a few records a second through."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.second = 0
-        self.lines = 0
+        self._second = 0
+        self._line_count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether the record is within the limit."""
         second = int(time.monotonic())
-        if second != self.second:
-            self.second, self.lines = second, 0
-        self.lines += 1
-        return self.lines <= LINES_A_SECOND
+        if second != self._second:
+            self._second = second
+            self._line_count = 0
+        self._line_count += 1
+        return self._line_count <= MAX_LINES_PER_SECOND
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes a line where it can be written at once, and leaves it out where not: a log may be a pipe, and whoever
-    reads it may have stopped. The next line that is written tells how many are missing."""
+    """Writes a line if that does not block, and drops it otherwise: whoever reads the log may have stopped.
+
+    The next line that is written says how many were dropped.
+    """
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
-        self.descriptor = descriptor
-        self.dropped = 0
+        self._descriptor = descriptor
+        self._dropped_count = 0
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Write a record, or count it as dropped."""
         line = self.format(record)
-        if self.dropped:
-            line = f"({self.dropped} lines are missing here)\n{line}"
-        data = line.encode(errors="backslashreplace")[: LONGEST_LINE - 1] + b"\n"
+        if self._dropped_count:
+            line = f"({self._dropped_count} lines are missing here)\n{line}"
+        data = line.encode(errors="backslashreplace")[: MAX_LINE_BYTES - 1] + b"\n"
+        if self._write(data):
+            self._dropped_count = 0
+        else:
+            self._dropped_count += 1
+
+    def _write(self, data: bytes) -> bool:
         try:
-            self.dropped = 0 if self.takes_more() and os.write(self.descriptor, data) else self.dropped + 1
-        except OSError:  # a full disk, an end without a reader: no log is worth the process
-            self.dropped += 1
+            return self._is_writable() and os.write(self._descriptor, data) > 0
+        except OSError:  # a full disk, a pipe without a reader: the process goes on without its log
+            return False
 
-    def takes_more(self) -> bool:
-        """Whether a write would not block."""
-        look = select.poll()
-        look.register(self.descriptor, select.POLLOUT)
-        return any(event & select.POLLOUT for _, event in look.poll(0))
+    def _is_writable(self) -> bool:
+        poll = select.poll()
+        poll.register(self._descriptor, select.POLLOUT)
+        return any(event & select.POLLOUT for _, event in poll.poll(0))
 
 
-def configure(descriptor: int = 2) -> None:
-    """All of this process's log goes to that descriptor."""
+def configure(descriptor: int = STANDARD_ERROR) -> None:
+    """Write all of this process's log to a descriptor."""
     handler = NonBlockingHandler(descriptor)
     handler.addFilter(RateLimit())
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", handlers=[handler])
--- a/garnetusher/sidecar/reload.py
+++ b/garnetusher/sidecar/reload.py
@@ -1,4 +1,4 @@
-"""The file that replaces the configuration in force: read at SIGHUP, and again while it is not whole yet."""
+"""Takes the file that replaces the configuration in force: at SIGHUP, and again while it is not in order yet."""
 
 from __future__ import annotations
 
@@ -6,54 +6,78 @@
 import logging
 import os
 from collections.abc import Callable
+from dataclasses import dataclass
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.05  # between looks at a file that could not be taken
-# what discovery tells at its new address counts as told 4 s after the signal, and its old one ends before that
-PATIENCE_S = 5.0
-Stamp = tuple[int, int, int]  # what tells one state of a file from the next
+RETRY_INTERVAL_S = 0.05  # between looks at a file that could not be taken
+# A change counts as known to the sidecar 4 s after the signal if discovery sends it from its new address; discovery's
+# old address ends before that.
+RETRY_FOR_S = 5.0
 
 
-def stamp_of(path: str) -> Stamp:
-    """The file's inode, size and time of change; raises OSError."""
-    status = os.stat(path)
-    return status.st_ino, status.st_size, status.st_mtime_ns
+@dataclass(frozen=True, slots=True)
+class FileState:
+    """What tells one state of a file from the next."""
+
+    inode: int
+    size: int
+    modified_ns: int
+
+    @classmethod
+    def of(cls, path: str) -> FileState:
+        """Return the present state of a file.
+
+        Raises:
+            OSError: the file is absent, or this machine is short of resources.
+        """
+        status = os.stat(path)
+        return cls(status.st_ino, status.st_size, status.st_mtime_ns)
 
 
 class Reloader:
-    """Takes a file at each signal. One that is not in order is left, and looked at again for some seconds: it may be
-    half written, or this machine may be short of what reading it takes, and no second signal would follow."""
+    """Takes a file at each signal.
+
+    A file that is not in order is left, and looked at again for some seconds: it may be half written, or this machine
+    may be short of what reading it takes, and no second signal would follow.
+    """
 
     def __init__(self, path: str, take: Callable[[str], None]) -> None:
-        """`take` takes all of a file or raises, and then has changed nothing."""
-        self.loop = asyncio.get_running_loop()
-        self.path, self.take = path, take
-        self.ends_at = 0.0
-        self.rejected: Stamp | None = None  # the state of the file that was not in order
-        self.timer: asyncio.TimerHandle | None = None
+        """Wait for signals.
+
+        Args:
+            path: the file.
+            take: takes all of the file, or raises and then has changed nothing.
+        """
+        self._loop = asyncio.get_running_loop()
+        self._path = path
+        self._take = take
+        self._retry_until_s = 0.0  # on the event loop's clock
+        self._rejected: FileState | None = None  # the state of the file that was not in order
+        self._timer: asyncio.TimerHandle | None = None
 
     def signal(self) -> None:
-        """The file has been replaced, or is being replaced."""
-        self.ends_at = self.loop.time() + PATIENCE_S
-        self.rejected = None
-        if self.timer is not None:
-            self.timer.cancel()
-        self.look(first=True)
-
-    def look(self, first: bool = False) -> None:
-        """Take the file if it has changed since it was rejected."""
-        self.timer = None
-        stamp: Stamp | None = None
+        """Look at the file, which has been replaced or is being replaced."""
+        self._retry_until_s = self._loop.time() + RETRY_FOR_S
+        self._rejected = None
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        self._look(log_failure=True)
+
+    def _look(self, *, log_failure: bool = False) -> None:
+        """Take the file if it has changed since it was rejected; otherwise look again after a moment."""
+        self._timer = None
+        state: FileState | None = None
         try:
-            stamp = stamp_of(self.path)
-            if stamp != self.rejected:
-                self.take(self.path)
+            state = FileState.of(self._path)
+            if state != self._rejected:
+                self._take(self._path)
                 return
-        except Exception as error:  # hazard: whatever is wrong with it, the running sidecar must go on
+        except Exception as error:  # whatever is wrong with the file, the running sidecar must go on
             if not isinstance(error, OSError):
-                self.rejected = stamp
-            if first:
+                self._rejected = state
+            if log_failure:
                 log.warning("the configuration is not taken, all stays as it was: %r", error)
-        if self.loop.time() < self.ends_at:
-            self.timer = self.loop.call_later(RETRY_S, self.look)
+        if self._loop.time() < self._retry_until_s:
+            self._timer = self._loop.call_later(RETRY_INTERVAL_S, self._look)
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -1,11 +1,12 @@
-"""The parts of one sidecar, which are made, started and given new settings together."""
+"""Composition: the parts of one sidecar, which are made, started and given new settings together."""
 
 from __future__ import annotations
 
 import logging
 import socket
 
-from garnetusher.sidecar import configuration as config
+from garnetusher.sidecar import configuration as configurations
+from garnetusher.sidecar.configuration import Configuration
 from garnetusher.sidecar.discovery.endpoint_list import EndpointList
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from garnetusher.sidecar.downstream.connection import DownstreamServer
@@ -17,35 +18,58 @@
 
 log = logging.getLogger(__name__)
 
-OWN_MEMORY = 20 * 1024 * 1024  # bytes that the program takes without any request
-MEMORY_PART = 0.75  # of the limit; the rest is for short requests and for what the allocator keeps
+BASE_MEMORY_BYTES = 20 * 1024 * 1024  # what the program takes without any request
+USABLE_MEMORY_FRACTION = 0.75  # of the limit; the rest is for short requests and for what the allocator keeps
+CLIENT_DESCRIPTOR_DIVISOR = (
+    2  # clients have a third of the descriptors at most, in both processes of a takeover together
+)
+PROCESSES_AT_TAKEOVER = 2  # which share the limits while one takes over from the other
 
 
 class Sidecar:
-    """The parts that are retuned together."""
+    """The parts of one sidecar.
 
-    def __init__(self, settings: config.Configuration, inherited: socket.socket | None = None) -> None:
-        self.configuration = settings
+    Attributes:
+        configuration: the configuration in force.
+        lifecycle: what the process is doing.
+        trace: the latest events, and counters.
+        connection_pool: the connections to upstreams.
+        dispatcher: the requests in flight, and the policy.
+        endpoint_list: the endpoints that discovery has listed.
+        endpoint_watcher: the watch on the endpoint list.
+        server: the connections of clients.
+    """
+
+    def __init__(self, configuration: Configuration, inherited: socket.socket | None = None) -> None:
+        """Make the parts.
+
+        Args:
+            configuration: the configuration to begin with.
+            inherited: the listening socket, if the platform holds it and another process may have it too.
+        """
+        settings = configuration.settings
+        self.configuration = configuration
         self.lifecycle = Lifecycle()
         self.trace = Trace()
-        self.connection_pool = ConnectionPool(
-            settings.idle_timeout_us, settings.settings.connect_timeout_us, self.trace
-        )
-        self.dispatcher = RequestDispatcher(settings.settings, settings.seed, self.connection_pool, self.trace)
-        self.endpoint_list = EndpointList(settings.zones, settings.machine_types)
+        self.connection_pool = ConnectionPool(configuration.idle_timeout_us, settings.connect_timeout_us, self.trace)
+        self.dispatcher = RequestDispatcher(settings, configuration.seed, self.connection_pool, self.trace)
+        self.endpoint_list = EndpointList(configuration.zones, configuration.machine_types)
         self.endpoint_watcher = EndpointWatcher(
-            settings.discovery, self.endpoint_list, self.dispatcher.on_endpoints_updated
+            configuration.discovery, self.endpoint_list, self.dispatcher.on_endpoints_updated
         )
         self.dispatcher.watch_endpoints = self.endpoint_watcher.watch_endpoints
-        processes = 1 if inherited is None else 2  # which share the limits
-        room = int(settings.memory_bytes * MEMORY_PART / processes) - OWN_MEMORY
-        # clients hold a third of the descriptors at most, in both processes together
+        process_count = 1 if inherited is None else PROCESSES_AT_TAKEOVER
+        usable_bytes = int(configuration.memory_bytes * USABLE_MEMORY_FRACTION / process_count)
         self.server = DownstreamServer(
-            self.dispatcher, settings.settings, settings.max_descriptors // 2, self.lifecycle, room
+            self.dispatcher,
+            settings,
+            configuration.max_descriptors // CLIENT_DESCRIPTOR_DIVISOR,
+            self.lifecycle,
+            usable_bytes - BASE_MEMORY_BYTES,
         )
 
     def start(self) -> None:
-        """Take the list as it was known, and let the module or the network side ask for a new one."""
+        """Load the cached endpoint list, and let the policy or the watcher ask for a new one."""
         if self.configuration.cached_endpoints:
             self.endpoint_watcher.load_cached(self.configuration.cached_endpoints)
         if not self.configuration.settings.poll_endpoints:
@@ -53,19 +77,30 @@
         self.dispatcher.start()
 
     def reload(self, path: str) -> None:
-        """Take the file anew: all of it, once it has been checked whole; raises on what is wrong with it."""
-        settings = config.reload(path, self.configuration)
-        before, self.configuration = self.configuration, settings
-        self.endpoint_list.zones, self.endpoint_list.machine_types = settings.zones, settings.machine_types
-        self.connection_pool.apply_settings(settings.idle_timeout_us, settings.settings.connect_timeout_us)
-        self.server.router = RequestRouter(settings.settings)
-        self.dispatcher.apply_settings(settings.settings)
-        if settings.discovery != before.discovery:
-            self.endpoint_watcher.move(settings.discovery)
-        if settings.settings.poll_endpoints != before.settings.poll_endpoints:
-            self.endpoint_watcher.watching = not settings.settings.poll_endpoints
-            self.endpoint_watcher.watch_endpoints(self.endpoint_watcher.watching)
+        """Read the file again and put all of it in force.
+
+        Raises:
+            OSError: the file cannot be read; nothing has changed.
+            ConfigurationError: it is malformed or incomplete; nothing has changed.
+            SettingsTextError: a setting of the policy is missing or wrong; nothing has changed.
+        """
+        current = configurations.reload(path, self.configuration)
+        previous, self.configuration = self.configuration, current
+        self.endpoint_list.zones = current.zones
+        self.endpoint_list.machine_types = current.machine_types
+        self.connection_pool.apply_settings(current.idle_timeout_us, current.settings.connect_timeout_us)
+        self.server.router = RequestRouter(current.settings)
+        self.dispatcher.apply_settings(current.settings)
+        self._apply_discovery(previous, current)
         log.info(
             "the configuration is taken anew, with the classes %s",
-            ", ".join(kind.name for kind in settings.settings.classes),
+            ", ".join(request_class.name for request_class in current.settings.classes),
         )
+
+    def _apply_discovery(self, previous: Configuration, current: Configuration) -> None:
+        watcher = self.endpoint_watcher
+        if current.discovery != previous.discovery:
+            watcher.move(current.discovery)
+        if current.settings.poll_endpoints != previous.settings.poll_endpoints:
+            watcher.watching = not current.settings.poll_endpoints
+            watcher.watch_endpoints(watcher.watching)
--- a/tests/machine.py
+++ b/tests/machine.py
@@ -15,7 +15,7 @@
 
 from garnetusher.lab.syscall_faults import Call, FaultBoard
 from tests.net import PATIENCE_S, listening, read_message
-from tests.test_program import configuration, program
+from tests.processes import configuration, program
 from tests.test_sidecar import status
 
 
--- a/tests/net.py
+++ b/tests/net.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from garnetusher.policy.settings import RequestClass, Settings
-from garnetusher.sidecar.__main__ import serve
 from garnetusher.sidecar.configuration import Configuration
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermit
+from garnetusher.sidecar.service import serve
 from garnetusher.sidecar.upstream.pool import Address, ConnectionPool, UpstreamAttempt
 
 PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
--- a/tests/test_operators.py
+++ b/tests/test_admin.py
@@ -8,17 +8,17 @@
 
 import pytest
 
-from garnetusher.sidecar.admin import server as admin
+from garnetusher.sidecar.admin import server as admin_server
 from garnetusher.sidecar.configuration import load
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from tests.net import OK, Upstream, answering, read_message, request, sidecar
-from tests.test_program import configuration
+from tests.processes import configuration
 from tests.test_sidecar import run, status
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def test_stopping_wins_over_draining_and_a_drain_told_twice_goes_on_from_the_first() -> None:
+def test_lifecycle_prefers_stopping_and_keeps_the_first_drain_when_calls_repeat() -> None:
     now = [0.0]
     lifecycle = Lifecycle(lambda: now[0])
     assert lifecycle.state is LifecycleState.STARTING and not lifecycle.serving and not lifecycle.closing
@@ -38,7 +38,7 @@
     assert lifecycle.state is LifecycleState.STOPPING and lifecycle.closing and lifecycle.closing_for_s == 1.0
 
 
-def test_a_drain_started_before_there_is_a_list_ends_where_it_began() -> None:
+def test_lifecycle_keeps_the_drain_when_it_begins_before_the_start() -> None:
     lifecycle = Lifecycle()
     lifecycle.drain()
     lifecycle.start()
@@ -47,7 +47,7 @@
     assert lifecycle.serving
 
 
-def test_a_drained_sidecar_says_no_serves_on_and_comes_back() -> None:
+def test_sidecar_serves_on_and_returns_when_it_is_drained() -> None:
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
             assert await it.call("GET", "/_ready") == 200
@@ -76,7 +76,7 @@
     run(test)
 
 
-def test_sigterm_ends_a_drained_sidecar_and_the_end_of_the_drain_does_not_call_clients_back() -> None:
+def test_sidecar_stays_not_ready_when_a_drain_ends_after_sigterm() -> None:
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
             assert await it.call("POST", "/_lameduck/on") == 200
@@ -104,7 +104,7 @@
         (b"POST /_lameduck/off HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200),
     ],
 )
-def test_a_call_that_is_not_one_gets_an_error_and_changes_nothing(data: bytes, expected: int) -> None:
+def test_admin_server_answers_with_an_error_when_a_call_is_malformed(data: bytes, expected: int) -> None:
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
             reader, writer = await asyncio.open_connection("127.0.0.1", it.admin_port)
@@ -117,8 +117,8 @@
     run(test)
 
 
-def test_callers_that_finish_no_call_hold_up_nobody_and_are_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin, "LONGEST_CALL_S", 0.5)
+def test_admin_server_ends_stalled_connections_when_there_are_many(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(admin_server, "REQUEST_TIMEOUT_S", 0.5)
 
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
@@ -135,7 +135,7 @@
     run(test)
 
 
-def test_the_admin_address_is_the_environments_else_the_files(tmp_path: Path) -> None:
+def test_load_prefers_the_admin_address_of_the_environment_when_both_have_one(tmp_path: Path) -> None:
     path = configuration(tmp_path)
     assert load(str(path)).admin is None
     path.write_text(json.dumps(json.loads(path.read_text()) | {"admin": "127.0.0.1:15000"}))
--- a/tests/test_crossing_stop.py
+++ b/tests/test_crossing_stop.py
@@ -27,8 +27,8 @@
     silent,
     until,
 )
+from tests.processes import SETTINGS, configuration, program
 from tests.test_long import upload
-from tests.test_program import SETTINGS, configuration, program
 from tests.test_sidecar import run, status
 
 LONG_US = 20_000_000  # deadlines far beyond the 3.7 s after which SIGKILL comes at the soonest
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,7 +20,7 @@
 from garnetusher.model import checker, compare, experiment, figures, plan, records
 from garnetusher.model.records import Answered, Asked, Attempt, Ended, Held, Told
 from tests.experiment import ROOT, small, text
-from tests.test_program import DEPLOY
+from tests.processes import DEPLOY
 
 SILENT = """
 [[fault]]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,7 +12,7 @@
 
 from tests.experiment import ROOT
 from tests.net import listing
-from tests.test_program import configuration, program
+from tests.processes import configuration, program
 
 # what a part may import of the project; a deeper name goes before its parent's
 ALLOWED = {
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -31,7 +31,7 @@
     sidecar,
     until,
 )
-from tests.test_program import configuration, program
+from tests.processes import configuration, program
 from tests.test_sidecar import Sink, a_client, run, status
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -18,8 +18,8 @@
 from garnetusher.lab.syscall_faults import Call
 from tests.machine import machine
 from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listening, listing, read_message, request
+from tests.processes import SETTINGS, configuration, program
 from tests.test_crossing_stop import never_up
-from tests.test_program import SETTINGS, configuration, program
 from tests.test_sidecar import run, status
 
 SLACK_MS = 150  # of the time that an attempt tells its upstream, beyond what its client has left
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,7 +19,7 @@
 from garnetusher.sidecar.membership import switch
 from tests.experiment import ROOT
 from tests.net import free_port
-from tests.test_program import configuration
+from tests.processes import configuration
 
 PATIENCE_S = 30.0  # for what takes seconds on a machine of its own
 
--- /dev/null
+++ b/tests/test_reload.py
@@ -0,0 +1,200 @@
+"""A configuration file that replaces another: all of it is put in force, or nothing."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from garnetusher.sidecar.configuration import load
+from garnetusher.sidecar.reload import Reloader
+from garnetusher.sidecar.sidecar import Sidecar
+from tests.net import (
+    OK,
+    PATIENCE_S,
+    Discovery,
+    Upstream,
+    answering,
+    entry,
+    listening,
+    listing,
+    read_message,
+    request,
+    until,
+)
+from tests.processes import SETTINGS, configuration, program, with_value, without
+
+BROKEN: list[tuple[str, Any]] = [
+    *[
+        (path, None)
+        for path in (
+            "listen",
+            "discovery",
+            "seed",
+            "limits",
+            "settings",
+            "name",
+            "settings.request-classes",
+            "settings.bounds",
+            "settings.bounds.most-tries",
+            "settings.bounds.conn-idle",
+            "settings.locality",
+            "settings.registry-mode",
+            "settings.invariants.ask-within",
+            "settings.request-classes.0.deadline",
+            "settings.request-classes.0.name",
+            "settings.request-classes.0.effect",
+            "limits.memory_mb",
+        )
+    ],
+    *[
+        (path, value)
+        for path in ("settings.request-classes.0.deadline", "settings.bounds.most-tries")
+        for value in list[object]((0, -1, "many", "3", True, [], {}, 1e999, float("nan")))
+    ],
+    ("settings.request-classes", []),
+    ("settings.request-classes", {}),
+    ("settings", []),
+    ("settings", 5),
+    ("discovery", "nowhere"),
+    ("settings.areas", None),
+    ("settings.bounds.conn-idle", float("inf")),
+    ("settings.request-classes", 2 * SETTINGS["request-classes"]),
+]
+
+
+@pytest.mark.parametrize(("path", "value"), BROKEN)
+def test_reloader_changes_nothing_when_the_file_is_malformed(tmp_path: Path, path: str, value: object) -> None:
+    async def test() -> None:
+        file = configuration(tmp_path)
+        whole = json.loads(file.read_text())
+        sidecar = Sidecar(load(str(file)))
+        before = (sidecar.configuration, sidecar.server.router, sidecar.dispatcher.settings)
+        broken = without(whole, path) if value is None else with_value(whole, path, value)
+        file.write_text(json.dumps(broken | {"discovery": "127.0.0.1:2"} if path != "discovery" else broken))
+        Reloader(str(file), sidecar.reload).signal()
+        assert (sidecar.configuration, sidecar.server.router, sidecar.dispatcher.settings) == before
+        assert sidecar.dispatcher.balancer.settings is before[2]
+        assert sidecar.endpoint_watcher.address == ("127.0.0.1", 1) and sidecar.endpoint_watcher.watch is None
+
+    asyncio.run(test())
+
+
+@pytest.mark.parametrize("text", ["", "{", "null", "[]", "5", '"x"', "\x00", "[" * 100_000])
+def test_reloader_changes_nothing_when_the_file_is_no_configuration(tmp_path: Path, text: str) -> None:
+    async def test() -> None:
+        file = configuration(tmp_path)
+        sidecar = Sidecar(load(str(file)))
+        before = sidecar.configuration
+        file.write_text(text)
+        Reloader(str(file), sidecar.reload).signal()
+        file.unlink()
+        Reloader(str(file), sidecar.reload).signal()
+        assert sidecar.configuration is before and sidecar.endpoint_watcher.watch is None
+
+    asyncio.run(test())
+
+
+def test_reloader_applies_everything_when_the_file_is_in_order(tmp_path: Path) -> None:
+    async def test() -> None:
+        file = configuration(tmp_path)
+        whole = json.loads(file.read_text())
+        sidecar = Sidecar(load(str(file)))
+        new = with_value(
+            whole,
+            "settings.request-classes",
+            [
+                {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent", "worth": 1.0},
+                {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "deduplicated", "worth": 10.0},
+            ],
+        )
+        new = with_value(new, "settings.bounds.most-tries", 2)
+        new = with_value(new, "settings.bounds.conn-idle", 900000)
+        file.write_text(json.dumps(without(new, "known") | {"discovery": "127.0.0.1:2"}))
+        Reloader(str(file), sidecar.reload).signal()
+        assert list(sidecar.server.router.classes) == [b"read", b"pay"]
+        assert sidecar.dispatcher.settings.max_attempts == sidecar.dispatcher.balancer.settings.max_attempts == 2
+        assert sidecar.connection_pool.trust.longest_us == 600_000
+        assert sidecar.endpoint_watcher.address == ("127.0.0.1", 2) and sidecar.endpoint_watcher.watch is not None
+        sidecar.endpoint_watcher.stop()
+
+    asyncio.run(test())
+
+
+def test_program_keeps_the_class_of_a_request_when_sighup_changes_the_classes(tmp_path: Path) -> None:
+    async def test() -> None:
+        held = asyncio.Event()
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            if number == 0:
+                await held.wait()
+            writer.write(OK)
+
+        upstream = Upstream(script)
+        await upstream.start()
+        path = configuration(tmp_path, known=listing(entry("u0", upstream.port)))
+        whole = json.loads(path.read_text())
+        slow = with_value(whole, "settings.request-classes.0.aim", 10_000_000)
+        slow = with_value(slow, "settings.request-classes.0.deadline", 20_000_000)
+        path.write_text(json.dumps(slow))
+        host, port = whole["listen"].split(":")
+
+        async def ask(kind: str) -> int:
+            reader, writer = await asyncio.open_connection(host, int(port))
+            writer.write(request(kind, "1", b"" if kind == "read" else b"b"))
+            answer = await read_message(reader)
+            writer.close()
+            return int(answer[0].split(b" ")[1])
+
+        with program(path) as process:
+            async with asyncio.timeout(PATIENCE_S):
+                await listening(int(port))
+                assert await ask("read") == 404
+                under_way = asyncio.create_task(ask("pay"))
+                await until(lambda: len(upstream.requests) == 1)
+                read = {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent", "worth": 1.0}
+                path.write_text(json.dumps(with_value(slow, "settings.request-classes", [read])))
+                process.send_signal(signal.SIGHUP)
+                while await ask("read") != 200:
+                    pass
+                sent = len(upstream.requests)
+                assert await ask("pay") == 404 and len(upstream.requests) == sent
+                held.set()
+                assert await under_way == 200
+                assert process.poll() is None
+        upstream.stop()
+
+    asyncio.run(test())
+
+
+def test_program_moves_its_watch_when_sighup_comes_with_another_address(tmp_path: Path) -> None:
+    async def test() -> None:
+        old, new, upstream = Discovery(), Discovery(), Upstream(answering(OK))
+        for peer in (old, new, upstream):
+            await peer.start()
+        path = configuration(tmp_path, discovery=f"127.0.0.1:{old.port}")
+        whole = json.loads(path.read_text())
+        with program(path) as process:
+            async with asyncio.timeout(PATIENCE_S):
+                await old.watched()
+                path.write_text(json.dumps(whole | {"discovery": f"127.0.0.1:{new.port}"}))
+                process.send_signal(signal.SIGHUP)
+                await new.watched()
+                new.line(listing(entry("moved", upstream.port), rev=2))
+                host, port = whole["listen"].split(":")
+                while not upstream.requests:
+                    reader, writer = await asyncio.open_connection(host, int(port))
+                    writer.write(request("pay", "1", b"b", deadline_ms=1000))
+                    await read_message(reader)
+                    writer.close()
+            assert process.poll() is None
+        for peer in (old, new, upstream):
+            peer.stop()
+
+    asyncio.run(test())
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from garnetusher.sidecar import __main__ as program_module
+from garnetusher.sidecar import startup
 from garnetusher.sidecar.configuration import inherited_socket
 from tests.net import (
     OK,
@@ -28,7 +28,7 @@
     request,
     sidecar,
 )
-from tests.test_program import configuration, program
+from tests.processes import configuration, program
 from tests.test_sidecar import run, status
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -43,7 +43,7 @@
         yield sock
 
 
-def test_what_is_no_listening_socket_is_not_adopted() -> None:
+def test_inherited_socket_fails_when_it_is_no_listening_socket() -> None:
     with tempfile.TemporaryFile() as file, socket.socket() as plain, held_socket() as held:
         for text in ("x", "-1", "", "1e3", "999999", "9" * 30, str(file.fileno())):
             with pytest.raises(ValueError, match="BALANCER_SOCKET_FD"):
@@ -54,13 +54,13 @@
 
 
 @pytest.mark.parametrize("text", ["seven", "0"])
-def test_a_socket_that_can_not_be_inherited_ends_it_with_one_line(tmp_path: Path, text: str) -> None:
+def test_program_exits_with_one_line_when_the_socket_is_not_inheritable(tmp_path: Path, text: str) -> None:
     with program(configuration(tmp_path), BALANCER_SOCKET_FD=text) as process:
         _, errors = process.communicate(timeout=PATIENCE_S)
         assert process.returncode == 2 and len(errors.splitlines()) == 1 and b"BALANCER_SOCKET_FD" in errors
 
 
-def test_a_successor_takes_clients_only_once_discovery_has_spoken() -> None:
+def test_successor_accepts_clients_when_discovery_has_answered() -> None:
     async def test() -> None:
         gone, upstream, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
         await upstream.start()
@@ -79,8 +79,8 @@
     run(test)
 
 
-def test_a_successor_with_a_silent_discovery_says_yes_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(program_module, "FRESH_LIST_S", 0.2)
+def test_successor_is_ready_in_time_when_discovery_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(startup, "CURRENT_LIST_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         with held_socket() as held:
@@ -91,7 +91,7 @@
     run(test)
 
 
-def test_the_old_process_lets_go_of_the_socket_and_each_open_connection_carries_a_last_request() -> None:
+def test_predecessor_serves_a_last_request_per_connection_when_it_stops() -> None:
     async def test() -> None:
         upstream, second = Upstream(answering(OK)), Upstream(answering(OK))
         old_discovery, new_discovery = Discovery(), Discovery()
@@ -129,7 +129,7 @@
     run(test)
 
 
-def test_two_processes_share_the_socket_and_sigterm_ends_the_old_one_alone(tmp_path: Path) -> None:
+def test_predecessor_alone_ends_when_sigterm_comes_to_it(tmp_path: Path) -> None:
     async def test() -> None:
         upstream, discovery = Upstream(answering(OK)), Discovery()
         await upstream.start()
@@ -178,7 +178,7 @@
     asyncio.run(test())
 
 
-def test_beside_another_process_it_still_takes_as_many_clients_as_there_may_be() -> None:
+def test_sidecar_accepts_as_many_clients_when_it_shares_the_socket() -> None:
     async def test() -> None:
         discovery = Discovery()
         with held_socket() as held:
@@ -194,7 +194,7 @@
     run(test)
 
 
-def test_a_successor_that_is_stopped_before_it_is_ready_lets_nobody_in() -> None:
+def test_successor_accepts_nobody_when_it_is_stopped_before_it_is_ready() -> None:
     async def test() -> None:
         discovery = Discovery()
         with held_socket() as held:
--- /dev/null
+++ b/tests/test_startup.py
@@ -0,0 +1,102 @@
+"""The program that the deploy file starts: readiness, SIGTERM, and a configuration that can't be read."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import socket
+import time
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.net import (
+    OK,
+    PATIENCE_S,
+    Upstream,
+    entry,
+    listening,
+    listing,
+    read_message,
+    request,
+)
+from tests.processes import configuration, program
+
+
+def test_program_is_ready_and_exits_with_0_when_sigterm_comes(tmp_path: Path) -> None:
+    path = configuration(tmp_path)
+    port = int(json.loads(path.read_text())["listen"].split(":")[1])
+    with program(path) as process:
+        answer, ends = b"", time.monotonic() + PATIENCE_S
+        while not answer and time.monotonic() < ends:
+            assert process.poll() is None
+            try:
+                with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as sock:
+                    sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+                    answer = sock.recv(100)
+            except ConnectionRefusedError:
+                time.sleep(0.02)
+        assert answer.startswith(b"HTTP/1.1 200 ")
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(PATIENCE_S) == 0
+
+
+def test_program_answers_all_that_ran_when_sigterm_comes_under_load(tmp_path: Path) -> None:
+    async def slow(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await asyncio.sleep(0.05)
+        writer.write(OK)
+
+    async def client(name: int, port: int, stopped: asyncio.Event, answered: set[str]) -> None:
+        """Sends one request after another; after the stop until its connection is closed."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
+        for number in range(10_000):
+            ident = f"{name}-{number}"
+            try:
+                writer.write(request("pay", ident, b"b"))
+                head, _ = await read_message(reader)
+            except (asyncio.IncompleteReadError, ConnectionError):
+                assert stopped.is_set()  # closed between requests
+                break
+            answered.add(ident)
+            if b"Connection: close" in head:
+                assert stopped.is_set()
+                break
+        writer.close()
+
+    async def test() -> None:
+        upstreams = [Upstream(slow) for _ in range(4)]
+        for upstream in upstreams:
+            await upstream.start()
+        known = listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+        path = configuration(tmp_path, known=known)
+        port = int(json.loads(path.read_text())["listen"].split(":")[1])
+        stopped, answered = asyncio.Event(), set[str]()
+        with program(path) as process:
+            async with asyncio.timeout(PATIENCE_S):
+                await listening(port)
+                async with asyncio.TaskGroup() as group:
+                    for name in range(8):
+                        group.create_task(client(name, port, stopped, answered))
+                    await asyncio.sleep(0.5)
+                    stopped.set()
+                    process.send_signal(signal.SIGTERM)
+                assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
+        for upstream in upstreams:
+            upstream.stop()
+        ran = {
+            head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0].decode()
+            for upstream in upstreams
+            for head, _ in upstream.requests
+        }
+        assert ran and ran <= answered
+
+    asyncio.run(test())
+
+
+@pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
+def test_program_exits_with_one_line_when_the_file_is_malformed(tmp_path: Path, changes: dict[str, Any]) -> None:
+    with program(configuration(tmp_path, **changes)) as process:
+        _, errors = process.communicate(timeout=PATIENCE_S)
+        assert process.returncode == 2 and len(errors.splitlines()) == 1
