--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -14,12 +14,12 @@
     ADMIN_VARIABLE,
     CONFIG_VARIABLE,
     ENVIRONMENT,
-    NOTHING,
     SOCKET_VARIABLE,
     Configuration,
     ConfigurationError,
     inherited_socket,
 )
+from garnetusher.sidecar.errors import NOTHING
 from garnetusher.sidecar.startup import CONFIGURATION_ERRORS, load_configuration, make_event_loop
 
 EXIT_OK = 0
--- a/garnetusher/sidecar/configuration.py
+++ b/garnetusher/sidecar/configuration.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from garnetusher.errors import GarnetusherError
 from garnetusher.policy.settings import Settings
 from garnetusher.policy.settings_text import settings_from_pairs
 from garnetusher.sidecar.addresses import Address, AddressError, parse_address
+from garnetusher.sidecar.errors import NOTHING, InvalidValueError, join_path
 
 ENVIRONMENT = "environment"  # the place of what is no part of the file
 CONFIG_VARIABLE = "BALANCER_CONFIG"
@@ -35,32 +35,8 @@
 _Number = TypeVar("_Number", int, float)
 
 
-class ConfigurationError(GarnetusherError, ValueError):
-    """A configuration that cannot be used.
-
-    Attributes:
-        key: the key whose value is wrong or missing.
-        place: the path of the object that has the key; empty for the file as a whole.
-        expected: what the value should be.
-        found: what is there instead.
-    """
-
-    def __init__(self, key: str, place: str, expected: str, found: object) -> None:
-        super().__init__(f"{_path(place, key)}: expected {expected}, found {found!r}")
-        self.key = key
-        self.place = place
-        self.expected = expected
-        self.found = found
-
-
-class _Nothing:
-    """Stands for the value of a key that is missing."""
-
-    def __repr__(self) -> str:
-        return "nothing"
-
-
-NOTHING = _Nothing()
+class ConfigurationError(InvalidValueError):
+    """A configuration that cannot be used."""
 
 
 @dataclass(slots=True)
@@ -118,7 +94,7 @@
         if not isinstance(value, Mapping):
             raise ConfigurationError(key, place, "an object", value)
         self.value = value
-        self.place = _path(place, key)
+        self.place = join_path(place, key)
 
     def get(self, key: str) -> Any:
         """Return a value of any type."""
@@ -136,7 +112,7 @@
         return list(value)
 
     def sections(self, key: str) -> list[_Section]:
-        place = _path(self.place, key)
+        place = join_path(self.place, key)
         return [_Section(value, place, str(index)) for index, value in enumerate(self.items(key))]
 
     def number(self, number_type: Callable[[Any], _Number], key: str) -> _Number:
@@ -259,7 +235,7 @@
         return {path: str(value).lower() if isinstance(value, bool) else str(value)}
     pairs: dict[str, str] = {}
     for key, item in items:
-        pairs |= flatten(item, _path(path, str(key)))
+        pairs |= flatten(item, join_path(path, str(key)))
     return pairs
 
 
@@ -276,7 +252,7 @@
     if not isinstance(current, Mapping):
         return path
     for key in previous.keys() - OPTIONAL_KEYS:
-        inner_path = _path(path, str(key))
+        inner_path = join_path(path, str(key))
         if key not in current:
             return inner_path
         missing = first_missing_key(previous[key], current[key], inner_path)
@@ -363,7 +339,3 @@
 
 def _megabytes(value: Any) -> int:
     return int(float(value) * BYTES_PER_MB)
-
-
-def _path(place: str, key: str) -> str:
-    return f"{place}.{key}" if place else key
--- a/garnetusher/sidecar/discovery/messages.py
+++ b/garnetusher/sidecar/discovery/messages.py
@@ -5,14 +5,13 @@
 
 from __future__ import annotations
 
-import enum
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from garnetusher.errors import GarnetusherError
 from garnetusher.policy.events import EndpointStatus
 from garnetusher.sidecar.addresses import Address, AddressError, parse_address
+from garnetusher.sidecar.errors import NOTHING, InvalidValueError, join_path
 
 KEY_VERSION = "rev"
 KEY_SNAPSHOT = "all"
@@ -27,40 +26,15 @@
 KEY_STARTED_MS = "boot_ms"
 
 STATUSES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
-LIST_PLACE = "the list"
 REMOVED_ADDRESS: Address = ("0.0.0.0", 1)  # of an entry that is only listed to say that the endpoint is removed
 
-Place = int | str  # where in a list a value stands: the index of its entry, or a name
+LIST = -1  # in place of an entry's index: the list itself
 _CONVERSION_ERRORS = (TypeError, KeyError, ValueError, OverflowError)
 _Number = TypeVar("_Number", int, float)
 
 
-class EndpointListError(GarnetusherError, ValueError):
-    """An endpoint list that cannot be read.
-
-    Attributes:
-        key: the key whose value is wrong or missing.
-        place: where in the list it stands.
-        expected: what its value should be.
-        found: what is there instead.
-    """
-
-    def __init__(self, key: str, place: Place, expected: str, found: object) -> None:
-        place_name = f"entry {place}" if isinstance(place, int) else place
-        super().__init__(f"{place_name}: {key}: expected {expected}, found {found!r}")
-        self.key = key
-        self.place = place_name
-        self.expected = expected
-        self.found = found
-
-
-class _Missing(enum.Enum):
-    """Stands for the value of a key that is not there."""
-
-    MISSING = "nothing"
-
-    def __repr__(self) -> str:
-        return self.value
+class EndpointListError(InvalidValueError):
+    """An endpoint list that cannot be read."""
 
 
 @dataclass(slots=True)
@@ -109,7 +83,7 @@
     Raises:
         EndpointListError: the document is no endpoint list.
     """
-    is_snapshot = bool(_value(document, KEY_SNAPSHOT, LIST_PLACE))
+    is_snapshot = bool(_value(document, KEY_SNAPSHOT, LIST))
     return _parse_list_of_kind(document, is_snapshot=is_snapshot)
 
 
@@ -177,60 +151,65 @@
 
 
 def _parse_list_of_kind(document: object, *, is_snapshot: bool) -> RawList:
-    version = _number(int, document, KEY_VERSION, LIST_PLACE)
-    entries = _value(document, KEY_ENTRIES, LIST_PLACE)
+    version = _number(int, document, KEY_VERSION, LIST)
+    entries = _value(document, KEY_ENTRIES, LIST)
     if not isinstance(entries, list):
-        raise EndpointListError(KEY_ENTRIES, LIST_PLACE, "a list of entries", entries)
+        raise _error(KEY_ENTRIES, LIST, "a list of entries", entries)
     return RawList(version, is_snapshot, entries)
 
 
-def _parse_entry(entry: object, place: Place) -> ListEntry:
+def _parse_entry(entry: object, index: int) -> ListEntry:
     return ListEntry(
-        uid=_uid(entry, place),
-        address=_address(entry, place),
-        zone=_value(entry, KEY_ZONE, place),
-        machine_type=_value(entry, KEY_MACHINE_TYPE, place),
-        cell=_number(int, entry, KEY_CELL, place),
-        status=_status(entry, place),
-        weight=_number(float, entry, KEY_WEIGHT, place),
-        started_ms=_number(int, entry, KEY_STARTED_MS, place),
+        uid=_uid(entry, index),
+        address=_address(entry, index),
+        zone=_value(entry, KEY_ZONE, index),
+        machine_type=_value(entry, KEY_MACHINE_TYPE, index),
+        cell=_number(int, entry, KEY_CELL, index),
+        status=_status(entry, index),
+        weight=_number(float, entry, KEY_WEIGHT, index),
+        started_ms=_number(int, entry, KEY_STARTED_MS, index),
     )
 
 
-def _value(container: object, key: str, place: Place) -> Any:
+def _value(container: object, key: str, index: int) -> Any:
     if not isinstance(container, dict):
-        raise EndpointListError(key, place, "an object that has this key", container)
-    value = container.get(key, _Missing.MISSING)
-    if value is _Missing.MISSING:
-        raise EndpointListError(key, place, "a value", value)
+        raise _error(key, index, "an object that has this key", container)
+    value = container.get(key, NOTHING)
+    if value is NOTHING:
+        raise _error(key, index, "a value", value)
     return value
 
 
-def _number(number_type: Callable[[Any], _Number], container: object, key: str, place: Place) -> _Number:
-    value = _value(container, key, place)
+def _number(number_type: Callable[[Any], _Number], container: object, key: str, index: int) -> _Number:
+    value = _value(container, key, index)
     try:
         return number_type(value)
     except _CONVERSION_ERRORS:
-        raise EndpointListError(key, place, "a number", value) from None
+        raise _error(key, index, "a number", value) from None
 
 
-def _uid(entry: object, place: Place) -> Hashable:
-    uid: object = _value(entry, KEY_UID, place)
+def _uid(entry: object, index: int) -> Hashable:
+    uid: object = _value(entry, KEY_UID, index)
     if not isinstance(uid, Hashable):
-        raise EndpointListError(KEY_UID, place, "a text", uid)
+        raise _error(KEY_UID, index, "a text", uid)
     return uid
 
 
-def _address(entry: object, place: Place) -> Address:
-    text = _value(entry, KEY_ADDRESS, place)
+def _address(entry: object, index: int) -> Address:
+    text = _value(entry, KEY_ADDRESS, index)
     try:
         return parse_address(text)
     except (AddressError, AttributeError):  # a value that is no text has no `rpartition`
-        raise EndpointListError(KEY_ADDRESS, place, "host:port", text) from None
+        raise _error(KEY_ADDRESS, index, "host:port", text) from None
 
 
-def _status(entry: object, place: Place) -> EndpointStatus:
-    state = _value(entry, KEY_STATE, place)
+def _status(entry: object, index: int) -> EndpointStatus:
+    state = _value(entry, KEY_STATE, index)
     if not isinstance(state, str) or state not in STATUSES:
-        raise EndpointListError(KEY_STATE, place, f"one of {', '.join(STATUSES)}", state)
+        raise _error(KEY_STATE, index, f"one of {', '.join(STATUSES)}", state)
     return STATUSES[state]
+
+
+def _error(key: str, index: int, expected: str, found: object) -> EndpointListError:
+    place = "" if index == LIST else join_path(KEY_ENTRIES, str(index))
+    return EndpointListError(key, place, expected, found)
