--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -16,9 +16,9 @@
     ENVIRONMENT,
     SOCKET_VARIABLE,
     Configuration,
-    ConfigurationError,
     inherited_socket,
 )
+from garnetusher.sidecar.configuration_section import ConfigurationError
 from garnetusher.sidecar.errors import NOTHING
 from garnetusher.sidecar.startup import CONFIGURATION_ERRORS, load_configuration, make_event_loop
 
--- a/garnetusher/sidecar/admin/handlers.py
+++ b/garnetusher/sidecar/admin/handlers.py
@@ -20,7 +20,7 @@
         self._sidecar = sidecar
 
     def ready(self, request: AdminRequest) -> AdminResponse:
-        """Tell whether clients may come, and why not."""
+        """Report whether clients may come, and why not."""
         server = self._sidecar.server
         text = self._sidecar.lifecycle.state.value if server.dispatcher.ready else "no upstream"
         return _response(text, is_success=server.ready)
@@ -36,19 +36,19 @@
         return _response(self._sidecar.lifecycle.state.value)
 
     def zones(self, request: AdminRequest) -> AdminResponse:
-        """Tell what the policy knows of each zone."""
+        """Report what the policy knows of each zone."""
         reports = self._sidecar.server.dispatcher.zone_reports(self._sidecar.configuration.zones)
         return _response(json.dumps(reports))
 
     def trace(self, request: AdminRequest) -> AdminResponse:
-        """Tell the latest events, or with `?request=` those of the request that its client calls so."""
+        """Report the latest events, or with `?request=` those of the request with that `X-Request-Id`."""
         trace = self._sidecar.trace
         client_request_id = request.query.removeprefix("request=")
         events = trace.find(client_request_id) if request.query else list(trace.events)
         return _response("\n".join(json.dumps(event.shown()) for event in events))
 
     def counters(self, request: AdminRequest) -> AdminResponse:
-        """Tell how often each thing has happened."""
+        """Report the counters."""
         return _response(json.dumps(self._sidecar.trace.counts))
 
     def evacuate_zone(self, request: AdminRequest) -> AdminResponse:
@@ -75,7 +75,7 @@
     """Return the calls at the admin address, by their paths.
 
     Args:
-        sidecar: what is asked and changed.
+        sidecar: what the calls report on and change.
         members: the fleet's members, if membership is switched on.
     """
     handlers = AdminHandlers(sidecar)
--- a/garnetusher/sidecar/admin/messages.py
+++ b/garnetusher/sidecar/admin/messages.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """The answer to an operator's call; `allowed_method` is told to one that uses another method."""
+    """The answer to an operator's call; `allowed_method` answers one that used another method."""
 
     status: HTTPStatus
     text: str
--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -107,7 +107,7 @@
         self._listener.start()
 
     def add(self, connection: AdminConnection) -> None:
-        """Keep a new connection, at the expense of the oldest one if there are too many."""
+        """Register a new connection, at the expense of the oldest one if there are too many."""
         if len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
             del self._connections[oldest]
--- a/garnetusher/sidecar/configuration.py
+++ b/garnetusher/sidecar/configuration.py
@@ -7,15 +7,21 @@
 
 import json
 import socket
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any
 
 from garnetusher.policy.settings import Settings
 from garnetusher.policy.settings_text import settings_from_pairs
-from garnetusher.sidecar.addresses import Address, AddressError, parse_address
-from garnetusher.sidecar.errors import NOTHING, InvalidValueError, join_path
+from garnetusher.sidecar.addresses import Address
+from garnetusher.sidecar.configuration_comparison import first_missing_key
+from garnetusher.sidecar.configuration_section import (
+    ConfigurationError,
+    ConfigurationSection,
+    parse_configured_address,
+)
+from garnetusher.sidecar.errors import NOTHING, join_path
 
 ENVIRONMENT = "environment"  # the place of what is no part of the file
 CONFIG_VARIABLE = "BALANCER_CONFIG"
@@ -25,19 +31,9 @@
 FLEET_KEY = "fleet"
 REGIONS_KEY = "regions"
 
-SEED_BASE = 16
 BYTES_PER_MB = 1024 * 1024
 DEFAULT_MEMORY_BYTES = 192 * BYTES_PER_MB
 
-# Keys that a file may lack though the one before had them: they may be absent, or serve the start only.
-OPTIONAL_KEYS = frozenset(("known", "accounts", "aim-stretch", "passes-deadline", "warm-keys"))
-
-_Number = TypeVar("_Number", int, float)
-
-
-class ConfigurationError(InvalidValueError):
-    """A configuration that cannot be used."""
-
 
 @dataclass(slots=True)
 class MembershipSection:
@@ -54,7 +50,7 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """All that a sidecar is told at its start.
+    """The configuration of a sidecar.
 
     Attributes:
         listen: where clients connect.
@@ -87,65 +83,13 @@
     document: object = None
 
 
-class _Section:
-    """An object of the file, whose values are read with checks."""
-
-    def __init__(self, value: object, place: str, key: str) -> None:
-        if not isinstance(value, Mapping):
-            raise ConfigurationError(key, place, "an object", value)
-        self.value = value
-        self.place = join_path(place, key)
-
-    def get(self, key: str) -> Any:
-        """Return a value of any type."""
-        if key not in self.value:
-            raise ConfigurationError(key, self.place, "a value", NOTHING)
-        return self.value[key]
-
-    def section(self, key: str) -> _Section:
-        return _Section(self.get(key), self.place, key)
-
-    def items(self, key: str) -> list[Any]:
-        value = self.get(key)
-        if not isinstance(value, list):
-            raise ConfigurationError(key, self.place, "a list", value)
-        return list(value)
-
-    def sections(self, key: str) -> list[_Section]:
-        place = join_path(self.place, key)
-        return [_Section(value, place, str(index)) for index, value in enumerate(self.items(key))]
-
-    def number(self, number_type: Callable[[Any], _Number], key: str) -> _Number:
-        """Return a number, which may also stand in the file as text."""
-        value = self.get(key)
-        try:
-            return number_type(value)
-        except (TypeError, ValueError, OverflowError):
-            raise ConfigurationError(key, self.place, "a number", value) from None
-
-    def require_positive(self, key: str) -> None:
-        value = self.get(key)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-            raise ConfigurationError(key, self.place, "a positive number", value)
-
-    def address(self, key: str) -> Address:
-        return _address(self.get(key), self.place, key)
-
-    def seed(self, key: str) -> int:
-        text = self.get(key)
-        try:
-            return int(text, SEED_BASE)
-        except (TypeError, ValueError):
-            raise ConfigurationError(key, self.place, "a hexadecimal number", text) from None
-
-
 def load(path: str, admin: str | None = None) -> Configuration:
     """Read and check the file.
 
     Args:
         path: the file.
-        admin: the operators' address by the environment, which goes before the file's: it tells two processes apart
-            that have the same file.
+        admin: the operators' address by the environment, which overrides the file's: two processes may have the
+            same file.
 
     Raises:
         OSError: the file cannot be read.
@@ -239,39 +183,7 @@
     return pairs
 
 
-def first_missing_key(previous: object, current: object, path: str = "") -> str:
-    """Return the path of a key that a file lacks though its predecessor has it, as one cut short would; else ""."""
-    if isinstance(previous, Mapping):
-        return _first_missing_of_object(previous, current, path)
-    if isinstance(previous, list) and previous and all(isinstance(item, Mapping) for item in previous):
-        return _first_missing_of_list(previous, current, path)
-    return ""
-
-
-def _first_missing_of_object(previous: Mapping[str, object], current: object, path: str) -> str:
-    if not isinstance(current, Mapping):
-        return path
-    for key in previous.keys() - OPTIONAL_KEYS:
-        inner_path = join_path(path, str(key))
-        if key not in current:
-            return inner_path
-        missing = first_missing_key(previous[key], current[key], inner_path)
-        if missing:
-            return missing
-    return ""
-
-
-def _first_missing_of_list(previous: list[Mapping[str, object]], current: object, path: str) -> str:
-    """Compare each item with the keys that all items had before, as items may come, go and change places."""
-    common = {key: None for key in previous[0] if all(key in item for item in previous)}
-    for index, item in enumerate(current if isinstance(current, list) else [None]):
-        missing = first_missing_key(common, item, f"{path}.{index}")
-        if missing:
-            return missing
-    return ""
-
-
-def _read(path: str) -> _Section:
+def _read(path: str) -> ConfigurationSection:
     text = Path(path).read_bytes()
     try:
         value: object = json.loads(text.decode("utf-8"))
@@ -279,7 +191,7 @@
         raise ConfigurationError(CONFIG_VARIABLE, ENVIRONMENT, "a JSON file", f"{path}: {error}") from None
     if not isinstance(value, dict):
         raise ConfigurationError(CONFIG_VARIABLE, ENVIRONMENT, "a file with an object", value)
-    return _Section(value, "", "")
+    return ConfigurationSection(value, "", "")
 
 
 def _keep_zone_indexes(configuration: Configuration, previous_zones: list[str]) -> None:
@@ -292,7 +204,7 @@
     settings.zone_regions = [regions.get(name, 0) for name in configuration.zones] if regions else []
 
 
-def _zone_regions(zones: list[str], file: _Section) -> list[int]:
+def _zone_regions(zones: list[str], file: ConfigurationSection) -> list[int]:
     """Return the region of each zone, as `fleet.regions` names them; none where it does not."""
     fleet = file.value.get(FLEET_KEY)
     regions = fleet.get(REGIONS_KEY) if isinstance(fleet, Mapping) else None
@@ -310,29 +222,20 @@
     return [region_of[zone] for zone in zones]
 
 
-def _admin_address(file: _Section, from_environment: str | None) -> Address | None:
+def _admin_address(file: ConfigurationSection, from_environment: str | None) -> Address | None:
     if from_environment:
-        return _address(from_environment, ENVIRONMENT, ADMIN_VARIABLE)
+        return parse_configured_address(from_environment, ENVIRONMENT, ADMIN_VARIABLE)
     text = file.value.get("admin")
-    return _address(text, "", "admin") if text else None
+    return parse_configured_address(text, "", "admin") if text else None
 
 
-def _membership(file: _Section) -> MembershipSection | None:
+def _membership(file: ConfigurationSection) -> MembershipSection | None:
     fleet = file.value.get(FLEET_KEY)
     if not isinstance(fleet, Mapping) or "membership" not in fleet:
         return None
     return MembershipSection(fleet["membership"], str(file.value.get("name", "")))
 
 
-def _address(text: object, place: str, key: str) -> Address:
-    if not isinstance(text, str):
-        raise ConfigurationError(key, place, "host:port", text)
-    try:
-        return parse_address(text)
-    except AddressError:
-        raise ConfigurationError(key, place, "host:port", text) from None
-
-
 def _whole(value: object) -> int:
     return int(float(str(value)))
 
--- a/garnetusher/sidecar/discovery/endpoint_list.py
+++ b/garnetusher/sidecar/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery has listed: their numbers, and the events that tell the policy of them."""
+"""The endpoints that discovery has listed: their numbers, and the events by which the policy learns of them."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
         Args:
             received: the part, as a list of its own.
-            first_index: the place of its first entry in the whole list, for errors.
+            first_index: the index of its first entry in the complete list, for errors.
             is_last: whether the list is applied in full with this piece.
         """
         self.version = received.version
@@ -50,7 +50,7 @@
         self._entries: list[ListEntry] | None = None
 
     def entries(self) -> list[ListEntry]:
-        """Return its entries, which are parsed when they are asked for first.
+        """Return its entries, which are parsed at the first call.
 
         Raises:
             EndpointListError: an entry is malformed.
@@ -64,7 +64,7 @@
 class EndpointList:
     """Translates entries of discovery into endpoints of the policy.
 
-    Each uid gets a number, and start times are told on the sidecar's monotonic clock.
+    Each uid gets a number, and start times are converted to the sidecar's monotonic clock.
 
     Attributes:
         zones: the names of the zones, by their index in the settings.
@@ -103,7 +103,7 @@
         ]
 
     def apply(self, update_kind: UpdateKind, entries: Sequence[ListEntry], version: int) -> EndpointUpdate:
-        """Take over the entries of a list, or of a piece of it.
+        """Apply the entries of a list, or of a piece of it.
 
         Args:
             update_kind: what the entries are; all but `DELTA` mean that endpoints that are not listed are removed.
--- a/garnetusher/sidecar/discovery/start_times.py
+++ b/garnetusher/sidecar/discovery/start_times.py
@@ -37,7 +37,7 @@
         """Start with no endpoint.
 
         Args:
-            clock_us: the monotonic clock on which start times are told.
+            clock_us: the monotonic clock to which start times are converted.
             wall_us: this machine's time of day.
         """
         self._clock_us = clock_us
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -128,9 +128,9 @@
 
 
 class EndpointWatcher:
-    """Watches the endpoint list: permanently, or as long as the policy asks for it.
+    """Watches the endpoint list: permanently, or while the policy requests it.
 
-    The policy hears of each call that fails if it is the one that asks. A permanent watch is opened again here, and so
+    The policy is notified of each failure of a watch that it requested. A permanent watch is opened again here, and so
     is, once, a watch that was answered and has fallen silent: sidecars do so spread over the 2 s between empty lines.
 
     Attributes:
@@ -162,14 +162,14 @@
             cached = parse_cached_list(document)
             entries = parse_entries(cached.entries)
             update = self.endpoint_list.apply(UpdateKind.CACHED, entries, cached.version)
-        except Exception as error:  # whatever is wrong with the cached list, a new one must be asked for
+        except Exception as error:  # whatever is wrong with the cached list, a new one must be requested
             log.warning("the known list can't be read: %r", error)
             return
         self.version = cached.version
         self._notify(update)
 
     def watch_permanently(self) -> None:
-        """Watch from now on without the policy's asking: where changes are pushed it never asks."""
+        """Watch from now on without a request of the policy, which makes none where changes are pushed."""
         self.watching = True
         self._open_watch()
 
@@ -206,7 +206,7 @@
             self.has_current_list.set()
 
     def on_connection_failed(self, watch: WatchConnection, *, reconnect: bool = False) -> None:
-        """A call has ended: make another one after a moment, or tell the policy."""
+        """A call has ended: make another one after a moment, or notify the policy."""
         if watch is not self.watch:
             return
         self.stop()
--- a/garnetusher/sidecar/lifecycle.py
+++ b/garnetusher/sidecar/lifecycle.py
@@ -36,7 +36,7 @@
 
     @property
     def serving(self) -> bool:
-        """Whether the readiness check tells clients to come."""
+        """Whether the readiness check succeeds."""
         return self.state is LifecycleState.SERVING
 
     @property
--- a/garnetusher/sidecar/reload.py
+++ b/garnetusher/sidecar/reload.py
@@ -1,4 +1,4 @@
-"""Takes the file that replaces the configuration in force: at SIGHUP, and again while it is not in order yet."""
+"""Loads the file that replaces the configuration in force: at SIGHUP, and again while it is not in order yet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_INTERVAL_S = 0.05  # between looks at a file that could not be taken
+RETRY_INTERVAL_S = 0.05  # between attempts to load a file
 # A change counts as known to the sidecar 4 s after the signal if discovery sends it from its new address; discovery's
 # old address ends before that.
 RETRY_FOR_S = 5.0
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileState:
-    """What tells one state of a file from the next."""
+    """What distinguishes one state of a file from the next."""
 
     inode: int
     size: int
@@ -36,22 +36,22 @@
 
 
 class Reloader:
-    """Takes a file at each signal.
+    """Loads a file at each signal.
 
-    A file that is not in order is left, and looked at again for some seconds: it may be half written, or this machine
+    A file that is not in order is ignored, and read again for some seconds: it may be half written, or this machine
     may be short of what reading it takes, and no second signal would follow.
     """
 
-    def __init__(self, path: str, take: Callable[[str], None]) -> None:
+    def __init__(self, path: str, apply: Callable[[str], None]) -> None:
         """Wait for signals.
 
         Args:
             path: the file.
-            take: takes all of the file, or raises and then has changed nothing.
+            apply: puts all of the file in force, or raises and then has changed nothing.
         """
         self._loop = asyncio.get_running_loop()
         self._path = path
-        self._take = take
+        self._apply = apply
         self._retry_until_s = 0.0  # on the event loop's clock
         self._rejected: FileState | None = None  # the state of the file that was not in order
         self._timer: asyncio.TimerHandle | None = None
@@ -66,13 +66,13 @@
         self._look(log_failure=True)
 
     def _look(self, *, log_failure: bool = False) -> None:
-        """Take the file if it has changed since it was rejected; otherwise look again after a moment."""
+        """Apply the file if it has changed since it was rejected; on failure look again after a moment."""
         self._timer = None
         state: FileState | None = None
         try:
             state = FileState.of(self._path)
             if state != self._rejected:
-                self._take(self._path)
+                self._apply(self._path)
                 return
         except Exception as error:  # whatever is wrong with the file, the running sidecar must go on
             if not isinstance(error, OSError):
--- a/garnetusher/sidecar/shutdown.py
+++ b/garnetusher/sidecar/shutdown.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """When the steps of a shutdown are due, in seconds after SIGTERM.
+    """When the steps of a shutdown happen, in seconds after SIGTERM.
 
     Attributes:
         kill_s: when SIGKILL may come at the soonest.
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -69,7 +69,7 @@
         )
 
     def start(self) -> None:
-        """Load the cached endpoint list, and let the policy or the watcher ask for a new one."""
+        """Load the cached endpoint list, and let the policy or the watcher request a new one."""
         if self.configuration.cached_endpoints:
             self.endpoint_watcher.load_cached(self.configuration.cached_endpoints)
         if not self.configuration.settings.poll_endpoints:
--- a/garnetusher/sidecar/startup.py
+++ b/garnetusher/sidecar/startup.py
@@ -15,7 +15,8 @@
 from garnetusher.sidecar import configuration as configurations
 from garnetusher.sidecar.admin.handlers import admin_routes
 from garnetusher.sidecar.admin.server import AdminServer
-from garnetusher.sidecar.configuration import Configuration, ConfigurationError
+from garnetusher.sidecar.configuration import Configuration
+from garnetusher.sidecar.configuration_section import ConfigurationError
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from garnetusher.sidecar.sidecar import Sidecar
 from garnetusher.sidecar.sockets import RETRY_S, PatientSelector, is_own
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from garnetusher.sidecar.configuration import Configuration, ConfigurationError, flatten, load, reload
+from garnetusher.sidecar.configuration import Configuration, flatten, load, reload
+from garnetusher.sidecar.configuration_section import ConfigurationError
 from tests.processes import configuration, with_value, without
 
 
--- a/tests/test_discovery_messages.py
+++ b/tests/test_discovery_messages.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from garnetusher.policy.events import EndpointStatus
@@ -55,7 +53,7 @@
 
 
 @pytest.mark.parametrize("raw_entry", [None, 5, "uid", ["uid"], {}])
-def test_light_parsers_name_the_entry_when_it_is_none(raw_entry: Any) -> None:
+def test_light_parsers_name_the_entry_when_it_is_none(raw_entry: object) -> None:
     for parse in (parse_start_times_ms, parse_uids):
         with pytest.raises(EndpointListError, match=r"^targets\.1\."):
             parse([entry("u0", 1), raw_entry])
