--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -243,12 +243,12 @@
             for zone in zones
         ]
 
-    def override_zone(self, zone: int, leave: bool) -> OverrideRejection | None:  # noqa: FBT001 - admin passes it by position
+    def override_zone(self, zone: int, *, evacuate: bool) -> OverrideRejection | None:
         """Evacuate or restore a zone by an operator's order; return why it is not done, or None."""
-        objection = self.balancer.zones.objection(zone) if leave else ""
+        objection = self.balancer.zones.objection(zone) if evacuate else ""
         if objection:
             return OverrideRejection(objection)
-        self._dispatch_event(ZoneOverridden(zone, leave))
+        self._dispatch_event(ZoneOverridden(zone, evacuate))
         return None
 
     # Attempts
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -13,7 +13,7 @@
 from garnetusher.policy.slots import Server
 from garnetusher.sidecar import __main__ as program
 from garnetusher.sidecar.clock import monotonic_us
-from garnetusher.sidecar.discovery import watch as discovery
+from garnetusher.sidecar.discovery import messages as discovery_messages
 from garnetusher.sidecar.downstream.connection import DownstreamConnection
 from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, PendingRequest
 from garnetusher.sidecar.requests.responses import ResponseSender
@@ -47,7 +47,7 @@
 
 def sends_to_drained() -> None:
     """An upstream that leaves is taken for a ready one."""
-    discovery.STATES["leaving"] = EndpointStatus.READY
+    discovery_messages.STATUSES["leaving"] = EndpointStatus.READY
 
 
 def pushes_cold_over() -> None:
--- a/tests/net.py
+++ b/tests/net.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from garnetusher.policy.settings import RequestClass, Settings
-from garnetusher.sidecar.__main__ import serve
 from garnetusher.sidecar.configuration import Configuration
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermit
+from garnetusher.sidecar.service import serve
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
 from garnetusher.sidecar.upstream.pool import ConnectionPool
 from garnetusher.sidecar.upstream.request_writer import Address
--- a/tests/test_crossing_stop.py
+++ b/tests/test_crossing_stop.py
@@ -27,9 +27,9 @@
     silent,
     until,
 )
+from tests.processes import SETTINGS, configuration, program
 from tests.runner import run, status
 from tests.streams import upload_request
-from tests.test_program import SETTINGS, configuration, program
 
 LONG_US = 20_000_000  # deadlines far beyond the 3.7 s after which SIGKILL comes at the soonest
 PATIENT: dict[str, Any] = SETTINGS | {
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import cast
 
-from garnetusher.sidecar.discovery.watch import EndpointList
+from garnetusher.sidecar.discovery.endpoint_list import EndpointList
 from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
 from tests.driven_loop import DrivenLoop
 from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listing, request, sidecar
--- a/tests/test_sidecar_membership.py
+++ b/tests/test_sidecar_membership.py
@@ -19,7 +19,7 @@
 from garnetusher.sidecar.membership import MembershipSettingsError, parse_membership_settings
 from tests.experiment import ROOT
 from tests.net import free_port
-from tests.test_program import configuration
+from tests.processes import configuration
 
 TIMEOUT_S = 30.0  # for what takes seconds on an idle machine
 
--- a/tests/test_streaming_memory.py
+++ b/tests/test_streaming_memory.py
@@ -11,9 +11,9 @@
 from garnetusher.sidecar.streaming import BodyMemory
 from tests.downstream import NullTransport, new_connection
 from tests.net import PATIENCE_S, classes, entry, listening, listing, request
+from tests.processes import configuration, program
 from tests.runner import run
 from tests.streams import LONG_BODY, FunctionUpstream
-from tests.test_program import configuration, program
 
 
 def test_body_memory_begins_bodies_in_turn_when_memory_is_short() -> None:
