--- /dev/null
+++ b/garnetusher/cli/argument_checks.py
@@ -0,0 +1,71 @@
+"""Checks of arguments; each ends the command with one line where an argument is wrong."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from pathlib import Path
+
+from garnetusher import config
+from garnetusher.cli.errors import fail
+from garnetusher.errors import GarnetusherError
+from garnetusher.model import experiment
+from garnetusher.model.experiment import Experiment
+
+
+class SeedRangeError(GarnetusherError, ValueError):
+    """A range of seeds is not of the form `A:B`, with A at most B."""
+
+    def __init__(self, text: str) -> None:
+        super().__init__(f"expected A:B, as in 1:20, got {text!r}")
+
+
+def parse_seed_range(text: str) -> range:
+    """Parse `A:B` as the seeds from A to B, both included.
+
+    Raises:
+        SeedRangeError: the text has another form.
+    """
+    first, colon, last = text.partition(":")
+    if not colon or not first.isdecimal() or not last.isdecimal() or int(first) > int(last):
+        raise SeedRangeError(text)
+    return range(int(first), int(last) + 1)
+
+
+def seeds_or_fail(text: str) -> range:
+    """Parse the value of `--seeds`.
+
+    Raises:
+        CommandError: it is no range of seeds.
+    """
+    try:
+        return parse_seed_range(text)
+    except SeedRangeError as error:
+        fail(f"--seeds: {error}")
+
+
+def experiment_or_fail(file: Path) -> Experiment:
+    """Read an experiment.
+
+    Raises:
+        CommandError: the file can't be read or is not in order.
+    """
+    try:
+        return experiment.load(file)
+    except config.FileError as error:
+        fail(str(error))
+
+
+def require_choice(value: str, choices: Iterable[str], option: str = "") -> None:
+    """Check that a value is one of the choices.
+
+    Args:
+        value: the value given.
+        choices: the values allowed.
+        option: the option it was given to; empty for an argument.
+
+    Raises:
+        CommandError: it is none of them.
+    """
+    allowed = list(choices)
+    if value not in allowed:
+        fail(f"{option} {value}".lstrip() + f": expected one of {', '.join(allowed)}")
--- a/garnetusher/cli/curves.py
+++ b/garnetusher/cli/curves.py
@@ -2,19 +2,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Sequence
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
+from typing import NamedTuple
 
 from msgspec import Struct, structs
 
-from garnetusher.cli.plays import Play, play
+from garnetusher.cli import markdown
+from garnetusher.cli.console import Progress
+from garnetusher.cli.markdown import Column, number_column
+from garnetusher.cli.runs import CompletedRun, run_experiment
 from garnetusher.model.experiment import Experiment, scaled
 
 SIZES = (10, 100, 1000, 10_000)
-GROW = ("fleet", "sidecars")
-# what is drawn: a figure of the plays and what a person calls it
-PLOTS = {
+GROW_FLEET, GROW_SIDECARS = "fleet", "sidecars"
+GROWTH_MODES = (GROW_FLEET, GROW_SIDECARS)
+RULES_BROKEN = "rules_broken"
+PLOTS = {  # the figures that are drawn, with their titles
     "served_worth.whole": "worth served",
     "retries": "retries a request",
     "crossings": "crossings a request",
@@ -26,8 +31,8 @@
 }
 
 
-class Point(Struct):
-    """One policy at one size: means over the plays."""
+class CurvePoint(Struct):
+    """One policy at one size of the fleet; `figures` are means over the runs."""
 
     policy: str
     sidecars: int
@@ -36,84 +41,137 @@
     figures: dict[str, float]
 
 
+class CurveDocument(Struct):
+    """The JSON document of `model curve`."""
+
+    name: str
+    grow: str
+    seeds: list[int]
+    points: list[CurvePoint]
+    plots: list[str]
+
+
+class _Case(NamedTuple):
+    policy: str
+    sidecars: int
+
+
 def measure(
     experiment: Experiment,
-    sizes: list[int],
-    policies: list[str],
+    sizes: Sequence[int],
+    policies: Sequence[str],
     grow: str,
-    seeds: range,
-    progress: Callable[[str, float], None],
-) -> list[Point]:
-    """All of them, the largest first, so that no core waits for it at the end."""
-    cases = [(policy, size) for size in sorted(sizes, reverse=True) for policy in policies]
-    fleets = {
-        (policy, size): structs.replace(it, sidecars=structs.replace(it.sidecars, policy=policy))
-        for policy, size in cases
-        for it in [scaled(experiment, size, alone=grow == "sidecars")]
-    }
-    plays = [(case, seed) for case in cases for seed in seeds]
-    found: dict[tuple[str, int], list[Play]] = {}
+    seeds: Sequence[int],
+    progress: Progress,
+) -> list[CurvePoint]:
+    """Run the experiment under each policy at each size with each seed.
+
+    The largest fleets run first, so that no core waits for one of them at the end.
+
+    Args:
+        experiment: what to run.
+        sizes: numbers of sidecars.
+        policies: names out of `garnetusher.model.baselines.NAMES`.
+        grow: one of `GROWTH_MODES`: whether upstreams and load grow along.
+        seeds: one run of each case for each.
+        progress: told of each run that has ended.
+
+    Returns:
+        The points, by policy and then by size.
+    """
+    cases = [_Case(policy, size) for size in sorted(sizes, reverse=True) for policy in policies]
+    fleets = {case: _fleet(experiment, case, grow) for case in cases}
+    scheduled = [(case, seed) for case in cases for seed in seeds]
+    runs_by_case: dict[_Case, list[CompletedRun]] = {case: [] for case in cases}
     with ProcessPoolExecutor() as pool:
-        for done, ((case, _), played) in enumerate(
-            zip(plays, pool.map(play, [fleets[case] for case, _ in plays], [seed for _, seed in plays]), strict=True)
-        ):
-            found.setdefault(case, []).append(played)
-            progress(f"{case[0]}, {case[1]} sidecars", (done + 1) / len(plays))
-    return [_point(policy, fleets[policy, size], found[policy, size]) for policy in policies for size in sorted(sizes)]
-
-
-def _point(policy: str, it: Experiment, plays: list[Play]) -> Point:
-    sidecars = sum(it.sidecars.per_zone.values())
-    each = [
-        p.result.figures
-        | {
-            "retries": p.result.figures["attempts_per_request"] - 1,
-            "decision_us": p.decision_us,
-            "list_calls_a_sidecar": p.result.figures["list_calls"] / sidecars,
-        }
-        for p in plays
-    ]
-    means = {name: round(sum(f[name] for f in each) / len(each), 5) for name in (*PLOTS, "rules_broken")}
-    return Point(policy, sidecars, sum(it.upstreams.per_zone.values()), it.load.requests_per_s, means)
+        runs = pool.map(run_experiment, [fleets[case] for case, _ in scheduled], [seed for _, seed in scheduled])
+        for completed, ((case, _), run) in enumerate(zip(scheduled, runs, strict=True), 1):
+            runs_by_case[case].append(run)
+            progress(f"{case.policy}, {case.sidecars} sidecars", completed / len(scheduled))
+    ordered = [_Case(policy, size) for policy in policies for size in sorted(sizes)]
+    return [_point(case.policy, fleets[case], runs_by_case[case]) for case in ordered]
+
+
+def _fleet(experiment: Experiment, case: _Case, grow: str) -> Experiment:
+    grown = scaled(experiment, case.sidecars, alone=grow == GROW_SIDECARS)
+    return structs.replace(grown, sidecars=structs.replace(grown.sidecars, policy=case.policy))
+
+
+def _point(policy: str, experiment: Experiment, runs: Sequence[CompletedRun]) -> CurvePoint:
+    sidecars = sum(experiment.sidecars.per_zone.values())
+    upstreams = sum(experiment.upstreams.per_zone.values())
+    figures = [_figures(run, sidecars) for run in runs]
+    means = {name: round(sum(run[name] for run in figures) / len(figures), 5) for name in (*PLOTS, RULES_BROKEN)}
+    return CurvePoint(policy, sidecars, upstreams, experiment.load.requests_per_s, means)
+
+
+def _figures(run: CompletedRun, sidecars: int) -> dict[str, float]:
+    """The figures of a run, with those that only a curve has."""
+    figures = run.result.figures
+    return figures | {
+        "retries": figures["attempts_per_request"] - 1,
+        "decision_us": run.decision_cpu_us,
+        "list_calls_a_sidecar": figures["list_calls"] / sidecars,
+    }
 
 
-def table(points: list[Point]) -> str:
-    """In Markdown, a row a point."""
-    columns = list(PLOTS)
-    lines = [
-        f"| policy | sidecars | upstreams | requests a second | {' | '.join(PLOTS.values())} | rules broken |",
-        f"| --- | ---: | ---: | ---: |{' ---: |' * (len(columns) + 1)}",
-    ]
-    lines += [
-        f"| {p.policy} | {p.sidecars} | {p.upstreams} | {p.requests_per_s:g} | "
-        f"{' | '.join(f'{p.figures[name]:.4g}' for name in columns)} | {p.figures['rules_broken']:g} |"
-        for p in points
+def table(points: Sequence[CurvePoint]) -> str:
+    """Format a table in Markdown: a row for each point."""
+    titles = ("sidecars", "upstreams", "requests a second", *PLOTS.values(), "rules broken")
+    columns = [Column("policy"), *map(number_column, titles)]
+    return markdown.table(columns, map(_cells, points))
+
+
+def _cells(point: CurvePoint) -> list[str]:
+    return [
+        point.policy,
+        str(point.sidecars),
+        str(point.upstreams),
+        f"{point.requests_per_s:g}",
+        *(f"{point.figures[name]:.4g}" for name in PLOTS),
+        f"{point.figures[RULES_BROKEN]:g}",
     ]
-    return "\n".join(lines)
 
 
-def draw(name: str, grow: str, points: list[Point], folder: Path) -> list[Path]:
-    """A plot a figure, each policy a line over the size of the fleet."""
-    import matplotlib
+def draw(name: str, grow: str, points: Sequence[CurvePoint], folder: Path) -> list[Path]:
+    """Draw an SVG plot of each figure in `PLOTS`, a line for each policy over the size of the fleet.
 
-    matplotlib.use("svg")
-    from matplotlib import pyplot as plt
+    Args:
+        name: the experiment's.
+        grow: as in `measure`.
+        points: what to draw.
+        folder: where the files go; made where it is missing.
 
+    Returns:
+        The files' paths.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
-    for key, label in PLOTS.items():
-        figure, axes = plt.subplots(figsize=(5.2, 3.4))
-        for policy in dict.fromkeys(p.policy for p in points):
-            line = [p for p in points if p.policy == policy]
-            sizes = [p.sidecars for p in line]
-            axes.plot(sizes, [p.figures[key] for p in line], marker="o", ms=4, lw=1.3, label=policy)
-        axes.set_xscale("log")
-        axes.set_xlabel(f"sidecars, {'upstreams and load in proportion' if grow == 'fleet' else 'all else the same'}")
-        axes.set_title(f"{name}: {label}", fontsize=10)
-        axes.grid(alpha=0.25)
-        if len({p.policy for p in points}) > 1:
-            axes.legend(fontsize=8)
-        paths.append(folder / f"{name}-{grow}-{key.replace('.', '-').replace('_', '-')}.svg")
-        figure.savefig(paths[-1], bbox_inches="tight", metadata={"Date": None})
-        plt.close(figure)
+    for figure_name in PLOTS:
+        path = folder / f"{name}-{grow}-{figure_name.replace('.', '-').replace('_', '-')}.svg"
+        _draw_figure(name, grow, points, figure_name, path)
+        paths.append(path)
     return paths
+
+
+def _draw_figure(name: str, grow: str, points: Sequence[CurvePoint], figure_name: str, path: Path) -> None:
+    import matplotlib  # noqa: PLC0415 -- slow to import, and few commands draw
+
+    matplotlib.use("svg")
+    from matplotlib import pyplot as plt  # noqa: PLC0415 -- only after the backend is chosen
+
+    figure, axes = plt.subplots(figsize=(5.2, 3.4))
+    policies = list(dict.fromkeys(point.policy for point in points))
+    for policy in policies:
+        line = [point for point in points if point.policy == policy]
+        sizes = [point.sidecars for point in line]
+        values = [point.figures[figure_name] for point in line]
+        axes.plot(sizes, values, marker="o", ms=4, lw=1.3, label=policy)
+    axes.set_xscale("log")
+    axes.set_xlabel(f"sidecars, {'upstreams and load in proportion' if grow == GROW_FLEET else 'all else the same'}")
+    axes.set_title(f"{name}: {PLOTS[figure_name]}", fontsize=10)
+    axes.grid(alpha=0.25)
+    if len(policies) > 1:
+        axes.legend(fontsize=8)
+    figure.savefig(path, bbox_inches="tight", metadata={"Date": None})
+    plt.close(figure)
--- a/garnetusher/cli/fidelity.py
+++ b/garnetusher/cli/fidelity.py
@@ -1,22 +1,26 @@
-"""`garnetusher model fidelity`: whether virtual time says what real processes say."""
+"""`garnetusher model fidelity`: whether virtual time gives the figures that real processes give."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Sequence
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from msgspec import Struct
+from msgspec import Struct, field
 
-from garnetusher.cli.plays import play
+from garnetusher.cli import markdown
+from garnetusher.cli.console import Progress
+from garnetusher.cli.markdown import Column, number_column
+from garnetusher.cli.runs import run_experiment
 from garnetusher.model import experiment as experiments
 from garnetusher.model import result
 from garnetusher.model.experiment import Experiment
+from garnetusher.model.result import Result
 
-CLOSE = 0.05  # of worth, between a play on real processes and one in virtual time
-WORTH = "served_worth.whole"
+TOLERANCE = 0.05  # of the weight served, between real processes and virtual time
+SERVED_WEIGHT = "served_worth.whole"
 FIGURES = (
-    WORTH,
+    SERVED_WEIGHT,
     "served_worth.during_fault",
     "served_worth.after",
     "crossings",
@@ -29,59 +33,85 @@
 
 
 class Row(Struct):
-    """Means of one experiment's plays; a figure that one side does not have is left out."""
+    """Mean figures of one experiment's runs.
+
+    Attributes:
+        name: the experiment's.
+        seeds: of its runs.
+        real: means on real processes; figures that no run has are left out.
+        virtual: means in virtual time.
+        rules_broken: how often a rule was broken in virtual time.
+    """
 
     name: str
     seeds: list[int]
     real: dict[str, float]
     virtual: dict[str, float]
-    broken: int  # rules, in virtual time
+    rules_broken: int = field(name="broken")
 
     @property
     def close(self) -> bool:
-        return abs(self.real[WORTH] - self.virtual[WORTH]) <= CLOSE
+        """Whether both served the same weight, within `TOLERANCE`."""
+        return abs(self.served_weight_difference) <= TOLERANCE
+
+    @property
+    def served_weight_difference(self) -> float:
+        """The weight served in virtual time less that on real processes."""
+        return self.virtual[SERVED_WEIGHT] - self.real[SERVED_WEIGHT]
+
 
+def pairs(folders: Sequence[Path], library: Path) -> list[tuple[Result, Experiment]]:
+    """Read results of the lab, each with its experiment; leave out runs in which the lab itself was late.
 
-def pairs(folders: list[Path], library: Path) -> list[tuple[result.Result, Experiment]]:
-    """Each play with its experiment's file; raises what reading them raises. Plays in which the lab was late count
-    for nothing."""
-    found = [result.read(folder / "result.json") for folder in folders]
-    known = {name: experiments.load(library / f"{name}.toml") for name in sorted({r.name for r in found})}
-    return [(r, known[r.name]) for r in found if not r.late]
+    Args:
+        folders: what `lab run` has filled.
+        library: the folder of the experiments' files.
 
+    Raises:
+        FileError: an experiment can't be read or is not in order.
+        OSError: a result can't be read.
+        msgspec.MsgspecError: a result is not in order.
+    """
+    results = [result.read(folder / "result.json") for folder in folders]
+    names = sorted({real.name for real in results})
+    library_by_name = {name: experiments.load(library / f"{name}.toml") for name in names}
+    return [(real, library_by_name[real.name]) for real in results if not real.late]
 
-def measure(plays: list[tuple[result.Result, Experiment]], progress: Callable[[str, float], None]) -> list[Row]:
-    """Play each again in virtual time, with the same seed."""
-    virtual: dict[str, list[result.Result]] = {}
+
+def measure(lab_runs: Sequence[tuple[Result, Experiment]], progress: Progress) -> list[Row]:
+    """Run each experiment again in virtual time, with the seed that it had on real processes."""
+    virtual_by_name: dict[str, list[Result]] = {}
     with ProcessPoolExecutor() as pool:
-        for done, played in enumerate(pool.map(play, [it for _, it in plays], [r.seed for r, _ in plays])):
-            virtual.setdefault(played.result.name, []).append(played.result)
-            progress(played.result.name, (done + 1) / len(plays))
-    rows = []
-    for name, modelled in virtual.items():
-        real = [r for r, _ in plays if r.name == name]
-        broken = sum(len(r.broken) for r in modelled)
-        rows.append(Row(name, [r.seed for r in real], _means(real), _means(modelled), broken))
-    return rows
-
-
-def _means(plays: list[result.Result]) -> dict[str, float]:
-    every = {name: [r.figures[name] for r in plays if name in r.figures] for name in FIGURES}
-    return {name: round(sum(values) / len(values), 5) for name, values in every.items() if values}
-
-
-def table(rows: list[Row]) -> str:
-    """In Markdown: real and virtual, a figure a column."""
-    lines = [
-        f"| experiment | plays | {' | '.join(FIGURES)} | worth apart |",
-        f"| --- | ---: |{' ---: |' * (len(FIGURES) + 1)}",
+        runs = pool.map(run_experiment, [experiment for _, experiment in lab_runs], [real.seed for real, _ in lab_runs])
+        for completed, run in enumerate(runs, 1):
+            virtual_by_name.setdefault(run.result.name, []).append(run.result)
+            progress(run.result.name, completed / len(lab_runs))
+    return [
+        _row(name, [real for real, _ in lab_runs if real.name == name], virtual)
+        for name, virtual in virtual_by_name.items()
+    ]
+
+
+def _row(name: str, real: list[Result], virtual: list[Result]) -> Row:
+    rules_broken = sum(len(run.broken) for run in virtual)
+    return Row(name, [run.seed for run in real], _means(real), _means(virtual), rules_broken)
+
+
+def _means(runs: list[Result]) -> dict[str, float]:
+    values = {name: [run.figures[name] for run in runs if name in run.figures] for name in FIGURES}
+    return {name: round(sum(present) / len(present), 5) for name, present in values.items() if present}
+
+
+def table(rows: Sequence[Row]) -> str:
+    """Format a table in Markdown: real and virtual figures, a row for each experiment."""
+    columns = [Column("experiment"), *map(number_column, ("plays", *FIGURES, "worth apart"))]
+    return markdown.table(columns, map(_cells, rows))
+
+
+def _cells(row: Row) -> list[str]:
+    figures = [
+        f"{row.real[name]:.4g} / {row.virtual[name]:.4g}" if name in row.real and name in row.virtual else "-"
+        for name in FIGURES
     ]
-    for row in rows:
-        cells = [
-            f"{row.real[name]:.4g} / {row.virtual[name]:.4g}" if name in row.real and name in row.virtual else "-"
-            for name in FIGURES
-        ]
-        apart = row.virtual[WORTH] - row.real[WORTH]
-        mark = "" if row.close else " !"
-        lines.append(f"| {row.name} | {len(row.seeds)} | {' | '.join(cells)} | {apart:+.4f}{mark} |")
-    return "\n".join(lines)
+    mark = "" if row.close else " !"
+    return [row.name, str(len(row.seeds)), *figures, f"{row.served_weight_difference:+.4f}{mark}"]
--- /dev/null
+++ b/garnetusher/cli/model_commands.py
@@ -0,0 +1,253 @@
+"""`garnetusher model`: experiments in virtual time."""
+
+from __future__ import annotations
+
+import os
+import sys
+from collections.abc import Sequence
+from concurrent.futures import ProcessPoolExecutor
+from itertools import repeat
+from pathlib import Path
+from typing import Annotated
+
+import msgspec
+import typer
+
+from garnetusher import cli, config
+from garnetusher.cli import (
+    curves,
+    decision_cost,
+    other_tree,
+    policy_comparison,
+    presence,
+    run_table,
+    schedule_search,
+)
+from garnetusher.cli import fidelity as fidelity_check
+from garnetusher.cli.argument_checks import experiment_or_fail, require_choice, seeds_or_fail
+from garnetusher.cli.options import ExperimentFile, JsonFlag
+from garnetusher.cli.runs import CompletedRun, run_experiment
+from garnetusher.model import baselines as baseline_policies
+from garnetusher.model import experiment as experiments
+from garnetusher.model import explore as exploration
+from garnetusher.model.ablations import ABLATIONS
+from garnetusher.model.clock import Stall
+from garnetusher.model.experiment import Experiment
+
+app = typer.Typer(no_args_is_help=True, help="The same experiments in virtual time, with the real decisions.")
+
+
+@app.callback()
+def model() -> None:
+    """The same experiments in virtual time, with the real decisions."""
+
+
+@app.command(epilog="Example: garnetusher model run experiments/zone-silent.toml --sidecars 100 --seeds 1:8")
+def run(  # noqa: PLR0913 -- a parameter for each option of the command
+    file: ExperimentFile,
+    *,
+    seed: Annotated[int | None, typer.Option(min=0, help="Of all random draws; else the file's.")] = None,
+    seeds: Annotated[str | None, typer.Option(help="Several plays, A:B, spread over the cores.")] = None,
+    sidecars: Annotated[int | None, typer.Option(min=1, help="So many, with all else in proportion.")] = None,
+    disabled: Annotated[
+        list[str] | None,
+        typer.Option("--without", help=f"A part of the decisions to do without: {', '.join(ABLATIONS)}."),
+    ] = None,
+    tree: Annotated[Path | None, typer.Option(help="A checkout whose decisions are played; else these.")] = None,
+    as_json: JsonFlag = False,
+) -> None:
+    """Play an experiment in virtual time; print its figures against their bounds."""
+    if tree is not None:
+        raise typer.Exit(other_tree.run_command(tree, sys.argv[1:]))
+    experiment = experiment_or_fail(file)
+    run_seeds = seeds_or_fail(seeds) if seeds is not None else [experiment.seed if seed is None else seed]
+    for name in disabled or []:
+        require_choice(name, ABLATIONS, "--without")
+    if sidecars is not None:
+        experiment = experiments.scaled(experiment, sidecars)
+    runs = _run_seeds(experiment, run_seeds, disabled or [])
+    _print_runs(runs, single=seeds is None, as_json=as_json)
+    cli.finish(held=all(run.result.held for run in runs))
+
+
+def _run_seeds(experiment: Experiment, seeds: Sequence[int], disabled: Sequence[str]) -> list[CompletedRun]:
+    """Run an experiment with each seed, spread over the cores."""
+    completed: list[CompletedRun] = []
+    try:
+        with (
+            cli.progress(f"{experiment.name} in virtual time") as progress,
+            ProcessPoolExecutor(min(len(seeds), os.cpu_count() or 1)) as pool,
+        ):
+            count = len(seeds)
+            for run in pool.map(run_experiment, repeat(experiment, count), seeds, repeat(disabled, count)):
+                completed.append(run)
+                progress("playing", len(completed) / count)
+    except Stall as error:
+        cli.fail(str(error), cli.NOT_HELD)
+    return completed
+
+
+def _print_runs(runs: Sequence[CompletedRun], *, single: bool, as_json: bool) -> None:
+    if as_json:
+        documents = [run.document for run in runs]
+        cli.say_json(documents[0] if single else documents)
+    elif single:
+        cli.say("\n".join(runs[0].result.lines))
+    else:
+        cli.say(run_table.table([run.result for run in runs]))
+
+
+@app.command(epilog="Example: garnetusher model baselines experiments/crash.toml --seeds 1:8")
+def baselines(
+    file: ExperimentFile,
+    seeds: Annotated[str, typer.Option(help="Plays of each policy, A:B.")] = "1:8",
+    *,
+    as_json: JsonFlag = False,
+) -> None:
+    """Lay the product's policy beside plain ones on the same draws: means, a row each."""
+    experiment = experiment_or_fail(file)
+    run_seeds = seeds_or_fail(seeds)
+    with cli.progress(f"{experiment.name} by policy") as progress:
+        comparison = policy_comparison.compare(experiment, run_seeds, progress)
+    if as_json:
+        cli.say_json(comparison)
+    else:
+        cli.say(policy_comparison.table(comparison))
+
+
+@app.command(epilog="Example: garnetusher model cost --upstreams 10 --upstreams 10000")
+def cost(
+    list_lengths: Annotated[list[int] | None, typer.Option("--upstreams", min=1, help="A length of the list.")] = None,
+    *,
+    as_json: JsonFlag = False,
+) -> None:
+    """Measure what one request's decisions cost this machine, by the length of the list, warm and all cold."""
+    lengths = list_lengths or decision_cost.LIST_LENGTHS
+    cases = [(length, all_warming) for all_warming in (False, True) for length in lengths]
+    costs: list[decision_cost.DecisionCost] = []
+    with cli.progress("decisions") as progress:
+        for length, all_warming in cases:
+            progress(f"{length} upstreams{', all cold' if all_warming else ''}", len(costs) / len(cases))
+            costs.append(decision_cost.measure(length, all_warming=all_warming))
+    if as_json:
+        cli.say_json(costs)
+    else:
+        cli.say(decision_cost.table(costs))
+
+
+@app.command(epilog="Example: garnetusher model explore module --seeds 1:20000")
+def explore(
+    part: Annotated[str, typer.Argument(help=f"What to explore: {', '.join(schedule_search.PARTS)}.")],
+    seeds: Annotated[str, typer.Option(help="A schedule each, A:B.")] = "1:2000",
+    max_steps: Annotated[int, typer.Option("--steps", min=4, help="In a schedule, at the most.")] = 120,
+    out: Annotated[Path, typer.Option(help="Where what breaks is kept.")] = Path("found"),
+    *,
+    as_json: JsonFlag = False,
+) -> None:
+    """Play seeded schedules of events against a core; shrink and keep those that break a rule."""
+    require_choice(part, schedule_search.PARTS)
+    schedule_seeds = seeds_or_fail(seeds)
+    with cli.progress(f"exploring {part}") as progress:
+        for result in schedule_search.search(part, schedule_seeds, max_steps):
+            progress(f"{len(result.failures)} found", result.schedules / len(schedule_seeds))
+    paths = schedule_search.save_smallest(result, out)
+    if as_json:
+        cli.say_json(result)
+    else:
+        cli.say("\n".join([*result.lines, *(f"kept: {path}" for path in paths)]))
+    cli.finish(held=not result.failures)
+
+
+@app.command(epilog="Example: garnetusher model replay found/module-slots-17.json")
+def replay(file: Annotated[Path, typer.Argument(help="What `model explore` has kept.")]) -> None:
+    """Play a schedule that broke a rule once more; tell it step by step."""
+    try:
+        failure = exploration.kept(file)
+    except (OSError, msgspec.MsgspecError) as error:
+        cli.fail(f"{file}: expected a schedule that `model explore` has kept: {error}")
+    schedule, parts = failure.schedule, schedule_search.PARTS
+    if schedule.part not in parts:
+        cli.fail(f"{file}: part: expected one of {', '.join(parts)}, got {schedule.part!r}")
+    part = parts[schedule.part]
+    broken = part.play(schedule)
+    cli.say("\n".join(part.tell(schedule)))
+    cli.say(f"broke {broken.text}" if broken is not None else f"holds now; it broke {failure.broken.text}")
+    cli.finish(held=broken is None)
+
+
+@app.command(epilog="Example: garnetusher model curve experiments/fleet.toml --sidecars 10 --sidecars 1000")
+def curve(  # noqa: PLR0913 -- a parameter for each option of the command
+    file: ExperimentFile,
+    *,
+    sizes: Annotated[list[int] | None, typer.Option("--sidecars", min=1, help="A size of the fleet.")] = None,
+    policies: Annotated[
+        list[str] | None, typer.Option("--policy", help=f"One of {', '.join(baseline_policies.NAMES)}.")
+    ] = None,
+    grow: Annotated[
+        str, typer.Option(help="What grows: `fleet` with upstreams and load, or `sidecars` alone.")
+    ] = curves.GROW_FLEET,
+    seeds: Annotated[str, typer.Option(help="Plays of each, A:B.")] = "1:2",
+    out: Annotated[Path, typer.Option(help="Where plots and figures go.")] = Path("found/curve"),
+    as_json: JsonFlag = False,
+) -> None:
+    """Play a fleet of growing size; a table, and a plot for each of worth, retries, crossings and other costs."""
+    experiment = experiment_or_fail(file)
+    run_seeds = seeds_or_fail(seeds)
+    for name in policies or []:
+        require_choice(name, baseline_policies.NAMES, "--policy")
+    require_choice(grow, curves.GROWTH_MODES, "--grow")
+    fleet_sizes = sorted(set(sizes or curves.SIZES))
+    with cli.progress(f"{experiment.name} at {len(fleet_sizes)} sizes") as progress:
+        points = curves.measure(experiment, fleet_sizes, policies or [baseline_policies.OWN], grow, run_seeds, progress)
+    paths = curves.draw(experiment.name, grow, points, out)
+    if as_json:
+        cli.say_json(curves.CurveDocument(experiment.name, grow, list(run_seeds), points, list(map(str, paths))))
+    else:
+        cli.say("\n".join([curves.table(points), "", *(f"plot: {path}" for path in paths)]))
+
+
+@app.command(epilog="Example: garnetusher model members --size 10 --size 1000 --loss 0.1 --starved 0.1")
+def members(
+    sizes: Annotated[list[int] | None, typer.Option("--size", min=2, help="Members of a fleet.")] = None,
+    loss: Annotated[float, typer.Option(min=0, max=1, help="Part of the datagrams that are lost.")] = 0.0,
+    starved: Annotated[float, typer.Option(min=0, max=1, help="Part whose turns come 0.3 s late.")] = 0.0,
+    seeds: Annotated[str, typer.Option(help="Plays of each, A:B.")] = "1:2",
+    out: Annotated[Path, typer.Option(help="Where the plot goes.")] = Path("found/members.svg"),
+    *,
+    as_json: JsonFlag = False,
+) -> None:
+    """Membership by the size of the fleet: joins, a kill, a split that heals, and what it costs in calm."""
+    run_seeds = seeds_or_fail(seeds)
+    fleet_sizes = sorted(set(sizes or presence.SIZES))
+    with cli.progress("members") as progress:
+        runs = presence.measure(fleet_sizes, loss, starved, run_seeds, progress)
+    presence.draw(runs, out)
+    if as_json:
+        cli.say_json(runs)
+    else:
+        cli.say(f"{presence.table(runs)}\n\nplot: {out}")
+    cli.finish(held=not any(run.accused for run in runs))
+
+
+@app.command(epilog="Example: garnetusher model fidelity found/calm-1 found/crash-1")
+def fidelity(
+    folders: Annotated[list[Path], typer.Argument(help="Folders that `lab run` has filled.")],
+    library: Annotated[Path, typer.Option(help="Where the experiments' files are.")] = Path("experiments"),
+    tree: Annotated[Path | None, typer.Option(help="A checkout whose decisions are played.")] = None,
+    *,
+    as_json: JsonFlag = False,
+) -> None:
+    """Lay plays of the lab beside the same experiments and seeds in virtual time: means by experiment."""
+    if tree is not None:
+        raise typer.Exit(other_tree.run_command(tree, sys.argv[1:]))
+    try:
+        pairs = fidelity_check.pairs(folders, library)
+    except (config.FileError, OSError, msgspec.MsgspecError) as error:
+        cli.fail(str(error))
+    with cli.progress("fidelity") as progress:
+        rows = fidelity_check.measure(pairs, progress)
+    if as_json:
+        cli.say_json(rows)
+    else:
+        cli.say(fidelity_check.table(rows))
+    cli.finish(held=all(row.close for row in rows))
--- /dev/null
+++ b/garnetusher/cli/other_tree.py
@@ -0,0 +1,68 @@
+"""Run the same command with the policy of another checkout in place of this one's."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+import tempfile
+from collections.abc import Sequence
+from pathlib import Path
+
+import garnetusher
+from garnetusher.cli.errors import fail
+
+TREE_OPTION = "--tree"
+RUN_COMMAND = "import sys; from garnetusher.__main__ import main; sys.exit(main())"
+POLICY = Path("garnetusher", "policy")
+
+
+def run_command(tree: Path, arguments: Sequence[str]) -> int:
+    """Run `garnetusher` with the policy of a checkout, in a process of its own.
+
+    A checkout that has the command but no `garnetusher.policy` is an older one, whose policy has another interface: its
+    whole command is run.
+
+    Args:
+        tree: the checkout.
+        arguments: the command line, from which `--tree` is left out.
+
+    Returns:
+        The exit status.
+
+    Raises:
+        CommandError: the checkout has no policy.
+    """
+    tree = tree.resolve()
+    remaining = _without_tree_option(arguments)
+    if not (tree / POLICY).is_dir() and (tree / "garnetusher" / "__main__.py").is_file():
+        return _run(tree, remaining)
+    if not (tree / POLICY / "balancer.py").is_file():
+        fail(f"{TREE_OPTION} {tree}: expected a checkout with {POLICY / 'balancer.py'}")
+    with tempfile.TemporaryDirectory() as folder:
+        _link_package(Path(folder), tree / POLICY)
+        return _run(Path(folder), remaining)
+
+
+def _without_tree_option(arguments: Sequence[str]) -> list[str]:
+    remaining = []
+    words = iter(arguments)
+    for word in words:
+        if word == TREE_OPTION:
+            next(words, None)  # its value
+        elif not word.startswith(f"{TREE_OPTION}="):
+            remaining.append(word)
+    return remaining
+
+
+def _link_package(folder: Path, policy: Path) -> None:
+    """Make a package `garnetusher` of links to this one's parts, but to the other policy."""
+    package = folder / "garnetusher"
+    package.mkdir()
+    for part in Path(garnetusher.__file__).resolve().parent.iterdir():
+        (package / part.name).symlink_to(policy if part.name == POLICY.name else part)
+
+
+def _run(python_path: Path, arguments: Sequence[str]) -> int:
+    environment = os.environ | {"PYTHONPATH": str(python_path)}
+    return subprocess.call([sys.executable, "-P", "-c", RUN_COMMAND, *arguments], env=environment)
--- /dev/null
+++ b/garnetusher/cli/schedule_search.py
@@ -0,0 +1,113 @@
+"""`garnetusher model explore`: search schedules for broken rules over all cores, and save those found."""
+
+from __future__ import annotations
+
+import os
+from collections import Counter
+from collections.abc import Iterator
+from concurrent.futures import ProcessPoolExecutor
+from itertools import repeat
+from pathlib import Path
+
+from msgspec import Struct, field
+
+from garnetusher.model import explore
+from garnetusher.model.explore import Find, Part
+from garnetusher.model.explore.membership import Membership
+from garnetusher.model.explore.module import Module
+
+PARTS: dict[str, Part] = {part.name: part for part in (Module(), Membership())}
+SEEDS_PER_TASK = 250  # that a process runs in one go
+SHOWN_STEPS = 40  # the last of a schedule that are printed; the file has all
+
+
+class SearchResult(Struct):
+    """What a search has found so far.
+
+    Attributes:
+        part: what is explored; a key of `PARTS`.
+        seeds: the first and the last seed.
+        schedules: how many have been run.
+        max_steps: in each schedule, at the most.
+        failures: the schedules that broke a rule, shrunk.
+    """
+
+    part: str
+    seeds: list[int]
+    schedules: int = 0
+    max_steps: int = field(name="steps", default=0)
+    failures: list[Find] = field(name="finds", default_factory=list)
+
+    @property
+    def lines(self) -> list[str]:
+        """The result for people: a summary, and the first failure of each rule."""
+        counts = Counter(failure.broken.rule for failure in self.failures)
+        summary = ", ".join(f"{count} broke {rule}" for rule, count in counts.items()) or "nothing broke"
+        lines = [
+            f"{self.part}: {self.schedules} schedules of up to {self.max_steps} steps, seeds {self.seeds[0]} to "
+            f"{self.seeds[1]}: {summary}"
+        ]
+        first_by_rule: dict[str, Find] = {}
+        for failure in self.failures:
+            first_by_rule.setdefault(failure.broken.rule, failure)
+        for failure in first_by_rule.values():
+            lines += self._failure_lines(failure)
+        return lines
+
+    def _failure_lines(self, failure: Find) -> list[str]:
+        schedule = failure.schedule
+        steps = PARTS[self.part].tell(schedule)[-SHOWN_STEPS:]
+        return [
+            f"seed {schedule.seed}, {len(schedule.steps)} steps of {failure.drawn_steps}: {failure.broken.text}",
+            *("  " + step for step in steps),
+        ]
+
+
+def search(part: str, seeds: range, max_steps: int) -> Iterator[SearchResult]:
+    """Run the schedule of each seed, spread over all cores.
+
+    Args:
+        part: a key of `PARTS`.
+        seeds: a schedule for each.
+        max_steps: in each schedule, at the most.
+
+    Yields:
+        The result so far after each group of seeds, in their order; always the same object.
+    """
+    result = SearchResult(part, [seeds[0], seeds[-1]], max_steps=max_steps)
+    groups = [seeds[start : start + SEEDS_PER_TASK] for start in range(0, len(seeds), SEEDS_PER_TASK)]
+    with ProcessPoolExecutor(min(len(groups), os.cpu_count() or 1)) as pool:
+        failures_by_group = pool.map(_failures, repeat(part, len(groups)), groups, repeat(max_steps, len(groups)))
+        for group, failures in zip(groups, failures_by_group, strict=True):
+            result.schedules += len(group)
+            result.failures.extend(failures)
+            yield result
+
+
+def _failures(part: str, seeds: range, max_steps: int) -> list[Find]:
+    return [failure for _, failure in explore.explore(PARTS[part], seeds, max_steps) if failure is not None]
+
+
+def save_smallest(result: SearchResult, folder: Path) -> list[Path]:
+    """Write the smallest failure of each rule to a file of its own.
+
+    Returns:
+        The files' paths; none, and no folder, where no rule was broken.
+    """
+    paths = []
+    for rule, failure in _smallest_by_rule(result.failures).items():
+        rule_in_name = "".join(character if character.isalnum() else "-" for character in rule)
+        path = folder / f"{result.part}-{rule_in_name}-{failure.schedule.seed}.json"
+        folder.mkdir(parents=True, exist_ok=True)
+        explore.keep(failure, path)
+        paths.append(path)
+    return paths
+
+
+def _smallest_by_rule(failures: list[Find]) -> dict[str, Find]:
+    smallest: dict[str, Find] = {}
+    for failure in failures:
+        best = smallest.setdefault(failure.broken.rule, failure)
+        if len(failure.schedule.steps) < len(best.schedule.steps):
+            smallest[failure.broken.rule] = failure
+    return smallest
--- a/garnetusher/cli/zones.py
+++ b/garnetusher/cli/zones.py
@@ -1,77 +1,85 @@
-"""`garnetusher zones`: what a running sidecar believes of each zone, and the operator's hand on them."""
+"""`garnetusher zones`: the states of the zones at a running sidecar, and an operator's orders on them."""
 
 from __future__ import annotations
 
-import http.client
-import json as jsons
-import os
-from typing import Annotated, Any
+import enum
+from http import HTTPStatus
 from urllib.parse import quote
 
+import msgspec
 import typer
+from msgspec import Struct
 
 from garnetusher import cli
+from garnetusher.cli.admin_client import AdminAddress, call
+from garnetusher.cli.options import JsonFlag
+
+__all__ = ["At", "app", "call"]  # `cli.members` imports `At` and `call` from here
 
 app = typer.Typer(help="What a sidecar believes of each zone; leave one, or return to it.")
 
-PATIENCE_S = 2.0  # for an answer; a sidecar gives it at once
-At = Annotated[str, typer.Option(help="The sidecar's admin address; else $BALANCER_ADMIN.")]
+At = AdminAddress
+
+
+class ZoneReport(Struct):
+    """One zone in the answer to `GET /_zones`.
+
+    Attributes:
+        zone: its name.
+        state: one of active, suspected, evacuated and restoring, in the words of the admin interface.
+        decided_by: evidence or an operator.
+        for_s: how long it has been in this state.
+        upstreams: how many endpoints it has.
+        why: the reason for this state.
+    """
+
+    zone: str
+    state: str
+    decided_by: str = msgspec.field(name="by")
+    for_s: float
+    upstreams: int
+    why: str
 
 
-def call(at: str, method: str, path: str) -> tuple[int, str]:
-    """One operator's call; ends the command where there is no answer."""
-    where = at or os.environ.get("BALANCER_ADMIN", "")
-    host, _, port = where.rpartition(":")
-    if not host or not port.isdecimal():
-        cli.fail(f"--at: expected host:port, got {where!r}")
-    connection = http.client.HTTPConnection(host, int(port), timeout=PATIENCE_S)
-    try:
-        connection.request(method, path)
-        answer = connection.getresponse()
-        return answer.status, answer.read().decode()
-    except OSError as error:
-        cli.fail(f"no answer from {where}: {error}", cli.NOT_HELD)
-    finally:
-        connection.close()
+class ZoneOrder(enum.Enum):
+    """An operator's order; the value is its name in the path."""
+
+    EVACUATE = "leave"
+    RESTORE = "return"
 
 
 @app.callback(invoke_without_command=True, epilog="Example: garnetusher zones --at 127.0.0.1:9100")
-def zones(
-    context: typer.Context,
-    at: At = "",
-    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,
-) -> None:
+def zones(context: typer.Context, at: AdminAddress = "", *, as_json: JsonFlag = False) -> None:
     """Each zone's state, since when, and why."""
     if context.invoked_subcommand is not None:
         return
-    status, text = call(at, "GET", "/_zones")
-    if status != 200:
-        cli.fail(f"the sidecar answered {status}: {text.strip()}", cli.NOT_HELD)
-    found: list[dict[str, Any]] = jsons.loads(text)
-    if json:
-        cli.say_json(found)
+    response = call(at, "GET", "/_zones")
+    if response.status != HTTPStatus.OK:
+        cli.fail(f"the sidecar answered {response.status}: {response.text.strip()}", cli.NOT_HELD)
+    if as_json:
+        cli.say_json(msgspec.json.decode(response.text))
         return
-    for zone in found:
+    for report in msgspec.json.decode(response.text, type=list[ZoneReport]):
         cli.say(
-            f"{zone['zone']:<16} {zone['state']:<10} by {zone['by']:<9} for {zone['for_s']:>8.1f} s, "
-            f"{zone['upstreams']} upstreams: {zone['why']}"
+            f"{report.zone:<16} {report.state:<10} by {report.decided_by:<9} for {report.for_s:>8.1f} s, "
+            f"{report.upstreams} upstreams: {report.why}"
         )
 
 
-def order(at: str, what: str, name: str) -> None:
-    status, text = call(at, "POST", f"/_zone/{what}?zone={quote(name)}")
-    if status != 200:
-        cli.fail(text.strip(), cli.NOT_HELD)
-    cli.say(text.strip())
-
-
 @app.command(epilog="Example: garnetusher zones leave ezeiza --at 127.0.0.1:9100")
-def leave(name: str, at: At = "") -> None:
+def leave(name: str, at: AdminAddress = "") -> None:
     """Send nothing to a zone until it is returned to, whatever its upstreams answer."""
-    order(at, "leave", name)
+    _send_order(at, ZoneOrder.EVACUATE, name)
 
 
 @app.command(name="return", epilog="Example: garnetusher zones return ezeiza --at 127.0.0.1:9100")
-def return_to(name: str, at: At = "") -> None:
+def return_to(name: str, at: AdminAddress = "") -> None:
     """Use a zone again that an operator had left, by steps."""
-    order(at, "return", name)
+    _send_order(at, ZoneOrder.RESTORE, name)
+
+
+def _send_order(at: str, order: ZoneOrder, zone: str) -> None:
+    response = call(at, "POST", f"/_zone/{order.value}?zone={quote(zone)}")
+    if response.status != HTTPStatus.OK:
+        cli.fail(response.text.strip(), cli.NOT_HELD)
+    cli.say(response.text.strip())
--- a/garnetusher/config.py
+++ b/garnetusher/config.py
@@ -1,8 +1,6 @@
-"""TOML files checked against typed models: one clear line for whatever is wrong with one.
+"""TOML files checked against typed models, with one line that says what is wrong.
 
-A model is a `msgspec.Struct` with ``forbid_unknown_fields=True``. Keys that TOML wants bare but Python reserves
-are renamed in the struct. `read` raises `FileError`, whose text names the file, the key, what was expected and,
-for an unknown key, the nearest known one.
+A model is a `msgspec.Struct` with ``forbid_unknown_fields=True``. Keys that Python reserves are renamed in the struct.
 """
 
 from __future__ import annotations
@@ -16,89 +14,118 @@
 
 import msgspec
 
-T = TypeVar("T", bound=msgspec.Struct)
+from garnetusher.errors import GarnetusherError
 
-_UNKNOWN = re.compile(r"Object contains unknown field `(?P<key>[^`]*)`(?: - at `\$(?P<path>[^`]*)`)?")
-_MISSING = re.compile(r"Object missing required field `(?P<key>[^`]*)`(?: - at `\$(?P<path>[^`]*)`)?")
-_OTHER = re.compile(r"(?P<what>.*?)(?: - at `\$(?P<path>[^`]*)`)?$", re.DOTALL)
+Model = TypeVar("Model", bound=msgspec.Struct)
 
+# messages of msgspec: what is wrong, and the place in the document
+_UNKNOWN_KEY = re.compile(r"Object contains unknown field `(?P<key>[^`]*)`(?: - at `\$(?P<path>[^`]*)`)?")
+_MISSING_KEY = re.compile(r"Object missing required field `(?P<key>[^`]*)`(?: - at `\$(?P<path>[^`]*)`)?")
+_PLACE = re.compile(r" - at `\$(?P<path>[^`]*)`$")
 
-class FileError(ValueError):
-    """A file that can't be taken; `str` is the one line that says why."""
 
-    def __init__(self, path: Path | str, key: str, why: str) -> None:
-        super().__init__(f"{path}: {key + ': ' if key else ''}{why}")
+class FileError(GarnetusherError, ValueError):
+    """A file can't be read or does not fit its model.
+
+    The message is one line with the file, the key, what was expected and, for an unknown key, the nearest known one.
+
+    Attributes:
+        key: the dotted key; empty where the whole file is meant.
+    """
+
+    def __init__(self, path: Path | str, key: str, reason: str) -> None:
+        super().__init__(f"{path}: {key + ': ' if key else ''}{reason}")
         self.key = key
 
 
-def read(path: Path | str, model: type[T]) -> T:
-    """The file as `model`; raises FileError on what can't be opened, is no TOML, or doesn't fit."""
+def read(path: Path | str, model: type[Model]) -> Model:
+    """Read a TOML file into a model.
+
+    Raises:
+        FileError: the file can't be read, is no TOML, or does not fit the model.
+    """
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
         raise FileError(path, "", f"can't be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise FileError(
-            path, "", f"expected text in UTF-8, found byte {error.object[error.start]:#04x} at position {error.start}"
-        ) from None
+        byte = error.object[error.start]
+        reason = f"expected text in UTF-8, found byte {byte:#04x} at position {error.start}"
+        raise FileError(path, "", reason) from None
     return parse(text, model, path)
 
 
-def parse(text: str, model: type[T], path: Path | str = "(text)") -> T:
-    """As `read`, of a text that has been read already."""
+def parse(text: str, model: type[Model], path: Path | str = "(text)") -> Model:
+    """Parse TOML text into a model.
+
+    Args:
+        text: the TOML.
+        model: the type of the result.
+        path: the name of the text in errors.
+
+    Raises:
+        FileError: the text is no TOML or does not fit the model.
+    """
     try:
-        raw = tomllib.loads(text)
+        document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise FileError(path, "", f"expected TOML: {error}") from None
     try:
-        return msgspec.convert(raw, model)
+        return msgspec.convert(document, model)
     except msgspec.ValidationError as error:
-        raise _explain(path, model, str(error)) from None
+        raise _file_error(path, model, str(error)) from None
 
 
-def _explain(path: Path | str, model: type[msgspec.Struct], text: str) -> FileError:
-    """msgspec's message in the words of the file: a dotted key, what was expected, the nearest known key."""
-    for pattern in (_UNKNOWN, _MISSING):
-        found = pattern.match(text)
-        if found is None:
-            continue
-        place = _dotted(found["path"] or "")
-        key = f"{place}.{found['key']}" if place else found["key"]
-        if pattern is _MISSING:
-            return FileError(path, key, "expected this key, which is missing")
-        known = sorted(_keys_at(model, place))
-        near = difflib.get_close_matches(found["key"], known, 1)
-        hint = f"did you mean `{near[0]}`?" if near else f"known here: {', '.join(known)}"
-        return FileError(path, key, f"unknown key; {hint}")
-    other = _OTHER.match(text)
-    assert other is not None
-    what = other["what"]
-    return FileError(path, _dotted(other["path"] or ""), what[:1].lower() + what[1:])
+def _file_error(path: Path | str, model: type[msgspec.Struct], message: str) -> FileError:
+    """Translate a message of msgspec into an error with the key as it stands in the file."""
+    unknown = _UNKNOWN_KEY.match(message)
+    if unknown is not None:
+        table = _dotted(unknown["path"] or "")
+        return FileError(path, _join(table, unknown["key"]), f"unknown key; {_hint(model, table, unknown['key'])}")
+    missing = _MISSING_KEY.match(message)
+    if missing is not None:
+        table = _dotted(missing["path"] or "")
+        return FileError(path, _join(table, missing["key"]), "expected this key, which is missing")
+    place = _PLACE.search(message)
+    reason = message if place is None else message[: place.start()]
+    return FileError(path, _dotted(place["path"]) if place is not None else "", reason[:1].lower() + reason[1:])
+
+
+def _hint(model: type[msgspec.Struct], table: str, key: str) -> str:
+    """Name the known key that is nearest to an unknown one; all known keys where none is near."""
+    known = sorted(_known_keys(model, table))
+    nearest = difflib.get_close_matches(key, known, 1)
+    return f"did you mean `{nearest[0]}`?" if nearest else f"known here: {', '.join(known)}"
 
 
 def _dotted(path: str) -> str:
-    """`.fault[2].at_s` as it is said here: `fault.2.at_s`; the values of a table are named `[...]` by msgspec."""
+    """Convert a path of msgspec, as `.fault[2].at_s`, to a dotted key: `fault.2.at_s`; `[...]` is any key: `*`."""
     return path.replace("[...]", ".*").replace("[", ".").replace("]", "").lstrip(".")
 
 
-def _keys_at(model: type[msgspec.Struct], place: str) -> Iterator[str]:
-    """The keys that the table at a dotted place may have."""
-    kind: Any = model
-    for part in place.split(".") if place else []:
+def _join(table: str, key: str) -> str:
+    return f"{table}.{key}" if table else key
+
+
+def _known_keys(model: type[msgspec.Struct], table: str) -> Iterator[str]:
+    """Yield the keys that the table at a dotted place may have."""
+    struct: Any = model
+    for part in table.split(".") if table else []:
         if part.isdigit() or part == "*":
             continue
-        field = next((f for f in msgspec.structs.fields(kind) if f.encode_name == part), None)
+        field = next((field for field in msgspec.structs.fields(struct) if field.encode_name == part), None)
         if field is None:
             return
-        kind = _struct_in(get_type_hints(kind)[field.name])
-        if kind is None:
+        struct = _find_struct(get_type_hints(struct)[field.name])
+        if struct is None:
             return
-    for field in msgspec.structs.fields(kind):
+    for field in msgspec.structs.fields(struct):
         yield field.encode_name
 
 
-def _struct_in(annotation: Any) -> Any:
-    """The first struct within an annotation such as `list[Fault]` or `Place | None`."""
+def _find_struct(annotation: Any) -> Any:
+    """Find the first struct within an annotation such as `list[Fault]` or `Place | None`; None without one."""
     if isinstance(annotation, type) and issubclass(annotation, msgspec.Struct):
         return annotation
-    return next((found for part in get_args(annotation) if (found := _struct_in(part)) is not None), None)
+    candidates = (_find_struct(argument) for argument in get_args(annotation))
+    return next((struct for struct in candidates if struct is not None), None)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -10,45 +10,49 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MOST_LINES = 3
+MAX_LINES = 3
 SEPARATOR = " | "
 
 
 class KnownRedError(ValueError):
-    """The file is not in order; `str` says why."""
+    """The list is malformed."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
     """One test that is expected to fail."""
 
-    test: str  # its node id, without a parameter or with one
+    test: str  # its node id, with or without a parameter
     cause: str
     issue: str
 
     def covers(self, node_id: str) -> bool:
-        """Whether it names this test, or all its parameters."""
+        """Tell whether the line names this test, with all its parameters or with this one."""
         return node_id == self.test or node_id.startswith(self.test + "[")
 
 
 def read(path: Path) -> list[KnownRed]:
-    """The lines of the file; raises KnownRedError on one that is malformed, or one too many."""
+    """Read the list; an absent file is an empty list.
+
+    Raises:
+        KnownRedError: a line is malformed, or there are more than `MAX_LINES`.
+    """
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
-    if len(lines) > MOST_LINES:
-        raise KnownRedError(f"{path.name}: expected at most {MOST_LINES} lines, got {len(lines)}")
-    return [_parse(path, number, line) for number, line in enumerate(lines, 1)]
+    if len(lines) > MAX_LINES:
+        raise KnownRedError(f"{path.name}: expected at most {MAX_LINES} lines, got {len(lines)}")
+    return [_parse(path, line_number, line) for line_number, line in enumerate(lines, 1)]
 
 
-def _parse(path: Path, number: int, line: str) -> KnownRed:
-    parts = [part.strip() for part in line.split(SEPARATOR)]
-    if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-        raise KnownRedError(f"{path.name}, line {number}: expected 'path::test | cause | issue', got {line!r}")
-    return KnownRed(*parts)
+def _parse(path: Path, line_number: int, line: str) -> KnownRed:
+    fields = [field.strip() for field in line.split(SEPARATOR)]
+    if len(fields) != 3 or not all(fields) or "::" not in fields[0]:
+        raise KnownRedError(f"{path.name}, line {line_number}: expected 'path::test | cause | issue', got {line!r}")
+    return KnownRed(*fields)
 
 
-def unknown(reds: Iterable[KnownRed], node_ids: Iterable[str]) -> list[KnownRed]:
-    """Those that name no test of these."""
-    known = list(node_ids)
-    return [red for red in reds if not any(red.covers(node_id) for node_id in known)]
+def unknown(entries: Iterable[KnownRed], node_ids: Iterable[str]) -> list[KnownRed]:
+    """Select the entries that name none of these tests."""
+    existing = list(node_ids)
+    return [entry for entry in entries if not any(entry.covers(node_id) for node_id in existing)]
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -35,20 +35,22 @@
         told.append(belief)
     assert beliefs.belief(0, "x", "upstream 3 rests", it.topology.zones) is None
     found = beliefs.figures(it, made, told)
-    assert found["zone_leave_s"] == pytest.approx(0.6) and found["zone_leave_s.home"] == pytest.approx(0.4)
-    assert found["false_leaves"] == 1 and found["zones_left"] == 1
+    assert found["zone_leave_s"] == pytest.approx(0.6)
+    assert found["zone_leave_s.home"] == pytest.approx(0.4)
+    assert found["false_leaves"] == 1
+    assert found["zones_left"] == 1
     assert found["zone_return_s"] == pytest.approx(3.0)
     assert found["zone_state_s.left"] == pytest.approx((10.8 + 23.4 + 21 + 20) / 18)
 
 
-def run(monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], *words: str) -> tuple[int, str]:
+def model_run(monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], *words: str) -> tuple[int, str]:
     monkeypatch.setattr(sys, "argv", ["garnetusher", "model", "run", *words])
     status = command.main()
     out = capfd.readouterr()
     return status, out.out + out.err
 
 
-def test_an_earlier_trees_decisions_are_played(
+def test_model_run_uses_the_policy_of_another_tree_when_tree_is_given(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "small.toml").write_text(text(seconds=2))
@@ -58,8 +60,9 @@
         (tree / path.name).write_text(path.read_text().replace("FIRST_SLOTS = 3.0", "FIRST_SLOTS = 1.0"))
     digests = []
     for words in ((), ("--tree", str(ROOT)), ("--tree", str(tree.parent.parent))):
-        _, out = run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--json", *words)
+        _, out = model_run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--json", *words)
         digests.append(json.loads(out)["digest"])
     assert digests[0] == digests[1] != digests[2]
-    status, out = run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--tree", str(tmp_path))
-    assert status == 2 and "expected a checkout with garnetusher/policy/balancer.py" in out
+    status, out = model_run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--tree", str(tmp_path))
+    assert status == 2
+    assert "expected a checkout with garnetusher/policy/balancer.py" in out
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -17,8 +17,8 @@
 
 FAULT = "[[fault]]\nat_s = 1\n"
 
-# what is written instead of what, and the words that the one line must have
-BAD: list[tuple[str, str, list[str]]] = [
+# the text replaced, its replacement, and the words that the error message must have
+INVALID_FILES: list[tuple[str, str, list[str]]] = [
     ("seconds = 3", "secnds = 3", ["secnds", "did you mean `seconds`"]),
     ("seconds = 3", "seconds = 0", ["seconds", "> 0"]),
     ("seconds = 3", 'seconds = "long"', ["seconds", "`str`"]),
@@ -56,8 +56,8 @@
     return status, out.out, out.err
 
 
-@pytest.mark.parametrize(("old", "new", "words"), BAD)
-def test_a_bad_file_is_told_in_one_line(
+@pytest.mark.parametrize(("old", "new", "words"), INVALID_FILES)
+def test_lab_run_prints_one_line_when_the_file_is_invalid(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
@@ -65,18 +65,20 @@
     new: str,
     words: list[str],
 ) -> None:
-    whole = text(more="{{more}}".format())
-    assert old in whole
+    experiment_text = text(more="{{more}}".format())
+    assert old in experiment_text
     path = tmp_path / "bad.toml"
-    path.write_text(whole.replace(old, new, 1).replace("{more}", ""))
+    path.write_text(experiment_text.replace(old, new, 1).replace("{more}", ""))
     status, out, err = call(capsys, monkeypatch, "lab", "run", str(path), "--out", str(tmp_path / "out"))
-    assert (status, out) == (2, "") and len(err.splitlines()) == 1
-    assert str(path) in err and all(word in err for word in words), err
+    assert (status, out) == (2, "")
+    assert len(err.splitlines()) == 1
+    assert str(path) in err, err
+    assert all(word in err for word in words), err
     assert not (tmp_path / "out").exists()
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "message"),
     [
         (["lab", "run", "no-such.toml"], "no-such.toml: can't be read"),
         (["lab", "run"], "Missing argument"),
@@ -86,32 +88,35 @@
         (["lab", "run", "experiments/calm.toml", "--out", "docs"], "expected a new or empty folder"),
     ],
 )
-def test_a_wrong_call_is_told_in_one_line(
-    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, words: list[str], said: str
+def test_command_prints_one_line_when_the_call_is_wrong(
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, words: list[str], message: str
 ) -> None:
     monkeypatch.chdir(ROOT)
     status, _, err = call(capsys, monkeypatch, *words)
-    assert status == 2 and said in err and len(err.splitlines()) == 1
+    assert status == 2
+    assert message in err
+    assert len(err.splitlines()) == 1
 
 
-def test_every_experiment_of_the_library_is_good(
+def test_config_check_accepts_every_experiment_of_the_library(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     files = sorted((ROOT / "experiments").glob("*.toml"))
     assert len(files) >= 10
     for path in files:
         status, out, _ = call(capsys, monkeypatch, "config", "check", str(path), "--json")
-        assert status == 0 and json.loads(out) == {"file": str(path), "ok": True, "name": path.stem}
+        assert status == 0
+        assert json.loads(out) == {"file": str(path), "ok": True, "name": path.stem}
         assert experiment.load(path).about
 
 
-def test_bytes_that_are_no_text_are_said_so(tmp_path: Path) -> None:
+def test_config_read_names_the_byte_when_the_file_is_not_utf8(tmp_path: Path) -> None:
     (tmp_path / "x.toml").write_bytes(b"name = \xff")
-    with pytest.raises(config.FileError, match="UTF-8.*0xff.*position 7"):
+    with pytest.raises(config.FileError, match=r"UTF-8.*0xff.*position 7"):
         config.read(tmp_path / "x.toml", experiment.Experiment)
 
 
-def test_log_lines_are_json_with_the_names_of_their_page() -> None:
+def test_logger_writes_json_with_listed_event_names() -> None:
     page = (ROOT / "docs" / "logs.md").read_text()
     assert re.findall(r"^\| `([^`]+)`", page, re.MULTILINE) == list(logs.EVENTS)
     stream = io.StringIO()
@@ -119,11 +124,11 @@
     logs.logger(experiment="x").info("lab.cleaned", processes=3)
     line = json.loads(stream.getvalue())
     assert (line["event"], line["level"], line["processes"], line["experiment"]) == ("lab.cleaned", "info", 3, "x")
-    with pytest.raises(logs.UnknownEvent, match="lab.nonsense"):
+    with pytest.raises(logs.UnknownEventError, match=r"lab\.nonsense"):
         logs.logger().info("lab.nonsense")
 
 
-def test_every_event_that_is_logged_is_listed_and_every_one_listed_is_logged() -> None:
+def test_log_events_are_listed_exactly_when_some_module_logs_them() -> None:
     used = set()
     for path in (ROOT / "garnetusher").rglob("*.py"):
         used |= set(re.findall(r"\.(?:info|warning|error|debug)\(\s*\"([a-z.]+)\"", path.read_text()))
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -11,7 +11,7 @@
 import pytest
 
 from garnetusher.cli import curves, fidelity
-from garnetusher.cli.plays import play
+from garnetusher.cli.runs import run_experiment
 from garnetusher.model import result
 from tests.experiment import ROOT, small, text
 
@@ -48,8 +48,8 @@
     (tmp_path / "small.toml").write_text(text())
     folders = []
     for seed, served, late in ((1, 0.0, False), (2, -0.2, False), (3, -0.9, True)):
-        found = play(small(), seed).result
-        found.figures[fidelity.WORTH] += served
+        found = run_experiment(small(), seed).result
+        found.figures[fidelity.SERVED_WEIGHT] += served
         found.late = late
         folders.append(tmp_path / str(seed))
         folders[-1].mkdir()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -20,8 +20,8 @@
 """
 
 
-def run(folder: Path, *lines: str) -> subprocess.CompletedProcess[str]:
-    """A run of a small suite under this list."""
+def run_suite(folder: Path, *lines: str) -> subprocess.CompletedProcess[str]:
+    """Run a small suite with these lines in its list of known failures."""
     tests = folder / "tests"
     tests.mkdir()
     here = Path(__file__).parent
@@ -35,23 +35,24 @@
     return subprocess.run([sys.executable, "-m", "pytest"], cwd=folder, capture_output=True, text=True, check=False)
 
 
-ALL_RED = (
+ALL_FAILURES_LISTED = (
     "tests/test_it.py::test_bad | a cause | issue 1",
     "tests/test_it.py::test_worse | a cause | issue 2",
     "tests/test_it.py::test_each | a cause | issue 3",
 )
 
 
-def test_what_is_listed_may_fail_and_is_printed(tmp_path: Path) -> None:
-    done = run(tmp_path, *ALL_RED)
-    assert done.returncode == 0, done.stdout
-    assert "1 passed, 4 xfailed" in done.stdout
-    assert "KNOWN RED tests/test_it.py::test_bad: a cause (issue 1)" in done.stdout
+def test_run_passes_and_prints_the_lines_when_all_failures_are_listed(tmp_path: Path) -> None:
+    completed = run_suite(tmp_path, *ALL_FAILURES_LISTED)
+    assert completed.returncode == 0, completed.stdout
+    assert "1 passed, 4 xfailed" in completed.stdout
+    assert "KNOWN RED tests/test_it.py::test_bad: a cause (issue 1)" in completed.stdout
 
 
-def test_what_is_not_listed_fails_the_run(tmp_path: Path) -> None:
-    done = run(tmp_path, *ALL_RED[:2])
-    assert done.returncode == 1 and "2 failed, 1 passed, 2 xfailed" in done.stdout
+def test_run_fails_when_a_failure_is_not_listed(tmp_path: Path) -> None:
+    completed = run_suite(tmp_path, *ALL_FAILURES_LISTED[:2])
+    assert completed.returncode == 1
+    assert "2 failed, 1 passed, 2 xfailed" in completed.stdout
 
 
 @pytest.mark.parametrize(
@@ -62,11 +63,13 @@
         ("tests/test_it.py::test_bad | no issue", "expected 'path::test | cause | issue'"),
     ],
 )
-def test_a_line_that_is_wrong_fails_the_run(tmp_path: Path, line: str, complaint: str) -> None:
-    done = run(tmp_path, *ALL_RED[1:], line)
-    assert done.returncode != 0 and complaint in done.stdout + done.stderr
+def test_run_fails_when_a_line_is_wrong(tmp_path: Path, line: str, complaint: str) -> None:
+    completed = run_suite(tmp_path, *ALL_FAILURES_LISTED[1:], line)
+    assert completed.returncode != 0
+    assert complaint in completed.stdout + completed.stderr
 
 
-def test_a_fourth_line_fails_the_run(tmp_path: Path) -> None:
-    done = run(tmp_path, *ALL_RED, "tests/test_it.py::test_good | a cause | issue 4")
-    assert done.returncode != 0 and "at most 3 lines, got 4" in done.stdout + done.stderr
+def test_run_fails_when_there_are_four_lines(tmp_path: Path) -> None:
+    completed = run_suite(tmp_path, *ALL_FAILURES_LISTED, "tests/test_it.py::test_good | a cause | issue 4")
+    assert completed.returncode != 0
+    assert "at most 3 lines, got 4" in completed.stdout + completed.stderr
