--- a/garnetusher/__main__.py
+++ b/garnetusher/__main__.py
@@ -47,7 +47,7 @@
 
 
 def application(called_group: str) -> typer.Typer:
-    """Build the whole command; only the group called is imported, the others are just names.
+    """Build the whole command; only the group called is imported, the others are only names in the help.
 
     Args:
         called_group: the name of a group; any other word for none.
--- a/garnetusher/cli/curves.py
+++ b/garnetusher/cli/curves.py
@@ -74,7 +74,7 @@
         policies: names out of `garnetusher.model.baselines.NAMES`.
         grow: one of `GROWTH_MODES`: whether upstreams and load grow along.
         seeds: one run of each case for each.
-        progress: told of each run that has ended.
+        progress: called for each run that has ended.
 
     Returns:
         The points, by policy and then by size.
