--- a/garnetusher/cli/plays.py
+++ b/garnetusher/cli/plays.py
@@ -10,7 +10,7 @@
 from garnetusher.model import result
 from garnetusher.model.ablations import without
 from garnetusher.model.experiment import Experiment
-from garnetusher.model.world import World
+from garnetusher.model.simulation import Simulation
 
 
 class Play(Struct):
@@ -26,13 +26,19 @@
     began = time.perf_counter()
     plan = plans.make(experiment, seed)
     with without(list(off)):
-        world = World(experiment, plan, time.thread_time_ns)
-        lines = world.run()
+        simulation = Simulation(experiment, plan, time.thread_time_ns)
+        lines = simulation.run()
     found, _ = result.judge(
-        experiment, plan, lines, world.clock.events, not_asked=sum(s.not_asked for s in world.sidecars.values())
+        experiment,
+        plan,
+        lines,
+        simulation.clock.events,
+        not_asked=sum(s.clients.skipped_requests for s in simulation.sidecars.values()),
+    )
+    found.digest = simulation.clock.digest
+    return Play(
+        found, time.perf_counter() - began, simulation.decision_cpu_ns / 1000 / max(1.0, found.figures["requests"])
     )
-    found.digest = world.clock.digest
-    return Play(found, time.perf_counter() - began, world.decided_ns / 1000 / max(1.0, found.figures["requests"]))
 
 
 def span(text: str) -> range:
--- /dev/null
+++ b/garnetusher/model/discovery_node.py
@@ -0,0 +1,79 @@
+"""The discovery service of a simulation: the endpoint list, its watchers and the calls that wait their turn."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING
+
+from msgspec import structs
+
+from garnetusher.model import draw
+from garnetusher.model.network import Direction
+from garnetusher.model.plan import DIRECTORY, LONG_AGO, ListStep
+from garnetusher.model.records import Listed
+
+if TYPE_CHECKING:
+    from garnetusher.model.sidecar import SimulatedSidecar
+    from garnetusher.model.simulation import Simulation
+
+
+class DiscoveryNode:
+    """Holds the endpoint list, answers calls one after another, and notifies watching sidecars of changes."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
+        self._clock = simulation.clock
+        self._settings = simulation.experiment.directory
+        self._busy_until_us = 0  # when the calls that wait will have been answered
+        self._entries = {
+            upstream.uid: ListStep(0, upstream.uid, upstream.zone, "active")
+            for upstream in simulation.plan.upstreams
+            if upstream.from_us == 0
+        }
+
+    @property
+    def entries(self) -> list[ListStep]:
+        """The endpoint list as it is now."""
+        return list(self._entries.values())
+
+    def schedule(self, steps: list[ListStep]) -> None:
+        """Schedule the plan's changes of the list."""
+        for step in steps:
+            self._clock.at(step.at_us, self.apply_change, step)
+
+    def apply_change(self, step: ListStep) -> None:
+        """Change an entry and notify each watching sidecar, spread over the configured time."""
+        before = self._entries.get(step.uid)
+        if before is not None and step.started_us == LONG_AGO:
+            step = structs.replace(step, started_us=before.started_us)  # only a start changes the start time
+        if step.state == "left":
+            self._entries.pop(step.uid, None)
+        else:
+            self._entries[step.uid] = step
+        spread_us = self._settings.spread_ms * 1000
+        for name, sidecar in self._simulation.sidecars.items():
+            if not sidecar.discovery.watching:
+                continue
+            share = draw.uniform(self._simulation.plan.seed, "spread", name, step.uid, step.at_us)
+            self._clock.at(self._clock.now_us + int(share * spread_us), self._notify, sidecar, step)
+
+    def handle_call(self, sidecar: SimulatedSidecar, incarnation: int, call_id: int) -> None:
+        """Take a call into the queue, or reject it where the queue is full; the answer has the list of its time."""
+        now_us = self._clock.now_us
+        self._simulation.record(Listed(now_us, sidecar.name, "watch"))
+        service_us = int(self._settings.call_ms * 1000)
+        queued_us = self._busy_until_us - now_us
+        if queued_us <= self._settings.calls_waiting * service_us:
+            self._busy_until_us = max(now_us, self._busy_until_us) + service_us
+            answered_at_us = self._busy_until_us
+            answer = partial(sidecar.discovery.call_answered, incarnation, call_id)
+        else:
+            answered_at_us = now_us
+            answer = partial(sidecar.discovery.call_failed, incarnation, call_id)
+        send = self._simulation.network.send
+        self._clock.at(answered_at_us, send, DIRECTORY, sidecar.name, Direction.TO_SIDECAR, answer)
+
+    def _notify(self, sidecar: SimulatedSidecar, step: ListStep) -> None:
+        if sidecar.up:
+            deliver = partial(sidecar.discovery.entry_changed, step, sidecar.incarnation)
+            self._simulation.network.send(DIRECTORY, sidecar.name, Direction.TO_SIDECAR, deliver)
--- /dev/null
+++ b/garnetusher/model/request_state.py
@@ -0,0 +1,59 @@
+"""What a simulated sidecar and its clients remember of one request: the call, the attempts and their connections."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+
+@dataclass(slots=True)
+class ClientCall:
+    """One call of a client; a retry by the client is a call of its own, with the same `request_id`."""
+
+    call_id: str
+    request_id: str
+    class_index: int
+    tenant_index: int
+    first_due_us: int
+    retry_index: int
+    client_timeout_at_us: int = 0
+    completed: bool = False  # its client does not wait any more
+
+
+@dataclass(slots=True)
+class Connection:
+    """A connection of a sidecar to an upstream."""
+
+    upstream: str
+    used: bool = False  # it has carried a request
+    idle_since_us: int = 0
+    open: bool = True
+
+
+@dataclass(slots=True)
+class AttemptInFlight:
+    """An attempt, as its sidecar sees it."""
+
+    attempt_index: int
+    endpoint_id: int
+    sent_us: int
+    connection: Connection | None = None
+    written: bool = False
+    ended: bool = False
+    upstream_attempt_id: int = 0  # how the upstream numbers it
+    abandoned: bool = False
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """A request that a sidecar has accepted and not yet forgotten."""
+
+    request_id: int
+    call: ClientCall
+    deadline_us: int
+    attempts: list[AttemptInFlight] = field(default_factory=list)
+    completed: bool = False
+
+    @property
+    def removable(self) -> bool:
+        """Whether it has its final answer and no attempt is in flight."""
+        return self.completed and all(attempt.ended for attempt in self.attempts)
--- /dev/null
+++ b/garnetusher/model/sidecar.py
@@ -0,0 +1,297 @@
+"""A simulated sidecar: its process, the policy that decides in it, and the answers to its clients.
+
+What the real sidecar's dispatcher (garnetusher/sidecar/requests/dispatcher.py) does for the policy is done here and
+in `sidecar_attempts`: one outcome for each attempt, one answer for each request.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from garnetusher.model import baselines, beliefs, draw
+from garnetusher.model.client_node import LOCAL_DELAY_US, SimulatedClients
+from garnetusher.model.digest_text import digest_text
+from garnetusher.model.discovery_client import DiscoveryClient
+from garnetusher.model.plan import SidecarPlan, Step
+from garnetusher.model.records import Answered, Process
+from garnetusher.model.request_state import ClientCall, PendingRequest
+from garnetusher.model.sidecar_attempts import SidecarAttempts
+from garnetusher.model.sidecar_settings import POLICY_EPOCH_US, sidecar_settings
+from garnetusher.policy.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    Forward,
+    LogMessage,
+    SetTimer,
+    Shed,
+    WatchEndpoints,
+)
+from garnetusher.policy.events import (
+    ClientDisconnected,
+    EndpointsUpdated,
+    Event,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
+)
+
+if TYPE_CHECKING:
+    from garnetusher.model.simulation import Simulation
+
+ANSWER_MARGIN_US = 10_000  # an answer is sent so long before its client stops waiting
+START_UP_US = 300_000  # from the start of a process until it is ready
+NO_INCARNATION = 0  # while no process runs
+STATUS_OK, STATUS_FAILED, STATUS_SHED = 200, 500, 503
+
+
+@dataclass(slots=True)
+class _DeferredCall:
+    """What came while the process was stopped by a signal."""
+
+    callback: Callable[..., object]
+    arguments: tuple[object, ...]
+
+
+class SimulatedSidecar:
+    """One sidecar's name, its clients, and the process that it has at present.
+
+    Attributes:
+        up: Whether a process runs.
+        incarnation: Numbers the processes; events that an earlier one has scheduled are ignored.
+        pending: Requests that have no answer yet, or attempts in flight, by id.
+        fleet_size: What the policy was last told; 0 before.
+    """
+
+    def __init__(self, simulation: Simulation, plan: SidecarPlan) -> None:
+        self._simulation = simulation
+        self._clock = simulation.clock
+        self._starts = 0
+        self._last_request_id = 0
+        self._deferred: list[_DeferredCall] | None = None  # a list while the process is stopped
+        self._action_handlers: dict[type[Any], Callable[[Any], None]] = {
+            Forward: self._forward,
+            Shed: self._answer_shed,
+            Fail: self._answer_failed,
+            LogMessage: self._record_zone_state,
+            SetTimer: self._set_timer,
+            CancelAttempt: self._cancel_attempt,
+            WatchEndpoints: self._watch_endpoints,
+            CloseIdleConnections: self._close_idle_connections,
+        }
+        self._fault_handlers: dict[str, Callable[[], None]] = {
+            "kill": self._kill,
+            "start": self._start_again,
+            "restart": self._restart,
+            "stop": self._stop,
+            "cont": self._resume,
+        }
+        self.name = plan.name
+        self.settings = sidecar_settings(simulation.experiment, simulation.plan, plan)
+        self.up = False
+        self.incarnation = NO_INCARNATION
+        self.fleet_size = 0
+        self.pending: dict[int, PendingRequest] = {}
+        self.clients = SimulatedClients(simulation, self, plan)
+        self.attempts = SidecarAttempts(simulation, self)
+        self.discovery = DiscoveryClient(simulation, self, polls=self.settings.poll_endpoints)
+        self._start()
+        self.clients.schedule_next()
+        for step in plan.steps:
+            self._clock.at(step.at_us, self.apply_fault, step)
+
+    # The process
+
+    def apply_fault(self, step: Step) -> None:
+        """Carry out a step of the plan."""
+        self._fault_handlers[step.what]()
+
+    def runs_or_defers(self, callback: Callable[..., object], *arguments: object) -> bool:
+        """Return whether the process runs now; if it is stopped, call back once it resumes."""
+        if self._deferred is not None:
+            self._deferred.append(_DeferredCall(callback, arguments))
+            return False
+        return self.up
+
+    def _start(self) -> None:
+        self._starts += 1
+        self.up = self.clients.active = True
+        self.incarnation = self._starts
+        self.fleet_size = 0
+        self.pending = {}
+        self._last_request_id = 0
+        self.attempts.reset()
+        self.discovery.reset()
+        self.balancer = self._new_balancer()
+        self.dispatch(EndpointsUpdated(UpdateKind.CACHED, self.discovery.endpoints()))
+        self.dispatch(TimerFired(0))
+        if not self.settings.poll_endpoints:
+            self.discovery.call()
+        if self._simulation.membership is not None:
+            self._simulation.membership.start(self.name)
+
+    def _new_balancer(self) -> baselines.Decisions:
+        seed = int(draw.uniform(self._simulation.plan.seed, "sidecar", self.name, self._starts) * 2**63)
+        policy_name = self._simulation.experiment.sidecars.policy
+        return baselines.decisions(policy_name, self.settings, seed, self._policy_now_us())
+
+    def _end(self) -> None:
+        """End the process; the upstreams see its connections close."""
+        self.up = self.clients.active = False
+        self.incarnation = NO_INCARNATION
+        if self._simulation.membership is not None:
+            self._simulation.membership.kill(self.name)
+        for request in list(self.pending.values()):
+            if not request.completed:
+                self.clients.call_vanished(request.call)
+            self.attempts.close_all(request)
+        self.pending.clear()
+
+    def _kill(self) -> None:
+        self._record_process("killed")
+        self._end()
+
+    def _start_again(self) -> None:
+        self._record_process("spawned")
+        self._clock.at(self._clock.now_us + START_UP_US, self._start)
+
+    def _restart(self) -> None:
+        """Shut down gracefully: pending requests are answered, no new ones are made; then start again."""
+        self._record_process("term")
+        self.clients.active = False
+        end_us = self._clock.now_us + self._simulation.longest_deadline_us
+        self._clock.at(end_us, self._end)
+        self._clock.at(end_us + START_UP_US, self._start)
+
+    def _stop(self) -> None:
+        self._record_process("stopped")
+        self._deferred = []
+        if self._simulation.membership is not None:
+            self._simulation.membership.stop(self.name)
+
+    def _resume(self) -> None:
+        self._record_process("continued")
+        deferred, self._deferred = self._deferred or [], None
+        if self._simulation.membership is not None:
+            self._simulation.membership.resume(self.name)
+        for call in deferred:
+            call.callback(*call.arguments)
+
+    def _record_process(self, change: str) -> None:
+        self._simulation.record(Process(self._clock.now_us, self.name, change))
+
+    # Requests
+
+    def receive(self, call: ClientCall, incarnation: int) -> None:
+        """Take a client's request."""
+        if not self.runs_or_defers(self.receive, call, incarnation) or incarnation != self.incarnation:
+            return
+        self._last_request_id += 1
+        request = PendingRequest(self._last_request_id, call, call.client_timeout_at_us - ANSWER_MARGIN_US)
+        self.pending[request.request_id] = request
+        self.dispatch(
+            RequestArrived(
+                request.request_id,
+                POLICY_EPOCH_US + request.deadline_us,
+                call.class_index,
+                call.tenant_index,
+                client_retry=call.retry_index > 0 and self._simulation.experiment.clients.marks,
+            )
+        )
+
+    def unanswered(self, call: ClientCall) -> PendingRequest | None:
+        """Return the request of a call that has no final answer yet."""
+        return next((r for r in self.pending.values() if r.call is call and not r.completed), None)
+
+    def client_disconnected(self, call: ClientCall) -> None:
+        """Complete the request of a client that has closed its connection."""
+        request = self.unanswered(call)
+        if request is not None:
+            self._complete(request)
+            self.dispatch(ClientDisconnected(request.request_id))
+
+    def answer_served(self, request_id: int, uid: str) -> None:
+        """Answer a request with an upstream's response, if it has no answer yet."""
+        self._answer(request_id, STATUS_OK, uid=uid)
+
+    def forget_if_removable(self, request: PendingRequest) -> None:
+        """Drop a request once nothing more can come of it."""
+        if request.removable:
+            self.pending.pop(request.request_id, None)
+
+    def _answer(self, request_id: int, status: int, uid: str = "", retry_after_us: int = 0) -> None:
+        """Send the one final answer of a request."""
+        request = self.pending.get(request_id)
+        if request is None or request.completed:
+            return
+        self._complete(request)
+        call = request.call
+        answered_at_us = self._clock.now_us + LOCAL_DELAY_US
+        self._simulation.record(Answered(answered_at_us, call.call_id, self.name, status, uid, retry_after_us))
+        if call.completed:
+            return
+        call.completed = True
+        if status != STATUS_OK:
+            self.clients.call_failed(call, safe_to_retry=status == STATUS_SHED, retry_after_us=retry_after_us)
+
+    def _complete(self, request: PendingRequest) -> None:
+        request.completed = True
+        self.attempts.withdraw_unwritten(request)
+        self.forget_if_removable(request)
+
+    # The policy
+
+    def dispatch(self, event: Event) -> None:
+        """Give an event to the policy, and carry out its actions."""
+        simulation = self._simulation
+        began_ns = simulation.cpu_ns()
+        actions = self.balancer.handle(self._policy_now_us(), event)
+        simulation.decision_cpu_ns += simulation.cpu_ns() - began_ns
+        for action in actions:
+            self._clock.note(f"{self.name} {digest_text(action)}")
+            handler = self._action_handlers.get(type(action))
+            if handler is not None:
+                handler(action)
+
+    def _policy_now_us(self) -> int:
+        return POLICY_EPOCH_US + self._clock.now_us
+
+    def _forward(self, action: Forward) -> None:
+        request = self.pending.get(action.request_id)
+        if request is not None:
+            self.attempts.forward(request, action)
+
+    def _answer_shed(self, action: Shed) -> None:
+        self._answer(action.request_id, STATUS_SHED, retry_after_us=action.retry_after_us)
+
+    def _answer_failed(self, action: Fail) -> None:
+        self._answer(action.request_id, STATUS_FAILED)
+
+    def _record_zone_state(self, action: LogMessage) -> None:
+        zones = self._simulation.experiment.topology.zones
+        believed = beliefs.belief(self._clock.now_us, self.name, action.text, zones)
+        if believed is not None:
+            self._simulation.record(believed)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        self._clock.at(action.at_us - POLICY_EPOCH_US + 1, self._fire_timer, action.token, self.incarnation)
+
+    def _fire_timer(self, token: int, incarnation: int) -> None:
+        if self.runs_or_defers(self._fire_timer, token, incarnation) and incarnation == self.incarnation:
+            self.dispatch(TimerFired(token))
+
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        request = self.pending.get(action.request_id)
+        if request is not None:
+            self.attempts.abandon(request, action.attempt_index, Outcome.CANCELLED, self.incarnation)
+
+    def _watch_endpoints(self, action: WatchEndpoints) -> None:
+        self.discovery.call()
+
+    def _close_idle_connections(self, action: CloseIdleConnections) -> None:
+        uid = self.discovery.uid_of(action.endpoint_id)
+        if uid is not None:
+            self.attempts.close_idle(uid)
--- /dev/null
+++ b/garnetusher/model/sidecar_attempts.py
@@ -0,0 +1,212 @@
+"""The attempts of a simulated sidecar: connections, writes, responses and time-outs; one outcome for each attempt."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from garnetusher.model.network import Direction
+from garnetusher.model.records import Held
+from garnetusher.model.request_state import AttemptInFlight, Connection, PendingRequest
+from garnetusher.model.sidecar_settings import CONNECT_TIMEOUT_US
+from garnetusher.policy.actions import Forward
+from garnetusher.policy.events import AttemptEnded, Outcome
+
+if TYPE_CHECKING:
+    from garnetusher.model.sidecar import SimulatedSidecar
+    from garnetusher.model.simulation import Simulation
+
+
+class SidecarAttempts:
+    """Carries attempts out for one sidecar, and reports how each one ended."""
+
+    def __init__(self, simulation: Simulation, sidecar: SimulatedSidecar) -> None:
+        self._simulation = simulation
+        self._clock = simulation.clock
+        self._network = simulation.network
+        self._sidecar = sidecar
+        self._max_idle_us = int(simulation.experiment.upstreams.idle_s * 1e6)
+        self._idle: dict[str, list[Connection]] = {}
+
+    def reset(self) -> None:
+        """Forget all connections: a new process starts."""
+        self._idle = {}
+
+    # Sending
+
+    def forward(self, request: PendingRequest, action: Forward) -> None:
+        """Start an attempt, on an idle connection if there is one."""
+        now_us = self._clock.now_us
+        attempt = AttemptInFlight(len(request.attempts), action.endpoint_id, now_us)
+        request.attempts.append(attempt)
+        uid = self._sidecar.discovery.uid_of(action.endpoint_id)
+        if uid is None or not self._may_start(request, attempt):
+            self.end(request, attempt, Outcome.NOT_WRITTEN)
+            return
+        timeout_at_us = request.deadline_us
+        if action.timeout_us:
+            timeout_at_us = min(timeout_at_us, now_us + action.timeout_us)
+        incarnation = self._sidecar.incarnation
+        self._clock.at(timeout_at_us + 1, self.abandon, request, attempt.attempt_index, Outcome.TIMEOUT, incarnation)
+        connection = self._take_idle(uid)
+        if connection is not None:
+            self._write(request, attempt, connection)
+        else:
+            self._connect(request, attempt, uid)
+
+    def _may_start(self, request: PendingRequest, attempt: AttemptInFlight) -> bool:
+        return (
+            not request.completed
+            and self._clock.now_us < request.deadline_us
+            and attempt.attempt_index < self._sidecar.settings.max_attempts
+        )
+
+    def _take_idle(self, uid: str) -> Connection | None:
+        """Take the connection that was used last, unless it was idle for so long that the upstream closes it."""
+        oldest_us = self._clock.now_us - self._max_idle_us
+        idle = self._idle.get(uid, [])
+        while idle:
+            connection = idle.pop()
+            if connection.open and connection.idle_since_us > oldest_us:
+                return connection
+        return None
+
+    def _connect(self, request: PendingRequest, attempt: AttemptInFlight, uid: str) -> None:
+        connection = Connection(uid)
+        attempt.connection = connection
+        link = self._network.link(uid, self._sidecar.name)
+        now_us, incarnation = self._clock.now_us, self._sidecar.incarnation
+        if link.cut_either_way:
+            self._clock.at(now_us + CONNECT_TIMEOUT_US, self._connect_failed, request, attempt, incarnation)
+        elif self._simulation.upstreams[uid].refusing:
+            self._clock.at(now_us + 2 * link.one_way_us, self._connect_failed, request, attempt, incarnation)
+        else:
+            self._clock.at(now_us + 2 * link.one_way_us, self._connected, request, attempt, connection, incarnation)
+
+    def _connected(
+        self, request: PendingRequest, attempt: AttemptInFlight, connection: Connection, incarnation: int
+    ) -> None:
+        if not self._sidecar.runs_or_defers(self._connected, request, attempt, connection, incarnation):
+            return
+        if incarnation == self._sidecar.incarnation and not attempt.ended:
+            self._write(request, attempt, connection)
+
+    def _connect_failed(self, request: PendingRequest, attempt: AttemptInFlight, incarnation: int) -> None:
+        if not self._sidecar.runs_or_defers(self._connect_failed, request, attempt, incarnation):
+            return
+        if incarnation == self._sidecar.incarnation:
+            self.end(request, attempt, Outcome.CONNECT_FAILED)
+
+    def _write(self, request: PendingRequest, attempt: AttemptInFlight, connection: Connection) -> None:
+        attempt.connection = connection
+        attempt.written = True
+        uid = connection.upstream
+        if self._network.link(uid, self._sidecar.name).is_cut(Direction.TO_NODE):
+            held = Held(self._clock.now_us, request.call.call_id, uid, self._sidecar.name)
+            self._simulation.record(held)
+        self._network.send(
+            uid,
+            self._sidecar.name,
+            Direction.TO_NODE,
+            lambda: self._simulation.upstreams[uid].receive(self._sidecar, request, attempt),
+        )
+
+    # Ends of attempts
+
+    def response_arrived(self, request: PendingRequest, attempt: AttemptInFlight, outcome: Outcome, uid: str) -> None:
+        """Take what an upstream has answered, unless the attempt is over."""
+        if not self._sidecar.runs_or_defers(self.response_arrived, request, attempt, outcome, uid):
+            return
+        if attempt.ended or attempt.abandoned:
+            return
+        connection = attempt.connection
+        if connection is not None and connection.open and outcome is not Outcome.RESET:
+            connection.idle_since_us = self._clock.now_us
+            self._idle.setdefault(uid, []).append(connection)
+        if outcome is Outcome.OK:
+            self._sidecar.answer_served(request.request_id, uid)
+        self.end(request, attempt, outcome)
+
+    def connections_reset(self, uid: str) -> None:
+        """Lose all connections to an upstream that has ended; attempts on them hear of it a little later."""
+        self.close_idle(uid)
+        for request in list(self._sidecar.pending.values()):
+            for attempt in request.attempts:
+                self._reset_attempt(request, attempt, uid)
+
+    def _reset_attempt(self, request: PendingRequest, attempt: AttemptInFlight, uid: str) -> None:
+        connection = attempt.connection
+        if not attempt.written or attempt.ended or connection is None or connection.upstream != uid:
+            return
+        connection.open = False
+        link = self._network.link(uid, self._sidecar.name)
+        if not link.is_cut(Direction.TO_SIDECAR):
+            heard_at_us = self._clock.now_us + link.one_way_us
+            self._clock.at(heard_at_us, self.response_arrived, request, attempt, Outcome.RESET, uid)
+
+    def close_idle(self, uid: str) -> None:
+        """Close the idle connections to an upstream."""
+        for connection in self._idle.pop(uid, []):
+            connection.open = False
+
+    def abandon(self, request: PendingRequest, attempt_index: int, outcome: Outcome, incarnation: int) -> None:
+        """Stop waiting for an attempt that has timed out or was cancelled."""
+        if not self._sidecar.runs_or_defers(self.abandon, request, attempt_index, outcome, incarnation):
+            return
+        attempt = request.attempts[attempt_index]
+        if incarnation == self._sidecar.incarnation and not attempt.ended:
+            self._close(attempt)
+            self.end(request, attempt, outcome if attempt.written else Outcome.CONNECT_FAILED)
+
+    def withdraw_unwritten(self, request: PendingRequest) -> None:
+        """End the attempts of which nothing has been written."""
+        for attempt in request.attempts:
+            if not attempt.ended and not attempt.written:
+                self._close(attempt)
+                self.end(request, attempt, Outcome.NOT_WRITTEN)
+
+    def close_all(self, request: PendingRequest) -> None:
+        """Close the connections of all attempts as their process ends; nobody is left to report to."""
+        for attempt in request.attempts:
+            if not attempt.ended:
+                attempt.ended = True
+                self._close(attempt)
+
+    def end(self, request: PendingRequest, attempt: AttemptInFlight, outcome: Outcome) -> None:
+        """End an attempt, once; the policy is told after its present call has returned."""
+        if attempt.ended:
+            return
+        attempt.ended = True
+        self._clock.at(self._clock.now_us, self._report, request, attempt, outcome, self._sidecar.incarnation)
+
+    def _close(self, attempt: AttemptInFlight) -> None:
+        """Close an attempt's connection, which the upstream sees a little later."""
+        attempt.abandoned = True
+        connection = attempt.connection
+        if connection is None or not attempt.written:
+            return
+        connection.open = False
+        uid = connection.upstream
+        self._network.send(
+            uid,
+            self._sidecar.name,
+            Direction.TO_NODE,
+            # the upstream numbers the attempt when it arrives, which may be after this moment
+            lambda: self._simulation.upstreams[uid].cancel(attempt.upstream_attempt_id),
+        )
+
+    def _report(self, request: PendingRequest, attempt: AttemptInFlight, outcome: Outcome, incarnation: int) -> None:
+        if not self._sidecar.runs_or_defers(self._report, request, attempt, outcome, incarnation):
+            return
+        if incarnation != self._sidecar.incarnation:
+            return
+        self._sidecar.forget_if_removable(request)
+        self._sidecar.dispatch(
+            AttemptEnded(
+                request.request_id,
+                attempt.attempt_index,
+                attempt.endpoint_id,
+                outcome,
+                self._clock.now_us - attempt.sent_us,
+                request.completed,
+            )
+        )
--- /dev/null
+++ b/garnetusher/model/sidecar_settings.py
@@ -0,0 +1,75 @@
+"""The policy's settings for a simulated sidecar, as the lab writes them into a real sidecar's file."""
+
+from __future__ import annotations
+
+import dataclasses
+from typing import Any
+
+from garnetusher.model.experiment import Experiment
+from garnetusher.model.plan import Plan, SidecarPlan
+from garnetusher.policy.settings import RequestClass, Settings, Tenant
+
+POLICY_EPOCH_US = 10**12  # the policy's clock at the start of a run: a start time of 0 means long ago
+CONNECT_TIMEOUT_US = 200_000
+POLL_INTERVAL_US = 10_000_000
+MAX_RETRY_AFTER_US = 2_000_000
+CROSS_ZONE_COST = 0.022
+MAX_INITIAL_WARM_UP_FRACTION = 0.13
+
+
+def sidecar_settings(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> Settings:
+    """Return what a sidecar's file would say.
+
+    Args:
+        experiment: What is simulated.
+        plan: The plan of this run.
+        sidecar: One of the plan's sidecars.
+    """
+    upstreams = experiment.upstreams
+    zones = experiment.topology.zones
+    return Settings(
+        classes=_request_classes(experiment),
+        tenants=[
+            Tenant(tenant.name, tenant.share * experiment.load.requests_per_s, tenant.share)
+            for tenant in experiment.tenants
+        ],
+        over_quota_weight=experiment.over_share_worth,
+        fleet_size=experiment.sidecars.told or len(plan.sidecars),
+        instance_index=plan.sidecars.index(sidecar),
+        zone=zones.index(sidecar.zone),
+        max_attempts=experiment.sidecars.max_attempts,
+        max_retry_after_us=MAX_RETRY_AFTER_US,
+        connect_timeout_us=CONNECT_TIMEOUT_US,
+        cancel_attempts=True,
+        hedging=experiment.sidecars.second_copies,
+        warm_up_initial_fraction=min(MAX_INITIAL_WARM_UP_FRACTION, upstreams.cold_share),
+        warm_up_us=int(upstreams.warm_up_s * 1e6),
+        overload_factor=upstreams.overload_factor,
+        overload_window_us=int(upstreams.fall_s * 1e6),
+        cross_zone_cost=CROSS_ZONE_COST,
+        endpoint_weights=True,
+        poll_endpoints=experiment.directory.mode == "on_request",
+        poll_interval_us=POLL_INTERVAL_US,
+        **_later_settings(experiment),
+    )
+
+
+def _request_classes(experiment: Experiment) -> list[RequestClass]:
+    return [
+        RequestClass(
+            planned.name,
+            int(planned.aim_ms * 1000),
+            int(planned.deadline_ms * 1000),
+            planned.worth,
+            effect=planned.effect,
+        )
+        for planned in experiment.classes
+    ]
+
+
+def _later_settings(experiment: Experiment) -> dict[str, Any]:
+    """Return the settings that the policy of an earlier tree (`model run --tree`) may not have."""
+    regions = list(experiment.topology.regions)
+    zone_regions = [regions.index(experiment.topology.region_of(zone)) for zone in experiment.topology.zones]
+    known = {field.name for field in dataclasses.fields(Settings)}
+    return {name: value for name, value in {"regions": zone_regions}.items() if name in known}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,7 +20,7 @@
 from garnetusher.model import explore, plan
 from garnetusher.model.explore.membership import Membership
 from garnetusher.model.members import CLUSTER, Members, Node
-from garnetusher.model.world import World
+from garnetusher.model.simulation import Simulation
 from garnetusher.policy.balancer import Balancer
 from tests.experiment import small
 from tests.world import settings as settings_of
@@ -254,13 +254,13 @@
 def test_what_the_fleet_may_do_is_divided_by_those_who_are_there() -> None:
     it = small(seconds=8)
     it = structs.replace(it, sidecars=structs.replace(it.sidecars, per_zone={"a": 3, "b": 2}, told=50, membership=True))
-    world = World(it, plan.make(it, 1))
+    simulation = Simulation(it, plan.make(it, 1))
 
     def counted() -> list[int]:
-        return [s.balancer.zones.instances for s in world.sidecars.values() if isinstance(s.balancer, Balancer)]
+        return [s.balancer.zones.instances for s in simulation.sidecars.values() if isinstance(s.balancer, Balancer)]
 
     told = counted()
-    world.run()
+    simulation.run()
     assert (told, counted()) == ([50] * 5, [5] * 5)
     zones = Balancer(settings_of(fleet_size=50), 1, 0).zones
     zones.of(0).upstreams = 2
--- a/tests/test_world.py
+++ b/tests/test_simulation.py
@@ -15,7 +15,7 @@
 from garnetusher.model.clock import Clock, Stall
 from garnetusher.model.experiment import scaled
 from garnetusher.model.records import Listed
-from garnetusher.model.world import World
+from garnetusher.model.simulation import Simulation
 from garnetusher.policy.balancer import Balancer
 from tests.experiment import ROOT, small, text
 
@@ -63,15 +63,15 @@
     it = small(seconds=5, more="[[fault]]\nat_s = 1.5\nfor_s = 1.5\n" + FAULTS[name])
     for seed in (1, 2):
         made = plan.make(it, seed)
-        world = World(it, made)
-        lines = world.run()
+        simulation = Simulation(it, made)
+        lines = simulation.run()
         assert checker.check(it, made, lines) == []
         requests = figures.requests_of(it, lines)
         found = figures.figures(it, made, lines, requests, 0, 0.0, 0)
         assert found["served_worth.before"] > 0.9 and found["served_worth.after"] > 0.7
-        for sidecar in world.sidecars.values():  # nothing is left of what has been answered
+        for sidecar in simulation.sidecars.values():  # nothing is left of what has been answered
             assert isinstance(sidecar.balancer, Balancer)
-            assert not sidecar.open and not sidecar.balancer.requests
+            assert not sidecar.pending and not sidecar.balancer.requests
             assert all(server.used == 0 for server in sidecar.balancer.servers.values())
 
 
@@ -80,7 +80,7 @@
     it = small(seconds=4, more=f"[[fault]]\nat_s = 1\nfor_s = 1\n{FAULTS['one way']}")
     it.sidecars.policy = policy  # type: ignore[assignment]
     made = plan.make(it, 1)
-    lines = World(it, made).run()
+    lines = Simulation(it, made).run()
     assert checker.check(it, made, lines) == []
     found = figures.figures(it, made, lines, figures.requests_of(it, lines), 0, 0.0, 0)
     assert found["served_worth.before"] > 0.9 and 0.3 < found["crossings"] < 0.8  # it knows nothing of zones
@@ -110,7 +110,7 @@
         listed = structs.replace(it.directory, mode=mode, call_ms=call_ms, calls_waiting=waiting)
         busy = scaled(structs.replace(it, directory=listed), 10, alone=True)
         made = plan.make(busy, 1)
-        lines = World(busy, made).run()
+        lines = Simulation(busy, made).run()
         assert checker.check(busy, made, lines) == []
         counts[mode, call_ms] = sum(isinstance(r, Listed) for r in lines)
     assert counts["pushed", 0] == 20  # a call of each process
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,7 +11,7 @@
 from garnetusher.model import checker, experiment, figures, plan
 from garnetusher.model.ablations import without
 from garnetusher.model.records import Believed
-from garnetusher.model.world import World
+from garnetusher.model.simulation import Simulation
 from garnetusher.policy.events import Outcome, ZoneOverridden
 from garnetusher.policy.zones import QUIET_US, State, Zone, Zones
 from tests.experiment import ROOT
@@ -138,7 +138,7 @@
 def left(name: str, seed: int = 1) -> tuple[Counter[str], dict[str, float]]:
     it = experiment.load(ROOT / "experiments" / f"{name}.toml")
     made = plan.make(it, seed)
-    lines = World(it, made).run()
+    lines = Simulation(it, made).run()
     moves = Counter(r.zone for r in lines if isinstance(r, Believed) and r.state == "left")
     assert checker.check(it, made, lines) == []
     requests = figures.requests_of(it, lines)
