--- a/garnetusher/model/upstream.py
+++ b/garnetusher/model/upstream.py
@@ -1,10 +1,10 @@
-"""One machine that serves: cores, a queue, a cold start, slowness; events in, actions out, no clock of its own.
+"""One machine that serves requests: cores, a queue, slow start and overload; events in, actions out, no clock.
 
-Jobs wait in one queue for a free core. All service slows down by the same factor while the machine holds far more
-than it has cores for; one that has been crowded for `choke_over_s` chokes: it goes on slower still until it has been
-mostly idle for a while, or for `choke_most_s`. A machine that has just started has `cold_share` of its capacity and
-gains the rest evenly over `warm_up_s`; sent more than `overload_factor` times its capacity for `fall_s` while cold, it
-falls over and stays down. Work that is cancelled stops at once.
+Jobs wait in one queue for a free core. All service slows down by the same factor while the machine holds far more jobs
+than it has cores; one that is overloaded for `choke_over_s` degrades: it stays slower still until it has been mostly
+idle for a while, or for `choke_most_s`. A machine that has just started has `cold_share` of its capacity and gains the
+rest evenly over `warm_up_s`; sent more than `overload_factor` times its capacity for `fall_s` while it warms up, it
+crashes and stays down. Work that is cancelled stops at once.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 
 from garnetusher.model.experiment import Upstreams
 
-LONGEST_STEP_US = 100_000  # between two looks at a machine whose capacity is still growing
-SLACK = 1.1  # of the budget of a cold machine, for chance
+MAX_WARM_UP_STEP_US = 100_000  # between two looks at a machine whose capacity is still growing
+BUDGET_TOLERANCE = 1.1  # by which chance may exceed the budget of a machine that warms up
 
 
 @dataclass(slots=True)
 class Finished:
-    """A job is done; `wakeup` has brought it about."""
+    """A job is done."""
 
     job: int
 
 
 @dataclass(slots=True)
 class TurnedAway:
-    """A job was not taken, as the queue is full or the machine is down."""
+    """A job was rejected, as the queue is full or the machine is down."""
 
     job: int
 
 
 @dataclass(slots=True)
 class FellOver:
-    """The machine was pushed over while cold; `dropped` held jobs went with it."""
+    """The machine has crashed from overload while it was warming up; the jobs in `dropped` are lost with it."""
 
     dropped: list[int]
 
@@ -45,177 +45,265 @@
 @dataclass(slots=True)
 class _Job:
     job: int
-    left_us: float  # work on a standard core
+    remaining_us: float  # work on a standard core
 
 
-class Upstream:
-    """One machine. Call `next_us` after each event for the time of the next `wakeup`."""
+class _Degradation:
+    """Whether a machine is degraded by overload, from how many jobs a core it has held and for how long."""
+
+    def __init__(self, settings: Upstreams) -> None:
+        self._settings = settings
+        self._enabled = settings.choke_times > 1
+        self._degraded_since_us: int | None = None
+        self._overloaded_since_us: int | None = None
+        self._idle_since_us: int | None = None  # since when it is mostly idle while degraded
+
+    @property
+    def degraded(self) -> bool:
+        return self._degraded_since_us is not None
 
-    def __init__(self, figures: Upstreams, speed: float, cold_at_us: int | None = None) -> None:
-        self.figures, self.speed = figures, speed
-        self.cold_at_us = cold_at_us  # its last start; None: long ago
-        self.slow = 1.0  # a fault: all service takes this multiple
-        self.hung = self.down = False
+    def reset(self) -> None:
+        self._degraded_since_us = self._overloaded_since_us = self._idle_since_us = None
+
+    def update(self, now_us: int, jobs_per_core: float) -> None:
+        """Take note of the load that the machine has now."""
+        if not self._enabled:
+            return
+        if self._degraded_since_us is None:
+            self._update_normal(now_us, jobs_per_core)
+        else:
+            self._update_degraded(now_us, jobs_per_core, self._degraded_since_us)
+
+    def _update_normal(self, now_us: int, jobs_per_core: float) -> None:
+        if jobs_per_core <= self._settings.choke_at:
+            self._overloaded_since_us = None
+            return
+        if self._overloaded_since_us is None:
+            self._overloaded_since_us = now_us
+        if now_us - self._overloaded_since_us >= self._settings.choke_over_s * 1e6:
+            self._degraded_since_us = now_us
+            self._idle_since_us = None
+
+    def _update_degraded(self, now_us: int, jobs_per_core: float, degraded_since_us: int) -> None:
+        if jobs_per_core > self._settings.choke_below:
+            self._idle_since_us = None
+        elif self._idle_since_us is None:
+            self._idle_since_us = now_us
+        rest_us = self._settings.choke_rest_s * 1e6
+        rested = self._idle_since_us is not None and now_us - self._idle_since_us >= rest_us
+        if rested or now_us - degraded_since_us >= self._settings.choke_most_s * 1e6:
+            self._degraded_since_us = self._overloaded_since_us = None
+
+
+class Upstream:
+    """One machine. Call `next_us` after each event for the time of the next `wakeup`.
+
+    Attributes:
+        started_us: Its last start; None if it has been up for long and is warm.
+        hung: It takes requests and works on none.
+        down: It rejects everything.
+        running: The jobs that have a core.
+        queue: The jobs that wait for one.
+    """
+
+    def __init__(self, settings: Upstreams, speed: float, started_us: int | None = None) -> None:
+        self.started_us = started_us
+        self.hung = False
+        self.down = False
         self.running: list[_Job] = []
         self.queue: deque[_Job] = deque()
-        self.now_us = 0
-        self.choked_us: int | None = None  # since when it is choked
-        self._crowded_us: int | None = None  # since when it holds too much
-        self._idle_us: int | None = None  # since when, choked, it holds next to nothing
-        self.recent: deque[tuple[int, int]] = deque()  # (when, work) of what has reached it while cold
-        self.recent_us = 0
-
-    def warmth(self, now_us: int) -> float:
-        """The share of its capacity that it has."""
-        if self.cold_at_us is None:
-            return 1.0
-        share, age = self.figures.cold_share, (now_us - self.cold_at_us) / (self.figures.warm_up_s * 1e6)
-        return min(1.0, share + (1 - share) * max(0.0, age))
+        self._settings = settings
+        self._speed = speed
+        self._slowdown = 1.0  # a fault: all service takes this multiple
+        self._now_us = 0
+        self._degradation = _Degradation(settings)
+        self._recent_arrivals: deque[tuple[int, int]] = deque()  # (time, work) of the overload window, in slow start
+        self._recent_work_us = 0
 
     @property
     def held(self) -> int:
+        """How many jobs it has, running or queued."""
         return len(self.running) + len(self.queue)
 
+    @property
+    def degraded(self) -> bool:
+        """Whether a long overload has made it slower still."""
+        return self._degradation.degraded
+
     def arrive(self, now_us: int, job: int, work_us: int) -> list[Action]:
-        """A request has come whole."""
-        done = self.wakeup(now_us)
+        """Take a job whose request has arrived."""
+        actions = self.wakeup(now_us)
         if self.down:
-            return [*done, TurnedAway(job)]
-        fell = self._weigh(now_us, work_us)
-        if fell is not None:
-            return [*done, fell, TurnedAway(job)]
-        if (
-            len(self.queue) >= self.figures.queue_per_core * self.figures.cores
-            and len(self.running) >= self.figures.cores
-        ):
-            return [*done, TurnedAway(job)]
+            return [*actions, TurnedAway(job)]
+        crash = self._check_overload(now_us, work_us)
+        if crash is not None:
+            return [*actions, crash, TurnedAway(job)]
+        if self._full:
+            return [*actions, TurnedAway(job)]
         self.queue.append(_Job(job, float(work_us)))
-        self._fill()
-        self._watch(now_us)
-        return done
+        self._start_queued()
+        self._update_degradation(now_us)
+        return actions
 
     def cancel(self, now_us: int, job: int) -> list[Action]:
-        """Nobody waits for it any more."""
-        done = self.wakeup(now_us)
-        self.running = [j for j in self.running if j.job != job]
-        self.queue = deque(j for j in self.queue if j.job != job)
-        self._fill()
-        self._watch(now_us)
-        return done
+        """Drop a job whose response nobody waits for."""
+        actions = self.wakeup(now_us)
+        self.running = [held for held in self.running if held.job != job]
+        self.queue = deque(held for held in self.queue if held.job != job)
+        self._start_queued()
+        self._update_degradation(now_us)
+        return actions
 
     def wakeup(self, now_us: int) -> list[Action]:
-        """Time has passed: what is finished by now. Each job goes on at the rate of the middle of each step."""
-        done: list[Action] = []
-        while self.now_us < now_us:
-            if self.hung or self.down or not self.running:
-                self.now_us = now_us
-                self._watch(now_us)
+        """Let time pass, and return what has finished by now.
+
+        Time passes in steps, at the end of which a job may finish; each step has the service rate of its middle.
+        """
+        actions: list[Action] = []
+        while self._now_us < now_us:
+            if not self._working:
+                self._now_us = now_us
+                self._update_degradation(now_us)
                 break
-            step = now_us - self.now_us
-            if self.cold_at_us is not None:
-                step = min(step, LONGEST_STEP_US)
-            rate = self._rate(self.now_us + step // 2)
-            step = min(step, max(1, round(min(j.left_us for j in self.running) / rate)))
-            self.now_us += step
-            for job in self.running:
-                job.left_us -= step * rate
-            self._watch(self.now_us)  # by what it has held until now
-            ended = [j for j in self.running if j.left_us < 1]
-            if ended:
-                self.running = [j for j in self.running if j.left_us >= 1]
-                done.extend(Finished(j.job) for j in ended)
-                self._fill()
-                self._watch(self.now_us)
-        return done
+            self._advance(now_us - self._now_us)
+            self._update_degradation(self._now_us)  # by the jobs that it has held until now
+            actions.extend(self._take_finished())
+        return actions
 
     def next_us(self) -> int | None:
-        """When to call `wakeup`, if nothing else happens; None: never."""
-        if self.hung or self.down or not self.running:
+        """Return when to call `wakeup` if nothing else happens; None if there is no need to."""
+        if not self._working:
             return None
-        rate = self._rate(self.now_us)
-        step = min(j.left_us for j in self.running) / rate
-        return self.now_us + max(1, int(min(step, LONGEST_STEP_US) if self.cold_at_us is not None else step) + 1)
+        step_us = min(job.remaining_us for job in self.running) / self._rate(self._now_us)
+        if self.started_us is not None:
+            step_us = min(step_us, MAX_WARM_UP_STEP_US)
+        return self._now_us + max(1, int(step_us) + 1)
 
-    # What befalls it
+    # Faults
 
-    def hang(self, now_us: int, hung: bool) -> list[Action]:
-        done = self.wakeup(now_us)
+    def hang(self, now_us: int, hung: bool) -> list[Action]:  # noqa: FBT001 - the lab calls it by position
+        """Stop working on jobs, or resume."""
+        actions = self.wakeup(now_us)
         self.hung = hung
-        return done
+        return actions
 
     def slow_down(self, now_us: int, times: float) -> list[Action]:
-        done = self.wakeup(now_us)
-        self.slow = times
-        return done
+        """Let all service take a multiple of its time from now on; 1 ends the fault."""
+        actions = self.wakeup(now_us)
+        self._slowdown = times
+        return actions
 
     def die(self, now_us: int) -> list[int]:
-        """The process ends; the jobs that it held."""
+        """End the process, and return the jobs that are lost with it."""
         self.wakeup(now_us)
-        dropped = [j.job for j in (*self.running, *self.queue)]
-        self.running, self.down = [], True
+        dropped = [job.job for job in (*self.running, *self.queue)]
+        self.running = []
         self.queue.clear()
+        self.down = True
         return dropped
 
     def boot(self, now_us: int) -> None:
-        """It starts anew, cold."""
-        self.now_us, self.cold_at_us, self.down, self.hung = now_us, now_us, False, False
-        self.recent.clear()
-        self.recent_us = 0
-        self.choked_us = self._crowded_us = self._idle_us = None
-
-    # Inside
-
-    def _watch(self, now_us: int) -> None:
-        """Whether it chokes, or recovers, by what it has held and for how long."""
-        f, per_core = self.figures, self.held / self.figures.cores
-        if f.choke_times <= 1:
-            return
-        if self.choked_us is None:
-            self._crowded_us = (
-                None if per_core <= f.choke_at else now_us if self._crowded_us is None else self._crowded_us
-            )
-            if self._crowded_us is not None and now_us - self._crowded_us >= f.choke_over_s * 1e6:
-                self.choked_us, self._idle_us = now_us, None
-            return
-        self._idle_us = None if per_core > f.choke_below else now_us if self._idle_us is None else self._idle_us
-        rested = self._idle_us is not None and now_us - self._idle_us >= f.choke_rest_s * 1e6
-        if rested or now_us - self.choked_us >= f.choke_most_s * 1e6:
-            self.choked_us = self._crowded_us = None
+        """Start anew, at the beginning of slow start."""
+        self._now_us = now_us
+        self.started_us = now_us
+        self.down = False
+        self.hung = False
+        self._recent_arrivals.clear()
+        self._recent_work_us = 0
+        self._degradation.reset()
 
-    def _fill(self) -> None:
-        while self.queue and len(self.running) < self.figures.cores:
+    # Service
+
+    @property
+    def _working(self) -> bool:
+        return bool(self.running) and not self.hung and not self.down
+
+    @property
+    def _full(self) -> bool:
+        settings = self._settings
+        queue_full = len(self.queue) >= settings.queue_per_core * settings.cores
+        return queue_full and len(self.running) >= settings.cores
+
+    def _advance(self, most_us: int) -> None:
+        """Work until a job finishes, or for `most_us`."""
+        step_us = most_us
+        if self.started_us is not None:
+            step_us = min(step_us, MAX_WARM_UP_STEP_US)
+        rate = self._rate(self._now_us + step_us // 2)
+        shortest_us = min(job.remaining_us for job in self.running)
+        step_us = min(step_us, max(1, round(shortest_us / rate)))
+        self._now_us += step_us
+        for job in self.running:
+            job.remaining_us -= step_us * rate
+
+    def _take_finished(self) -> list[Action]:
+        finished: list[Action] = [Finished(job.job) for job in self.running if job.remaining_us < 1]
+        if finished:
+            self.running = [job for job in self.running if job.remaining_us >= 1]
+            self._start_queued()
+            self._update_degradation(self._now_us)
+        return finished
+
+    def _start_queued(self) -> None:
+        while self.queue and len(self.running) < self._settings.cores:
             self.running.append(self.queue.popleft())
 
     def _rate(self, now_us: int) -> float:
-        """Work done on a core in a microsecond."""
-        crowd = max(0.0, self.held / self.figures.cores - self.figures.thrash_at)
-        slow = self.slow * (self.figures.choke_times if self.choked_us is not None else 1.0)
-        return self.speed * self.warmth(now_us) / (slow * (1 + self.figures.thrash * crowd))
-
-    def _weigh(self, now_us: int, work_us: int) -> FellOver | None:
-        """All work that reaches a cold machine counts, also what it turns away."""
-        if self.warmth(now_us) >= 1.0:
-            self.recent.clear()
+        """Return the work that a core does in a microsecond."""
+        settings = self._settings
+        excess_jobs_per_core = max(0.0, self.held / settings.cores - settings.thrash_at)
+        slowdown = self._slowdown * (settings.choke_times if self.degraded else 1.0)
+        return self._speed * self._warm_up_fraction(now_us) / (slowdown * (1 + settings.thrash * excess_jobs_per_core))
+
+    def _warm_up_fraction(self, now_us: int) -> float:
+        """Return the share of its capacity that the machine has."""
+        if self.started_us is None:
+            return 1.0
+        initial = self._settings.cold_share
+        progress = (now_us - self.started_us) / (self._settings.warm_up_s * 1e6)
+        return min(1.0, initial + (1 - initial) * max(0.0, progress))
+
+    # Overload
+
+    def _update_degradation(self, now_us: int) -> None:
+        self._degradation.update(now_us, self.held / self._settings.cores)
+
+    def _check_overload(self, now_us: int, work_us: int) -> FellOver | None:
+        """Crash if too much work has reached the machine in slow start; work that it rejects counts too."""
+        if self.started_us is None or self._warm_up_fraction(now_us) >= 1.0:
+            self._recent_arrivals.clear()
             return None
-        window_us = int(self.figures.fall_s * 1e6)
-        self.recent.append((now_us, work_us))
-        self.recent_us += work_us
-        while self.recent[0][0] <= now_us - window_us:
-            self.recent_us -= self.recent.popleft()[1]
-        if self.recent_us <= budget_us(self.figures, self.speed, self.cold_at_us or 0, now_us):
+        window_us = int(self._settings.fall_s * 1e6)
+        self._recent_arrivals.append((now_us, work_us))
+        self._recent_work_us += work_us
+        while self._recent_arrivals[0][0] <= now_us - window_us:
+            self._recent_work_us -= self._recent_arrivals.popleft()[1]
+        if self._recent_work_us <= overload_budget_us(self._settings, self._speed, self.started_us, now_us):
             return None
         return FellOver(self.die(now_us))
 
 
-def budget_us(figures: Upstreams, speed: float, cold_at_us: int, now_us: int) -> float:
-    """The work, in microseconds on a standard core, that a machine started at `cold_at_us` bears in the window
-    that ends now: the multiple, times its capacity over that window, with some slack for chance. A window that
-    reaches back before the start counts whole, as of the capacity at the start (rule 4 in the protocol page)."""
-    window = figures.fall_s * 1e6
-    warm = figures.warm_up_s * 1e6
+def overload_budget_us(settings: Upstreams, speed: float, started_us: int, now_us: int) -> float:
+    """Return the work that a machine in slow start bears in the overload window that ends now.
+
+    It is the overload factor times the machine's capacity over that window, with a tolerance for chance. A window that
+    reaches back before the start counts in full, with the capacity at the start (rule 4 in the protocol page).
+
+    Args:
+        settings: The machine's.
+        speed: Of each core, beside a standard one.
+        started_us: When the machine started.
+        now_us: The end of the window.
+
+    Returns:
+        Microseconds of work on a standard core.
+    """
+    window_us = settings.fall_s * 1e6
+    warm_up_us = settings.warm_up_s * 1e6
 
-    def warmth(at: float) -> float:
-        return min(1.0, figures.cold_share + (1 - figures.cold_share) * max(0.0, at - cold_at_us) / warm)
+    def warm_up_fraction(at_us: float) -> float:
+        gained = (1 - settings.cold_share) * max(0.0, at_us - started_us) / warm_up_us
+        return min(1.0, settings.cold_share + gained)
 
-    middle = (warmth(now_us - window) + warmth(now_us)) / 2
-    return SLACK * figures.overload_factor * figures.cores * speed * middle * window
+    mean_fraction = (warm_up_fraction(now_us - window_us) + warm_up_fraction(now_us)) / 2
+    return BUDGET_TOLERANCE * settings.overload_factor * settings.cores * speed * mean_fraction * window_us
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -13,7 +13,7 @@
 from garnetusher.model import draw, experiment, plan
 from garnetusher.model.experiment import Upstreams
 from garnetusher.model.link import DatagramLink, StreamLink, Weather
-from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream, budget_us
+from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream, overload_budget_us
 from tests.experiment import ROOT, small
 
 STEPS = st.lists(
@@ -83,13 +83,13 @@
     machine = Upstream(figures, 1.0)
     for job in range(4):
         machine.arrive(0, job, 600_000)
-    assert [len(machine.wakeup(t)) for t in (600_010, 1_200_020)] == [1, 1] and machine.choked_us is not None
+    assert [len(machine.wakeup(t)) for t in (600_010, 1_200_020)] == [1, 1] and machine.degraded
     assert machine.wakeup(2_700_000) == [] and machine.wakeup(2_800_000) == [Finished(2)]  # 2.6 times 0.6 s
-    assert machine.wakeup(4_400_000) == [Finished(3)] and machine.choked_us is not None  # rested for a moment only
+    assert machine.wakeup(4_400_000) == [Finished(3)] and machine.degraded  # rested for a moment only
     machine.wakeup(4_600_000)
-    assert machine.choked_us is not None
+    assert machine.degraded
     machine.arrive(5_000_000, 9, 1_000)
-    assert machine.choked_us is None
+    assert not machine.degraded
 
 
 def test_a_full_machine_turns_away() -> None:
@@ -107,7 +107,7 @@
         fell = False
         for step in range(400):
             now = 1_000_000 + step * 10_000
-            work = share * (budget_us(figures, 1.0, 1_000_000, now) / 200)  # of a window of 200 such steps
+            work = share * (overload_budget_us(figures, 1.0, 1_000_000, now) / 200)  # of a window of 200 such steps
             fell = fell or any(isinstance(a, FellOver) for a in machine.arrive(now, step, int(work)))
         assert fell is falls and machine.down is falls
 
