--- a/garnetusher/model/digest_text.py
+++ b/garnetusher/model/digest_text.py
@@ -35,7 +35,7 @@
     CheckHealth: lambda action: f"Probe(upstream={action.endpoint_id})",
     SetTimer: lambda action: f"SetTimer(at_us={action.at_us}, token={action.token})",
     WatchEndpoints: lambda action: f"Subscribe(active={action.active})",
-    PollEndpoints: lambda action: "FetchList()",
+    PollEndpoints: lambda _action: "FetchList()",
     CloseIdleConnections: lambda action: f"CloseIdle(upstream={action.endpoint_id})",
     SendToPeer: lambda action: f"TellPeer(payload={action.payload!r}, to={action.recipient_id})",
     LogMessage: lambda action: f"Log(text={action.text!r})",
--- a/garnetusher/model/link.py
+++ b/garnetusher/model/link.py
@@ -1,8 +1,8 @@
-"""A link between two parties: delay, jitter, loss, throttling and cuts, for streams and for datagrams.
+"""A network link between two nodes: delay, jitter, loss, throttling and cuts, for streams and for datagrams.
 
-`StreamLink` is one direction of a TCP connection: bytes arrive whole and in order, whatever happens to them on the
-way, only later. What is lost on the way is sent again by TCP, so loss stalls a stream and drops nothing. A cut keeps
-all that is sent until it is mended; nobody is told. `DatagramLink` drops, doubles and reorders.
+`StreamLink` is one direction of a TCP connection: all bytes arrive, and in order, only later. TCP sends lost segments
+again, so loss stalls a stream and drops nothing. A cut keeps all that is sent until it is mended, and neither end sees
+an error. `DatagramLink` drops, duplicates and reorders.
 """
 
 from __future__ import annotations
@@ -12,95 +12,120 @@
 from dataclasses import dataclass
 
 RETRANSMIT_US = 200_000  # TCP's shortest wait before it sends a lost segment again (RFC 6298 as deployed: 200 ms)
-LONGEST_BACKOFF_US = 3_000_000  # of the waits that double during a cut, the longest that a mended link still shows
-REORDERED_US = 3_000  # by which a reordered datagram is late, at most
+LONGEST_BACKOFF_US = 3_000_000  # the longest retransmission wait, doubled during a cut, that a mended link still has
+MAX_REORDER_DELAY_US = 3_000
+UNSCHEDULED_US = -1  # the arrival time of what was sent into a cut
 
 
 @dataclass(slots=True)
 class Weather:
-    """What a link does at present; shared by all streams of one pair in one direction."""
-
-    delay_us: int = 0  # one way
-    jitter: float = 0.0  # of the delay, either way
-    loss: float = 0.0  # share of the segments (TCP: stalls) or of the datagrams
+    """The state of a link at present, shared by all streams of one pair of nodes in one direction.
+
+    Attributes:
+        delay_us: One way.
+        jitter: As a share of the delay, in both directions from it.
+        loss: The share of segments (which stall a stream) or of datagrams that are lost.
+        duplicate: The share of datagrams that arrive twice.
+        reorder: The share of datagrams that are delayed by up to `MAX_REORDER_DELAY_US`.
+        bytes_per_s: The bandwidth; 0 is unlimited.
+        cut: How many faults cut the link.
+    """
+
+    delay_us: int = 0
+    jitter: float = 0.0
+    loss: float = 0.0
     duplicate: float = 0.0
     reorder: float = 0.0
-    bytes_per_s: float = 0.0  # 0: as much as comes
-    cut: int = 0  # by how many faults
+    bytes_per_s: float = 0.0
+    cut: int = 0
 
 
 class StreamLink:
     """One direction of one connection."""
 
     def __init__(self, weather: Weather, rng: random.Random) -> None:
-        self.weather, self._rng = weather, rng
-        self._last_us = 0
-        self._waiting: deque[tuple[int, bytes]] = deque()  # (due, data) in order; due is not known during a cut
-        self._cut_at_us: int | None = None
+        self.weather = weather
+        self._rng = rng
+        self._last_arrival_us = 0
+        self._in_transit: deque[tuple[int, bytes]] = deque()  # (arrival or UNSCHEDULED_US, data), in order
+        self._first_held_us: int | None = None  # when the first bytes were sent into the present cut
 
     def send(self, now_us: int, data: bytes) -> None:
-        """Bytes set out."""
+        """Send bytes."""
         if self.weather.cut:
-            self._cut_at_us = now_us if self._cut_at_us is None else self._cut_at_us
-            self._waiting.append((-1, data))
+            if self._first_held_us is None:
+                self._first_held_us = now_us
+            self._in_transit.append((UNSCHEDULED_US, data))
             return
-        self._waiting.append((self._due(now_us, len(data)), data))
+        self._in_transit.append((self._schedule_arrival(now_us, len(data)), data))
 
     def arrived(self, now_us: int) -> list[bytes]:
-        """What has come out at the other end by now, in order."""
+        """Take what has arrived at the other end by now, in order."""
         if self.weather.cut:
-            return []  # what was on its way when the cut came is lost too, and sent again later
-        out = []
-        while self._waiting and 0 <= self._waiting[0][0] <= now_us:
-            out.append(self._waiting.popleft()[1])
-        return out
+            return []  # what was in transit when the cut came is lost too, and sent again later
+        arrived: list[bytes] = []
+        while self._in_transit and 0 <= self._in_transit[0][0] <= now_us:
+            arrived.append(self._in_transit.popleft()[1])
+        return arrived
 
     def next_us(self) -> int | None:
-        """When something comes out next; None: nothing is on its way, or it is cut."""
-        if self.weather.cut or not self._waiting or self._waiting[0][0] < 0:
+        """Return when bytes arrive next; None if nothing is in transit, or the link is cut."""
+        if self.weather.cut or not self._in_transit:
             return None
-        return self._waiting[0][0]
+        arrival_us = self._in_transit[0][0]
+        return None if arrival_us == UNSCHEDULED_US else arrival_us
 
     def mend(self, now_us: int) -> None:
-        """The cut is over: TCP's next retransmission carries it all, which backs off as the cut lasts."""
-        since = self._cut_at_us if self._cut_at_us is not None else now_us
-        self._cut_at_us = None
-        wait = self._rng.random() * min(max(now_us - since, RETRANSMIT_US), LONGEST_BACKOFF_US)
-        sizes, self._waiting = list(self._waiting), deque()
-        for _, data in sizes:
-            self._waiting.append((max(self._due(now_us, len(data)), now_us + int(wait)), data))
-            self._last_us = self._waiting[-1][0]
+        """End a cut: TCP's next retransmission, whose backoff has grown with the cut, carries all that was held."""
+        held_since_us = now_us if self._first_held_us is None else self._first_held_us
+        self._first_held_us = None
+        backoff_us = min(max(now_us - held_since_us, RETRANSMIT_US), LONGEST_BACKOFF_US)
+        retransmit_at_us = now_us + int(self._rng.random() * backoff_us)
+        held, self._in_transit = self._in_transit, deque()
+        for _, data in held:
+            arrival_us = max(self._schedule_arrival(now_us, len(data)), retransmit_at_us)
+            self._in_transit.append((arrival_us, data))
+            self._last_arrival_us = arrival_us
 
     @property
     def waiting(self) -> int:
-        """Bytes on their way."""
-        return sum(len(data) for _, data in self._waiting)
+        """Bytes in transit."""
+        return sum(len(data) for _, data in self._in_transit)
 
-    def _due(self, now_us: int, size: int) -> int:
-        w = self.weather
-        due = now_us + _delay_us(w, self._rng)
-        if w.loss and self._rng.random() < w.loss:
-            due += RETRANSMIT_US
-        if w.bytes_per_s:
-            due = max(due, self._last_us) + int(size * 1e6 / w.bytes_per_s)
-        self._last_us = max(due, self._last_us)
-        return self._last_us
+    def _schedule_arrival(self, now_us: int, size: int) -> int:
+        weather = self.weather
+        arrival_us = now_us + _delay_us(weather, self._rng)
+        if weather.loss and self._rng.random() < weather.loss:
+            arrival_us += RETRANSMIT_US
+        if weather.bytes_per_s:
+            arrival_us = max(arrival_us, self._last_arrival_us) + int(size * 1e6 / weather.bytes_per_s)
+        self._last_arrival_us = max(arrival_us, self._last_arrival_us)
+        return self._last_arrival_us
 
 
 class DatagramLink:
     """One direction between two addresses."""
 
     def __init__(self, weather: Weather, rng: random.Random) -> None:
-        self.weather, self._rng = weather, rng
+        self.weather = weather
+        self._rng = rng
 
     def send(self, now_us: int, data: bytes) -> list[tuple[int, bytes]]:
-        """When each copy comes out; nothing where it is lost."""
-        w, rng = self.weather, self._rng
-        if w.cut or (w.loss and rng.random() < w.loss):
+        """Send a datagram.
+
+        Returns:
+            When each copy arrives, with its data; nothing if the datagram is lost.
+        """
+        weather, rng = self.weather, self._rng
+        if weather.cut or self._happens(weather.loss):
             return []
-        copies = 2 if w.duplicate and rng.random() < w.duplicate else 1
-        late = int(rng.random() * REORDERED_US) if w.reorder and rng.random() < w.reorder else 0
-        return [(now_us + _delay_us(w, rng) + late, data) for _ in range(copies)]
+        copies = 2 if self._happens(weather.duplicate) else 1
+        reorder_delay_us = int(rng.random() * MAX_REORDER_DELAY_US) if self._happens(weather.reorder) else 0
+        return [(now_us + _delay_us(weather, rng) + reorder_delay_us, data) for _ in range(copies)]
+
+    def _happens(self, share: float) -> bool:
+        """Draw whether something that strikes a share of datagrams strikes this one; a share of 0 draws nothing."""
+        return share > 0 and self._rng.random() < share
 
 
 def _delay_us(weather: Weather, rng: random.Random) -> int:
