--- a/garnetusher/model/client_node.py
+++ b/garnetusher/model/client_node.py
@@ -46,8 +46,8 @@
 
         Args:
             call: The call that has failed.
-            safe_to_retry: The client was told that the request did not run.
-            retry_after_us: How long the client was told to wait; 0 if it was not.
+            safe_to_retry: The answer said that the request did not run.
+            retry_after_us: The answer's Retry-After; 0 if it had none.
         """
         retry_at_us = self._habits.comes_again_us(
             self._clock.now_us,
--- a/garnetusher/model/discovery_client.py
+++ b/garnetusher/model/discovery_client.py
@@ -75,7 +75,7 @@
     def call(self) -> None:
         """Ask for the list and its changes from now on, in place of an earlier call."""
         self._last_call_id += 1
-        self.watching = not self._polls  # what the platform's agent holds counts as told
+        self.watching = not self._polls  # without polling, changes come from now on, as from an agent on the host
         incarnation, call_id = self._sidecar.incarnation, self._last_call_id
         deliver = partial(self._simulation.discovery.handle_call, self._sidecar, incarnation, call_id)
         self._simulation.network.send(DIRECTORY, self._sidecar.name, Direction.TO_NODE, deliver)
@@ -135,5 +135,5 @@
         return self._simulation.endpoint_cache.get(endpoint_id, step)
 
     def _record(self, step: ListStep) -> None:
-        told = Told(self._clock.now_us, self._sidecar.name, step.uid, step.state, step.started_us)
-        self._simulation.record(told)
+        change = Told(self._clock.now_us, self._sidecar.name, step.uid, step.state, step.started_us)
+        self._simulation.record(change)
--- a/garnetusher/model/sidecar.py
+++ b/garnetusher/model/sidecar.py
@@ -63,7 +63,7 @@
         up: Whether a process runs.
         incarnation: Numbers the processes; events that an earlier one has scheduled are ignored.
         pending: Requests that have no answer yet, or attempts in flight, by id.
-        fleet_size: What the policy was last told; 0 before.
+        fleet_size: The size that the policy has last been given; 0 before.
     """
 
     def __init__(self, simulation: Simulation, plan: SidecarPlan) -> None:
--- a/garnetusher/model/sidecar_attempts.py
+++ b/garnetusher/model/sidecar_attempts.py
@@ -140,8 +140,8 @@
         connection.open = False
         link = self._network.link(uid, self._sidecar.name)
         if not link.is_cut(Direction.TO_SIDECAR):
-            heard_at_us = self._clock.now_us + link.one_way_us
-            self._clock.at(heard_at_us, self.response_arrived, request, attempt, Outcome.RESET, uid)
+            reset_seen_at_us = self._clock.now_us + link.one_way_us
+            self._clock.at(reset_seen_at_us, self.response_arrived, request, attempt, Outcome.RESET, uid)
 
     def close_idle(self, uid: str) -> None:
         """Close the idle connections to an upstream."""
@@ -165,14 +165,14 @@
                 self.end(request, attempt, Outcome.NOT_WRITTEN)
 
     def close_all(self, request: PendingRequest) -> None:
-        """Close the connections of all attempts as their process ends; nobody is left to report to."""
+        """Close the connections of all attempts as their process ends; their outcomes are not reported."""
         for attempt in request.attempts:
             if not attempt.ended:
                 attempt.ended = True
                 self._close(attempt)
 
     def end(self, request: PendingRequest, attempt: AttemptInFlight, outcome: Outcome) -> None:
-        """End an attempt, once; the policy is told after its present call has returned."""
+        """End an attempt, once; the policy gets the event after its present call has returned."""
         if attempt.ended:
             return
         attempt.ended = True
--- a/garnetusher/model/sidecar_membership.py
+++ b/garnetusher/model/sidecar_membership.py
@@ -13,7 +13,7 @@
     from garnetusher.model.simulation import Simulation
 
 FLEET_SIZE_INTERVAL_US = 250_000  # between two looks of a sidecar at the fleet's size
-SEED_MEMBERS = 3  # sidecars whose addresses all members are told
+SEED_MEMBERS = 3  # sidecars whose addresses every new member has
 
 
 class SidecarMembership:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The plain objects under the lab: machines, links, plans."""
+"""The objects that the lab and the simulation share: upstreams, links, plans and draws."""
 
 from __future__ import annotations
 
@@ -26,48 +26,62 @@
 )
 
 
-@settings(max_examples=120, deadline=None, derandomize=True)
-@given(STEPS)
-def test_each_job_ends_once_whatever_befalls_its_machine(steps: list[tuple[str, int, int]]) -> None:
-    machine = Upstream(Upstreams(per_zone={}, cores=2, queue_per_core=2), 1.0)
-    now, last, open_jobs, ended = 0, 0, set[int](), set[int]()
+class JobLedger:
+    """An upstream under test, with the jobs that it holds by the actions that it has returned."""
+
+    def __init__(self) -> None:
+        self.machine = Upstream(Upstreams(per_zone={}, cores=2, queue_per_core=2), 1.0)
+        self.open_jobs: set[int] = set()
+        self.ended: set[int] = set()
+        self.last_job = 0
 
-    def end(jobs: list[int]) -> None:
+    def end(self, jobs: list[int]) -> None:
         for job in jobs:
-            assert job in open_jobs and job not in ended
-            open_jobs.discard(job)
-            ended.add(job)
+            assert job in self.open_jobs
+            assert job not in self.ended
+            self.open_jobs.discard(job)
+            self.ended.add(job)
 
-    def carry_out(actions: list[Action]) -> None:
+    def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            end(action.dropped if isinstance(action, FellOver) else [action.job])
-
-    for what, wait, work in [*steps, ("resume", 0, 1), ("wait", 10**9, 1)]:
-        now += wait
-        carry_out(machine.wakeup(now))
-        if what == "arrive":
-            last += 1
-            open_jobs.add(last)
-            carry_out(machine.arrive(now, last, work))
-        elif what == "cancel" and open_jobs:
-            job = min(open_jobs)
-            carry_out(machine.cancel(now, job))
-            open_jobs.discard(job)
-        elif what in ("hang", "resume"):
-            carry_out(machine.hang(now, what == "hang"))
-        elif what == "slow":
-            carry_out(machine.slow_down(now, 3.0))
-        elif what == "die":
-            end(machine.die(now))
-        elif what == "boot" and machine.down:
-            machine.boot(now)
-        assert machine.held == len(open_jobs) and len(machine.running) <= 2
-        due = machine.next_us()
-        assert due is None or due > now
-    assert not open_jobs
-
-
-def test_a_machine_works_at_its_speed_and_in_order() -> None:
+            self.end(action.dropped if isinstance(action, FellOver) else [action.job])
+
+    def apply(self, step: str, now_us: int, work_us: int) -> None:
+        if step == "arrive":
+            self.last_job += 1
+            self.open_jobs.add(self.last_job)
+            self.carry_out(self.machine.arrive(now_us, self.last_job, work_us))
+        elif step == "cancel" and self.open_jobs:
+            job = min(self.open_jobs)
+            self.carry_out(self.machine.cancel(now_us, job))
+            self.open_jobs.discard(job)
+        elif step in ("hang", "resume"):
+            self.carry_out(self.machine.hang(now_us, step == "hang"))
+        elif step == "slow":
+            self.carry_out(self.machine.slow_down(now_us, 3.0))
+        elif step == "die":
+            self.end(self.machine.die(now_us))
+        elif step == "boot" and self.machine.down:
+            self.machine.boot(now_us)
+
+
+@settings(max_examples=120, deadline=None, derandomize=True)
+@given(STEPS)
+def test_upstream_ends_each_job_once_when_faults_come_in_any_order(steps: list[tuple[str, int, int]]) -> None:
+    ledger = JobLedger()
+    machine, now_us = ledger.machine, 0
+    for step, wait_us, work_us in [*steps, ("resume", 0, 1), ("wait", 10**9, 1)]:
+        now_us += wait_us
+        ledger.carry_out(machine.wakeup(now_us))
+        ledger.apply(step, now_us, work_us)
+        assert machine.held == len(ledger.open_jobs)
+        assert len(machine.running) <= 2
+        next_us = machine.next_us()
+        assert next_us is None or next_us > now_us
+    assert not ledger.open_jobs
+
+
+def test_upstream_works_at_its_speed_and_in_order_when_jobs_queue() -> None:
     machine = Upstream(Upstreams(per_zone={}, cores=1, thrash=0), 2.0)
     for job in (1, 2):
         machine.arrive(0, job, 100_000)
@@ -75,41 +89,46 @@
     assert machine.wakeup(49_000) == []
     assert machine.wakeup(60_000) == [Finished(1)]
     machine.slow_down(60_000, 2.0)  # 80,000 of work left, at the standard speed
-    assert machine.wakeup(139_000) == [] and machine.wakeup(140_010) == [Finished(2)]
+    assert machine.wakeup(139_000) == []
+    assert machine.wakeup(140_010) == [Finished(2)]
 
 
-def test_a_machine_crowded_for_long_chokes_until_it_has_rested() -> None:
-    figures = Upstreams(per_zone={}, cores=1, thrash=0, choke_at=2, choke_over_s=1, choke_rest_s=0.5)
-    machine = Upstream(figures, 1.0)
+def test_upstream_degrades_until_it_has_rested_when_overloaded_for_long() -> None:
+    upstreams = Upstreams(per_zone={}, cores=1, thrash=0, choke_at=2, choke_over_s=1, choke_rest_s=0.5)
+    machine = Upstream(upstreams, 1.0)
     for job in range(4):
         machine.arrive(0, job, 600_000)
-    assert [len(machine.wakeup(t)) for t in (600_010, 1_200_020)] == [1, 1] and machine.degraded
-    assert machine.wakeup(2_700_000) == [] and machine.wakeup(2_800_000) == [Finished(2)]  # 2.6 times 0.6 s
-    assert machine.wakeup(4_400_000) == [Finished(3)] and machine.degraded  # rested for a moment only
+    assert [len(machine.wakeup(t)) for t in (600_010, 1_200_020)] == [1, 1]
+    assert machine.degraded
+    assert machine.wakeup(2_700_000) == []
+    assert machine.wakeup(2_800_000) == [Finished(2)]
+    assert machine.wakeup(4_400_000) == [Finished(3)]
+    assert machine.degraded
     machine.wakeup(4_600_000)
     assert machine.degraded
     machine.arrive(5_000_000, 9, 1_000)
     assert not machine.degraded
 
 
-def test_a_full_machine_turns_away() -> None:
+def test_upstream_rejects_jobs_when_its_queue_is_full() -> None:
     machine = Upstream(Upstreams(per_zone={}, cores=1, queue_per_core=2), 1.0)
     assert [machine.arrive(0, job, 1000) for job in range(4)][3] == [TurnedAway(3)]
 
 
-def test_a_cold_machine_falls_at_its_budget_and_not_before() -> None:
-    figures = Upstreams(
+def test_upstream_crashes_only_when_sent_more_than_its_budget_in_slow_start() -> None:
+    upstreams = Upstreams(
         per_zone={}, cores=2, cold_share=0.2, warm_up_s=20, fall_s=2, overload_factor=3, queue_per_core=10_000
     )
     for share, falls in ((0.97, False), (1.25, True)):
-        machine = Upstream(figures, 1.0)
+        machine = Upstream(upstreams, 1.0)
         machine.boot(1_000_000)
         fell = False
         for step in range(400):
             now = 1_000_000 + step * 10_000
-            work = share * (overload_budget_us(figures, 1.0, 1_000_000, now) / 200)  # of a window of 200 such steps
+            work = share * (overload_budget_us(upstreams, 1.0, 1_000_000, now) / 200)  # of a window of 200 such steps
             fell = fell or any(isinstance(a, FellOver) for a in machine.arrive(now, step, int(work)))
-        assert fell is falls and machine.down is falls
+        assert fell is falls
+        assert machine.down is falls
 
 
 @settings(max_examples=80, deadline=None, derandomize=True)
@@ -117,28 +136,31 @@
     st.integers(0, 10**6),
     st.lists(st.tuples(st.sampled_from(["send", "wait", "cut", "mend"]), st.integers(0, 50_000)), max_size=60),
 )
-def test_a_stream_comes_whole_and_in_order(seed: int, steps: list[tuple[str, int]]) -> None:
+def test_stream_link_delivers_all_bytes_in_order_when_cut_and_mended(seed: int, steps: list[tuple[str, int]]) -> None:
     weather = Weather(delay_us=2_000, jitter=0.5, loss=0.1, bytes_per_s=1e6)
-    link, now, sent, came = StreamLink(weather, random.Random(seed)), 0, b"", b""
-    for number, (what, wait) in enumerate([*steps, ("mend", 0), ("mend", 0), ("wait", 10**8)]):
-        now += wait
-        if what == "send":
-            data = bytes([number % 251]) * (1 + wait % 7)
+    link = StreamLink(weather, random.Random(seed))
+    now_us, sent, received = 0, b"", b""
+    for number, (step, wait_us) in enumerate([*steps, ("mend", 0), ("mend", 0), ("wait", 10**8)]):
+        now_us += wait_us
+        if step == "send":
+            data = bytes([number % 251]) * (1 + wait_us % 7)
             sent += data
-            link.send(now, data)
-        elif what == "cut":
+            link.send(now_us, data)
+        elif step == "cut":
             weather.cut = 1
-        elif what == "mend" and weather.cut:
+        elif step == "mend" and weather.cut:
             weather.cut = 0
-            link.mend(now)
-        out = b"".join(link.arrived(now))
-        assert not (weather.cut and out)
-        came += out
-        assert sent.startswith(came) and link.waiting == len(sent) - len(came)
-    assert came == sent and link.next_us() is None
+            link.mend(now_us)
+        arrived = b"".join(link.arrived(now_us))
+        assert not (weather.cut and arrived)
+        received += arrived
+        assert sent.startswith(received)
+        assert link.waiting == len(sent) - len(received)
+    assert received == sent
+    assert link.next_us() is None
 
 
-def test_datagrams_are_lost_doubled_and_reordered_as_told() -> None:
+def test_datagram_link_drops_duplicates_and_reorders_when_set_to() -> None:
     weather = Weather(delay_us=1_000, loss=0.2, duplicate=0.1, reorder=0.3)
     link = DatagramLink(weather, random.Random(1))
     copies = [link.send(i * 100, b"%d" % i) for i in range(5_000)]
@@ -150,63 +172,67 @@
     assert link.send(0, b"x") == []
 
 
-def digest(seed: int) -> str:
+def plan_digest(seed: int) -> str:
     code = (
         "import hashlib; from garnetusher.model import experiment, plan; "
         f"e = experiment.load('experiments/rolling-upstreams.toml'); p = plan.make(e, {seed}); "
         "import msgspec; a = [list(plan.arrivals(e, p, s))[:200] for s in p.sidecars]; "
         "print(hashlib.sha256(msgspec.json.encode([p, a])).hexdigest())"
     )
-    told = os.environ | {"PYTHONHASHSEED": str(random.randrange(1000))}
+    environment = os.environ | {"PYTHONHASHSEED": str(random.randrange(1000))}
     return subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60, env=told
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60, env=environment
     ).stdout
 
 
-def test_a_plan_is_told_by_its_seed_alone() -> None:
-    assert digest(1) == digest(1) != digest(2)
+def test_plan_depends_on_nothing_but_its_seed_when_made_in_other_processes() -> None:
+    assert plan_digest(1) == plan_digest(1) != plan_digest(2)
 
 
-def test_a_lost_zone_is_planned_whole() -> None:
-    it = small(more='[[fault]]\nat_s = 0.5\nfor_s = 1.5\nwhat = "kill"\nwhere = { zone = "b" }')
-    made = plan.make(it, 1)
-    lost = [u for u in made.upstreams if u.steps]
+def test_plan_stops_and_starts_all_upstreams_when_their_zone_is_killed() -> None:
+    config = small(more='[[fault]]\nat_s = 0.5\nfor_s = 1.5\nwhat = "kill"\nwhere = { zone = "b" }')
+    run_plan = plan.make(config, 1)
+    lost = [u for u in run_plan.upstreams if u.steps]
     assert [u.zone for u in lost] == ["b"] * 3
     assert [(s.at_us, s.what) for s in lost[0].steps] == [(500_000, "die"), (2_000_000, "boot")]
-    told = [(s.at_us, s.state, s.started_us) for s in made.listed if s.uid == lost[0].uid]
-    assert told == [(1_000_000, "left", plan.LONG_AGO), (2_300_000, "active", 2_000_000)]
-    assert made.faulty_us == (500_000, 2_000_000)
+    changes = [(s.at_us, s.state, s.started_us) for s in run_plan.listed if s.uid == lost[0].uid]
+    assert changes == [(1_000_000, "left", plan.LONG_AGO), (2_300_000, "active", 2_000_000)]
+    assert run_plan.faulty_us == (500_000, 2_000_000)
 
 
-def test_a_machine_lost_in_silence_ends_behind_its_cut() -> None:
-    it = small(more='[[fault]]\nat_s = 0.5\nfor_s = 1.5\nwhat = "silent"\nreturns = "cold"\nwhere = { zone = "b" }')
-    made = plan.make(it, 1)
-    assert [link.at_us for link in made.links] == [500_000, 2_000_000]
-    assert [[(s.at_us, s.what) for s in u.steps] for u in made.upstreams if u.steps] == [
+def test_plan_ends_upstreams_behind_the_cut_when_they_return_cold() -> None:
+    config = small(more='[[fault]]\nat_s = 0.5\nfor_s = 1.5\nwhat = "silent"\nreturns = "cold"\nwhere = { zone = "b" }')
+    run_plan = plan.make(config, 1)
+    assert [link.at_us for link in run_plan.links] == [500_000, 2_000_000]
+    assert [[(s.at_us, s.what) for s in u.steps] for u in run_plan.upstreams if u.steps] == [
         [(500_001, "vanish"), (2_000_000, "boot")]
     ] * 3
 
 
-def test_arrivals_keep_their_rate_and_a_burst_is_its_tenants_alone() -> None:
-    it = small(
+def test_arrivals_keep_their_rate_when_another_tenant_bursts() -> None:
+    config = small(
         seconds=60,
         more='[[tenant]]\nname = "x"\nshare = 0.5\n[[tenant]]\nname = "y"\nshare = 0.5\n'
         '[[fault]]\nat_s = 20\nfor_s = 20\nwhat = "burst"\ntimes = 3\ntenant = "y"',
     )
-    made = plan.make(it, 3)
-    seen = [a for s in made.sidecars for a in plan.arrivals(it, made, s)]
+    run_plan = plan.make(config, 3)
+    seen = [a for s in run_plan.sidecars for a in plan.arrivals(config, run_plan, s)]
     calm = [a for a in seen if not 20e6 <= a[0] < 40e6]
     assert 0.9 < len(calm) / (120 * 40) < 1.1
     burst = [sum(t == tenant for at, _, t in seen if 20e6 <= at < 40e6) for tenant in (0, 1)]
-    assert 0.85 < burst[0] / 1200 < 1.15 and 0.9 < burst[1] / 3600 < 1.1
+    assert 0.85 < burst[0] / 1200 < 1.15
+    assert 0.9 < burst[1] / 3600 < 1.1
 
 
-def test_work_has_its_mean_and_is_the_same_wherever_it_is_drawn() -> None:
+def test_work_has_its_mean_and_is_the_same_when_drawn_again() -> None:
     drawn = [draw.work_us(1, f"r{i}", 50, 0.9) for i in range(20_000)]
     assert 48_500 < sum(drawn) / len(drawn) < 51_500
     assert drawn[7] == draw.work_us(1, "r7", 50, 0.9) != draw.work_us(2, "r7", 50, 0.9)
 
 
-def test_a_bound_holds_as_it_is_written() -> None:
-    assert experiment.holds("<= 3.0", 3.0) and not experiment.holds("<= 3.0", 3.1)
-    assert experiment.holds(">= -1", 0) and experiment.holds("== 0", 0.0) and not experiment.holds(">= 0", None)
+def test_bound_holds_only_when_the_value_is_within_it() -> None:
+    assert experiment.holds("<= 3.0", 3.0)
+    assert not experiment.holds("<= 3.0", 3.1)
+    assert experiment.holds(">= -1", 0)
+    assert experiment.holds("== 0", 0.0)
+    assert not experiment.holds(">= 0", None)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Experiments in virtual time: the same by the same seed, the rules kept, and time that does not stand still."""
+"""Runs in virtual time: reproducible by their seed, within the rules, and never stalled."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import os
 import subprocess
 import sys
+from functools import partial
 from pathlib import Path
 
 import pytest
@@ -35,84 +36,102 @@
 }
 
 
-def told(hash_seed: int, *words: str) -> list[dict[str, object]]:
+def model_run(hash_seed: int, *arguments: str) -> list[dict[str, object]]:
     environment = os.environ | {"PYTHONHASHSEED": str(hash_seed)}
-    done = subprocess.run(
-        [sys.executable, "-m", "garnetusher", "model", "run", *words, "--json"],
+    completed = subprocess.run(
+        [sys.executable, "-m", "garnetusher", "model", "run", *arguments, "--json"],
         cwd=ROOT,
         capture_output=True,
         text=True,
+        check=False,
         timeout=120,
         env=environment,
     )
-    found = json.loads(done.stdout)
-    return found if isinstance(found, list) else [found]
+    documents = json.loads(completed.stdout)
+    return documents if isinstance(documents, list) else [documents]
 
 
-def test_a_play_is_the_same_by_its_seed_whatever_process_plays_it(tmp_path: Path) -> None:
-    file = tmp_path / "it.toml"
+def test_run_is_the_same_by_its_seed_when_another_process_makes_it(tmp_path: Path) -> None:
+    file = tmp_path / "experiment.toml"
     file.write_text(text(more="[[fault]]\nat_s = 1\nfor_s = 1\n" + FAULTS["silent"]))
-    one = told(1, str(file), "--seed", "2")
-    several = told(77, str(file), "--seeds", "1:3")
-    assert [d["seed"] for d in several] == [1, 2, 3] and len({d["digest"] for d in several}) == 3
+    one = model_run(1, str(file), "--seed", "2")
+    several = model_run(77, str(file), "--seeds", "1:3")
+    assert [d["seed"] for d in several] == [1, 2, 3]
+    assert len({d["digest"] for d in several}) == 3
     assert {k: v for k, v in several[1].items() if k != "took_s"} == {k: v for k, v in one[0].items() if k != "took_s"}
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_the_rules_hold_through_a_fault_and_service_goes_on(name: str) -> None:
-    it = small(seconds=5, more="[[fault]]\nat_s = 1.5\nfor_s = 1.5\n" + FAULTS[name])
+def test_simulation_keeps_the_rules_and_recovers_when_a_fault_strikes(name: str) -> None:
+    config = small(seconds=5, more="[[fault]]\nat_s = 1.5\nfor_s = 1.5\n" + FAULTS[name])
     for seed in (1, 2):
-        made = plan.make(it, seed)
-        simulation = Simulation(it, made)
-        lines = simulation.run()
-        assert checker.check(it, made, lines) == []
-        requests = figures.requests_of(it, lines)
-        found = figures.figures(it, made, lines, requests, 0, 0.0, 0)
-        assert found["served_worth.before"] > 0.9 and found["served_worth.after"] > 0.7
+        run_plan = plan.make(config, seed)
+        simulation = Simulation(config, run_plan)
+        records = simulation.run()
+        assert checker.check(config, run_plan, records) == []
+        requests = figures.requests_of(config, records)
+        found = figures.figures(config, run_plan, records, requests, 0, 0.0, 0)
+        assert found["served_worth.before"] > 0.9
+        assert found["served_worth.after"] > 0.7
         for sidecar in simulation.sidecars.values():  # nothing is left of what has been answered
             assert isinstance(sidecar.balancer, Balancer)
-            assert not sidecar.pending and not sidecar.balancer.requests
+            assert not sidecar.pending
+            assert not sidecar.balancer.requests
             assert all(server.used == 0 for server in sidecar.balancer.servers.values())
 
 
 @pytest.mark.parametrize("policy", [name for name in baselines.NAMES if name != baselines.OWN])
-def test_a_plain_policy_keeps_the_rules_on_warm_upstreams(policy: str) -> None:
-    it = small(seconds=4, more=f"[[fault]]\nat_s = 1\nfor_s = 1\n{FAULTS['one way']}")
-    it.sidecars.policy = policy  # type: ignore[assignment]
-    made = plan.make(it, 1)
-    lines = Simulation(it, made).run()
-    assert checker.check(it, made, lines) == []
-    found = figures.figures(it, made, lines, figures.requests_of(it, lines), 0, 0.0, 0)
-    assert found["served_worth.before"] > 0.9 and 0.3 < found["crossings"] < 0.8  # it knows nothing of zones
-
-
-def test_a_fleet_is_scaled_in_all_its_parts() -> None:
+def test_baseline_policy_keeps_the_rules_when_upstreams_are_warm(policy: str) -> None:
+    config = small(seconds=4, more=f"[[fault]]\nat_s = 1\nfor_s = 1\n{FAULTS['one way']}")
+    config.sidecars.policy = policy  # type: ignore[assignment]
+    run_plan = plan.make(config, 1)
+    records = Simulation(config, run_plan).run()
+    assert checker.check(config, run_plan, records) == []
+    found = figures.figures(config, run_plan, records, figures.requests_of(config, records), 0, 0.0, 0)
+    assert found["served_worth.before"] > 0.9
+    assert 0.3 < found["crossings"] < 0.8
+
+
+def test_scaled_changes_all_parts_of_a_fleet_when_sidecars_grow() -> None:
     more = scaled(small(), 20)
-    assert more.sidecars.per_zone == {"a": 10, "b": 10} and more.upstreams.per_zone == {"a": 30, "b": 30}
+    assert more.sidecars.per_zone == {"a": 10, "b": 10}
+    assert more.upstreams.per_zone == {"a": 30, "b": 30}
     assert more.load.requests_per_s == 1200
 
 
-def test_time_that_stands_still_is_told() -> None:
+def test_clock_raises_stall_when_an_event_schedules_itself_at_its_own_instant() -> None:
+    clock = Clock()
+
+    def schedule_again() -> None:
+        clock.at(clock.now_us, schedule_again)
+
+    clock.at(5, schedule_again)
+    with pytest.raises(Stall, match=r"stands still at 0\.000005 s.*schedule_again"):
+        clock.run(10)
+
+
+def test_clock_names_the_callback_when_a_partial_stalls() -> None:
     clock = Clock()
 
-    def again() -> None:
-        clock.at(clock.now_us, again)
+    def schedule_again() -> None:
+        clock.at(clock.now_us, partial(schedule_again))
 
-    clock.at(5, again)
-    with pytest.raises(Stall, match="stands still at 0.000005 s.*again"):
+    clock.at(5, schedule_again)
+    with pytest.raises(Stall, match=r"stands still at 0\.000005 s.*schedule_again"):
         clock.run(10)
 
 
-def test_calls_to_the_list_wait_their_turn_and_are_turned_away_beyond_a_queue() -> None:
-    it = small(seconds=4, more='[[fault]]\nat_s = 1\nfor_s = 0.5\nwhat = "kill"\nwhere = { of = "sidecars" }')
+def test_discovery_queues_calls_and_rejects_them_when_its_queue_is_full() -> None:
+    config = small(seconds=4, more='[[fault]]\nat_s = 1\nfor_s = 0.5\nwhat = "kill"\nwhere = { of = "sidecars" }')
     counts = {}
-    for mode, call_ms, waiting in (("pushed", 0, 22), ("on_request", 40, 22), ("pushed", 400, 1)):
-        listed = structs.replace(it.directory, mode=mode, call_ms=call_ms, calls_waiting=waiting)
-        busy = scaled(structs.replace(it, directory=listed), 10, alone=True)
-        made = plan.make(busy, 1)
-        lines = Simulation(busy, made).run()
-        assert checker.check(busy, made, lines) == []
-        counts[mode, call_ms] = sum(isinstance(r, Listed) for r in lines)
+    for mode, call_ms, max_waiting in (("pushed", 0, 22), ("on_request", 40, 22), ("pushed", 400, 1)):
+        directory = structs.replace(config.directory, mode=mode, call_ms=call_ms, calls_waiting=max_waiting)
+        busy = scaled(structs.replace(config, directory=directory), 10, alone=True)
+        run_plan = plan.make(busy, 1)
+        records = Simulation(busy, run_plan).run()
+        assert checker.check(busy, run_plan, records) == []
+        counts[mode, call_ms] = sum(isinstance(r, Listed) for r in records)
     assert counts["pushed", 0] == 20  # a call of each process
-    # the module spreads its own calls over seconds; a watch that is kept calls again whenever it is turned away
-    assert 10 <= counts["on_request", 40] <= 20 and counts["pushed", 400] > 40
+    # the policy spreads its own calls over seconds; a watch that is kept calls again whenever it is turned away
+    assert 10 <= counts["on_request", 40] <= 20
+    assert counts["pushed", 400] > 40
