--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -13,7 +13,8 @@
 from garnetusher.model import draw, experiment, plan
 from garnetusher.model.experiment import Upstreams
 from garnetusher.model.link import DatagramLink, StreamLink, Weather
-from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream, overload_budget_us
+from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream
+from garnetusher.model.upstream_overload import overload_budget_us
 from tests.experiment import ROOT, small
 
 STEPS = st.lists(
