--- a/garnetusher/cli/runs.py
+++ b/garnetusher/cli/runs.py
@@ -11,7 +11,7 @@
 from garnetusher.model import result
 from garnetusher.model.ablations import without
 from garnetusher.model.experiment import Experiment
-from garnetusher.model.world import World
+from garnetusher.model.simulation import Simulation
 
 
 class CompletedRun(Struct):
@@ -51,10 +51,10 @@
     started_s = time.perf_counter()
     plan = plans.make(experiment, seed)
     with without(list(disabled)):
-        world = World(experiment, plan, time.thread_time_ns)
-        records = world.run()
-    not_asked = sum(sidecar.not_asked for sidecar in world.sidecars.values())
-    judged, _ = result.judge(experiment, plan, records, world.clock.events, not_asked=not_asked)
-    judged.digest = world.clock.digest
+        simulation = Simulation(experiment, plan, time.thread_time_ns)
+        records = simulation.run()
+    not_asked = sum(sidecar.clients.skipped_requests for sidecar in simulation.sidecars.values())
+    judged, _ = result.judge(experiment, plan, records, simulation.clock.events, not_asked=not_asked)
+    judged.digest = simulation.clock.digest
     requests = max(1.0, judged.figures["requests"])
-    return CompletedRun(judged, time.perf_counter() - started_s, world.decided_ns / 1000 / requests)
+    return CompletedRun(judged, time.perf_counter() - started_s, simulation.decision_cpu_ns / 1000 / requests)
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -6,7 +6,7 @@
 
 from garnetusher.membership import fleet_size
 from garnetusher.model import plan
-from garnetusher.model.world import World
+from garnetusher.model.simulation import Simulation
 from garnetusher.policy.balancer import Balancer
 from tests.experiment import small
 from tests.membership_fleet import SECOND, joined_fleet
@@ -27,7 +27,7 @@
     experiment = small(seconds=8)
     sidecars = structs.replace(experiment.sidecars, per_zone={"a": 3, "b": 2}, told=50, membership=True)
     experiment = structs.replace(experiment, sidecars=sidecars)
-    world = World(experiment, plan.make(experiment, 1))
+    world = Simulation(experiment, plan.make(experiment, 1))
 
     def instances() -> list[int]:
         return [s.balancer.zones.instances for s in world.sidecars.values() if isinstance(s.balancer, Balancer)]
