--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -9,7 +9,7 @@
 try:
     from garnetusher.policy import balancer, zones
     from garnetusher.policy.balancer import Balancer
-    from garnetusher.policy.zones import State, Zone, Zones
+    from garnetusher.policy.zones import Zone, Zones, ZoneState
 
     HAS_ZONES = True
 except ImportError:  # the module of an earlier tree, which lacks some of these parts
@@ -18,54 +18,54 @@
 
 def _leaving() -> None:
     """No zone is ever left by evidence."""
-    Zones.compare = lambda self, zone: None  # type: ignore[method-assign]
+    Zones.evaluate = lambda self, zone: None  # type: ignore[method-assign]
 
 
 def _lateness() -> None:
     """An attempt that is out for long tells nothing until its time is out."""
-    Zones.overdue = lambda self, number, upstream, sent_us, again, now_us: None  # type: ignore[method-assign]
+    Zones.record_overdue = lambda self, number, upstream, sent_us, again, now_us: None  # type: ignore[method-assign]
 
 
 def _slowness() -> None:
     """A zone that answers slowly is not left for it."""
-    zones.SLOW_TIMES = float("inf")
+    zones.SLOW_FACTOR = float("inf")
 
 
 def _doubt() -> None:
     """A doubted zone is used as ever, also by what must not be repeated."""
-    Zones.doubted = lambda self: set()  # type: ignore[method-assign]
+    Zones.suspected = lambda self: set()  # type: ignore[method-assign]
 
 
 def _steps() -> None:
     """A zone that has answered a try is used in full at once."""
-    zones.STEPS = (1.0,)
+    zones.RECOVERY_STEPS = (1.0,)
 
 
 def _coldness() -> None:
     """What refused connections is taken for what the list says of it."""
-    move: Callable[[Zones, Zone, State, str], None] = Zones.move
+    move: Callable[[Zones, Zone, ZoneState, str], None] = Zones.change_state
 
-    def warm(self: Zones, zone: Zone, state: State, why: str) -> None:
-        zone.refused = False
+    def warm(self: Zones, zone: Zone, state: ZoneState, why: str) -> None:
+        zone.refused_when_evacuated = False
         move(self, zone, state, why)
 
-    Zones.move = warm  # type: ignore[method-assign]
+    Zones.change_state = warm  # type: ignore[method-assign]
 
 
 def _waits() -> None:
     """Flaps do not make the next wait longer."""
-    zones.LONGEST_WAIT_US = zones.FIRST_WAIT_US
+    zones.MAX_BACKOFF_US = zones.INITIAL_BACKOFF_US
 
 
 def _elsewhere() -> None:
     """What was missed in a zone that is quiet is tried again there as anywhere."""
-    Zones.quiet = lambda self, number, now_us: False  # type: ignore[method-assign]
+    Zones.is_silent = lambda self, number, now_us: False  # type: ignore[method-assign]
 
 
 def _near() -> None:
     """A near tier that lacks slots for a request opens some only if no tier has any, and copies go anywhere."""
-    balancer.ROOM = 0.0
-    Balancer.stays = lambda self, request: False  # type: ignore[method-assign]
+    balancer.SPARE_CAPACITY_LOAD = 0.0
+    Balancer.hedge_stays_in_tier = lambda self, request: False  # type: ignore[method-assign]
 
 
 PARTS = (_leaving, _lateness, _slowness, _doubt, _steps, _coldness, _waits, _elsewhere, _near) if HAS_ZONES else ()
@@ -79,10 +79,10 @@
         yield
         return
     touched: list[tuple[Any, tuple[str, ...]]] = [
-        (zones, ("SLOW_TIMES", "STEPS", "LONGEST_WAIT_US")),
-        (balancer, ("ROOM",)),
-        (Balancer, ("stays",)),
-        (Zones, ("compare", "overdue", "doubted", "move", "quiet")),
+        (zones, ("SLOW_FACTOR", "RECOVERY_STEPS", "MAX_BACKOFF_US")),
+        (balancer, ("SPARE_CAPACITY_LOAD",)),
+        (Balancer, ("hedge_stays_in_tier",)),
+        (Zones, ("evaluate", "record_overdue", "suspected", "change_state", "is_silent")),
     ]
     kept = [(where, name, getattr(where, name)) for where, names in touched for name in names]
     try:
--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -294,15 +294,15 @@
                 this = owed.tries[number]
                 if not owed.stream and not owed.coming and this.listing == self.listings[this.upstream]:
                     out[this.upstream] = out.get(this.upstream, 0) + 1
-        for ident, server in self.balancer.servers.items():
+        for ident, server in self.balancer.endpoints.items():
             streams = sum(
                 1 for owed in self.owed.values() if owed.stream for n in owed.out() if owed.tries[n].upstream == ident
             )
             held = out.get(ident, 0)
             need(
-                held <= server.used <= held + streams,
+                held <= server.slots_used <= held + streams,
                 "slots",
-                f"upstream {ident} has {server.used} slots taken, and {held} attempts out",
+                f"upstream {ident} has {server.slots_used} slots taken, and {held} attempts out",
             )
 
     # What tests look at
--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -230,7 +230,7 @@
     def zone_reports(self, names: list[str]) -> list[dict[str, object]]:
         """What the module believes of each zone, and why."""
         return [
-            {"zone": names[z.number] if z.number < len(names) else str(z.number)} | z.told(monotonic_us())
+            {"zone": names[z.number] if z.number < len(names) else str(z.number)} | z.report(monotonic_us())
             for z in sorted(self.balancer.zones.zones.values(), key=lambda z: z.number)
         ]
 
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnetusher.policy.balancer import Balancer, Request
+from garnetusher.policy.balancer import Balancer, RequestState
 from garnetusher.policy.events import EndpointStatus
-from garnetusher.policy.slots import Server
+from garnetusher.policy.slots import EndpointState
 from garnetusher.sidecar import __main__ as program
 from garnetusher.sidecar.discovery import watch as discovery
 from garnetusher.sidecar.downstream import connection as server
@@ -37,7 +37,7 @@
 
 def repeats_unsafe() -> None:
     """What may have run is forgotten, by the policy and by the gate behind it."""
-    Request.first_that_may_have_run = lambda self: None  # type: ignore[method-assign]
+    RequestState.first_possibly_executed = lambda self: None  # type: ignore[method-assign]
     WriteGate.retry_denial = lambda self, request, attempt, now_us: None  # type: ignore[method-assign]
     WriteGate.may_shed = lambda self, request: True  # type: ignore[method-assign]
 
@@ -49,13 +49,13 @@
 
 def pushes_cold_over() -> None:
     """As long as there is a cold upstream it gets all requests."""
-    draw = Balancer.draw
+    draw = Balancer.select
 
-    def coldest(self: Balancer, request: Request) -> Server | None:
-        cold = [s for s in self.servers.values() if s.cohort is not None]
-        return cold[0] if cold and self.may_send(request) else draw(self, request)
+    def coldest(self: Balancer, request: RequestState) -> EndpointState | None:
+        cold = [s for s in self.endpoints.values() if s.cohort is not None]
+        return cold[0] if cold and self.may_forward(request) else draw(self, request)
 
-    Balancer.draw = coldest  # type: ignore[method-assign]
+    Balancer.select = coldest  # type: ignore[method-assign]
 
 
 def holds_back() -> None:
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -55,7 +55,7 @@
     tree = tmp_path / "tree" / "garnetusher" / "policy"
     tree.mkdir(parents=True)
     for path in (ROOT / "garnetusher" / "policy").glob("*.py"):
-        (tree / path.name).write_text(path.read_text().replace("FIRST_SLOTS = 3.0", "FIRST_SLOTS = 1.0"))
+        (tree / path.name).write_text(path.read_text().replace("INITIAL_SLOTS = 3.0", "INITIAL_SLOTS = 1.0"))
     digests = []
     for words in ((), ("--tree", str(ROOT)), ("--tree", str(tree.parent.parent))):
         _, out = run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--json", *words)
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -120,7 +120,9 @@
 
 
 def test_a_client_that_leaves_while_its_long_body_waits_is_seen_to(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("garnetusher.sidecar.downstream.connection.BodyMemory", lambda size: BodyMemory(SEAT))  # for one
+    monkeypatch.setattr(
+        "garnetusher.sidecar.downstream.connection.BodyMemory", lambda size: BodyMemory(SEAT)
+    )  # for one
 
     async def test() -> None:
         upstream = Upstream(answering(OK))
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -13,7 +13,7 @@
 from garnetusher.model.steady import Steady, listing
 from garnetusher.policy.balancer import Balancer
 from garnetusher.policy.events import Endpoint, EndpointStatus, Outcome, UpdateKind, ZoneOverridden
-from garnetusher.policy.slots import COHORTS, Pool, Server
+from garnetusher.policy.slots import COHORTS_PER_WARM_UP, EndpointState, Pool
 from tests.world import START_US, World, settings, upstreams
 
 Weights = dict[int, float]
@@ -22,29 +22,29 @@
 def plain(balancer: Balancer, pool: Pool, shut: set[int], used: bool | None, cold: bool | None) -> Weights:
     """What the module did before: walk all upstreams; each counts by its free slots, and less where it is slow."""
     found = {}
-    for server in balancer.servers.values():
-        free = pool.open_slots(server, balancer.now_us) - server.used
+    for server in balancer.endpoints.values():
+        free = pool.open_slots(server, balancer.now_us) - server.slots_used
         if (
             server.pool is pool
             and free > 0
-            and server.entry.zone not in shut
+            and server.endpoint.zone not in shut
             and used in (None, server.in_use)
             and cold in (None, server.cohort is not None)
         ):
-            found[server.entry.id] = free / server.pace**2
+            found[server.endpoint.id] = free / server.latency_ratio**2
     return found
 
 
 def audit(balancer: Balancer) -> None:
     """Every upstream lies where the plain way would find it, with its weight of now."""
-    assert sum(pool.size for pool in balancer.pools) == len(balancer.servers)
+    assert sum(pool.size for pool in balancer.pools) == len(balancer.endpoints)
     for pool in balancer.pools:
         if pool.cohorts:
-            pool.grow(balancer.now_us)
-        held = {s.entry.id: s.weight for _, bucket in pool.free(set(), None, None) for s in bucket}
+            pool.accrue(balancer.now_us)
+        held = {s.endpoint.id: s.weight for _, bucket in pool.free_buckets(set(), None, None) for s in bucket}
         assert held == pytest.approx(plain(balancer, pool, set(), None, None))
-        assert set(pool.in_use) == {i for i, s in balancer.servers.items() if s.in_use and s.pool is pool}
-        assert len(pool.cohorts) <= COHORTS + 1
+        assert set(pool.in_use) == {i for i, s in balancer.endpoints.items() if s.in_use and s.pool is pool}
+        assert len(pool.cohorts) <= COHORTS_PER_WARM_UP + 1
 
 
 def storm(seed: int, steps: int = 400, after: Any = audit) -> World:
@@ -105,13 +105,13 @@
                 shut = {seed % 6}
                 weights = plain(balancer, pool, shut, used, cold)
                 if not weights:
-                    assert pool.pick(balancer.random, shut, used, cold) is None
+                    assert pool.draw(balancer.random, shut, used, cold) is None
                     continue
                 seen: Counter[int] = Counter()
                 for _ in range(draws):
-                    server = pool.pick(balancer.random, shut, used, cold)
+                    server = pool.draw(balancer.random, shut, used, cold)
                     assert server is not None
-                    seen[server.entry.id] += 1
+                    seen[server.endpoint.id] += 1
                 whole = sum(weights.values())
                 for ident in weights.keys() | seen.keys():
                     part = weights.get(ident, 0.0) / whole
@@ -125,22 +125,22 @@
     pool = Pool(settings(warm_up_us=20_000_000), START_US)
     dues: dict[int, float] = {}
     for number in range(60):
-        server = Server(Endpoint(number + 1, started_us=START_US - number * 300_000), pool)
+        server = EndpointState(Endpoint(number + 1, started_us=START_US - number * 300_000), pool)
         pool.add(server, START_US, 0.0)
         dues[number + 1] = 0.0
     members = list(pool.zones[0].values())
     for step in range(1, 200):
         now_us = START_US + step * 10_000
         pool.served += 0.5
-        pool.grow(now_us)
-        parts = {s.entry.id: min(1.0, 0.2 + 0.8 * (now_us - s.started_us) / 20_000_000) for s in members}
+        pool.accrue(now_us)
+        parts = {s.endpoint.id: min(1.0, 0.2 + 0.8 * (now_us - s.started_us) / 20_000_000) for s in members}
         parts = {i: 1.0 if p >= 1.0 else p * 0.45 * 2.5 for i, p in parts.items()}
         for ident, part in parts.items():
             dues[ident] += 0.5 * part / sum(parts.values())
     for server in members:
         cohort = server.cohort
-        grown = 1.0 if cohort is None or server.due else 1.0 - (server.due_at - cohort.growth)
-        assert grown == pytest.approx(min(1.0, dues[server.entry.id]), rel=0.13)  # as cohorts go
+        grown = 1.0 if cohort is None or server.send_due else 1.0 - (server.due_at_accrual - cohort.accrued)
+        assert grown == pytest.approx(min(1.0, dues[server.endpoint.id]), rel=0.13)  # as cohorts go
 
 
 def lines_a_request(count: int, cold: bool) -> float:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -11,7 +11,7 @@
 from garnetusher.model.explore import Find
 from garnetusher.model.explore.module import Module
 from garnetusher.policy.actions import SetTimer
-from garnetusher.policy.balancer import Attempt, Balancer, Request
+from garnetusher.policy.balancer import AttemptState, Balancer, RequestState
 from garnetusher.policy.events import Outcome
 from tests.test_files import call
 
@@ -21,17 +21,17 @@
 def keeps_a_slot(patch: pytest.MonkeyPatch) -> None:
     """The slot of an attempt whose connection broke is not freed."""
     free = Balancer.free_slot
-    patch.setattr(Balancer, "free_slot", lambda self, attempt: attempt.ended is Outcome.RESET or free(self, attempt))
+    patch.setattr(Balancer, "free_slot", lambda self, attempt: attempt.outcome is Outcome.RESET or free(self, attempt))
 
 
 def repeats_after_a_reset(patch: pytest.MonkeyPatch) -> None:
     """An attempt whose connection broke is taken for one that never ran."""
 
-    def first(self: Request) -> Attempt | None:
+    def first(self: RequestState) -> AttemptState | None:
         never = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN, Outcome.RESET)
-        return next((attempt for attempt in self.attempts if attempt.ended not in never), None)
+        return next((attempt for attempt in self.attempts if attempt.outcome not in never), None)
 
-    patch.setattr(Request, "first_that_may_have_run", first)
+    patch.setattr(RequestState, "first_possibly_executed", first)
 
 
 def arms_no_second_timer(patch: pytest.MonkeyPatch) -> None:
@@ -41,18 +41,18 @@
     def once(self: Balancer) -> None:
         if (
             not any(isinstance(action, SetTimer) for action in self.actions)
-            and self.armed_us == 0
+            and self.timer_us == 0
             and not getattr(self, "armed_once", False)
         ):
             arm(self)
-            self.armed_once = self.armed_us > 0  # type: ignore[attr-defined]
+            self.armed_once = self.timer_us > 0  # type: ignore[attr-defined]
 
     patch.setattr(Balancer, "arm", once)
 
 
 def sends_on_for_who_has_left(patch: pytest.MonkeyPatch) -> None:
     """That a client sends nothing more is not heard."""
-    patch.setattr(Balancer, "on_left", lambda self, request: None)
+    patch.setattr(Balancer, "on_client_half_closed", lambda self, request: None)
 
 
 def first_find(seeds: range) -> Find:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -257,13 +257,13 @@
     world = World(it, plan.make(it, 1))
 
     def counted() -> list[int]:
-        return [s.balancer.zones.instances for s in world.sidecars.values() if isinstance(s.balancer, Balancer)]
+        return [s.balancer.zones.fleet_size for s in world.sidecars.values() if isinstance(s.balancer, Balancer)]
 
     told = counted()
     world.run()
     assert (told, counted()) == ([50] * 5, [5] * 5)
     zones = Balancer(settings_of(fleet_size=50), 1, 0).zones
-    zones.of(0).upstreams = 2
-    alone = zones.gap_us(zones.of(0))
-    zones.counted = 5
-    assert zones.gap_us(zones.of(0)) == alone / 10
+    zones.get(0).endpoint_count = 2
+    alone = zones.health_check_gap_us(zones.get(0))
+    zones.member_count = 5
+    assert zones.health_check_gap_us(zones.get(0)) == alone / 10
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -20,11 +20,11 @@
     UpdateKind,
 )
 from garnetusher.policy.settings import RequestClass, Tenant, previous_indexes
-from garnetusher.policy.slots import FIRST_SLOTS
+from garnetusher.policy.slots import INITIAL_SLOTS
 from tests.world import START_US, World, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
-FIRST = int(FIRST_SLOTS)
+FIRST = int(INITIAL_SLOTS)
 
 
 def ready_world(count: int = 4, **changes: object) -> World:
@@ -326,10 +326,10 @@
     world = ready_world(1, hedging=False)
     taken = [request for request in fill(world) if world.sends(request)]
     world.advance(112_000)  # of half the aim, 150 ms
-    before = world.balancer.servers[100].window
+    before = world.balancer.endpoints[100].slot_limit
     for request in taken:
         world.end(request, 0, Outcome.OK)
-    assert world.balancer.servers[100].window > before
+    assert world.balancer.endpoints[100].slot_limit > before
 
 
 def test_a_stale_timer_does_not_arm_another() -> None:
@@ -410,9 +410,9 @@
     world = ready_world()
     request = late_and_copied(world)
     slow = world.sends(request)[0].endpoint_id
-    before = world.balancer.servers[slow].window
+    before = world.balancer.endpoints[slow].slot_limit
     world.end(request, 0, Outcome.CANCELLED)
-    assert world.balancer.servers[slow].window < before and world.balancer.servers[slow].pace > 1
+    assert world.balancer.endpoints[slow].slot_limit < before and world.balancer.endpoints[slow].latency_ratio > 1
 
 
 @pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
@@ -551,7 +551,7 @@
         world.tell_list([Endpoint(1000 + n)], UpdateKind.DELTA)
         churn(world, 5)
         world.tell_list([Endpoint(1000 + n, EndpointStatus.REMOVED)], UpdateKind.DELTA)
-    assert len(world.balancer.servers) == 4 and len(world.balancer.pools[0].in_use) <= 4
+    assert len(world.balancer.endpoints) == 4 and len(world.balancer.pools[0].in_use) <= 4
 
 
 def busy_world() -> World:
@@ -612,7 +612,7 @@
 def test_without_need_no_further_slot_opens() -> None:
     world = ready_world(40, fleet_size=24)
     churn(world, 400)
-    assert all(server.window <= FIRST for server in world.balancer.servers.values())
+    assert all(server.slot_limit <= FIRST for server in world.balancer.endpoints.values())
 
 
 def test_slots_go_on_opening_for_two_aims_after_a_shortage_and_no_longer() -> None:
@@ -624,9 +624,9 @@
         for request in taken:
             world.end(request, 0, Outcome.OK)
         world.advance(pause_us)
-        before = world.balancer.servers[100].window
+        before = world.balancer.endpoints[100].slot_limit
         churn(world, 3)
-        windows.append(world.balancer.servers[100].window - before)
+        windows.append(world.balancer.endpoints[100].slot_limit - before)
     assert windows[0] > 0 and windows[1] == 0
 
 
@@ -717,7 +717,7 @@
 def test_a_body_that_takes_long_to_come_holds_no_slot_and_no_time_runs() -> None:
     world = ready_world(1)
     requests = [coming(world) for _ in range(2 * FIRST)]
-    assert len(world.sends()) == 2 * FIRST and world.balancer.servers[100].used == 0
+    assert len(world.sends()) == 2 * FIRST and world.balancer.endpoints[100].slots_used == 0
     assert len(fill(world)) == FIRST + 1
     world.balancer.handle(world.now_us + 3_000_000, TimerFired(0))
     assert not any(world.answer(request) for request in requests)
@@ -729,12 +729,12 @@
     world.now_us += 5_000_000
     world.owed[request].event.deadline_us = world.now_us + 1_000_000
     world.tell(RequestBodyComplete(request, world.now_us + 1_000_000))
-    assert world.balancer.servers[100].used == 1
-    pace = world.balancer.servers[100].pace
+    assert world.balancer.endpoints[100].slots_used == 1
+    pace = world.balancer.endpoints[100].latency_ratio
     world.owed[request].tries[0].sent_us = world.now_us
     world.now_us += 10_000
     world.end(request, 0, Outcome.OK)
-    assert world.balancer.servers[100].used == 0 and world.balancer.servers[100].pace <= pace
+    assert world.balancer.endpoints[100].slots_used == 0 and world.balancer.endpoints[100].latency_ratio <= pace
 
 
 @pytest.mark.parametrize(
@@ -763,13 +763,13 @@
     first, second = world.owed[request].tries
     world.begin_stream(request, 1)
     assert CancelAttempt(request, 0) in world.log and CancelAttempt(request, 1) not in world.log
-    assert [world.balancer.servers[t.upstream].used for t in (first, second)] == [1, 0]
-    pace = world.balancer.servers[second.upstream].pace
+    assert [world.balancer.endpoints[t.upstream].slots_used for t in (first, second)] == [1, 0]
+    pace = world.balancer.endpoints[second.upstream].latency_ratio
     world.end(request, 0, Outcome.CANCELLED)
     world.now_us += 20_000_000  # the client reads slowly; that is no fault of the upstream
     world.end(request, 1, Outcome.OK)
-    assert world.balancer.servers[second.upstream].pace == pace
-    assert all(server.used == 0 for server in world.balancer.servers.values())
+    assert world.balancer.endpoints[second.upstream].latency_ratio == pace
+    assert all(server.slots_used == 0 for server in world.balancer.endpoints.values())
     assert request not in world.balancer.requests
 
 
@@ -809,10 +809,10 @@
 def test_what_was_learnt_of_a_class_goes_with_its_name() -> None:
     world = ready_world()
     churn(world, 30, class_index=PAY, took_us=77_000)
-    learnt = world.balancer.kinds[PAY].mean_us
+    learnt = world.balancer.class_states[PAY].mean_response_us
     new = RequestClass("new", latency_objective_us=400_000, deadline_us=1_000_000)
     retune(world, classes=[new, settings().classes[PAY]])
-    assert [kind.mean_us for kind in world.balancer.kinds] == [100_000, learnt]
+    assert [kind.mean_response_us for kind in world.balancer.class_states] == [100_000, learnt]
     assert world.sends(world.arrive(0)) and world.sends(world.arrive(1))
 
 
@@ -846,7 +846,7 @@
     for _ in range(100):
         world.end(world.arrive(READ, tenant_index=0), 0, Outcome.OK)
     retune(world, tenants=[small, Tenant("new", 0.0), big], over_quota_weight=0.1)
-    seen = [party.seen for party in world.balancer.parties]
+    seen = [party.recent_arrivals for party in world.balancer.tenant_states]
     assert seen[0] == seen[1] == 0.0 and seen[2] > 50.0
     for tenant in (0, 1, 2, 3):
         assert world.sends(world.arrive(READ, tenant_index=tenant))
@@ -856,12 +856,12 @@
     world = ready_world()
     pool = world.balancer.pools[0]
     assert world.sends(world.arrive(READ, client_retry=True))
-    pool.admitted, pool.credit = 0.5, 2.0
+    pool.admitted_fraction, pool.admission_credit = 0.5, 2.0
     again = world.arrive(READ, client_retry=True)
     assert not world.sends(again)
     assert world.sends(world.arrive(READ))
     world.advance(1_000_000)
-    pool.admitted, pool.credit = 1.0, 1.0
+    pool.admitted_fraction, pool.admission_credit = 1.0, 1.0
     assert world.sends(world.arrive(READ, client_retry=True))
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -72,7 +72,7 @@
         for sidecar in world.sidecars.values():  # nothing is left of what has been answered
             assert isinstance(sidecar.balancer, Balancer)
             assert not sidecar.open and not sidecar.balancer.requests
-            assert all(server.used == 0 for server in sidecar.balancer.servers.values())
+            assert all(server.slots_used == 0 for server in sidecar.balancer.endpoints.values())
 
 
 @pytest.mark.parametrize("policy", [name for name in baselines.NAMES if name != baselines.OWN])
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,7 +13,7 @@
 from garnetusher.model.records import Believed
 from garnetusher.model.world import World
 from garnetusher.policy.events import Outcome, ZoneOverridden
-from garnetusher.policy.zones import QUIET_US, State, Zone, Zones
+from garnetusher.policy.zones import SILENCE_US, Zone, Zones, ZoneState
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
 from tests.test_sidecar import run
@@ -27,17 +27,17 @@
     """Zones of which all have answered just now, and the story of their changes."""
     story: list[str] = []
     made = Zones(settings(**changes), 1, 0, lambda zone, before: story.append(f"{zone.number} {zone.state.value}"))
-    made.listed(dict.fromkeys(range(count), upstreams), set(), 0)
+    made.update_endpoint_counts(dict.fromkeys(range(count), upstreams), set(), 0)
     return made, story
 
 
 def fail(made: Zones, zone: int, count: int, at_us: int, refused: bool = True, distinct: int = 9) -> None:
     for number in range(count):
-        made.failed(zone, number % distinct, at_us + number, refused, False, 1.0, at_us + number + 100)
+        made.record_failure(zone, number % distinct, at_us + number, refused, False, 1.0, at_us + number + 100)
 
 
 def answer(made: Zones, zone: int, at_us: int, sent_us: int | None = None) -> None:
-    made.answered(zone, at_us - 50 if sent_us is None else sent_us, 1.0, at_us)
+    made.record_answer(zone, at_us - 50 if sent_us is None else sent_us, 1.0, at_us)
 
 
 def test_a_zone_is_left_when_different_upstreams_fail_in_a_row_while_others_answer() -> None:
@@ -46,7 +46,7 @@
     assert story == []  # nobody else has answered meanwhile: the fault may be here
     answer(made, 1, SECOND + 200)
     fail(made, 0, 1, SECOND + 300)
-    assert story == ["0 left"] and made.shut() == {0} and made.of(0).refused
+    assert story == ["0 left"] and made.excluded() == {0} and made.get(0).refused_when_evacuated
 
 
 def test_half_a_zone_is_no_zone_and_one_answer_clears_it() -> None:
@@ -56,7 +56,7 @@
         fail(made, 0, 12, at * SECOND, distinct=2)  # two of four, again and again
     assert "0 left" not in story
     answer(made, 0, 61 * SECOND)
-    assert made.of(0).suspects == set() and made.of(0).state is State.NEAR
+    assert made.get(0).suspects == set() and made.get(0).state is ZoneState.ACTIVE
 
 
 def test_the_last_zone_is_never_left() -> None:
@@ -68,7 +68,7 @@
         fail(made, number, 6, SECOND * (number + 1) - 10)
         answer(made, 2, SECOND * (number + 1) + 200)
         fail(made, number, 6, SECOND * (number + 1) + 10)
-    assert made.of(2).used and made.shut() == {0, 1}
+    assert made.get(2).in_use and made.excluded() == {0, 1}
 
 
 def lost() -> tuple[Zones, list[str], Zone]:
@@ -77,51 +77,55 @@
     answer(made, 1, SECOND + 200)
     fail(made, 0, 6, SECOND + 300)
     story.clear()
-    return made, story, made.of(0)
+    return made, story, made.get(0)
 
 
 def test_a_return_goes_by_steps_that_a_fault_takes_back_and_flaps_double_the_wait() -> None:
     made, story, zone = lost()
     at, waits = SECOND + 300, []
     for _ in range(7):
-        waits.append(zone.wait_us)
-        at = zone.try_us
-        assert made.due_try(at - 1) is None and made.due_try(at) is zone and made.due_try(at) is None
+        waits.append(zone.backoff_us)
+        at = zone.next_health_check_us
+        assert (
+            made.take_due_health_check(at - 1) is None
+            and made.take_due_health_check(at) is zone
+            and made.take_due_health_check(at) is None
+        )
         answer(made, 0, at + 100, sent_us=at)
-        assert (zone.state.value, zone.step) == ("returning", 0)
-        share = sum(0 not in made.shut() for _ in range(1000)) / 1000
+        assert (zone.state.value, zone.recovery_step) == ("returning", 0)
+        share = sum(0 not in made.excluded() for _ in range(1000)) / 1000
         assert 0.05 < share < 0.16
         answer(made, 1, at + 200)
         fail(made, 0, 3, at + 300)
         assert zone.state.value == "left"
     assert waits == sorted(waits) and waits[-1] == 16 * SECOND and waits[1] == 2 * waits[0]
-    at = zone.try_us
-    made.due_try(at)
+    at = zone.next_health_check_us
+    made.take_due_health_check(at)
     for step in range(20):
         answer(made, 0, at + 100 + step * 300_000, sent_us=at + step * 300_000)
-    assert zone.state.value == "near" and story.count("0 near") == 1 and made.shut() == set()
+    assert zone.state.value == "near" and story.count("0 near") == 1 and made.excluded() == set()
 
 
 def test_tries_are_bounded_for_the_fleet() -> None:
     made, _, zone = lost()
     made.settings = settings(fleet_size=200)
-    tries, at = 0, zone.try_us
+    tries, at = 0, zone.next_health_check_us
     for _ in range(600):
         at += 100_000
-        tries += made.due_try(at) is not None
-    assert 200 * tries / 60 / zone.upstreams < 2.5  # of the whole fleet, for each upstream and second
+        tries += made.take_due_health_check(at) is not None
+    assert 200 * tries / 60 / zone.endpoint_count < 2.5  # of the whole fleet, for each upstream and second
 
 
 def test_an_operator_has_the_last_word_and_can_not_leave_the_last_zone() -> None:
     made, story = zones(2)
-    made.order(0, True, SECOND)
-    assert made.shut() == {0} and made.of(0).told(SECOND)["by"] == "operator"
+    made.override(0, True, SECOND)
+    assert made.excluded() == {0} and made.get(0).report(SECOND)["by"] == "operator"
     answer(made, 0, 2 * SECOND)
-    made.listed({0: 4, 1: 4}, {0}, 3 * SECOND)
-    assert made.shut() == {0} and made.due_try(99 * SECOND) is None
+    made.update_endpoint_counts({0: 4, 1: 4}, {0}, 3 * SECOND)
+    assert made.excluded() == {0} and made.take_due_health_check(99 * SECOND) is None
     assert made.objection(1) and not made.objection(0)
-    made.order(1, True, 4 * SECOND)
-    made.order(0, False, 5 * SECOND)
+    made.override(1, True, 4 * SECOND)
+    made.override(0, False, 5 * SECOND)
     assert story == ["0 left", "0 returning"]
 
 
@@ -190,10 +194,10 @@
         stand.tell_list(upstreams(4))  # two here, two in the next zone
         balancer = stand.balancer
         for ident in (100, 101):
-            balancer.servers[ident].window = 1.0
+            balancer.endpoints[ident].slot_limit = 1.0
         first, second = stand.arrive(0), stand.arrive(0)  # all slots here are taken
         if suspect:
-            balancer.zones.failed(0, 101, stand.now_us, False, False, 1.0, stand.now_us)
+            balancer.zones.record_failure(0, 101, stand.now_us, False, False, 1.0, stand.now_us)
         stand.advance(150_000)
         crossed = [send for ident in (first, second) for send in stand.sends(ident)[1:]]
         assert bool(crossed) == suspect and all(send.endpoint_id in (102, 103) for send in crossed)
@@ -203,11 +207,11 @@
 def test_a_light_sidecar_tries_again_elsewhere_once_its_zone_is_quiet(answers: bool) -> None:
     stand = Stand(settings(cross_zone_cost=0.02, max_attempts=3))
     stand.tell_list(upstreams(6))
-    stand.advance(QUIET_US)
+    stand.advance(SILENCE_US)
     ident, ended = stand.arrive(0), 0
     while len(stand.sends(ident)) > ended:  # all that is tried here is refused
         if answers:
-            stand.balancer.zones.answered(0, stand.now_us, 1.0, stand.now_us)
+            stand.balancer.zones.record_answer(0, stand.now_us, 1.0, stand.now_us)
         near = stand.sends(ident)[ended].endpoint_id < 102
         stand.end(ident, ended, Outcome.CONNECT_FAILED if near else Outcome.OK)
         ended += 1
