--- a/garnetusher/policy/admission.py
+++ b/garnetusher/policy/admission.py
@@ -5,10 +5,11 @@
 from garnetusher.policy.actions import Fail, Shed
 from garnetusher.policy.attempts import AttemptForwarder
 from garnetusher.policy.context import PolicyContext
+from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.endpoints import EndpointRegistry
 from garnetusher.policy.retry import RetryPolicy
 from garnetusher.policy.selection import EndpointSelector
-from garnetusher.policy.slots import EndpointState, Pool
+from garnetusher.policy.slots import Pool
 from garnetusher.policy.state import RequestState
 from garnetusher.policy.timers import TimerKind, TimerQueue
 
@@ -161,7 +162,7 @@
 
     def _record_arrival(self, pool: Pool) -> None:
         pool.admission_credit = min(pool.admission_credit + pool.admitted_fraction, MAX_ADMISSION_CREDIT)
-        pool.served += self._warm_up_credit(pool)
+        pool.slow_start.served += self._warm_up_credit(pool)
         pool.last_arrival_us = self._context.now_us
 
     def _warm_up_credit(self, pool: Pool) -> float:
@@ -171,7 +172,7 @@
         overload arrivals alone would push it over, so they count for no more than a part of this sidecar's quota.
         """
         credit = ARRIVAL_CREDIT * pool.admitted_fraction
-        if pool.cohorts and pool.all_warming():
+        if pool.slow_start.cohorts and pool.slow_start.all_warming():
             quota_per_s = self._context.total_quota_per_s / self._zones.fleet_size
             elapsed_s = (self._context.now_us - pool.last_arrival_us) / MICROSECONDS_PER_S
             credit = max(credit, min(WARMING_ARRIVAL_CREDIT, WARMING_QUOTA_SHARE * quota_per_s * elapsed_s))
@@ -186,11 +187,11 @@
         exhausted = self._pools[: self._pools.index(state.pool)] if state is not None else self._pools
         for pool in exhausted:
             pool.exhausted_us = self._context.now_us
-            if pool.cohorts and not pool.all_warming():
+            if pool.slow_start.cohorts and not pool.slow_start.all_warming():
                 counted = pool.admitted_fraction * max(0.0, 1.0 - 2.0 * self._unsent_fraction)
                 counted = min(counted, pool.unserved)
                 pool.unserved -= counted
-                pool.served += counted
+                pool.slow_start.served += counted
 
     def _takes_buffer(self, request: RequestState) -> bool:
         # otherwise, in a shortage, many requests of low weight would keep those of high weight out of every slot
--- a/garnetusher/policy/attempts.py
+++ b/garnetusher/policy/attempts.py
@@ -6,8 +6,9 @@
 
 from garnetusher.policy.actions import CancelAttempt, Forward
 from garnetusher.policy.context import PolicyContext
+from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.retry import RetryPolicy
-from garnetusher.policy.slots import EndpointState, Pool
+from garnetusher.policy.slots import Pool
 from garnetusher.policy.state import AttemptState, RequestState
 from garnetusher.policy.timers import TimerKind, TimerQueue
 from garnetusher.policy.zones import Zones
--- a/garnetusher/policy/balancer.py
+++ b/garnetusher/policy/balancer.py
@@ -89,11 +89,12 @@
         else:
             self._handle_request_event(event)
             self._handle_fleet_event(event)
-        while (zone := self._registry.evacuate_next_zone()) is not None:
-            self._lifecycle.hedge_requests_in(zone)
-        self.admission.fill_from_buffer()
+        while self._registry.zones_to_evacuate:
+            self._lifecycle.hedge_requests_in(self._registry.evacuate_next_zone())
+        if self.admission.buffer is not None:
+            self.admission.fill_from_buffer()
         # an ejected endpoint's slot opens by time and not by an event
-        self._timers.arm(self._registry.readmissions_us() if self.admission.buffer is not None else [])
+        self._timers.arm(self._registry.readmissions_us() if self.admission.buffer is not None else None)
         return self.context.take_actions()
 
     def _handle_request_event(self, event: Event) -> None:
--- a/garnetusher/policy/endpoints.py
+++ b/garnetusher/policy/endpoints.py
@@ -4,8 +4,9 @@
 
 from garnetusher.policy.actions import CloseIdleConnections, LogMessage
 from garnetusher.policy.context import PolicyContext
+from garnetusher.policy.endpoint_state import INITIAL_SLOTS, EndpointState
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, UpdateKind
-from garnetusher.policy.slots import INITIAL_SLOTS, EndpointState, Pool
+from garnetusher.policy.slots import Pool
 from garnetusher.policy.zones import Zone, Zones, ZoneState
 
 TIERS = 3  # this zone, this region's other zones, other regions
@@ -18,6 +19,7 @@
         endpoints: by id, in the order listed.
         pools: one per tier, the nearest first; a pool may be empty.
         zones: the zones' states, which this registry carries out on the slots of their endpoints.
+        zones_to_evacuate: zones whose state this event has changed to evacuated.
     """
 
     def __init__(self, context: PolicyContext, seed: int) -> None:
@@ -25,13 +27,13 @@
         self.endpoints: dict[int, EndpointState] = {}
         self.pools = [Pool(context.settings, context.now_us) for _ in range(TIERS)]
         self.zones = Zones(context.settings, seed, context.now_us, self._on_zone_changed)
-        self._zones_to_evacuate: list[Zone] = []
+        self.zones_to_evacuate: list[Zone] = []
 
     def apply_settings(self) -> None:
         """Hand the new settings on; endpoints stay in their pools."""
         self.zones.settings = self._context.settings
         for pool in self.pools:
-            pool.settings = self._context.settings
+            pool.slow_start.settings = self._context.settings
 
     def readmit(self) -> None:
         """Open the slots of endpoints whose ejection is over."""
@@ -60,11 +62,9 @@
         """Return the ready endpoints of a zone."""
         return [state for pool in self.pools for state in pool.zones.get(zone.number, {}).values()]
 
-    def evacuate_next_zone(self) -> Zone | None:
-        """Close the slots of a zone that this event has evacuated and return the zone; None if there is no more."""
-        if not self._zones_to_evacuate:
-            return None
-        zone = self._zones_to_evacuate.pop()
+    def evacuate_next_zone(self) -> Zone:
+        """Close the slots of one of the zones to evacuate and return the zone."""
+        zone = self.zones_to_evacuate.pop()
         for state in self.members(zone):
             if state.in_use:
                 state.pool.set_in_use(state, self._context.now_us, in_use=False)
@@ -102,7 +102,7 @@
         first_send_accrued = self._context.random.random()
         if state is not None:
             state.started_us = endpoint.started_us
-            state.pool.begin_warm_up(state, self._context.now_us, first_send_accrued)
+            state.pool.slow_start.begin(state, self._context.now_us, first_send_accrued)
             return state
         pool = self.pools[self.zones.tier(endpoint.zone)]
         state = self.endpoints[endpoint.id] = EndpointState(endpoint, pool)
@@ -113,7 +113,7 @@
         text = f"zone {zone.number}: {before.value} -> {zone.state.value}: {zone.reason}"
         self._context.actions.append(LogMessage(text))
         if zone.state is ZoneState.EVACUATED:
-            self._zones_to_evacuate.append(zone)
+            self.zones_to_evacuate.append(zone)
         elif before is ZoneState.EVACUATED:
             for state in self.members(zone):
                 self._restore(state, zone)
@@ -125,6 +125,6 @@
         if zone.refused_when_evacuated and state.started_us < zone.evacuated_us:
             # rule 4: what refused connections has ended, and the list may report its new start later
             state.started_us = self._context.now_us
-            state.pool.begin_warm_up(state, self._context.now_us, self._context.random.random())
+            state.pool.slow_start.begin(state, self._context.now_us, self._context.random.random())
         else:
             state.pool.update_weight(state, self._context.now_us)
--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -170,7 +170,7 @@
             self._outlier_detector.record_outcome(attempt, outcome, elapsed_us, class_state)
         if outcome is Outcome.OK:
             pool = attempt.endpoint_state.pool
-            pool.served += 1.0
+            pool.slow_start.served += 1.0
             pool.unserved = min(pool.unserved + UNSERVED_SHARE, MAX_UNSERVED)
         if outcome in (Outcome.OK, Outcome.TIMEOUT):
             # timeouts count too: otherwise a slow fleet would be judged by its few quick responses
--- a/garnetusher/policy/outlier.py
+++ b/garnetusher/policy/outlier.py
@@ -4,9 +4,10 @@
 
 from garnetusher.policy.actions import CloseIdleConnections
 from garnetusher.policy.context import PolicyContext
+from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.events import Outcome
 from garnetusher.policy.retry import IMMEDIATE_FAILURES
-from garnetusher.policy.slots import MAX_SLOTS, MIN_SLOT_LIMIT, TARGET_LOAD, EndpointState, Pool
+from garnetusher.policy.slots import MAX_SLOTS, MIN_SLOT_LIMIT, TARGET_LOAD, Pool
 from garnetusher.policy.state import AttemptState, ClassState
 from garnetusher.policy.zones import Zones
 
--- a/garnetusher/policy/retry.py
+++ b/garnetusher/policy/retry.py
@@ -43,6 +43,8 @@
             return False
         if len(request.attempts) >= min(request.max_attempts, self._context.settings.max_attempts):
             return False  # a limit that falls holds for requests in flight too
+        if not request.attempts:
+            return True
         if request.outstanding() > 0 and not self._context.settings.hedging:
             return False
         return self._may_repeat(request)
--- a/garnetusher/policy/selection.py
+++ b/garnetusher/policy/selection.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 from garnetusher.policy.context import PolicyContext
+from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.endpoints import TIERS, EndpointRegistry
 from garnetusher.policy.retry import RetryPolicy
-from garnetusher.policy.slots import TARGET_LOAD, EndpointState, Pool
+from garnetusher.policy.slots import TARGET_LOAD, Pool
 from garnetusher.policy.state import RequestState
 from garnetusher.policy.zones import ZoneState
 
@@ -62,7 +63,7 @@
 
     def _select_free_slot(self, request: RequestState, excluded: set[int]) -> EndpointState | None:
         hedged_tier = TIERS
-        if request.outstanding():
+        if request.attempts and request.outstanding():
             hedged_tier = self._pools.index(request.attempts[-1].endpoint_state.pool)
         for tier, pool in enumerate(self._pools):
             if tier > hedged_tier and self.hedge_stays_in_tier(request):
@@ -77,36 +78,44 @@
         return None
 
     def _select_from_tier(self, request: RequestState, pool: Pool, excluded: set[int]) -> EndpointState | None:
-        if pool.cohorts:
-            pool.accrue(self._context.now_us)
+        if pool.slow_start.cohorts:
+            pool.slow_start.accrue(self._context.now_us)
         if pool.admission_credit < 1.0:
             # warming endpoints are not held off with the crowded ones: they would never take load off them
-            return self._draw(request, pool, excluded, None, warming=True) if pool.cohorts else None
+            return self._draw(request, pool, excluded, warming=True) if pool.slow_start.cohorts else None
         # each sidecar connected to each endpoint would fill the endpoints' tables of connections
         needed = MIN_ENDPOINTS_IN_USE + int(pool.send_rate_per_s / SENDS_PER_S_PER_ENDPOINT)
         needs_more = len(pool.in_use) < needed
-        return self._draw(request, pool, excluded, not needs_more) or self._draw(request, pool, excluded, needs_more)
+        return self._draw(request, pool, excluded, in_use=not needs_more) or self._draw(
+            request, pool, excluded, in_use=needs_more
+        )
 
     def _draw(
-        self, request: RequestState, pool: Pool, excluded: set[int], in_use: bool | None, *, warming: bool | None = None
+        self,
+        request: RequestState,
+        pool: Pool,
+        excluded: set[int],
+        *,
+        in_use: bool | None = None,
+        warming: bool | None = None,
     ) -> EndpointState | None:
         """Draw an endpoint with a free slot, preferably one that the request has not been sent to."""
         if not request.attempts:
-            return pool.draw(self._context.random, excluded, in_use, warming)
+            return pool.draw(self._context.random, excluded, in_use=in_use, warming=warming)
         withdrawn = pool.withdraw(attempt.endpoint_state for attempt in request.attempts)
-        found = self._draw_for_retry(request, pool, excluded, in_use, warming)
+        found = self._draw_for_retry(request, pool, excluded, in_use=in_use, warming=warming)
         for state in withdrawn:
             pool.update_weight(state, self._context.now_us)
-        return found or self._draw_for_retry(request, pool, excluded, in_use, warming)
+        return found or self._draw_for_retry(request, pool, excluded, in_use=in_use, warming=warming)
 
     def _draw_for_retry(
-        self, request: RequestState, pool: Pool, excluded: set[int], in_use: bool | None, warming: bool | None
+        self, request: RequestState, pool: Pool, excluded: set[int], *, in_use: bool | None, warming: bool | None
     ) -> EndpointState | None:
         is_allowed = self._retry_policy.same_deduplication_scope(request)
         if is_allowed is None:
-            return pool.draw(self._context.random, excluded, in_use, warming)
+            return pool.draw(self._context.random, excluded, in_use=in_use, warming=warming)
         # this walks the list, but there are few such requests
-        buckets = pool.free_buckets(excluded, in_use, warming)
+        buckets = pool.free_buckets(excluded, in_use=in_use, warming=warming)
         allowed = [state for _, bucket in buckets for state in bucket if is_allowed(state.endpoint)]
         if not allowed:
             return None
--- a/garnetusher/policy/state.py
+++ b/garnetusher/policy/state.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.events import NEVER_RAN, Outcome, RequestArrived
 from garnetusher.policy.settings import RequestClass, Tenant
-from garnetusher.policy.slots import EndpointState
 
 
 class ClassState:
--- a/garnetusher/policy/timers.py
+++ b/garnetusher/policy/timers.py
@@ -42,21 +42,22 @@
         _, kind, request_id = heapq.heappop(self._pending)
         return kind, request_id
 
-    def arm(self, readmissions_us: list[int]) -> None:
+    def arm(self, readmissions_us: list[int] | None) -> None:
         """Ask the sidecar for the next timer, if it is sooner than the one already asked for.
 
         Args:
-            readmissions_us: when ejected endpoints are readmitted, as far as a request waits for that.
+            readmissions_us: when ejected endpoints are readmitted, if a request waits for that.
         """
-        self._discard_timers_of_completed_requests()
-        times = [self._pending[0][0]] if self._pending else []
-        times.extend(readmissions_us)
-        if times and (self.armed_us == 0 or min(times) < self.armed_us):
-            self.armed_us = min(times)
-            self._context.actions.append(SetTimer(self.armed_us, 0))
-
-    def _discard_timers_of_completed_requests(self) -> None:
-        # most requests are answered before their timers; each timer for nothing costs as much as a request
         pending, requests = self._pending, self._context.requests
-        while pending and pending[0][1] != TimerKind.POLL and pending[0][2] not in requests:
+        # most requests are answered before their timers; each timer for nothing costs as much as a request
+        while pending and pending[0][2] not in requests and pending[0][1] is not TimerKind.POLL:
             heapq.heappop(pending)
+        times = [pending[0][0]] if pending else []
+        if readmissions_us:
+            times.extend(readmissions_us)
+        if not times:
+            return
+        next_us = min(times)
+        if self.armed_us == 0 or next_us < self.armed_us:
+            self.armed_us = next_us
+            self._context.actions.append(SetTimer(next_us, 0))
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.events import EndpointStatus
 from garnetusher.policy.selection import EndpointSelector
-from garnetusher.policy.slots import EndpointState
 from garnetusher.policy.state import RequestState
 from garnetusher.sidecar import __main__ as program
 from garnetusher.sidecar.discovery import watch as discovery
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -12,8 +12,10 @@
 
 from garnetusher.model.steady import Steady, listing
 from garnetusher.policy.balancer import Balancer
+from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.events import Endpoint, EndpointStatus, Outcome, UpdateKind, ZoneOverridden
-from garnetusher.policy.slots import COHORTS_PER_WARM_UP, EndpointState, Pool
+from garnetusher.policy.slots import Pool
+from garnetusher.policy.slow_start import COHORTS_PER_WARM_UP
 from tests.world import START_US, World, settings, upstreams
 
 Weights = dict[int, float]
@@ -37,14 +39,14 @@
 
 def audit(balancer: Balancer) -> None:
     """Every upstream lies where the plain way would find it, with its weight of now."""
-    assert sum(pool.size for pool in balancer.pools) == len(balancer.endpoints)
+    assert sum(pool.slow_start.size for pool in balancer.pools) == len(balancer.endpoints)
     for pool in balancer.pools:
-        if pool.cohorts:
-            pool.accrue(balancer.context.now_us)
-        held = {s.endpoint.id: s.weight for _, bucket in pool.free_buckets(set(), None, None) for s in bucket}
+        if pool.slow_start.cohorts:
+            pool.slow_start.accrue(balancer.context.now_us)
+        held = {s.endpoint.id: s.weight for _, bucket in pool.free_buckets(set()) for s in bucket}
         assert held == pytest.approx(plain(balancer, pool, set(), None, None))
         assert set(pool.in_use) == {i for i, s in balancer.endpoints.items() if s.in_use and s.pool is pool}
-        assert len(pool.cohorts) <= COHORTS_PER_WARM_UP + 1
+        assert len(pool.slow_start.cohorts) <= COHORTS_PER_WARM_UP + 1
 
 
 def storm(seed: int, steps: int = 400, after: Any = audit) -> World:
@@ -105,11 +107,11 @@
                 shut = {seed % 6}
                 weights = plain(balancer, pool, shut, used, cold)
                 if not weights:
-                    assert pool.draw(balancer.context.random, shut, used, cold) is None
+                    assert pool.draw(balancer.context.random, shut, in_use=used, warming=cold) is None
                     continue
                 seen: Counter[int] = Counter()
                 for _ in range(draws):
-                    server = pool.draw(balancer.context.random, shut, used, cold)
+                    server = pool.draw(balancer.context.random, shut, in_use=used, warming=cold)
                     assert server is not None
                     seen[server.endpoint.id] += 1
                 whole = sum(weights.values())
@@ -131,8 +133,8 @@
     members = list(pool.zones[0].values())
     for step in range(1, 200):
         now_us = START_US + step * 10_000
-        pool.served += 0.5
-        pool.accrue(now_us)
+        pool.slow_start.served += 0.5
+        pool.slow_start.accrue(now_us)
         parts = {s.endpoint.id: min(1.0, 0.2 + 0.8 * (now_us - s.started_us) / 20_000_000) for s in members}
         parts = {i: 1.0 if p >= 1.0 else p * 0.45 * 2.5 for i, p in parts.items()}
         for ident, part in parts.items():
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -43,7 +43,7 @@
     """Once a timer has been asked for, no other ever is."""
     arm = TimerQueue.arm
 
-    def once(self: TimerQueue, readmissions_us: list[int]) -> None:
+    def once(self: TimerQueue, readmissions_us: list[int] | None) -> None:
         if (
             not any(isinstance(action, SetTimer) for action in self._context.actions)
             and self.armed_us == 0
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -8,6 +8,7 @@
 import pytest
 
 from garnetusher.policy.actions import CancelAttempt, Fail, LogMessage, Shed
+from garnetusher.policy.endpoint_state import INITIAL_SLOTS
 from garnetusher.policy.events import (
     AttemptEnded,
     Endpoint,
@@ -20,7 +21,6 @@
     UpdateKind,
 )
 from garnetusher.policy.settings import RequestClass, Tenant, previous_indexes
-from garnetusher.policy.slots import INITIAL_SLOTS
 from tests.world import START_US, World, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
