--- a/garnetusher/policy/balancer.py
+++ b/garnetusher/policy/balancer.py
@@ -118,7 +118,7 @@
         elif isinstance(event, SettingsChanged):
             self._apply_settings(event)
         elif isinstance(event, ZoneOverridden):
-            self.zones.override(event.zone, event.evacuate, self.context.now_us)
+            self.zones.override(event.zone, self.context.now_us, evacuate=event.evacuate)
         elif isinstance(event, FleetSizeChanged):
             self.zones.member_count = max(0, event.fleet_size)
 
--- a/garnetusher/policy/outlier.py
+++ b/garnetusher/policy/outlier.py
@@ -9,7 +9,7 @@
 from garnetusher.policy.retry import IMMEDIATE_FAILURES
 from garnetusher.policy.slots import MAX_SLOTS, MIN_SLOT_LIMIT, TARGET_LOAD, Pool
 from garnetusher.policy.state import AttemptState, ClassState
-from garnetusher.policy.zones import Zones
+from garnetusher.policy.zones import FailedAttempt, Zones
 
 CONSECUTIVE_FAILURES = 2  # tell a failing endpoint from one broken connection or response among good ones
 SLOT_GROWTH = 0.4  # slots a round of responses moves, by the distance from the target load; 0.8 is too rash
@@ -56,12 +56,12 @@
         """Count an attempt that is out for long against its zone; `repeated`: an earlier one of its request was."""
         attempt.overdue = True
         endpoint = attempt.endpoint
-        self._zones.record_overdue(endpoint.zone, endpoint.id, attempt.sent_us, repeated, self._context.now_us)
+        self._zones.record_overdue(endpoint.zone, endpoint.id, attempt.sent_us, self._context.now_us, repeated=repeated)
 
     def _record_zone_outcome(self, attempt: AttemptState, outcome: Outcome, elapsed_us: int, ratio: float) -> None:
         zone, endpoint_id, now_us = attempt.endpoint.zone, attempt.endpoint.id, self._context.now_us
         if outcome in (Outcome.OK, Outcome.CANCELLED):
-            self._zones.record_lateness(attempt.overdue)
+            self._zones.record_lateness(late=attempt.overdue)
         if outcome in (Outcome.OK, Outcome.OVERLOADED):
             zone_ratio = 1.0 if outcome is Outcome.OVERLOADED else ratio
             self._zones.record_answer(zone, attempt.sent_us, zone_ratio, now_us)
@@ -69,7 +69,8 @@
             connect_timeout_us = self._context.settings.connect_timeout_us
             refused = outcome is Outcome.CONNECT_FAILED and 2 * elapsed_us < connect_timeout_us
             known = attempt.overdue and outcome is Outcome.TIMEOUT
-            self._zones.record_failure(zone, endpoint_id, attempt.sent_us, refused, known, ratio, now_us)
+            failed = FailedAttempt(zone, endpoint_id, attempt.sent_us, ratio, refused, known)
+            self._zones.record_failure(failed, now_us)
 
     def _update_admission(self, pool: Pool, load: float) -> None:
         """Admit less to a pool whose responses are slow.
--- a/garnetusher/policy/retry.py
+++ b/garnetusher/policy/retry.py
@@ -43,13 +43,11 @@
             return False
         if len(request.attempts) >= min(request.max_attempts, self._context.settings.max_attempts):
             return False  # a limit that falls holds for requests in flight too
-        if not request.attempts:
-            return True
-        if request.outstanding() > 0 and not self._context.settings.hedging:
-            return False
-        return self._may_repeat(request)
+        return not request.attempts or self._may_repeat(request)
 
     def _may_repeat(self, request: RequestState) -> bool:
+        if request.outstanding() > 0 and not self._context.settings.hedging:
+            return False
         first, rules = request.first_possibly_executed(), request.class_state.rules
         if first is None or rules.effect == "idempotent":
             return True
--- a/garnetusher/policy/zones.py
+++ b/garnetusher/policy/zones.py
@@ -1,148 +1,239 @@
-"""Which zones are used: evidence from attempts alone, and one owner of each zone's state.
+"""Which zones are used: evidence from attempts, and the state of each zone.
 
-A zone is left when it looks lost beside the others, tried while it is left, and returned to by steps. Upstreams are
-still judged one by one (balance.py); here is only what they have in common. Nothing is left unless another zone has
-answered meanwhile: when all look bad, the fault is here or everywhere, and leaving would mend nothing.
+A zone is evacuated when it looks lost beside the others, health-checked while it is evacuated, and restored by steps.
+Endpoints are still judged one by one (`outlier.py`); here is only what they have in common. No zone is evacuated unless
+another one has answered meanwhile: when all look bad, the fault is here or everywhere, and evacuating would mend
+nothing. Texts of reasons and values of states are told at the admin address and logged; they stay.
 """
 
+from __future__ import annotations
+
 import enum
 import math
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from garnetusher.policy.settings import Settings
 
-LOST_FRACTION = 0.75  # of a zone's upstreams have to fail in a row: half of them lost is no lost zone
-MAX_SUSPECTS_NEEDED = 8  # so many different ones tell it, however many there are: 0.75 ** 8 is one in ten
+LOST_FRACTION = 0.75  # of a zone's endpoints have to fail in a row: half of them lost is no lost zone
+MAX_SUSPECTS_NEEDED = 8  # so many different ones are enough, however many there are: 0.75 ** 8 is one in ten
 EVACUATION_EVIDENCE = 6.0  # the odds, as a power of ten, against so many misses in a row in a zone that is well
-SUSPICION_EVIDENCE = 4.0  # and those for doubting it
+SUSPICION_EVIDENCE = 4.0  # the same, for suspecting it
 SILENCE_US = 300_000  # without an answer, for a zone to be silent: a crowded one still answers some
-MISS_EXPIRY_US = 5_000_000  # between two misses, after which the first speaks of another time
+MISS_EXPIRY_US = 5_000_000  # between two misses, after which the first says nothing of now
 FAILURE_EVIDENCE = 1.5  # of one refused or broken attempt: one in thirty, as on days of broken connections
-REPEATED_MISS_EVIDENCE = 0.5  # of a miss at an upstream, or of a request, that has missed just now: one in three
-MIN_LATE_FRACTION = 0.05  # of the answers that are late in a zone that is well, at the least; the true part is learnt
+REPEATED_MISS_EVIDENCE = 0.5  # of a miss at an endpoint, or of a request, that has missed just now: one in three
+MIN_LATE_FRACTION = 0.05  # of the answers that are late in a zone that is well, at the least; the true part is learned
+MAX_LATE_FRACTION = 0.5
 LATE_WINDOW = 64  # answers that make it up
-SLOW_FACTOR = 2.5  # the pace of a zone beside the quickest other one's, for SLOW_FOR_US
+SLOW_FACTOR = 2.5  # the latency ratio of a zone beside the quickest other one's, for SLOW_DURATION_US
 SLOW_DURATION_US = 2_000_000
-OUTCOME_WINDOW = 20  # outcomes that make up a zone's pace
-INITIAL_BACKOFF_US = 500_000  # from leaving to the first try
+MIN_COMPARED_RATIO = 0.5  # of another zone, for that comparison
+OUTCOME_WINDOW = 20  # outcomes that make up a zone's latency ratio
+INITIAL_BACKOFF_US = 500_000  # from the evacuation to the first health check
 MAX_BACKOFF_US = 16_000_000  # after flaps, each of which doubles it
-FLAP_WINDOW_US = 60_000_000  # a zone that held for so long starts again with the first wait
-HEALTH_CHECKS_PER_S_PER_ENDPOINT = 2.0  # tries at a left zone, by the whole fleet, for each of its upstreams
-MIN_HEALTH_CHECK_GAP_US = 250_000  # between this sidecar's tries
-RECOVERY_STEPS: tuple[float, ...] = (0.1, 0.25, 0.5, 1.0)  # of the draws that may go to a returning zone
+FLAP_WINDOW_US = 60_000_000  # a zone that held for so long starts again with the initial backoff
+HEALTH_CHECKS_PER_S_PER_ENDPOINT = 2.0  # at an evacuated zone, by the whole fleet
+MIN_HEALTH_CHECK_GAP_US = 250_000  # between this sidecar's health checks of a zone
+RECOVERY_STEPS: tuple[float, ...] = (0.1, 0.25, 0.5, 1.0)  # of the draws that may go to a zone being restored
 RECOVERY_STEP_US = 600_000  # that each of them lasts, at least
-RECOVERY_FAILURES = 2  # in a row, which take a return back
+RECOVERY_FAILURES = 2  # in a row, which evacuate a zone again
+MICROSECONDS_PER_S = 1_000_000
 
 
 class ZoneState(enum.Enum):
-    ACTIVE = "near"  # used as ever
-    SUSPECTED = "doubted"  # half of what it takes to leave it is there
-    EVACUATED = "left"  # only tried
-    RESTORING = "returning"  # used by a part
+    """How a zone is used."""
+
+    ACTIVE = "near"  # in full
+    SUSPECTED = "doubted"  # in full, but part of the evidence for evacuating it is there
+    EVACUATED = "left"  # only health-checked
+    RESTORING = "returning"  # by a part of the draws
+
+
+@dataclass(slots=True)
+class FailedAttempt:
+    """An attempt that was refused, broke, was answered with an error, or was not answered in time.
+
+    Attributes:
+        zone: the zone of its endpoint.
+        endpoint_id: its endpoint.
+        sent_us: when it was sent.
+        latency_ratio: its time beside the usual one.
+        connection_refused: it found no connection, and was told so at once.
+        already_overdue: it has counted as a miss before.
+    """
+
+    zone: int
+    endpoint_id: int
+    sent_us: int
+    latency_ratio: float = 1.0
+    connection_refused: bool = False
+    already_overdue: bool = False
 
 
 class Zone:
-    """What this sidecar knows of one zone."""
+    """What this sidecar knows of one zone.
+
+    Attributes:
+        number: its index in the settings.
+        state: how it is used.
+        overridden: evacuated by an operator, so that evidence changes nothing.
+        endpoint_count: endpoints listed as ready.
+        suspects: endpoints that failed, or are overdue, since its last answer.
+        misses: attempts that did.
+        evidence: what they weigh together, as a power of ten.
+        refused_connections: how many of them were connections refused at once.
+        first_miss_us: when the first of these attempts was sent.
+        last_miss_us: and the last.
+        last_answer_us: the time of its last answer.
+        latency_ratio: of its outcomes, smoothed.
+        outcome_count: how many outcomes there were.
+        slow_since_us: since when it has been slow beside the others; 0 = it is not.
+        backoff_us: from its evacuation to the first health check.
+        evacuated_us: when evidence last evacuated it; 0 = never.
+        state_changed_us: when its state, or recovery step, last changed.
+        next_health_check_us: when it may be health-checked next.
+        refused_when_evacuated: connections were refused, so that its endpoints will have just started when it is back.
+        recovery_step: index in `RECOVERY_STEPS` while it is being restored.
+        consecutive_failures: failures in a row while it is being restored.
+        reason: why it is in its state.
+    """
 
     def __init__(self, number: int, now_us: int) -> None:
         self.number = number
         self.state = ZoneState.ACTIVE
-        self.overridden = False  # by an operator: evidence changes nothing
-        self.endpoint_count = 0  # listed as ready
-        self.suspects: set[int] = set()  # upstreams that failed, or are overdue, since its last answer
-        self.misses = 0  # attempts that did
-        self.evidence = 0.0  # what they weigh together, as a power of ten
-        self.refused_connections = 0  # of them, connections refused at once
-        self.first_miss_us = 0  # when the first of these attempts set out
-        self.last_miss_us = 0  # and the last
-        self.last_answer_us = now_us  # of its last answer
-        self.latency_ratio, self.outcome_count = 1.0, 0  # of its outcomes, smoothed, and how many there were
-        self.slow_since_us = 0  # since when it has been slow beside the others; 0: it is not
+        self.overridden = False
+        self.endpoint_count = 0
+        self.suspects: set[int] = set()
+        self.misses = 0
+        self.evidence = 0.0
+        self.refused_connections = 0
+        self.first_miss_us = 0
+        self.last_miss_us = 0
+        self.last_answer_us = now_us
+        self.latency_ratio = 1.0
+        self.outcome_count = 0
+        self.slow_since_us = 0
         self.backoff_us = INITIAL_BACKOFF_US
-        self.evacuated_us = 0  # when evidence last spoke for leaving it; 0: never
+        self.evacuated_us = 0
         self.state_changed_us = now_us
-        self.next_health_check_us = 0  # when it may be tried next
-        self.refused_when_evacuated = False  # it was left as connections were refused: it will be back as just started
+        self.next_health_check_us = 0
+        self.refused_when_evacuated = False
         self.recovery_step = 0
-        self.consecutive_failures = 0  # in a row, while returning
+        self.consecutive_failures = 0
         self.reason = "nothing seen"
 
     @property
     def in_use(self) -> bool:
+        """Whether it takes its full part in draws."""
         return self.state in (ZoneState.ACTIVE, ZoneState.SUSPECTED)
 
+    @property
+    def is_judged(self) -> bool:
+        """Whether there are outcomes enough to compare its latency ratio."""
+        return self.outcome_count >= OUTCOME_WINDOW
+
     def suspects_needed(self) -> int:
-        """How many different upstreams have to fail with no answer between."""
+        """Return how many different endpoints have to fail with no answer between."""
         return min(self.endpoint_count, max(2, math.ceil(LOST_FRACTION * self.endpoint_count)), MAX_SUSPECTS_NEEDED)
 
     def report(self, now_us: int) -> dict[str, object]:
-        """For operators: its state, since when, and the figures that speak for it."""
+        """Return its state, since when, and the figures behind it, with the keys of the admin address."""
+        share = RECOVERY_STEPS[self.recovery_step] if self.state is ZoneState.RESTORING else float(self.in_use)
         return {
             "state": self.state.value,
             "by": "operator" if self.overridden else "evidence",
             "why": self.reason,
-            "for_s": round((now_us - self.state_changed_us) / 1_000_000, 1),
+            "for_s": round((now_us - self.state_changed_us) / MICROSECONDS_PER_S, 1),
             "upstreams": self.endpoint_count,
-            "part": RECOVERY_STEPS[self.recovery_step] if self.state is ZoneState.RESTORING else float(self.in_use),
+            "part": share,
             "misses": self.misses,
             "evidence": round(self.evidence, 1),
             "pace": round(self.latency_ratio, 2),
         }
 
+    def add_miss(self, endpoint_id: int, sent_us: int, evidence: float) -> None:
+        """Add a miss to the evidence (after the accrual detector of Hayashibara et al., 2004)."""
+        if sent_us - self.last_miss_us > MISS_EXPIRY_US:
+            self.clear_evidence()
+        self.last_miss_us = max(self.last_miss_us, sent_us)
+        self.first_miss_us = min(self.first_miss_us or sent_us, sent_us)
+        if endpoint_id in self.suspects:
+            evidence = min(evidence, REPEATED_MISS_EVIDENCE)
+        self.suspects.add(endpoint_id)
+        self.misses += 1
+        self.evidence += evidence
+
+    def update_latency_ratio(self, latency_ratio: float) -> None:
+        """Add an outcome to the smoothed ratio."""
+        self.latency_ratio += (latency_ratio - self.latency_ratio) / OUTCOME_WINDOW
+        self.outcome_count += 1
+
     def clear_evidence(self) -> None:
+        """Forget the misses so far."""
         self.suspects.clear()
         self.misses = self.refused_connections = self.first_miss_us = 0
         self.evidence = 0.0
 
 
 class Zones:
-    """All zones, and the only place where their state changes. `changed` is told of each change."""
-
-    def __init__(self, settings: Settings, seed: int, now_us: int, changed: Callable[[Zone, ZoneState], None]) -> None:
+    """All zones, and the only place where their state changes.
+
+    Attributes:
+        settings: the operator's settings.
+        member_count: the size of the fleet by membership; 0 = as the settings say.
+        random: a source of its own: what is drawn here must not change other draws.
+        zones: by number.
+        all_in_use: whether no zone is evacuated or being restored.
+    """
+
+    def __init__(
+        self, settings: Settings, seed: int, now_us: int, on_change: Callable[[Zone, ZoneState], None]
+    ) -> None:
         self.settings = settings
-        self.member_count = 0  # of the fleet, as its members count each other; 0: nobody does
-        self.random = random.Random(seed)  # of its own: what is drawn here must not change other draws
-        self.on_change = changed
-        self.now_us = now_us
+        self.member_count = 0
+        self.random = random.Random(seed)
         self.zones: dict[int, Zone] = {}
-        self.all_in_use, self.any_suspected = True, False
-        self.late_fraction = MIN_LATE_FRACTION
+        self.all_in_use = True
+        self._on_change = on_change  # called with the zone and its earlier state
+        self._now_us = now_us
+        self._any_suspected = False
+        self._late_fraction = MIN_LATE_FRACTION
 
     @property
     def fleet_size(self) -> int:
-        """How many share what the fleet may do."""
+        """How many sidecars share what the fleet may do."""
         return self.member_count or self.settings.fleet_size
 
     def get(self, number: int) -> Zone:
+        """Return a zone; one that was not known is added."""
         if number not in self.zones:
-            self.zones[number] = Zone(number, self.now_us)
+            self.zones[number] = Zone(number, self._now_us)
         return self.zones[number]
 
     def tier(self, number: int) -> int:
-        """0: this zone, 1: this region's others, 2: other regions'. Without regions all zones are in one."""
-        s = self.settings
-        if number == s.zone or s.cross_zone_cost <= 0:
+        """Return 0 for this zone, 1 for this region's others and 2 for other regions'; 0 where crossing is free."""
+        settings = self.settings
+        if number == settings.zone or settings.cross_zone_cost <= 0:
             return 0
-        here, there = (s.zone_regions[z] if z < len(s.zone_regions) else 0 for z in (s.zone, number))
-        return 1 if here == there else 2
+        return 1 if self._region(settings.zone) == self._region(number) else 2
+
+    def _region(self, number: int) -> int:
+        regions = self.settings.zone_regions
+        return regions[number] if number < len(regions) else 0
 
     # Evidence
 
-    def record_answer(self, number: int, sent_us: int, pace: float, now_us: int) -> None:
-        """An upstream of the zone has answered, or turned the attempt away: it is there."""
+    def record_answer(self, number: int, sent_us: int, latency_ratio: float, now_us: int) -> None:
+        """Record that an endpoint has answered, or rejected an attempt as overloaded: the zone is there."""
         zone = self.get(number)
-        self.now_us, zone.last_answer_us, zone.consecutive_failures = now_us, now_us, 0
+        self._now_us, zone.last_answer_us, zone.consecutive_failures = now_us, now_us, 0
         zone.clear_evidence()
-        self.update_latency_ratio(zone, pace)
+        zone.update_latency_ratio(latency_ratio)
         if zone.state is ZoneState.SUSPECTED:
             self.change_state(zone, ZoneState.ACTIVE, "it answers")
-        elif (
-            zone.state is ZoneState.EVACUATED
-            and not zone.overridden
-            and sent_us >= zone.state_changed_us
-            and pace < SLOW_FACTOR
-        ):
+        elif self._passes_health_check(zone, sent_us, latency_ratio):
             zone.recovery_step = 0
             self.change_state(zone, ZoneState.RESTORING, "a try was answered")
         elif zone.state is ZoneState.RESTORING and now_us - zone.state_changed_us >= RECOVERY_STEP_US:
@@ -152,181 +243,190 @@
         else:
             self.evaluate(zone)
 
-    def record_lateness(self, late: bool) -> None:
-        """Whether an answer that came, or was overtaken, was late: how often that is so tells what lateness weighs."""
-        self.late_fraction += (float(late) - self.late_fraction) / LATE_WINDOW
-
-    def record_failure(
-        self, number: int, upstream: int, sent_us: int, refused: bool, known: bool, pace: float, now_us: int
-    ) -> None:
-        """An attempt was refused, broken, answered with an error, or not answered in time, which may be `known`."""
-        zone, self.now_us = self.get(number), now_us
-        self.update_latency_ratio(zone, pace)
-        if not known:
-            self.add_miss(zone, upstream, sent_us, FAILURE_EVIDENCE)
-            zone.refused_connections += int(refused)
-        if zone.state is ZoneState.EVACUATED and sent_us >= zone.state_changed_us:
-            self.postpone_health_check(zone)
-        elif zone.state is ZoneState.RESTORING and sent_us >= zone.state_changed_us:
+    def record_lateness(self, *, late: bool) -> None:
+        """Learn from an answer, or an attempt overtaken by a hedged one, how often attempts are late by chance."""
+        self._late_fraction += (float(late) - self._late_fraction) / LATE_WINDOW
+
+    def record_failure(self, attempt: FailedAttempt, now_us: int) -> None:
+        """Record an attempt that failed."""
+        zone, self._now_us = self.get(attempt.zone), now_us
+        zone.update_latency_ratio(attempt.latency_ratio)
+        if not attempt.already_overdue:
+            zone.add_miss(attempt.endpoint_id, attempt.sent_us, FAILURE_EVIDENCE)
+            zone.refused_connections += int(attempt.connection_refused)
+        is_recent = attempt.sent_us >= zone.state_changed_us
+        if zone.state is ZoneState.EVACUATED and is_recent:
+            self._postpone_health_check(zone)
+        elif zone.state is ZoneState.RESTORING and is_recent:
             zone.consecutive_failures += 1
             if zone.consecutive_failures >= min(RECOVERY_FAILURES, zone.endpoint_count):
-                self.evacuate(zone, f"{zone.consecutive_failures} faults in a row while it returned")
+                self._evacuate(zone, f"{zone.consecutive_failures} faults in a row while it returned")
         else:
             self.evaluate(zone)
 
-    def record_overdue(self, number: int, upstream: int, sent_us: int, again: bool, now_us: int) -> None:
-        """An attempt has been out for longer than answers take; it may still be answered. With `again` it is not
-        the first of its request: what is heavy at one upstream is heavy at the next."""
-        zone, self.now_us = self.get(number), now_us
-        odds = REPEATED_MISS_EVIDENCE if again else -math.log10(min(max(self.late_fraction, MIN_LATE_FRACTION), 0.5))
-        self.add_miss(zone, upstream, sent_us, odds)
+    def record_overdue(self, number: int, endpoint_id: int, sent_us: int, now_us: int, *, repeated: bool) -> None:
+        """Record an attempt that is out for longer than answers take; it may still be answered.
+
+        Args:
+            number: the zone.
+            endpoint_id: where the attempt went.
+            sent_us: when it was sent.
+            now_us: the time.
+            repeated: it is not the first of its request: what is heavy at one endpoint is heavy at the next.
+        """
+        zone, self._now_us = self.get(number), now_us
+        late_fraction = min(max(self._late_fraction, MIN_LATE_FRACTION), MAX_LATE_FRACTION)
+        zone.add_miss(endpoint_id, sent_us, REPEATED_MISS_EVIDENCE if repeated else -math.log10(late_fraction))
         self.evaluate(zone)
 
-    def add_miss(self, zone: Zone, upstream: int, sent_us: int, odds: float) -> None:
-        """After the accrual detectors of Hayashibara et al. (2004): each miss adds what speaks against chance."""
-        if sent_us - zone.last_miss_us > MISS_EXPIRY_US:
-            zone.clear_evidence()
-        zone.last_miss_us = max(zone.last_miss_us, sent_us)
-        zone.first_miss_us = min(zone.first_miss_us or sent_us, sent_us)
-        odds = min(odds, REPEATED_MISS_EVIDENCE) if upstream in zone.suspects else odds
-        zone.suspects.add(upstream)
-        zone.misses += 1
-        zone.evidence += odds
-
-    def update_latency_ratio(self, zone: Zone, pace: float) -> None:
-        zone.latency_ratio += (pace - zone.latency_ratio) / OUTCOME_WINDOW
-        zone.outcome_count += 1
-
     def evaluate(self, zone: Zone) -> None:
-        """Weigh it against the others, which have to have answered since the first that it did not answer."""
+        """Compare a zone with those that have answered since its first miss; suspect or evacuate it by that."""
         if not zone.in_use or zone.overridden or not zone.endpoint_count:
             return
-        others = [z for z in self.zones.values() if z is not zone and z.in_use and z.endpoint_count]
-        heard = [z for z in others if z.last_answer_us > zone.first_miss_us and not z.suspects]
-        seen = (
-            f"{zone.misses} attempts at {len(zone.suspects)} of {zone.endpoint_count} upstreams failed in a row, "
-            f"{zone.refused_connections} refused; one in 10^{zone.evidence:.1f} by chance"
-        )
-        # hazard: in a crowd many are late together, though not by chance; but answers go on coming
-        silent = 2 * zone.refused_connections >= zone.misses or self.now_us - zone.last_answer_us >= SILENCE_US
-        if len(zone.suspects) >= zone.suspects_needed() and zone.evidence >= EVACUATION_EVIDENCE and heard and silent:
-            self.evacuate(zone, seen)
+        others = [other for other in self.zones.values() if other is not zone and other.in_use and other.endpoint_count]
+        answering = [other for other in others if other.last_answer_us > zone.first_miss_us and not other.suspects]
+        if self._is_lost(zone) and answering:
+            self._evacuate(zone, self._describe_misses(zone))
             return
-        judged = [z for z in heard if z.outcome_count >= OUTCOME_WINDOW]
-        slow = zone.outcome_count >= OUTCOME_WINDOW and any(
-            zone.latency_ratio > SLOW_FACTOR * max(z.latency_ratio, 0.5) for z in judged
+        compared = [other.latency_ratio for other in answering if other.is_judged]
+        is_slow = zone.is_judged and any(
+            zone.latency_ratio > SLOW_FACTOR * max(ratio, MIN_COMPARED_RATIO) for ratio in compared
         )
-        zone.slow_since_us = (zone.slow_since_us or self.now_us) if slow else 0
-        if slow and self.now_us - zone.slow_since_us >= SLOW_DURATION_US:
-            self.evacuate(
-                zone, f"its pace is {zone.latency_ratio:.1f}, the others' {min(z.latency_ratio for z in judged):.1f}"
-            )
-        elif (
-            zone.state is ZoneState.ACTIVE
-            and 2 * len(zone.suspects) >= zone.suspects_needed()
-            and zone.evidence >= SUSPICION_EVIDENCE
-            and heard
-        ):
-            self.change_state(zone, ZoneState.SUSPECTED, seen)
+        zone.slow_since_us = (zone.slow_since_us or self._now_us) if is_slow else 0
+        if is_slow and self._now_us - zone.slow_since_us >= SLOW_DURATION_US:
+            self._evacuate(zone, f"its pace is {zone.latency_ratio:.1f}, the others' {min(compared):.1f}")
+        elif self._is_suspicious(zone) and answering:
+            self.change_state(zone, ZoneState.SUSPECTED, self._describe_misses(zone))
 
     def is_silent(self, number: int, now_us: int) -> bool:
-        """Whether attempts there have been missed, and none was answered for a while."""
+        """Return whether attempts in a zone have been missed and none was answered for a while."""
         zone = self.get(number)
         return bool(zone.suspects) and now_us - zone.last_answer_us >= SILENCE_US
 
-    # Leaving and returning
+    def _passes_health_check(self, zone: Zone, sent_us: int, latency_ratio: float) -> bool:
+        return (
+            zone.state is ZoneState.EVACUATED
+            and not zone.overridden
+            and sent_us >= zone.state_changed_us
+            and latency_ratio < SLOW_FACTOR
+        )
+
+    def _is_lost(self, zone: Zone) -> bool:
+        if len(zone.suspects) < zone.suspects_needed() or zone.evidence < EVACUATION_EVIDENCE:
+            return False
+        # in a crowd many attempts are late together, though not by chance; but answers go on coming
+        return 2 * zone.refused_connections >= zone.misses or self._now_us - zone.last_answer_us >= SILENCE_US
 
-    def evacuate(self, zone: Zone, why: str) -> None:
-        flapped = zone.evacuated_us > 0 and self.now_us - zone.evacuated_us < FLAP_WINDOW_US
-        zone.backoff_us = min(2 * zone.backoff_us, MAX_BACKOFF_US) if flapped else INITIAL_BACKOFF_US
-        zone.evacuated_us = self.now_us
-        zone.refused_when_evacuated = 2 * zone.refused_connections >= zone.misses > 0 or (
-            zone.refused_when_evacuated and zone.state is ZoneState.RESTORING
+    def _is_suspicious(self, zone: Zone) -> bool:
+        return (
+            zone.state is ZoneState.ACTIVE
+            and 2 * len(zone.suspects) >= zone.suspects_needed()
+            and zone.evidence >= SUSPICION_EVIDENCE
         )
-        zone.next_health_check_us = self.now_us + int(zone.backoff_us * (0.5 + self.random.random()))
-        zone.slow_since_us = 0
-        self.change_state(zone, ZoneState.EVACUATED, why)
 
-    def postpone_health_check(self, zone: Zone) -> None:
-        """A try failed: the next one comes as late as the fleet's share of tries wants it, at least."""
-        zone.next_health_check_us = self.now_us + int(
-            max(self.health_check_gap_us(zone), zone.backoff_us) * (0.5 + self.random.random())
+    def _describe_misses(self, zone: Zone) -> str:
+        return (
+            f"{zone.misses} attempts at {len(zone.suspects)} of {zone.endpoint_count} upstreams failed in a row, "
+            f"{zone.refused_connections} refused; one in 10^{zone.evidence:.1f} by chance"
         )
 
-    def health_check_gap_us(self, zone: Zone) -> int:
-        """Between this sidecar's tries, so that all sidecars together try each upstream a few times a second."""
-        each = max(1, zone.endpoint_count) * HEALTH_CHECKS_PER_S_PER_ENDPOINT
-        return max(MIN_HEALTH_CHECK_GAP_US, int(1_000_000 * self.fleet_size / each))
+    # Evacuating and restoring
 
-    def change_state(self, zone: Zone, state: ZoneState, why: str) -> None:
-        before, zone.state, zone.reason, zone.state_changed_us = zone.state, state, why, self.now_us
+    def change_state(self, zone: Zone, state: ZoneState, reason: str) -> None:
+        """Move a zone to another state and report it."""
+        before, zone.state, zone.reason, zone.state_changed_us = zone.state, state, reason, self._now_us
         zone.consecutive_failures = 0
         if state is not ZoneState.SUSPECTED:
             zone.clear_evidence()
             zone.latency_ratio, zone.outcome_count = 1.0, 0
-        self.all_in_use = all(z.in_use for z in self.zones.values())
-        self.any_suspected = any(z.state is ZoneState.SUSPECTED for z in self.zones.values())
-        self.on_change(zone, before)
+        self.all_in_use = all(other.in_use for other in self.zones.values())
+        self._any_suspected = any(other.state is ZoneState.SUSPECTED for other in self.zones.values())
+        self._on_change(zone, before)
+
+    def _evacuate(self, zone: Zone, reason: str) -> None:
+        has_flapped = zone.evacuated_us > 0 and self._now_us - zone.evacuated_us < FLAP_WINDOW_US
+        zone.backoff_us = min(2 * zone.backoff_us, MAX_BACKOFF_US) if has_flapped else INITIAL_BACKOFF_US
+        zone.evacuated_us = self._now_us
+        mostly_refused = 2 * zone.refused_connections >= zone.misses > 0
+        was_refused = zone.refused_when_evacuated and zone.state is ZoneState.RESTORING
+        zone.refused_when_evacuated = mostly_refused or was_refused
+        zone.next_health_check_us = self._now_us + self._jittered(zone.backoff_us)
+        zone.slow_since_us = 0
+        self.change_state(zone, ZoneState.EVACUATED, reason)
 
     def take_due_health_check(self, now_us: int) -> Zone | None:
-        """A left zone that may be tried now; telling of it counts as the try."""
+        """Return an evacuated zone that may be health-checked now; the next check of it waits for a gap."""
         for zone in self.zones.values():
-            if (
-                zone.state is ZoneState.EVACUATED
-                and not zone.overridden
-                and zone.endpoint_count
-                and now_us >= zone.next_health_check_us
-            ):
-                zone.next_health_check_us = now_us + int(self.health_check_gap_us(zone) * (0.5 + self.random.random()))
+            if zone.state is not ZoneState.EVACUATED or zone.overridden or not zone.endpoint_count:
+                continue
+            if now_us >= zone.next_health_check_us:
+                zone.next_health_check_us = now_us + self._jittered(self.health_check_gap_us(zone))
                 return zone
         return None
 
+    def _postpone_health_check(self, zone: Zone) -> None:
+        wait_us = max(self.health_check_gap_us(zone), zone.backoff_us)
+        zone.next_health_check_us = self._now_us + self._jittered(wait_us)
+
+    def health_check_gap_us(self, zone: Zone) -> int:
+        """Return the gap with which all sidecars together check each endpoint a few times a second."""
+        checks_per_s = max(1, zone.endpoint_count) * HEALTH_CHECKS_PER_S_PER_ENDPOINT
+        return max(MIN_HEALTH_CHECK_GAP_US, int(MICROSECONDS_PER_S * self.fleet_size / checks_per_s))
+
+    def _jittered(self, duration_us: int) -> int:
+        return int(duration_us * (0.5 + self.random.random()))
+
+    # Draws
+
     def excluded(self) -> set[int]:
-        """The zones that take no part in one draw."""
+        """Return the zones that take no part in one draw."""
         if self.all_in_use:
             return set()
-        out = {
-            z.number
-            for z in self.zones.values()
-            if not z.in_use
-            and z.endpoint_count
-            and (z.state is ZoneState.EVACUATED or self.random.random() >= RECOVERY_STEPS[z.recovery_step])
+        excluded = {
+            zone.number
+            for zone in self.zones.values()
+            if not zone.in_use and zone.endpoint_count and self._is_excluded_from_draw(zone)
         }
-        if out and not any(z.endpoint_count and z.number not in out for z in self.zones.values()):
-            return {z.number for z in self.zones.values() if z.overridden}  # hazard: there must be somewhere to send
-        return out
+        if excluded and not any(z.endpoint_count and z.number not in excluded for z in self.zones.values()):
+            # there must be an endpoint to send to: only an operator's word holds
+            return {zone.number for zone in self.zones.values() if zone.overridden}
+        return excluded
 
     def suspected(self) -> set[int]:
-        """Zones that what must not be repeated had better avoid."""
-        return (
-            {z.number for z in self.zones.values() if z.state is ZoneState.SUSPECTED} if self.any_suspected else set()
-        )
+        """Return the zones that requests which must not be retried had better avoid."""
+        if not self._any_suspected:
+            return set()
+        return {zone.number for zone in self.zones.values() if zone.state is ZoneState.SUSPECTED}
+
+    def _is_excluded_from_draw(self, zone: Zone) -> bool:
+        return zone.state is ZoneState.EVACUATED or self.random.random() >= RECOVERY_STEPS[zone.recovery_step]
 
-    # The list and the operator
+    # The endpoint list and the operator
 
-    def update_endpoint_counts(self, counts: dict[int, int], started: set[int], now_us: int) -> None:
-        """How many ready upstreams each zone has, and which zones have some that have just started."""
-        self.now_us = now_us
+    def update_endpoint_counts(self, counts: dict[int, int], zones_with_starts: set[int], now_us: int) -> None:
+        """Take over how many ready endpoints each zone has, and which zones have some that have just started."""
+        self._now_us = now_us
         for number in counts.keys() | self.zones.keys():
             zone = self.get(number)
             zone.endpoint_count = counts.get(number, 0)
-            if not zone.endpoint_count or number in started:
+            has_starts = number in zones_with_starts
+            if not zone.endpoint_count or has_starts:
                 zone.clear_evidence()  # what failed is not there any more
-            if number in started and zone.state is ZoneState.EVACUATED and not zone.overridden:
-                zone.recovery_step = 0  # what has just started is cold by the list itself
+            if has_starts and zone.state is ZoneState.EVACUATED and not zone.overridden:
+                zone.recovery_step = 0  # what has just started is warming up by the list itself
                 self.change_state(zone, ZoneState.RESTORING, "the list tells of upstreams that have started")
 
     def objection(self, number: int) -> str:
-        """Why an operator can't have this zone left; "" if nothing speaks against it."""
-        rest = [z for z in self.zones.values() if z.number != number and z.endpoint_count and not z.overridden]
-        return "" if rest else "it is the last zone in use"
-
-    def override(self, number: int, leave: bool, now_us: int) -> None:
-        """An operator's word, which evidence does not undo."""
-        zone, self.now_us = self.get(number), now_us
-        if leave and not self.objection(number):
+        """Return why an operator can't evacuate a zone; "" if nothing speaks against it."""
+        others = [z for z in self.zones.values() if z.number != number and z.endpoint_count and not z.overridden]
+        return "" if others else "it is the last zone in use"
+
+    def override(self, number: int, now_us: int, *, evacuate: bool) -> None:
+        """Evacuate or restore a zone by an operator's order, which evidence does not undo."""
+        zone, self._now_us = self.get(number), now_us
+        if evacuate and not self.objection(number):
             zone.overridden = True
             self.change_state(zone, ZoneState.EVACUATED, "an operator's order")
-        elif not leave and zone.overridden:
+        elif not evacuate and zone.overridden:
             zone.overridden, zone.recovery_step, zone.refused_when_evacuated = False, 0, False
             self.change_state(zone, ZoneState.RESTORING, "an operator's order")
