--- a/garnetusher/policy/settings.py
+++ b/garnetusher/policy/settings.py
@@ -25,12 +25,15 @@
 
 
 class SettingsError(GarnetusherError, ValueError):
-    """A setting is out of its range."""
+    """A setting is out of its range; the message says what was expected and what was found."""
 
+    def __init__(self, expected: str, got: object) -> None:
+        super().__init__(f"expected {expected}, got {got!r}")
 
-def _require(condition: bool, expected: str, got: object) -> None:
+
+def _require(condition: bool, expected: str, got: object) -> None:  # noqa: FBT001 - reads as an assertion
     if not condition:
-        raise SettingsError(f"expected {expected}, got {got!r}")
+        raise SettingsError(expected, got)
 
 
 @dataclass(slots=True)
--- a/garnetusher/policy/settings_text.py
+++ b/garnetusher/policy/settings_text.py
@@ -34,7 +34,8 @@
     def text(self, path: str, default: str | None = None) -> str:
         value = self.pairs.get(path, default)
         if value is None:
-            raise SettingsTextError(f"setting {path} is missing")
+            message = f"setting {path} is missing"
+            raise SettingsTextError(message)
         return value
 
     def number(self, path: str, default: str | None = None) -> float:
@@ -44,19 +45,22 @@
         except ValueError:
             number = math.nan
         if not math.isfinite(number):
-            raise SettingsTextError(f"setting {path}: expected a number, got {value!r}")
+            message = f"setting {path}: expected a number, got {value!r}"
+            raise SettingsTextError(message)
         return number
 
     def whole(self, path: str, default: str | None = None) -> int:
         number = self.number(path, default)
         if number != int(number):
-            raise SettingsTextError(f"setting {path}: expected a whole number, got {self.text(path, default)!r}")
+            message = f"setting {path}: expected a whole number, got {self.text(path, default)!r}"
+            raise SettingsTextError(message)
         return int(number)
 
     def choice(self, path: str, choices: tuple[str, ...], default: str | None = None) -> str:
         value = self.text(path, default)
         if value not in choices:
-            raise SettingsTextError(f"setting {path}: expected one of {', '.join(choices)}, got {value!r}")
+            message = f"setting {path}: expected one of {', '.join(choices)}, got {value!r}"
+            raise SettingsTextError(message)
         return value
 
     def flag(self, path: str, default: str | None = None) -> bool:
@@ -90,7 +94,8 @@
             continue
         path, equals, value = line.partition("=")
         if not equals or not path:
-            raise SettingsTextError(f"settings line {number}: expected path=value, got {line!r}")
+            message = f"settings line {number}: expected path=value, got {line!r}"
+            raise SettingsTextError(message)
         pairs[path] = value
     return settings_from_pairs(pairs)
 
@@ -126,4 +131,5 @@
             endpoint_weights=o.text("weights", "none") != "none",
         )
     except ValueError as error:
-        raise SettingsTextError(f"settings: {error}") from error
+        message = f"settings: {error}"
+        raise SettingsTextError(message) from error
