--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -22,7 +22,7 @@
 from tests.world import START_US, World, settings, upstreams
 
 
-def test_events_about_what_is_unknown_change_nothing() -> None:
+def test_policy_changes_nothing_when_events_are_about_unknown_items() -> None:
     world = World()
     world.tell_list(upstreams(3))
     for event in (
@@ -38,7 +38,7 @@
     assert world.sends(world.arrive(0))
 
 
-def test_outcomes_after_the_answer_and_gone_after_the_end_are_ignored() -> None:
+def test_policy_ignores_events_when_the_request_is_completed() -> None:
     world = World()
     world.tell_list(upstreams(3))
     request = world.arrive(0)
@@ -51,14 +51,14 @@
     assert world.tell(ClientDisconnected(served)) == []
 
 
-def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
+def test_policy_ignores_an_outcome_when_the_attempt_was_never_made() -> None:
     world = World()
     world.tell_list(upstreams(3))
     request = world.arrive(0)
     assert world.tell(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
-def test_a_stream_that_breaks_is_not_sent_again() -> None:
+def test_policy_does_not_retry_when_a_streamed_response_breaks() -> None:
     world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, streaming=True)]))
     world.tell_list(upstreams(3))
     request = world.arrive(0)
@@ -68,7 +68,7 @@
     assert len(world.sends(request)) == 1 and not isinstance(world.answer(request), Fail)
 
 
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
+def test_policy_repeats_its_actions_when_seed_and_events_are_the_same() -> None:
     first, second, other = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
     told = []
     for balancer in (first, second, other):
@@ -95,7 +95,7 @@
         (lambda: settings(classes=[]), "at least one request class"),
     ],
 )
-def test_misuse_says_what_was_expected(make: object, words: str) -> None:
+def test_settings_say_what_was_expected_when_a_value_is_wrong(make: object, words: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
         make()  # type: ignore[operator]
     assert words in str(caught.value)
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -94,11 +94,11 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_what_is_kept_is_what_a_walk_would_find(seed: int) -> None:
+def test_buckets_hold_what_a_walk_would_find_when_anything_happens(seed: int) -> None:
     storm(seed)
 
 
-def test_draws_are_as_likely_as_by_a_walk() -> None:
+def test_draw_is_as_likely_as_by_a_walk_when_weights_differ() -> None:
     draws, compared = 3000, 0
     for seed in range(16):
         balancer = storm(seed, 150, lambda balancer: None).balancer
@@ -123,7 +123,7 @@
     assert compared >= 20
 
 
-def test_cold_upstreams_come_due_as_by_a_walk() -> None:
+def test_cohorts_accrue_as_a_walk_would_when_endpoints_warm_up() -> None:
     pool = Pool(settings(warm_up_us=20_000_000), START_US)
     dues: dict[int, float] = {}
     for number in range(60):
@@ -169,5 +169,5 @@
 
 
 @pytest.mark.parametrize("cold", [False, True])
-def test_a_request_costs_the_same_in_any_fleet(cold: bool) -> None:
+def test_request_costs_the_same_when_the_fleet_is_large(cold: bool) -> None:
     assert lines_a_request(5000, cold) <= 2 * lines_a_request(10, cold)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -76,7 +76,7 @@
         (sends_on_for_who_has_left, "left"),
     ],
 )
-def test_a_seeded_bug_is_found_made_small_and_played_again(
+def test_explorer_finds_shrinks_and_replays_when_a_bug_is_seeded(
     bug: Callable[[pytest.MonkeyPatch], None], rule: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as patch:
@@ -90,7 +90,7 @@
     assert Module().play(find.schedule) is None  # it is the bug that breaks it
 
 
-def test_the_module_breaks_nothing_and_a_schedule_is_its_seed(
+def test_explorer_finds_nothing_and_repeats_schedules_when_the_policy_is_correct(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     status, out, _ = call(capsys, monkeypatch, "model", "explore", "module", "--seeds", "1:500", "--out", str(tmp_path))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -109,7 +109,7 @@
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_no_rule_is_broken_whatever_happens(
+def test_policy_keeps_the_rules_when_events_come_in_any_order(
     config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
     world = World(settings(classes=many_classes(), **config), seed)
@@ -144,7 +144,7 @@
     return list(world.log)
 
 
-def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
+def test_policy_keeps_the_rules_and_repeats_itself_when_days_are_busy() -> None:
     for seed in range(12):
         config: dict[str, object] = {
             "hedging": seed % 2 == 0,
@@ -216,7 +216,7 @@
     return worst
 
 
-def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
+def test_fleet_does_not_overload_a_warming_endpoint_when_all_sidecars_send() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR, Outcome.CONNECT_FAILED):
             assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -41,7 +41,7 @@
     made.record_answer(zone, at_us - 50 if sent_us is None else sent_us, 1.0, at_us)
 
 
-def test_a_zone_is_left_when_different_upstreams_fail_in_a_row_while_others_answer() -> None:
+def test_zone_is_evacuated_when_different_endpoints_fail_in_a_row_and_others_answer() -> None:
     made, story = zones()
     fail(made, 0, 4, SECOND)
     assert story == []  # nobody else has answered meanwhile: the fault may be here
@@ -50,7 +50,7 @@
     assert story == ["0 left"] and made.excluded() == {0} and made.get(0).refused_when_evacuated
 
 
-def test_half_a_zone_is_no_zone_and_one_answer_clears_it() -> None:
+def test_zone_is_kept_when_half_of_it_fails_and_cleared_when_it_answers() -> None:
     made, story = zones()
     for at in range(1, 60):
         answer(made, 1, at * SECOND)
@@ -60,7 +60,7 @@
     assert made.get(0).suspects == set() and made.get(0).state is ZoneState.ACTIVE
 
 
-def test_the_last_zone_is_never_left() -> None:
+def test_zone_is_kept_when_it_is_the_last() -> None:
     made, story = zones()
     for number in (0, 1, 2):
         for other in range(3):
@@ -81,7 +81,7 @@
     return made, story, made.get(0)
 
 
-def test_a_return_goes_by_steps_that_a_fault_takes_back_and_flaps_double_the_wait() -> None:
+def test_zone_is_restored_by_steps_and_its_backoff_doubles_when_it_flaps() -> None:
     made, story, zone = lost()
     at, waits = SECOND + 300, []
     for _ in range(7):
@@ -107,7 +107,7 @@
     assert zone.state.value == "near" and story.count("0 near") == 1 and made.excluded() == set()
 
 
-def test_tries_are_bounded_for_the_fleet() -> None:
+def test_zone_health_checks_stay_bounded_when_the_fleet_is_large() -> None:
     made, _, zone = lost()
     made.settings = settings(fleet_size=200)
     tries, at = 0, zone.next_health_check_us
@@ -117,7 +117,7 @@
     assert 200 * tries / 60 / zone.endpoint_count < 2.5  # of the whole fleet, for each upstream and second
 
 
-def test_an_operator_has_the_last_word_and_can_not_leave_the_last_zone() -> None:
+def test_zone_follows_the_operator_when_overridden_unless_it_is_the_last() -> None:
     made, story = zones(2)
     made.override(0, SECOND, evacuate=True)
     assert made.excluded() == {0} and made.get(0).report(SECOND)["by"] == "operator"
@@ -130,7 +130,7 @@
     assert story == ["0 left", "0 returning"]
 
 
-def test_regions_make_the_third_tier() -> None:
+def test_zone_is_in_the_third_tier_when_it_is_in_another_region() -> None:
     made, _ = zones(4, cross_zone_cost=0.02, zone=1, zone_regions=[0, 0, 1, 1])
     assert [made.tier(z) for z in range(4)] == [1, 0, 2, 2]
     without, _ = zones(4, cross_zone_cost=0.02, zone=1)
@@ -162,7 +162,7 @@
         "zone-silent-light",
     ],
 )
-def test_a_lost_zone_is_left_by_most_and_no_other_is(name: str) -> None:
+def test_fleet_evacuates_only_the_lost_zone_when_one_is_lost(name: str) -> None:
     moves, found = left(name)
     assert moves["pacheco"] >= 2 and set(moves) == {"pacheco"}  # its own sidecars; the others hardly use it
     assert found["served_worth.after"] > 0.97
@@ -181,15 +181,15 @@
         "zone-grey-light",
     ],
 )
-def test_what_is_no_lost_zone_is_not_left(name: str) -> None:
+def test_fleet_evacuates_no_zone_when_none_is_lost(name: str) -> None:
     assert left(name)[0] == Counter()
 
 
-def test_traffic_stays_in_a_near_zone_that_has_room() -> None:
+def test_fleet_stays_in_the_near_zone_when_it_has_capacity() -> None:
     assert left("calm")[1]["crossings"] < 0.03  # 0.32 where near slots open only if no slot is free anywhere
 
 
-def test_a_copy_stays_in_its_tier_until_something_may_be_wrong_there() -> None:
+def test_hedge_stays_in_its_tier_when_nothing_is_wrong_there() -> None:
     for suspect in (False, True):
         stand = Stand(settings(cross_zone_cost=0.02, cancel_attempts=False))
         stand.tell_list(upstreams(4))  # two here, two in the next zone
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize("answers", [False, True])
-def test_a_light_sidecar_tries_again_elsewhere_once_its_zone_is_quiet(answers: bool) -> None:
+def test_retry_goes_to_another_zone_when_its_zone_is_silent(answers: bool) -> None:
     stand = Stand(settings(cross_zone_cost=0.02, max_attempts=3))
     stand.tell_list(upstreams(6))
     stand.advance(SILENCE_US)
@@ -219,17 +219,17 @@
     assert ended == (3 if answers else 2) and (stand.sends(ident)[-1].endpoint_id < 102) == answers
 
 
-def test_two_lost_zones_are_left_and_the_third_is_not() -> None:
+def test_fleet_keeps_the_third_zone_when_two_are_lost() -> None:
     moves, found = left("two-zones")
     assert set(moves) == {"pacheco", "ezeiza"} and found["false_leaves"] == 0
 
 
-def test_a_region_that_is_lost_is_left_and_its_sidecars_are_served_from_afar() -> None:
+def test_fleet_serves_from_other_regions_when_a_region_is_lost() -> None:
     moves, found = left("region-lost")
     assert set(moves) == {"ezeiza", "quilmes"} and found["served_worth.zone.ezeiza"] > 0.6
 
 
-def test_a_part_that_is_switched_off_is_missed_and_comes_back() -> None:
+def test_ablation_removes_evacuations_only_when_it_is_active() -> None:
     with without(["leaving"]):
         assert left("zone-silent")[0] == Counter()
     assert left("zone-silent")[0]["pacheco"] >= 4
@@ -238,7 +238,7 @@
 # The operator's calls
 
 
-def test_zones_are_shown_left_and_returned_to_at_the_admin_address() -> None:
+def test_admin_address_reports_and_overrides_zones_when_asked() -> None:
     async def test() -> None:
         upstream = Upstream(answering(OK))
         async with sidecar(upstream) as it:
@@ -256,7 +256,7 @@
     run(test)
 
 
-def test_a_module_told_to_leave_a_zone_sends_it_nothing() -> None:
+def test_policy_sends_nothing_to_a_zone_when_an_operator_evacuates_it() -> None:
     stand = Stand(settings(cross_zone_cost=0.02))
     stand.tell_list(upstreams(6))
     stand.tell(ZoneOverridden(0, True))
