--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -239,7 +239,7 @@
         now_us = monotonic_us()
         zones = sorted(self.balancer.zones.zones.values(), key=lambda zone: zone.number)
         return [
-            {"zone": names[zone.number] if zone.number < len(names) else str(zone.number)} | zone.told(now_us)
+            {"zone": names[zone.number] if zone.number < len(names) else str(zone.number)} | zone.report(now_us)
             for zone in zones
         ]
 
--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -8,9 +8,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnetusher.policy.balancer import Balancer, Request
+from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.events import EndpointStatus
-from garnetusher.policy.slots import Server
+from garnetusher.policy.selection import EndpointSelector
+from garnetusher.policy.state import RequestState
 from garnetusher.sidecar import __main__ as program
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.discovery import messages as discovery_messages
@@ -40,7 +41,7 @@
 
 def repeats_unsafe() -> None:
     """What may have run is forgotten, by the policy and by the gate behind it."""
-    Request.first_that_may_have_run = lambda self: None  # type: ignore[method-assign]
+    RequestState.first_possibly_executed = lambda self: None  # type: ignore[method-assign]
     WriteGate.retry_denial = lambda self, request, attempt, now_us: None  # type: ignore[method-assign]
     WriteGate.may_shed = lambda self, request: True  # type: ignore[method-assign]
 
@@ -52,13 +53,13 @@
 
 def pushes_cold_over() -> None:
     """As long as there is a cold upstream it gets all requests."""
-    draw = Balancer.draw
+    select = EndpointSelector.select
 
-    def coldest(self: Balancer, request: Request) -> Server | None:
-        cold = [s for s in self.servers.values() if s.cohort is not None]
-        return cold[0] if cold and self.may_send(request) else draw(self, request)
+    def coldest(self: EndpointSelector, request: RequestState) -> EndpointState | None:
+        cold = [s for s in self._registry.endpoints.values() if s.cohort is not None]
+        return cold[0] if cold and self._retry_policy.may_forward(request) else select(self, request)
 
-    Balancer.draw = coldest  # type: ignore[method-assign]
+    EndpointSelector.select = coldest  # type: ignore[method-assign]
 
 
 def holds_back() -> None:
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -33,7 +33,7 @@
         belief = beliefs.belief(round(at_s * SECOND), name, line, it.topology.zones)
         assert belief == Believed(round(at_s * SECOND), name, zone, "near", state, "why")
         told.append(belief)
-    assert beliefs.belief(0, "x", "upstream 3 rests", it.topology.zones) is None
+    assert beliefs.belief(0, "x", "endpoint 3 ejected", it.topology.zones) is None
     found = beliefs.figures(it, made, told)
     assert found["zone_leave_s"] == pytest.approx(0.6)
     assert found["zone_leave_s.home"] == pytest.approx(0.4)
@@ -57,7 +57,7 @@
     tree = tmp_path / "tree" / "garnetusher" / "policy"
     tree.mkdir(parents=True)
     for path in (ROOT / "garnetusher" / "policy").glob("*.py"):
-        (tree / path.name).write_text(path.read_text().replace("FIRST_SLOTS = 3.0", "FIRST_SLOTS = 1.0"))
+        (tree / path.name).write_text(path.read_text().replace("INITIAL_SLOTS = 3.0", "INITIAL_SLOTS = 1.0"))
     digests = []
     for words in ((), ("--tree", str(ROOT)), ("--tree", str(tree.parent.parent))):
         _, out = model_run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--json", *words)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -11,8 +11,11 @@
 from garnetusher.model.explore import Find
 from garnetusher.model.explore.module import Module
 from garnetusher.policy.actions import SetTimer
-from garnetusher.policy.balancer import Attempt, Balancer, Request
+from garnetusher.policy.attempts import AttemptForwarder
 from garnetusher.policy.events import Outcome
+from garnetusher.policy.lifecycle import RequestLifecycle
+from garnetusher.policy.state import AttemptState, RequestState
+from garnetusher.policy.timers import TimerQueue
 from tests.test_files import call
 
 FOUND_WITHIN = 400  # schedules; 2,000 are allowed
@@ -20,39 +23,41 @@
 
 def keeps_a_slot(patch: pytest.MonkeyPatch) -> None:
     """The slot of an attempt whose connection broke is not freed."""
-    free = Balancer.free_slot
-    patch.setattr(Balancer, "free_slot", lambda self, attempt: attempt.ended is Outcome.RESET or free(self, attempt))
+    free = AttemptForwarder.free_slot
+    patch.setattr(
+        AttemptForwarder, "free_slot", lambda self, attempt: attempt.outcome is Outcome.RESET or free(self, attempt)
+    )
 
 
 def repeats_after_a_reset(patch: pytest.MonkeyPatch) -> None:
     """An attempt whose connection broke is taken for one that never ran."""
 
-    def first(self: Request) -> Attempt | None:
+    def first(self: RequestState) -> AttemptState | None:
         never = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN, Outcome.RESET)
-        return next((attempt for attempt in self.attempts if attempt.ended not in never), None)
+        return next((attempt for attempt in self.attempts if attempt.outcome not in never), None)
 
-    patch.setattr(Request, "first_that_may_have_run", first)
+    patch.setattr(RequestState, "first_possibly_executed", first)
 
 
 def arms_no_second_timer(patch: pytest.MonkeyPatch) -> None:
     """Once a timer has been asked for, no other ever is."""
-    arm = Balancer.arm
+    arm = TimerQueue.arm
 
-    def once(self: Balancer) -> None:
+    def once(self: TimerQueue, readmissions_us: list[int] | None) -> None:
         if (
-            not any(isinstance(action, SetTimer) for action in self.actions)
+            not any(isinstance(action, SetTimer) for action in self._context.actions)
             and self.armed_us == 0
             and not getattr(self, "armed_once", False)
         ):
-            arm(self)
+            arm(self, readmissions_us)
             self.armed_once = self.armed_us > 0  # type: ignore[attr-defined]
 
-    patch.setattr(Balancer, "arm", once)
+    patch.setattr(TimerQueue, "arm", once)
 
 
 def sends_on_for_who_has_left(patch: pytest.MonkeyPatch) -> None:
     """That a client sends nothing more is not heard."""
-    patch.setattr(Balancer, "on_left", lambda self, request: None)
+    patch.setattr(RequestLifecycle, "on_client_half_closed", lambda self, event: None)
 
 
 def first_find(seeds: range) -> Find:
@@ -71,7 +76,7 @@
         (sends_on_for_who_has_left, "left"),
     ],
 )
-def test_a_seeded_bug_is_found_made_small_and_played_again(
+def test_explorer_finds_shrinks_and_replays_when_a_bug_is_seeded(
     bug: Callable[[pytest.MonkeyPatch], None], rule: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as patch:
@@ -85,7 +90,7 @@
     assert Module().play(find.schedule) is None  # it is the bug that breaks it
 
 
-def test_the_module_breaks_nothing_and_a_schedule_is_its_seed(
+def test_explorer_finds_nothing_and_repeats_schedules_when_the_policy_is_correct(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     status, out, _ = call(capsys, monkeypatch, "model", "explore", "module", "--seeds", "1:500", "--out", str(tmp_path))
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -30,7 +30,7 @@
     world = Simulation(experiment, plan.make(experiment, 1))
 
     def instances() -> list[int]:
-        return [s.balancer.zones.instances for s in world.sidecars.values() if isinstance(s.balancer, Balancer)]
+        return [s.balancer.zones.fleet_size for s in world.sidecars.values() if isinstance(s.balancer, Balancer)]
 
     at_start = instances()
     world.run()
@@ -39,7 +39,7 @@
 
 def test_zones_check_health_ten_times_as_often_when_a_tenth_of_the_instances_is_counted() -> None:
     zones = Balancer(settings(fleet_size=50), 1, 0).zones
-    zones.of(0).upstreams = 2
-    gap_alone_us = zones.gap_us(zones.of(0))
-    zones.counted = 5
-    assert zones.gap_us(zones.of(0)) == gap_alone_us / 10
+    zones.get(0).endpoint_count = 2
+    gap_alone_us = zones.health_check_gap_us(zones.get(0))
+    zones.member_count = 5
+    assert zones.health_check_gap_us(zones.get(0)) == gap_alone_us / 10
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -77,7 +77,7 @@
             assert isinstance(sidecar.balancer, Balancer)
             assert not sidecar.pending
             assert not sidecar.balancer.requests
-            assert all(server.used == 0 for server in sidecar.balancer.servers.values())
+            assert all(server.slots_used == 0 for server in sidecar.balancer.endpoints.values())
 
 
 @pytest.mark.parametrize("policy", [name for name in baselines.NAMES if name != baselines.OWN])
