--- a/garnetusher/lab/soak/client.py
+++ b/garnetusher/lab/soak/client.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: requests at their own pace, and some that misbehave."""
+"""Clients of the soak: requests at their own rate, and clients that misbehave."""
 
 from __future__ import annotations
 
@@ -8,25 +8,65 @@
 import socket
 import struct
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
-from garnetusher.lab.soak.plan import Class, Plan
-from garnetusher.lab.soak.records import End, Records, Request, now_s
+from garnetusher.errors import GarnetusherError
+from garnetusher.lab.soak.plan import FaultKind, Plan, RequestClass
+from garnetusher.lab.soak.records import End, MalformedConnection, Records, Request, now_s
 
-LATE_S = 0.5  # after its deadline an answer earns nothing; later it is lost
-STRANGER_S = 4.0  # a stranger waits longer than the 3 s that it is owed
-LONG_BODY = 150_000
-MOST_IDLE = 6
-STRANGERS = (b"", b"GET /read HTTP/1.1\r\nX-Req", b"\x16\x03\x01\x02\x00", b"POST /nothing HTTP/1.1\r\nHost: x\r\n\r\n")
+RESPONSE_TIMEOUT_S = 0.8  # after its deadline: a response is late for 0.5 s, and lost after that
+MALFORMED_TIMEOUT_S = 4.0  # longer than the 3 s in which a malformed connection has to be closed
+LONG_BODY_BYTES = 150_000
+SHORT_BODY_BYTES = 20
+MAX_IDLE_CONNECTIONS = 6
+MALFORMED_REQUESTS = (
+    b"",
+    b"GET /read HTTP/1.1\r\nX-Req",
+    b"\x16\x03\x01\x02\x00",
+    b"POST /nothing HTTP/1.1\r\nHost: x\r\n\r\n",
+)
+PIPELINED_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+END_OF_STATUS = {200: End.SERVED, 503: End.REFUSED, 429: End.REFUSED}
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
 
+# the share of connections or requests that a fault strikes while it lasts
+REUSE_SHARE = 0.85
+MALFORMED_SHARE = 0.3
+LONG_BODY_SHARE = 0.5
+PIPELINE_SHARE = 0.3
+DISCONNECT_SHARE = 0.5
+RESET_SHARE = 0.3  # of those that disconnect
+HALF_REQUEST_SHARE = 0.4
+SLOW_WRITER_SHARE = 0.5
+SLOW_WRITER_CUTS = 3
+SLOW_WRITER_PAUSE_S = 0.15
 
-class Broken(Exception):
-    """A connection that ended within an answer."""
 
+class TruncatedResponseError(GarnetusherError):
+    """A connection ended within a response."""
 
-Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
+@dataclass(frozen=True, slots=True)
+class ClientConnection:
+    """A connection to the sidecar."""
 
-class Application:
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+    def abort(self) -> None:
+        """Close at once; what is not yet written is lost."""
+        self.writer.transport.abort()
+
+
+@dataclass(frozen=True, slots=True)
+class Response:
+    """A complete response."""
+
+    status: int
+    keep_alive: bool
+
+
+class ClientGroup:
     """All clients of one sidecar."""
 
     def __init__(
@@ -35,160 +75,207 @@
         address: tuple[str, int],
         plan: Plan,
         records: Records,
-        unanswered: Callable[[str], Awaitable[None]],
+        on_timeout: Callable[[str], Awaitable[None]],
     ) -> None:
-        self.sidecar, self.address, self.plan, self.records = sidecar, address, plan, records
-        self.unanswered = unanswered  # is told of a request that has had nothing in its time
-        self.random = random.Random(f"{plan.seed}-clients-{sidecar}")
-        self.idle: list[Connection] = []
-        self.doing: set[str] = set()
-        self.number = 0
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.active_faults: set[FaultKind] = set()
+        self._sidecar = sidecar
+        self._address = address
+        self._plan = plan
+        self._records = records
+        self._on_timeout = on_timeout  # is called with the id of a request that had no response
+        self._random = random.Random(f"{plan.seed}-clients-{sidecar}")
+        self._idle: list[ClientConnection] = []
+        self._requests_made = 0
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, ends_s: float) -> None:
-        """Ask till then; arrivals never wait for answers."""
+        """Send requests until a time; arrivals never wait for responses."""
         while now_s() < ends_s:
-            await asyncio.sleep(self.random.expovariate(self.plan.rate_per_s))
-            self.spawn()
-        while self.tasks:
-            await asyncio.wait(self.tasks)
-        for _, writer in self.idle:
-            writer.transport.abort()
+            await asyncio.sleep(self._random.expovariate(self._plan.rate_per_s))
+            self._start_next()
+        while self._tasks:
+            await asyncio.wait(self._tasks)
+        for connection in self._idle:
+            connection.abort()
 
-    def spawn(self) -> None:
-        if "strangers" in self.doing and self.random.random() < 0.3:
-            work = self.stranger()
+    def _start_next(self) -> None:
+        if self._draw_fault(FaultKind.MALFORMED, MALFORMED_SHARE):
+            work = self._send_malformed()
         else:
-            self.number += 1
-            work = self.ask(f"s{self.sidecar}-{self.number}", self.random.choice(self.plan.classes))
+            self._requests_made += 1
+            request_id = f"s{self._sidecar}-{self._requests_made}"
+            work = self._request(request_id, self._random.choice(self._plan.classes))
         task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def _draw_fault(self, kind: FaultKind, share: float) -> bool:
+        return kind in self.active_faults and self._random.random() < share
 
-    async def stranger(self) -> None:
-        """Somebody who sends no proper request, and is owed an end."""
+    async def _connect(self) -> ClientConnection | None:
         try:
-            reader, writer = await asyncio.open_connection(*self.address)
+            reader, writer = await asyncio.open_connection(*self._address)
         except OSError:
+            return None
+        return ClientConnection(reader, writer)
+
+    async def _send_malformed(self) -> None:
+        """Send no proper request, and record when the sidecar answers or closes."""
+        connection = await self._connect()
+        if connection is None:
             return
-        came_s, ended_s = now_s(), 0.0
+        connected_s = now_s()
+        closed_s = 0.0
         with contextlib.suppress(ConnectionError, TimeoutError):
-            writer.write(self.random.choice(STRANGERS))
-            await asyncio.wait_for(reader.read(100), STRANGER_S)
-            ended_s = now_s()
-        if writer.transport.is_closing() or reader.at_eof():
-            ended_s = ended_s or now_s()
-        self.records.strangers.append((self.sidecar, came_s, ended_s))
-        writer.transport.abort()
-
-    def data(self, ident: str, kind: Class, body: bytes) -> bytes:
-        method = "GET" if kind.effect == "idempotent" else "POST"
-        key = f"Idempotency-Key: {ident}\r\n" if kind.effect == "deduplicated" else ""
-        length = "" if method == "GET" else f"Content-Length: {len(body)}\r\n"
-        return (
-            f"{method} /{kind.name}/x HTTP/1.1\r\nHost: api\r\nX-Request-Id: {ident}\r\nX-Class: {kind.name}\r\n"
-            f"X-Deadline-Ms: {kind.deadline_ms}\r\n{key}{length}\r\n"
-        ).encode() + body
-
-    async def ask(self, ident: str, kind: Class) -> None:
-        """One request, to its end; on a connection that was closed as it was sent once more on a new one."""
-        used = self.idle.pop() if self.idle and self.random.random() < 0.85 else None
-        request = await self.try_once(ident, kind, used)
-        if request is not None and request.end is End.CLOSED and used is not None:
-            await self.try_once(ident + "-again", kind, None)
-
-    async def try_once(self, ident: str, kind: Class, used: Connection | None) -> Request | None:
-        try:
-            reader, writer = used or await asyncio.open_connection(*self.address)
-        except OSError:
+            connection.writer.write(self._random.choice(MALFORMED_REQUESTS))
+            await asyncio.wait_for(connection.reader.read(100), MALFORMED_TIMEOUT_S)
+            closed_s = now_s()
+        if connection.writer.transport.is_closing() or connection.reader.at_eof():
+            closed_s = closed_s or now_s()
+        self._records.malformed_connections.append(MalformedConnection(self._sidecar, connected_s, closed_s))
+        connection.abort()
+
+    async def _request(self, request_id: str, request_class: RequestClass) -> None:
+        """Send one request; retry once on a new connection where a reused one was closed as it was sent."""
+        reused = self._idle.pop() if self._idle and self._random.random() < REUSE_SHARE else None
+        request = await self._attempt(request_id, request_class, reused)
+        if request is not None and request.end is End.CLOSED and reused is not None:
+            await self._attempt(request_id + "-again", request_class, None)
+
+    async def _attempt(
+        self, request_id: str, request_class: RequestClass, reused: ClientConnection | None
+    ) -> Request | None:
+        """Send a request and wait for its end; return None if it was not written completely."""
+        connection = reused or await self._connect()
+        if connection is None:
             return None
-        long = "long_bodies" in self.doing and kind.effect != "idempotent" and self.random.random() < 0.5
-        body = b"" if kind.effect == "idempotent" else b"x" * (LONG_BODY if long else 20)
+        data = _encode(request_id, request_class, self._draw_body(request_class))
         try:
-            if not await self.send(writer, self.data(ident, kind, body)):
+            if not await self._write(connection.writer, data):
                 return None
         except ConnectionError:
             return None
-        request = Request(ident, self.sidecar, kind.name, kind.deadline_ms / 1000, now_s(), used is None)
-        self.records.requests[ident] = request
-        if "pipelines" in self.doing and self.random.random() < 0.3:
-            writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-        leaving = None
-        if "leavers" in self.doing and self.random.random() < 0.5:
-            leaving = asyncio.get_running_loop().call_later(
-                self.random.random() ** 2 * request.deadline_s, self.leave, request, writer
-            )
-        await self.hear(request, reader, writer)
-        if leaving is not None:
-            leaving.cancel()
+        deadline_s = request_class.deadline_ms / 1000
+        request = Request(request_id, self._sidecar, request_class.name, deadline_s, now_s(), reused is None)
+        self._records.requests[request_id] = request
+        if self._draw_fault(FaultKind.PIPELINES, PIPELINE_SHARE):
+            connection.writer.write(PIPELINED_REQUEST)
+        disconnect_timer = self._schedule_disconnect(request, connection)
+        await self._receive(request, connection)
+        if disconnect_timer is not None:
+            disconnect_timer.cancel()
         return request
 
-    async def send(self, writer: asyncio.StreamWriter, data: bytes) -> bool:
-        """Write a request; returns whether it was written whole."""
-        if "half_requests" in self.doing and self.random.random() < 0.4:
-            writer.write(data[: self.random.randrange(1, len(data))])
-            await asyncio.sleep(self.random.random())
+    def _draw_body(self, request_class: RequestClass) -> bytes:
+        if request_class.effect == "idempotent":
+            return b""
+        is_long = self._draw_fault(FaultKind.LONG_BODIES, LONG_BODY_SHARE)
+        return b"x" * (LONG_BODY_BYTES if is_long else SHORT_BODY_BYTES)
+
+    async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> bool:
+        """Write a request; return whether it was written completely."""
+        if self._draw_fault(FaultKind.HALF_REQUESTS, HALF_REQUEST_SHARE):
+            writer.write(data[: self._random.randrange(1, len(data))])
+            await asyncio.sleep(self._random.random())
             writer.transport.abort()
             return False
-        if "slow_writers" in self.doing and self.random.random() < 0.5:
-            cuts = sorted(self.random.sample(range(1, len(data)), 3))
-            for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
-                writer.write(data[start:end])
-                await asyncio.sleep(0.15 * self.random.random())
+        if self._draw_fault(FaultKind.SLOW_WRITERS, SLOW_WRITER_SHARE):
+            await self._write_slowly(writer, data)
         else:
             writer.write(data)
         await writer.drain()
         return True
 
-    def leave(self, request: Request, writer: asyncio.StreamWriter) -> None:
-        """Its client has gone, with a reset or an end."""
-        if request.end is None:
-            request.left_s = now_s()
-            if self.random.random() < 0.3:
-                sock = writer.get_extra_info("socket")
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            writer.transport.abort()
+    async def _write_slowly(self, writer: asyncio.StreamWriter, data: bytes) -> None:
+        cuts = sorted(self._random.sample(range(1, len(data)), SLOW_WRITER_CUTS))
+        for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
+            writer.write(data[start:end])
+            await asyncio.sleep(SLOW_WRITER_PAUSE_S * self._random.random())
+
+    def _schedule_disconnect(self, request: Request, connection: ClientConnection) -> asyncio.TimerHandle | None:
+        if not self._draw_fault(FaultKind.DISCONNECTS, DISCONNECT_SHARE):
+            return None
+        delay_s = self._random.random() ** 2 * request.deadline_s
+        return asyncio.get_running_loop().call_later(delay_s, self._disconnect, request, connection)
+
+    def _disconnect(self, request: Request, connection: ClientConnection) -> None:
+        """Close before the response, by a reset or in order."""
+        if request.end is not None:
+            return
+        request.disconnected_s = now_s()
+        if self._random.random() < RESET_SHARE:
+            client_socket = connection.writer.get_extra_info("socket")
+            client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        connection.abort()
 
-    async def hear(self, request: Request, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Its answer."""
-        status, again = 0, False
+    async def _receive(self, request: Request, connection: ClientConnection) -> None:
+        """Wait for the response, and record how the request ended."""
+        keep_alive = False
         try:
-            async with asyncio.timeout(request.deadline_s + LATE_S + 0.3):
-                status, again = await self.answer(reader)
-            request.end = {200: End.SERVED, 503: End.REFUSED, 429: End.REFUSED}.get(status, End.FAILED)
+            async with asyncio.timeout(request.deadline_s + RESPONSE_TIMEOUT_S):
+                response = await _read_response(connection.reader)
+            keep_alive = response.keep_alive
+            request.end = END_OF_STATUS.get(response.status, End.FAILED)
         except TimeoutError:
             request.end = End.SILENT
-        except Broken:
+        except TruncatedResponseError:
             request.end = End.BROKEN
         except (asyncio.IncompleteReadError, ConnectionError, OSError):
             request.end = End.CLOSED
         request.ended_s = now_s()
         if request.end is End.SILENT:
-            await self.unanswered(request.ident)
-        if again and not request.left_s and "pipelines" not in self.doing and len(self.idle) < MOST_IDLE:
-            self.idle.append((reader, writer))
+            await self._on_timeout(request.request_id)
+        if keep_alive and not request.disconnected_s and self._may_keep_idle():
+            self._idle.append(connection)
         else:
-            writer.transport.abort()
+            connection.abort()
 
-    async def answer(self, reader: asyncio.StreamReader) -> tuple[int, bool]:
-        """The status of one whole answer, and whether the connection stays."""
-        try:
-            head = await reader.readuntil(b"\r\n\r\n")
-        except asyncio.IncompleteReadError as error:
-            if error.partial:
-                raise Broken from None
-            raise
-        status, lower = int(head.split(b" ")[1]), head.lower()
-        try:
-            if b"transfer-encoding" in lower:
-                while await reader.readuntil(b"\r\n") != b"0\r\n":
-                    pass
-                await reader.readuntil(b"\r\n")
-            elif b"content-length:" in lower:
-                length = int(lower.split(b"content-length:")[1].split(b"\r\n")[0])
-                await reader.readexactly(length)
-            else:
-                await reader.read()
-        except (asyncio.IncompleteReadError, ConnectionError):
-            raise Broken from None
-        return status, b"connection: close" not in lower
+    def _may_keep_idle(self) -> bool:
+        """Return whether a connection may be reused: not if a pipelined request may still be answered on it."""
+        return FaultKind.PIPELINES not in self.active_faults and len(self._idle) < MAX_IDLE_CONNECTIONS
+
+
+def _encode(request_id: str, request_class: RequestClass, body: bytes) -> bytes:
+    method = "GET" if request_class.effect == "idempotent" else "POST"
+    key = f"Idempotency-Key: {request_id}\r\n" if request_class.effect == "deduplicated" else ""
+    length = "" if method == "GET" else f"Content-Length: {len(body)}\r\n"
+    name = request_class.name
+    head = (
+        f"{method} /{name}/x HTTP/1.1\r\nHost: api\r\nX-Request-Id: {request_id}\r\nX-Class: {name}\r\n"
+        f"X-Deadline-Ms: {request_class.deadline_ms}\r\n{key}{length}\r\n"
+    )
+    return head.encode() + body
+
+
+async def _read_response(reader: asyncio.StreamReader) -> Response:
+    """Read one complete response.
+
+    Raises:
+        TruncatedResponseError: The connection ended within the response.
+        asyncio.IncompleteReadError: It ended before the first byte.
+        ConnectionError: It was reset before the head was complete.
+    """
+    try:
+        head = await reader.readuntil(b"\r\n\r\n")
+    except asyncio.IncompleteReadError as error:
+        if error.partial:
+            raise TruncatedResponseError from None
+        raise
+    headers = head.lower()
+    try:
+        await _read_body(reader, headers)
+    except (asyncio.IncompleteReadError, ConnectionError):
+        raise TruncatedResponseError from None
+    return Response(int(head.split(b" ")[1]), b"connection: close" not in headers)
+
+
+async def _read_body(reader: asyncio.StreamReader, headers: bytes) -> None:
+    if b"transfer-encoding" in headers:
+        while await reader.readuntil(b"\r\n") != b"0\r\n":
+            pass
+        await reader.readuntil(b"\r\n")
+    elif b"content-length:" in headers:
+        length = int(headers.split(b"content-length:")[1].split(b"\r\n")[0])
+        await reader.readexactly(length)
+    else:
+        await reader.read()
--- a/garnetusher/lab/soak/discovery.py
+++ b/garnetusher/lab/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of the soak: an agent for each sidecar, which tells its list and its changes, or is silent."""
+"""Discovery of the soak: an agent for each sidecar, which sends the endpoint list and its changes, or fails to."""
 
 from __future__ import annotations
 
@@ -9,151 +9,185 @@
 from dataclasses import dataclass
 from typing import Any
 
-from garnetusher.lab.soak.records import Change, Records, now_s
+from garnetusher.lab.soak.records import EndpointChange, Records, now_s
 
-EMPTY_LINE_S = 2.0
-OLD_CLOSES_S = 1.5  # after a new configuration, the old address closes what is open
-AFTER_RELOAD_S = 4.0  # what discovery has counts as told so long after SIGHUP
-AFTER_SILENCE_S = 6.0  # and so long after a watch fell silent, or after it could be reached again
+KEEPALIVE_S = 2.0  # between the empty lines of a watch without changes
+OLD_ADDRESS_OPEN_S = 1.5  # after a new configuration, the old address closes its watches
+KNOWN_AFTER_RELOAD_S = 4.0  # a sidecar has to know the list so long after SIGHUP
+KNOWN_AFTER_SILENCE_S = 6.0  # and so long after its watch fell silent, or after discovery is reachable again
+NEVER_RELOADED_S = -1e9
+ACTIVE = "active"
+REMOVED = "left"
+UPSTREAMS_PER_CELL = 2
+ZONES = "ab"
 
 
-@dataclass
-class Entry:
+@dataclass(slots=True)
+class ListedEndpoint:
     """One upstream as the list has it."""
 
-    uid: str
+    number: int
     host: str
     port: int
     state: str
     boot_ms: int
-    cell: int
 
-    def line(self) -> dict[str, Any]:
+    def entry(self) -> dict[str, Any]:
+        """Return the endpoint as an entry of the list's JSON."""
+        cell = self.number // UPSTREAMS_PER_CELL
         return {
-            "uid": self.uid,
+            "uid": f"u{self.number}",
             "endpoint": f"{self.host}:{self.port}",
-            "az": "ab"[self.cell % 2],
+            "az": ZONES[cell % len(ZONES)],
             "model": "m",
-            "pod_group": self.cell,
+            "pod_group": cell,
             "state": self.state,
             "capacity_hint": 1.0,
             "boot_ms": self.boot_ms,
         }
 
 
-class Agent:
-    """The agent beside one sidecar."""
-
-    def __init__(self, sidecar: int, host: str, records: Records, ports: list[int], pushed: bool) -> None:
-        self.sidecar, self.host, self.records, self.pushed = sidecar, host, records, pushed
-        self.loop = asyncio.get_running_loop()
-        self.entries = [Entry(f"u{number}", host, port, "active", 0, number // 2) for number, port in enumerate(ports)]
-        self.version = 1
-        self.watches: list[asyncio.StreamWriter] = []
-        self.out = False  # discovery is down: the agent is silent and learns nothing
-        self.unsent: list[Entry] = []  # changes of an outage
-        self.silent_since_s = 0.0  # of the watches that are open; 0: they talk
-        self.silent: set[asyncio.StreamWriter] = set()
-        self.reloaded_s = -1e9
-        self.told_bytes = 0  # of lists and changes
-        self.servers: list[asyncio.Server] = []
+class DiscoveryAgent:
+    """The discovery agent beside one sidecar."""
+
+    def __init__(self, sidecar: int, host: str, records: Records, ports: list[int], *, pushed: bool) -> None:
         self.port = 0
+        self.sent_bytes = 0  # of lists and changes
+        self._sidecar = sidecar
+        self._host = host
+        self._records = records
+        self._pushed = pushed
+        self._loop = asyncio.get_running_loop()
+        self._endpoints = [ListedEndpoint(number, host, port, ACTIVE, 0) for number, port in enumerate(ports)]
+        self._version = 1
+        self._watches: list[asyncio.StreamWriter] = []
+        self._reachable = asyncio.Event()  # cleared in an outage: the agent is silent and learns nothing
+        self._reachable.set()
+        self._pending: list[ListedEndpoint] = []  # what changed in an outage
+        self._silent_watches: set[asyncio.StreamWriter] = set()
+        self._silent_since_s = 0.0
+        self._reloaded_s = NEVER_RELOADED_S
+        self._servers: list[asyncio.Server] = []
 
     async def open(self) -> None:
-        """Listen at a new port; the sidecar's file names it."""
-        server = await asyncio.start_server(self.serve, self.host, 0, family=socket.AF_INET)
-        self.servers.append(server)
+        """Listen at a new port, which the sidecar's configuration has to name."""
+        server = await asyncio.start_server(self._serve, self._host, 0, family=socket.AF_INET)
+        self._servers.append(server)
         self.port = int(server.sockets[0].getsockname()[1])
 
-    async def move(self) -> None:
-        """A new address; the old one takes nobody and closes its watches soon."""
-        old, watches = list(self.servers), list(self.watches)
+    async def change_address(self) -> None:
+        """Listen at a new port; the old one accepts no more and closes its watches soon."""
+        old_servers = list(self._servers)
+        old_watches = list(self._watches)
         await self.open()
-        for server in old:
+        for server in old_servers:
             server.close()
-        self.servers = self.servers[-1:]
-        self.loop.call_later(OLD_CLOSES_S, self.drop, watches)
-        self.reloaded_s = now_s()
-
-    def drop(self, watches: list[asyncio.StreamWriter]) -> None:
-        for writer in watches:
-            writer.transport.abort()
+        self._servers = self._servers[-1:]
+        self._loop.call_later(OLD_ADDRESS_OPEN_S, _abort_all, old_watches)
+        self._reloaded_s = now_s()
 
-    def listing(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
+        """Return the complete list as JSON."""
         return {
-            "rev": self.version,
+            "rev": self._version,
             "all": True,
-            "targets": [entry.line() for entry in self.entries if entry.state != "left"],
+            "targets": [endpoint.entry() for endpoint in self._endpoints if endpoint.state != REMOVED],
         }
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One call: a watch."""
+    def change(self, upstream: int, state: str, boot_ms: int) -> None:
+        """Change an endpoint, and send the change unless discovery is down."""
+        endpoint = self._endpoints[upstream]
+        endpoint.state = state
+        endpoint.boot_ms = boot_ms
+        if self._reachable.is_set():
+            self._publish(endpoint)
+        else:
+            self._pending.append(endpoint)
+
+    def start_outage(self) -> None:
+        """Become unreachable."""
+        self._reachable.clear()
+        _abort_all(self._watches)
+
+    def end_outage(self) -> None:
+        """Become reachable, and send what changed in the outage."""
+        self._reachable.set()
+        for endpoint in self._pending:
+            change = self._publish(endpoint)
+            if endpoint.state != ACTIVE:
+                change.known_by_s = max(change.known_by_s, now_s() + KNOWN_AFTER_SILENCE_S)
+        self._pending.clear()
+
+    def reset_watches(self) -> None:
+        """Abort all watches."""
+        _abort_all(self._watches)
+
+    def silence_watches(self) -> None:
+        """Send nothing more on the present watches, which stay open."""
+        self._silent_watches |= set(self._watches)
+        self._silent_since_s = now_s()
+
+    def close(self) -> None:
+        """Close the listener and all watches."""
+        _abort_all(self._watches)
+        for server in self._servers:
+            server.close()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection: a watch."""
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
-            while self.out:
-                await asyncio.sleep(0.02)
+            while not self._reachable.is_set():
+                await self._reachable.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.watches.append(writer)
-            self.say(writer, self.listing())
-            while not writer.is_closing():
-                try:
-                    await asyncio.wait_for(reader.read(1), EMPTY_LINE_S)
-                    break
-                except TimeoutError:
-                    if not self.out:
-                        self.say(writer, None)
-        if writer in self.watches:
-            self.watches.remove(writer)
+            self._watches.append(writer)
+            self._send_line(writer, json.dumps(self.snapshot()).encode())
+            await self._keep_alive(reader, writer)
+        if writer in self._watches:
+            self._watches.remove(writer)
         writer.transport.abort()
 
-    def say(self, writer: asyncio.StreamWriter, lines: object) -> None:
-        if writer in self.silent or writer.is_closing():
+    async def _keep_alive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send empty lines until the sidecar closes the watch."""
+        while not writer.is_closing():
+            try:
+                await asyncio.wait_for(reader.read(1), KEEPALIVE_S)
+            except TimeoutError:
+                if self._reachable.is_set():
+                    self._send_line(writer, b"")
+            else:
+                return
+
+    def _send_line(self, writer: asyncio.StreamWriter, line: bytes) -> None:
+        if writer in self._silent_watches or writer.is_closing():
             return
-        data = (json.dumps(lines).encode() if lines is not None else b"") + b"\n"
+        data = line + b"\n"
         writer.write(b"%x\r\n%s\r\n" % (len(data), data))
-        self.told_bytes += len(data)
-
-    def change(self, number: int, state: str, boot_ms: int) -> None:
-        """Discovery has news of one upstream."""
-        entry = self.entries[number]
-        entry.state, entry.boot_ms = state, boot_ms
-        if self.out:
-            self.unsent.append(entry)
-        else:
-            self.tell(entry)
-
-    def tell(self, entry: Entry) -> None:
-        self.version += 1
-        for writer in self.watches:
-            self.say(writer, {"rev": self.version, "all": False, "targets": [entry.line()]})
-        if entry.state == "active":  # it may be sent to from the first moment in which that may have arrived
-            self.records.changes.append(Change(self.sidecar, int(entry.uid[1:]), entry.state, now_s()))
-            return
-        told_s = max(now_s(), self.reloaded_s + AFTER_RELOAD_S)
-        if self.silent:
-            told_s = max(told_s, self.silent_since_s + AFTER_SILENCE_S)
-        if not self.pushed and not self.watches:
-            told_s = max(told_s, now_s() + AFTER_SILENCE_S)
-        self.records.changes.append(Change(self.sidecar, int(entry.uid[1:]), entry.state, told_s))
-
-    def go_out(self) -> None:
-        self.out = True
-        self.drop(self.watches)
-
-    def come_back(self) -> None:
-        self.out = False
-        for entry in self.unsent:
-            self.tell(entry)
-            if entry.state != "active":
-                self.records.changes[-1].told_s = max(self.records.changes[-1].told_s, now_s() + AFTER_SILENCE_S)
-        self.unsent.clear()
-
-    def fall_silent(self) -> None:
-        """The watches that are open say nothing any more, and stay open."""
-        self.silent |= set(self.watches)
-        self.silent_since_s = now_s()
-
-    def close(self) -> None:
-        self.drop(self.watches)
-        for server in self.servers:
-            server.close()
+        self.sent_bytes += len(data)
+
+    def _publish(self, endpoint: ListedEndpoint) -> EndpointChange:
+        self._version += 1
+        delta = {"rev": self._version, "all": False, "targets": [endpoint.entry()]}
+        line = json.dumps(delta).encode()
+        for writer in self._watches:
+            self._send_line(writer, line)
+        change = EndpointChange(self._sidecar, endpoint.number, endpoint.state, self._known_by_s(endpoint))
+        self._records.endpoint_changes.append(change)
+        return change
+
+    def _known_by_s(self, endpoint: ListedEndpoint) -> float:
+        """Return by when the sidecar has to know a change; an active endpoint may be used as soon as it can know."""
+        sent_s = now_s()
+        if endpoint.state == ACTIVE:
+            return sent_s
+        known_by_s = max(sent_s, self._reloaded_s + KNOWN_AFTER_RELOAD_S)
+        if self._silent_watches:
+            known_by_s = max(known_by_s, self._silent_since_s + KNOWN_AFTER_SILENCE_S)
+        if not self._pushed and not self._watches:
+            known_by_s = max(known_by_s, sent_s + KNOWN_AFTER_SILENCE_S)
+        return known_by_s
+
+
+def _abort_all(writers: list[asyncio.StreamWriter]) -> None:
+    for writer in writers:
+        writer.transport.abort()
--- /dev/null
+++ b/garnetusher/lab/soak/excuses.py
@@ -0,0 +1,121 @@
+"""What excuses a sidecar in the oracle: pauses and ends of its process, and lags of the process that records."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from dataclasses import dataclass
+
+from garnetusher.lab.soak.records import Attempt, End, ProcessEvent, ProcessEventKind, Records, Request
+
+ALLOWED_STALL_S = 0.15  # between a sidecar's look at the clock and its write
+PAUSE_AFTERMATH_S = 0.05  # a pause still explains what is seen so long after it
+RECORDING_DELAY_S = 0.06  # all records are made in one process: so much of a delay is its own, without any lag seen
+NEW_CONNECTIONS_AFTER_TERMINATE_S = 0.45  # a terminating sidecar accepts for up to 0.4 s; later the address is closed
+RESPONSES_AFTER_TERMINATE_S = 0.7  # SIGKILL may cut off what is sent later than this after SIGTERM
+RESTART_S = 5.0  # a new process has taken over so long after SIGTERM
+KILL_BEFORE_REQUEST_S = 0.3  # a request may be written to a connection of a process that was killed so long before
+KILL_AFTER_RESPONSE_S = 0.1
+END_BEFORE_CONNECTION_S = 5.0  # a malformed connection is not judged if its process ended so long before it
+END_AFTER_CONNECTION_S = 4.0  # or so long after it was made
+
+
+@dataclass(frozen=True, slots=True)
+class Pause:
+    """A time in which a sidecar's process was stopped."""
+
+    start_s: float
+    end_s: float
+
+    @property
+    def duration_s(self) -> float:
+        """How long the process was stopped."""
+        return self.end_s - self.start_s
+
+
+class Excuses:
+    """The pauses, ends and lags of one run."""
+
+    def __init__(self, records: Records) -> None:
+        self._lags = records.lags
+        self._events: dict[int, list[ProcessEvent]] = defaultdict(list)
+        for event in records.process_events:
+            self._events[event.sidecar].append(event)
+        self._pauses = {sidecar: _pauses(events) for sidecar, events in self._events.items()}
+
+    def recording_slack_s(self, recorded_s: float) -> float:
+        """Return how late a record of this time may have been made: lags that ended just then count."""
+        durations = [
+            lag.duration_s
+            for lag in self._lags
+            if lag.ended_s - lag.duration_s <= recorded_s <= lag.ended_s + RECORDING_DELAY_S
+        ]
+        return RECORDING_DELAY_S + max(durations, default=0.0)
+
+    def stall_slack_s(self, request: Request, attempt: Attempt) -> float:
+        """Return by how much a pause exceeded the allowed stall between a look at the clock and the write.
+
+        Only a pause can explain the attempt that began after the request was sent and ended as the attempt was written.
+        """
+        durations = [
+            pause.duration_s
+            for pause in self._pauses.get(attempt.sidecar, [])
+            if request.sent_s <= pause.start_s
+            and pause.end_s <= attempt.first_byte_s <= pause.end_s + RECORDING_DELAY_S
+        ]
+        return max(0.0, max(durations, default=0.0) - ALLOWED_STALL_S)
+
+    def pause_s(self, sidecar: int, at_s: float) -> float:
+        """Return how long the pause lasted that a time lies in or just after; 0 without one."""
+        durations = [
+            pause.duration_s
+            for pause in self._pauses.get(sidecar, [])
+            if pause.start_s <= at_s <= pause.end_s + PAUSE_AFTERMATH_S
+        ]
+        return max(durations, default=0.0)
+
+    def excuses_missing_response(self, request: Request) -> bool:
+        """Return whether the end of the sidecar's process explains that a request had no response."""
+        return any(_explains_missing_response(event, request) for event in self._events[request.sidecar])
+
+    def ended_near_connection(self, sidecar: int, connected_s: float) -> bool:
+        """Return whether the process was killed or terminated near the time of a malformed connection."""
+        return any(
+            connected_s - END_BEFORE_CONNECTION_S <= event.at_s <= connected_s + END_AFTER_CONNECTION_S
+            for event in self._events[sidecar]
+            if event.kind in (ProcessEventKind.KILL, ProcessEventKind.TERMINATE)
+        )
+
+    def last_start_s(self, sidecar: int, before_s: float) -> float | None:
+        """Return when the process was last started up to a time, or None if it was not."""
+        starts_s = [
+            event.at_s
+            for event in self._events[sidecar]
+            if event.kind == ProcessEventKind.START and event.at_s <= before_s
+        ]
+        return starts_s[-1] if starts_s else None
+
+
+def _pauses(events: list[ProcessEvent]) -> list[Pause]:
+    pauses: list[Pause] = []
+    start_s: float | None = None
+    for event in events:
+        if event.kind == ProcessEventKind.PAUSE:
+            start_s = event.at_s
+        elif event.kind == ProcessEventKind.RESUME and start_s is not None:
+            pauses.append(Pause(start_s, event.at_s))
+            start_s = None
+    return pauses
+
+
+def _explains_missing_response(event: ProcessEvent, request: Request) -> bool:
+    if event.kind == ProcessEventKind.KILL:
+        return request.sent_s - KILL_BEFORE_REQUEST_S <= event.at_s <= request.ended_s + KILL_AFTER_RESPONSE_S
+    if event.kind != ProcessEventKind.TERMINATE or request.sent_s >= event.at_s + RESTART_S:
+        return False
+    if event.at_s + RESPONSES_AFTER_TERMINATE_S < request.sent_s and request.end in (End.CLOSED, End.SILENT):
+        return True
+    return (
+        request.new_connection
+        and request.end is End.CLOSED
+        and event.at_s + NEW_CONNECTIONS_AFTER_TERMINATE_S < request.sent_s
+    )
--- /dev/null
+++ b/garnetusher/lab/soak/faults.py
@@ -0,0 +1,175 @@
+"""Carries out the faults of a plan, each at its time, on the processes and simulated nodes of a run."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import signal
+import time
+from dataclasses import dataclass, field
+
+from garnetusher.lab.soak.client import ClientGroup
+from garnetusher.lab.soak.discovery import DiscoveryAgent
+from garnetusher.lab.soak.plan import (
+    DISCOVERY_FAULTS,
+    SIDECAR_FAULTS,
+    UPSTREAM_FAULTS,
+    Fault,
+    FaultKind,
+    Plan,
+)
+from garnetusher.lab.soak.records import ProcessEventKind, now_s
+from garnetusher.lab.soak.sidecar_process import SidecarProcess
+from garnetusher.lab.soak.upstream import SimulatedUpstream
+from garnetusher.lab.syscall_faults import SHORT_TRANSFER, Call, FaultBoard
+
+DRAIN_S = 1.5  # from the announced drain of an upstream until it is removed, beside the fault's own duration
+REPLACEMENT_S = 1.0  # from the removal until it is listed again, restarted
+RELOADS_IN_BURST = 3
+BURST_GAP_S = 0.05  # between the reloads of a burst
+TRUNCATED_FILE_S = 0.12  # a configuration stays truncated so long
+LONGEST_SYSCALL_FAULT_S = 0.3
+LARGEST_INTERRUPT_SHARE = 0.3
+PER_MILLE = 1000
+
+
+@dataclass(slots=True)
+class Nodes:
+    """All nodes of a run; sidecars, agents and clients by the sidecar's number."""
+
+    upstreams: list[SimulatedUpstream] = field(default_factory=list)
+    agents: list[DiscoveryAgent] = field(default_factory=list)
+    sidecars: list[SidecarProcess] = field(default_factory=list)
+    clients: list[ClientGroup] = field(default_factory=list)
+
+    def write_configuration(self, number: int, *, truncated: bool = False) -> None:
+        """Write a sidecar's configuration with the present address and list of its agent."""
+        agent = self.agents[number]
+        self.sidecars[number].write_configuration(agent.port, agent.snapshot(), truncated=truncated)
+
+
+class FaultInjector:
+    """Carries out faults on the nodes of one run."""
+
+    def __init__(self, plan: Plan, nodes: Nodes) -> None:
+        self._nodes = nodes
+        self._longest_deadline_s = max(request_class.deadline_ms for request_class in plan.classes) / 1000
+
+    async def apply_at(self, fault: Fault, at_s: float) -> None:
+        """Wait for a time, and carry out a fault."""
+        await asyncio.sleep(max(0.0, at_s - now_s()))
+        await self.apply(fault)
+
+    async def apply(self, fault: Fault) -> None:
+        """Carry out a fault on all its targets; return when it is over."""
+        nodes = self._nodes
+        if fault.kind in UPSTREAM_FAULTS:
+            await asyncio.gather(*(self._apply_to_upstream(fault, nodes.upstreams[n]) for n in fault.targets))
+        elif fault.kind in SIDECAR_FAULTS:
+            await asyncio.gather(*(self._apply_to_sidecar(fault, number) for number in fault.targets))
+        elif fault.kind in DISCOVERY_FAULTS:
+            await asyncio.gather(*(_apply_to_discovery(fault, nodes.agents[n]) for n in fault.targets))
+        else:
+            await _apply_to_clients(fault, [nodes.clients[number] for number in fault.targets])
+
+    async def _apply_to_upstream(self, fault: Fault, upstream: SimulatedUpstream) -> None:
+        if fault.kind in (FaultKind.DRAIN, FaultKind.COLD_START):
+            await self._replace(fault, upstream)
+        elif fault.kind == FaultKind.RESET:
+            upstream.reset_connections(fault.value)
+        elif fault.kind == FaultKind.LATE:
+            for listener in upstream.listeners.values():
+                listener.suspend()
+            await asyncio.sleep(fault.duration_s)
+            for listener in upstream.listeners.values():
+                listener.resume()
+        else:
+            upstream.active_faults[fault.kind] = fault.value or 1.0
+            await asyncio.sleep(fault.duration_s)
+            upstream.active_faults.pop(fault.kind, None)
+
+    async def _replace(self, fault: Fault, upstream: SimulatedUpstream) -> None:
+        """Drain an upstream, or lose it, and list it again under its name after a restart."""
+        if upstream.being_replaced:
+            return
+        upstream.being_replaced = True
+        if fault.kind == FaultKind.DRAIN:
+            self._announce(upstream, "leaving")
+            await asyncio.sleep(DRAIN_S + fault.duration_s)
+        self._announce(upstream, "left")
+        upstream.reset_connections(1.0)
+        await asyncio.sleep(REPLACEMENT_S)
+        upstream.restart(int(time.time() * 1000))
+        self._announce(upstream, "active")
+        upstream.being_replaced = False
+
+    def _announce(self, upstream: SimulatedUpstream, state: str) -> None:
+        for agent in self._nodes.agents:
+            agent.change(upstream.number, state, upstream.boot_ms)
+
+    async def _apply_to_sidecar(self, fault: Fault, number: int) -> None:
+        sidecar = self._nodes.sidecars[number]
+        if fault.kind == FaultKind.HOLD_UP:
+            await sidecar.pause(fault.duration_s)
+        elif fault.kind in (FaultKind.RESTART, FaultKind.KILL):
+            signal_number = signal.SIGTERM if fault.kind == FaultKind.RESTART else signal.SIGKILL
+            self._nodes.write_configuration(number)
+            await sidecar.restart(signal_number, self._longest_deadline_s)
+        elif fault.kind in (FaultKind.RELOAD, FaultKind.RELOAD_BURST, FaultKind.HALF_FILE):
+            await self._reload(fault, number)
+        elif sidecar.board is not None and fault.kind == FaultKind.WALL_CLOCK:
+            sidecar.board.step_wall_clock(fault.value)
+        elif sidecar.board is not None:
+            _fail_syscall(fault, sidecar.board)
+
+    async def _reload(self, fault: Fault, number: int) -> None:
+        sidecar = self._nodes.sidecars[number]
+        for _ in range(RELOADS_IN_BURST if fault.kind == FaultKind.RELOAD_BURST else 1):
+            if sidecar.restarting:
+                return
+            await self._nodes.agents[number].change_address()
+            if fault.kind == FaultKind.HALF_FILE:
+                self._nodes.write_configuration(number, truncated=True)
+                sidecar.send_signal(signal.SIGHUP)
+                sidecar.record(ProcessEventKind.RELOAD, "half a file")
+                await asyncio.sleep(TRUNCATED_FILE_S)
+            self._nodes.write_configuration(number)
+            if fault.kind != FaultKind.HALF_FILE:
+                sidecar.send_signal(signal.SIGHUP)
+                sidecar.record(ProcessEventKind.RELOAD)
+            await asyncio.sleep(BURST_GAP_S)
+
+
+async def _apply_to_discovery(fault: Fault, agent: DiscoveryAgent) -> None:
+    if fault.kind == FaultKind.OUTAGE:
+        agent.start_outage()
+        await asyncio.sleep(fault.duration_s)
+        agent.end_outage()
+    elif fault.kind == FaultKind.WATCH_RESET:
+        agent.reset_watches()
+    else:
+        agent.silence_watches()
+
+
+async def _apply_to_clients(fault: Fault, clients: list[ClientGroup]) -> None:
+    for client in clients:
+        client.active_faults.add(fault.kind)
+    await asyncio.sleep(fault.duration_s)
+    for client in clients:
+        client.active_faults.discard(fault.kind)
+
+
+def _fail_syscall(fault: Fault, board: FaultBoard) -> None:
+    error = fault.error or SHORT_TRANSFER
+    once = fault.value == 0.0
+    share = fault.value
+    if error == errno.EINTR:
+        # The interpreter retries an interrupted call, so it would never return if every call were interrupted.
+        share = min(share, LARGEST_INTERRUPT_SHARE)
+    board.inject(
+        Call(fault.call),
+        error,
+        0.0 if once else min(fault.duration_s, LONGEST_SYSCALL_FAULT_S),
+        count=1 if once else -1,
+        per_mille=int(PER_MILLE * (share or 1.0)),
+    )
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -1,7 +1,8 @@
-"""What a play of the soak does, drawn from its seed: the processes, the load, and the troubles with their times."""
+"""What a run of the soak does, drawn from its seed: the processes, the load, and the faults with their times."""
 
 from __future__ import annotations
 
+import enum
 import errno
 import random
 from pathlib import Path
@@ -12,49 +13,87 @@
 
 from garnetusher.lab.syscall_faults import DOCUMENTED, Call
 
-SECONDS = 12.0  # of load; trouble begins after QUIET_S and ends before the last seconds
-QUIET_S = 1.0
-END_S = 2.5
-BEFORE_START_S = -1.0  # when a fault strikes that is there as the processes start
-TOGETHER_S = 0.6  # troubles of one group begin within so long of each other
-
-SidecarTrouble = Literal["hold_up", "restart", "kill", "reload", "reload_burst", "half_file", "wall_clock", "syscalls"]
-UpstreamTrouble = Literal[
-    "drain", "cold_start", "hang", "reset", "errors", "turn_away", "silent", "late", "garbage", "idle_close"
-]
-DiscoveryTrouble = Literal["outage", "watch_reset", "watch_silent"]
-ClientTrouble = Literal["leavers", "half_requests", "strangers", "slow_writers", "pipelines", "long_bodies"]
-Kind = SidecarTrouble | UpstreamTrouble | DiscoveryTrouble | ClientTrouble
-
-OF_SIDECARS: tuple[Kind, ...] = (
-    "hold_up",
-    "restart",
-    "kill",
-    "reload",
-    "reload_burst",
-    "half_file",
-    "wall_clock",
-    "syscalls",
+LOAD_S = 12.0  # faults begin after QUIET_START_S, and none begins in the last QUIET_END_S
+QUIET_START_S = 1.0
+QUIET_END_S = 2.5
+BEFORE_START_S = -1.0  # the time of a fault that is there as the processes start
+FAULTS_IN_GROUP = 3
+GROUP_SPREAD_S = 0.6  # the faults of one group begin within so long of each other
+OVERLAP_AFTERMATH_S = 1.0  # faults still count as overlapping so long after the end of the first
+RESTART_S = 4.0
+DEADLINES_MS = (300, 500, 1000, 1500, 2500)
+
+
+class FaultKind(enum.StrEnum):
+    """The kinds of faults; their values stand in saved plans and in summary.json."""
+
+    HOLD_UP = "hold_up"
+    RESTART = "restart"
+    KILL = "kill"
+    RELOAD = "reload"
+    RELOAD_BURST = "reload_burst"
+    HALF_FILE = "half_file"
+    WALL_CLOCK = "wall_clock"
+    SYSCALLS = "syscalls"
+    DRAIN = "drain"
+    COLD_START = "cold_start"
+    HANG = "hang"
+    RESET = "reset"
+    ERRORS = "errors"
+    REJECT = "turn_away"
+    SILENT = "silent"
+    LATE = "late"
+    GARBAGE = "garbage"
+    IDLE_CLOSE = "idle_close"
+    OUTAGE = "outage"
+    WATCH_RESET = "watch_reset"
+    WATCH_SILENT = "watch_silent"
+    DISCONNECTS = "leavers"
+    HALF_REQUESTS = "half_requests"
+    MALFORMED = "strangers"
+    SLOW_WRITERS = "slow_writers"
+    PIPELINES = "pipelines"
+    LONG_BODIES = "long_bodies"
+
+
+# The order of the kinds decides which plan a seed gives.
+SIDECAR_FAULTS = (
+    FaultKind.HOLD_UP,
+    FaultKind.RESTART,
+    FaultKind.KILL,
+    FaultKind.RELOAD,
+    FaultKind.RELOAD_BURST,
+    FaultKind.HALF_FILE,
+    FaultKind.WALL_CLOCK,
+    FaultKind.SYSCALLS,
+)
+UPSTREAM_FAULTS = (
+    FaultKind.DRAIN,
+    FaultKind.COLD_START,
+    FaultKind.HANG,
+    FaultKind.RESET,
+    FaultKind.ERRORS,
+    FaultKind.REJECT,
+    FaultKind.SILENT,
+    FaultKind.LATE,
+    FaultKind.GARBAGE,
+    FaultKind.IDLE_CLOSE,
 )
-OF_UPSTREAMS: tuple[Kind, ...] = (
-    "drain",
-    "cold_start",
-    "hang",
-    "reset",
-    "errors",
-    "turn_away",
-    "silent",
-    "late",
-    "garbage",
-    "idle_close",
+DISCOVERY_FAULTS = (FaultKind.OUTAGE, FaultKind.WATCH_RESET, FaultKind.WATCH_SILENT)
+CLIENT_FAULTS = (
+    FaultKind.DISCONNECTS,
+    FaultKind.HALF_REQUESTS,
+    FaultKind.MALFORMED,
+    FaultKind.SLOW_WRITERS,
+    FaultKind.PIPELINES,
+    FaultKind.LONG_BODIES,
 )
-OF_DISCOVERY: tuple[Kind, ...] = ("outage", "watch_reset", "watch_silent")
-OF_CLIENTS: tuple[Kind, ...] = ("leavers", "half_requests", "strangers", "slow_writers", "pipelines", "long_bodies")
-ALL: tuple[Kind, ...] = OF_SIDECARS + OF_UPSTREAMS + OF_DISCOVERY + OF_CLIENTS
+ALL_FAULTS = SIDECAR_FAULTS + UPSTREAM_FAULTS + DISCOVERY_FAULTS + CLIENT_FAULTS
 
-# errors that end a connection by themselves: they are drawn only where connections are made, and never for reads and
-# writes, which clients' connections make too and would lose what is under way
-ENDS_CONNECTIONS = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+# Errors that end a connection by themselves. They are drawn only where connections are made, and never for reads and
+# writes: those of clients' connections would lose the requests on them.
+CONNECTION_ENDING_ERRORS = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+CONNECTION_MAKING_CALLS = (Call.ACCEPT, Call.CONNECT)
 SERVICE_CALLS = (
     Call.ACCEPT,
     Call.SOCKET,
@@ -69,19 +108,19 @@
 )
 
 
-class Trouble(Struct, frozen=True):
-    """One trouble: what, when, to whom, and how much of it."""
+class Fault(Struct, frozen=True):
+    """One fault: its kind, time and targets, and its strength."""
 
-    kind: Kind
+    kind: FaultKind
     at_s: float
-    for_s: float
-    targets: list[int]  # sidecars, or upstreams, by number
-    value: float = 0.0  # the step of a clock, the share of answers, ...
-    call: int = 0  # of `syscalls`
-    error: int = 0
+    duration_s: float = field(name="for_s")
+    targets: list[int]  # the numbers of sidecars, or of upstreams
+    value: float = 0.0  # the step of a clock in seconds, or the share of responses, connections or calls
+    call: int = 0  # the system call, for `syscalls`
+    error: int = 0  # its error, for `syscalls`; 0: a short transfer
 
 
-class Class(Struct, frozen=True):
+class RequestClass(Struct, frozen=True):
     """One class of requests."""
 
     name: str
@@ -91,113 +130,125 @@
 
 
 class Plan(Struct, frozen=True):
-    """A whole play."""
+    """One run of the soak."""
 
     seed: int
-    seconds: float
+    load_s: float = field(name="seconds")
     sidecars: int
     upstreams: int
-    rate_per_s: float  # requests of one sidecar's clients
-    service_ms: float  # that an upstream works on a request, on the mean
-    classes: list[Class]
-    troubles: list[Trouble]
+    rate_per_s: float  # of the requests of one sidecar's clients
+    service_ms: float  # the mean time that an upstream works on a request
+    classes: list[RequestClass]
+    faults: list[Fault] = field(name="troubles")
     max_attempts: int = 3
-    second_copies: bool = True
-    dial_timeout_ms: int = 200
-    memory_ms: int = 2000  # of upstreams, for repeats
+    hedging: bool = field(name="second_copies", default=True)
+    connect_timeout_ms: int = field(name="dial_timeout_ms", default=200)
+    deduplication_window_ms: int = field(name="memory_ms", default=2000)
     mode: Literal["pushed", "on_request"] = "pushed"
-    failed: list[str] = field(default_factory=list)  # rules that broke when it was saved
+    broken_rules: list[str] = field(name="failed", default_factory=list)  # when the plan was saved
 
-    def without(self, dropped: Trouble) -> Plan:
-        """The same play with one trouble less."""
-        return msgspec.structs.replace(self, troubles=[t for t in self.troubles if t is not dropped])
+    def without(self, dropped: Fault) -> Plan:
+        """Return the same plan with one fault less."""
+        return msgspec.structs.replace(self, faults=[fault for fault in self.faults if fault is not dropped])
 
-    def pairs(self) -> set[tuple[Kind, Kind]]:
-        """The kinds of which two troubles overlap in time, counting the second after each."""
-        found = set()
-        for first in self.troubles:
-            for second in self.troubles:
-                if first is not second and first.at_s <= second.at_s < first.at_s + first.for_s + 1.0:
-                    found.add((min(first.kind, second.kind), max(first.kind, second.kind)))
-        return found
+    def pairs(self) -> set[tuple[FaultKind, FaultKind]]:
+        """Return the pairs of kinds of which two faults overlap in time, counting a second after each."""
+        return {
+            (min(first.kind, second.kind), max(first.kind, second.kind))
+            for first in self.faults
+            for second in self.faults
+            if first is not second and first.at_s <= second.at_s < first.at_s + first.duration_s + OVERLAP_AFTERMATH_S
+        }
 
 
 def save(plan: Plan, path: Path) -> None:
-    """As a file that replays it."""
+    """Write a plan to a file from which it can be replayed."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
 
 
 def load(path: Path) -> Plan:
-    """A saved play; raises msgspec.ValidationError or OSError."""
+    """Read a saved plan.
+
+    Raises:
+        msgspec.ValidationError: The file is no plan.
+        OSError: The file can't be read.
+    """
     return msgspec.json.decode(path.read_bytes(), type=Plan)
 
 
 def draw(seed: int, sidecars: int = 10) -> Plan:
-    """The play of a seed. Troubles come in groups of three that overlap."""
+    """Draw the plan of a seed; its faults come in groups that overlap."""
     rng = random.Random(seed)
     upstreams = rng.randint(5, 8)
-    deadlines = (300, 500, 1000, 1500, 2500)
     classes = [
-        Class("read", "idempotent", rng.choice(deadlines)),
-        Class("publish", "at_most_once", rng.choice(deadlines)),
-        Class("mark", "deduplicated", rng.choice(deadlines), rng.choice(("all", "zone", "cell"))),
+        RequestClass("read", "idempotent", rng.choice(DEADLINES_MS)),
+        RequestClass("publish", "at_most_once", rng.choice(DEADLINES_MS)),
+        RequestClass("mark", "deduplicated", rng.choice(DEADLINES_MS), rng.choice(("all", "zone", "cell"))),
     ]
-    troubles: list[Trouble] = []
-    at_s = QUIET_S + rng.random()
-    kinds = _shuffled_kinds(rng)
-    while at_s < SECONDS - END_S:
-        for _ in range(3):
-            kind = kinds.pop() if kinds else rng.choice(ALL)
-            troubles.append(_trouble(rng, kind, at_s + rng.random() * TOGETHER_S, sidecars, upstreams))
-        at_s += 0.8 + rng.random() * 0.8
+    faults = _draw_faults(rng, sidecars, upstreams)
     return Plan(
         seed,
-        SECONDS,
+        LOAD_S,
         sidecars,
         upstreams,
         rate_per_s=rng.choice((3.0, 6.0, 10.0)),
         service_ms=rng.choice((5.0, 20.0, 60.0)),
         classes=classes,
-        troubles=sorted(troubles, key=lambda trouble: trouble.at_s),
+        faults=sorted(faults, key=lambda fault: fault.at_s),
         max_attempts=rng.choice((2, 3, 4)),
-        second_copies=rng.random() < 0.7,
-        dial_timeout_ms=rng.choice((200, 500, 1200)),
-        memory_ms=rng.choice((700, 2000, 5000)),
+        hedging=rng.random() < 0.7,
+        connect_timeout_ms=rng.choice((200, 500, 1200)),
+        deduplication_window_ms=rng.choice((700, 2000, 5000)),
         mode=rng.choice(("pushed", "pushed", "on_request")),
     )
 
 
-def _shuffled_kinds(rng: random.Random) -> list[Kind]:
-    kinds = list(ALL)
+def _draw_faults(rng: random.Random, sidecars: int, upstreams: int) -> list[Fault]:
+    """Draw the groups of faults; each kind comes up once before any comes up again."""
+    faults: list[Fault] = []
+    group_at_s = QUIET_START_S + rng.random()
+    kinds = list(ALL_FAULTS)
     rng.shuffle(kinds)
-    return kinds
+    while group_at_s < LOAD_S - QUIET_END_S:
+        for _ in range(FAULTS_IN_GROUP):
+            kind = kinds.pop() if kinds else rng.choice(ALL_FAULTS)
+            at_s = group_at_s + rng.random() * GROUP_SPREAD_S
+            faults.append(_draw_fault(rng, kind, at_s, sidecars, upstreams))
+        group_at_s += 0.8 + rng.random() * 0.8
+    return faults
 
 
-def _trouble(rng: random.Random, kind: Kind, at_s: float, sidecars: int, upstreams: int) -> Trouble:
-    for_s = 0.3 + rng.random() * 1.5
-    if kind in OF_UPSTREAMS:
-        some = rng.sample(range(upstreams), rng.randint(1, max(1, upstreams // 2)))
+def _draw_fault(rng: random.Random, kind: FaultKind, at_s: float, sidecars: int, upstreams: int) -> Fault:
+    duration_s = 0.3 + rng.random() * 1.5
+    if kind in UPSTREAM_FAULTS:
+        targets = rng.sample(range(upstreams), rng.randint(1, max(1, upstreams // 2)))
     else:
-        some = rng.sample(range(sidecars), rng.randint(1, sidecars))
-    more: dict[str, Any] = {}
-    if kind == "hold_up":
-        for_s = 0.05 + rng.random() * 0.25
-    elif kind in ("restart", "kill"):
-        some = some[: max(1, sidecars // 3)]
-        for_s = 4.0
-    elif kind == "wall_clock":
-        more["value"] = rng.choice((-1, 1)) * rng.choice((3.0, 30.0, 3600.0))
-    elif kind == "syscalls":
-        call = rng.choice(SERVICE_CALLS)
-        errors = [e for e in DOCUMENTED[call] if e not in ENDS_CONNECTIONS or call in (Call.ACCEPT, Call.CONNECT)]
-        more |= {"call": int(call), "error": rng.choice(errors), "value": rng.choice((0.0, 0.3, 1.0))}
-    elif kind in ("errors", "turn_away", "garbage", "reset"):
-        more["value"] = 0.3 + rng.random() * 0.7
-    return Trouble(kind, round(at_s, 3), round(for_s, 3), sorted(some), **more)
-
-
-def settings(plan: Plan) -> dict[str, Any]:
-    """The settings of all sidecars, by the names of the protocol's page; times in microseconds."""
+        targets = rng.sample(range(sidecars), rng.randint(1, sidecars))
+    strength: dict[str, Any] = {}
+    if kind == FaultKind.HOLD_UP:
+        duration_s = 0.05 + rng.random() * 0.25
+    elif kind in (FaultKind.RESTART, FaultKind.KILL):
+        targets = targets[: max(1, sidecars // 3)]
+        duration_s = RESTART_S
+    elif kind == FaultKind.WALL_CLOCK:
+        strength["value"] = rng.choice((-1, 1)) * rng.choice((3.0, 30.0, 3600.0))
+    elif kind == FaultKind.SYSCALLS:
+        strength = _draw_syscall(rng)
+    elif kind in (FaultKind.ERRORS, FaultKind.REJECT, FaultKind.GARBAGE, FaultKind.RESET):
+        strength["value"] = 0.3 + rng.random() * 0.7
+    return Fault(kind, round(at_s, 3), round(duration_s, 3), sorted(targets), **strength)
+
+
+def _draw_syscall(rng: random.Random) -> dict[str, Any]:
+    call = rng.choice(SERVICE_CALLS)
+    errors = [
+        error for error in DOCUMENTED[call] if error not in CONNECTION_ENDING_ERRORS or call in CONNECTION_MAKING_CALLS
+    ]
+    return {"call": int(call), "error": rng.choice(errors), "value": rng.choice((0.0, 0.3, 1.0))}
+
+
+def sidecar_settings(plan: Plan) -> dict[str, Any]:
+    """Return the settings of all sidecars, by the keys of the protocol; times in microseconds."""
     return {
         "accounts": [],
         "areas": ["a", "b"],
@@ -211,12 +262,12 @@
         "bounds": {
             "cancel": True,
             "conn-idle": 3_000_000,
-            "dial-timeout": plan.dial_timeout_ms * 1000,
+            "dial-timeout": plan.connect_timeout_ms * 1000,
             "max-retry-after": 1_000_000,
             "most-tries": plan.max_attempts,
             "probes": False,
             "retry-after": True,
-            "second-copies": plan.second_copies,
+            "second-copies": plan.hedging,
         },
         "invariants": {
             "ask-within": 10_000_000,
@@ -226,17 +277,18 @@
             "overload-factor": 3.0,
             "warm-up": 10_000_000,
         },
-        "request-classes": [
-            {
-                "name": c.name,
-                "aim": c.deadline_ms * 500,
-                "deadline": c.deadline_ms * 1000,
-                "effect": c.effect,
-                "group": c.group,
-                "late-worth": 0.5,
-                "memory-span": plan.memory_ms * 1000,
-                "worth": 1.0,
-            }
-            for c in plan.classes
-        ],
+        "request-classes": [_class_settings(request_class, plan) for request_class in plan.classes],
+    }
+
+
+def _class_settings(request_class: RequestClass, plan: Plan) -> dict[str, Any]:
+    return {
+        "name": request_class.name,
+        "aim": request_class.deadline_ms * 500,
+        "deadline": request_class.deadline_ms * 1000,
+        "effect": request_class.effect,
+        "group": request_class.group,
+        "late-worth": 0.5,
+        "memory-span": plan.deduplication_window_ms * 1000,
+        "worth": 1.0,
     }
--- a/garnetusher/lab/soak/records.py
+++ b/garnetusher/lab/soak/records.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of the soak write down; times are seconds of the monotonic clock."""
+"""What the simulated clients, upstreams and discovery agents of the soak record; times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -8,79 +8,111 @@
 
 
 def now_s() -> float:
+    """Return the time of the monotonic clock, which all records use."""
     return time.monotonic()
 
 
 class End(enum.Enum):
-    """How a request ended for its client."""
+    """How a request ended for its client; the values are keys of summary.json."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REFUSED = "refused"  # shed: 503 or 429
     FAILED = "failed"
-    BROKEN = "broken"  # an answer that began and was cut off, which its client saw
-    CLOSED = "closed"  # the connection ended with no byte of an answer
-    SILENT = "silent"  # nothing came within its time and half a second more
-    UNREACHED = "unreached"  # it was never taken: no connection
+    BROKEN = "broken"  # the response began and was cut off, which its client saw
+    CLOSED = "closed"  # the connection ended with no byte of a response
+    SILENT = "silent"  # no response came before the client's timeout
+    UNREACHED = "unreached"  # no connection was made
+
+
+class ProcessEventKind(enum.StrEnum):
+    """What was done to a sidecar's process, or what it did; the values are words of steps.txt."""
+
+    START = "start"
+    READY = "ready"
+    NOT_READY = "not ready"
+    TERMINATE = "term"
+    KILL = "kill"
+    PAUSE = "stop"
+    RESUME = "continue"
+    RELOAD = "reload"
+    ENDED = "ended"  # an end that the soak caused
+    DIED = "died"  # an end that the soak did not cause
 
 
 @dataclass(slots=True)
 class Request:
-    """One request of a client, which has been written whole."""
+    """One request that a client has written completely."""
 
-    ident: str
+    request_id: str
     sidecar: int
-    kind: str
+    class_name: str
     deadline_s: float
     sent_s: float
     new_connection: bool
     end: End | None = None
     ended_s: float = 0.0
-    left_s: float = 0.0  # when its client closed before its answer; 0: it stayed
-    read_s: float = 0.0
+    disconnected_s: float = 0.0  # when the client closed before its response; 0: it did not
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One request as it came to an upstream."""
+    """One request as an upstream received it."""
 
-    ident: str
+    request_id: str
     sidecar: int
     upstream: int
     first_byte_s: float
-    told_s: float  # the time that it was told
-    starts: int  # of the upstream: which of its lives
-    whole_s: float = 0.0
-    turned_away: bool = False
-    queued: bool = False  # it was written before it could be read: when, nobody here knows
+    announced_remaining_s: float  # the time until the deadline, as the sidecar told it to the upstream
+    incarnation: int  # how often the upstream had been restarted
+    body_complete_s: float = 0.0  # 0: the body never arrived completely
+    rejected: bool = False  # the upstream answered that it did not run the request
+    queued: bool = False  # it waited in the listener's backlog, so the time of its first byte is not known
 
 
 @dataclass(slots=True)
-class Change:
-    """What a sidecar's agent was told of an upstream, and by when that counts as told to the sidecar."""
+class EndpointChange:
+    """A change of an endpoint's state, and when its sidecar has to know of it at the latest."""
 
     sidecar: int
     upstream: int
     state: str
-    told_s: float
+    known_by_s: float
 
 
 @dataclass(slots=True)
-class Step:
-    """Something that was done to a sidecar's process, or that it did."""
+class ProcessEvent:
+    """One event of a sidecar's process."""
 
     sidecar: int
-    what: str  # "start", "ready", "term", "kill", "stop", "continue", "reload", "ended"
+    kind: ProcessEventKind
     at_s: float
     detail: str = ""
 
 
+@dataclass(slots=True)
+class MalformedConnection:
+    """A connection whose client sent no proper request."""
+
+    sidecar: int
+    connected_s: float
+    closed_s: float  # when the sidecar answered or closed it; 0: never
+
+
+@dataclass(slots=True)
+class Lag:
+    """A time in which the recording process itself did not run."""
+
+    ended_s: float
+    duration_s: float
+
+
 @dataclass(slots=True)
 class Records:
-    """All of a play."""
+    """All records of a run."""
 
     requests: dict[str, Request] = field(default_factory=dict)
     attempts: list[Attempt] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
-    steps: list[Step] = field(default_factory=list)
-    strangers: list[tuple[int, float, float]] = field(default_factory=list)  # sidecar, came, got an end (0: never)
-    lags: list[tuple[float, float]] = field(default_factory=list)  # when the stand-ins were late, and by how much
+    endpoint_changes: list[EndpointChange] = field(default_factory=list)
+    process_events: list[ProcessEvent] = field(default_factory=list)
+    malformed_connections: list[MalformedConnection] = field(default_factory=list)
+    lags: list[Lag] = field(default_factory=list)
--- a/garnetusher/lab/soak/size.py
+++ b/garnetusher/lab/soak/size.py
@@ -1,6 +1,6 @@
-"""One sidecar beside few and beside many upstreams: what it needs may grow only so far over the same day.
+"""Measures what one sidecar needs beside few and beside many upstreams; its need may grow only so far.
 
-The traffic of the sidecar and its limits stay the same; discovery tells a change of the list twice a second.
+The sidecar's traffic and limits are the same at both sizes; discovery sends a change of the list twice a second.
 """
 
 from __future__ import annotations
@@ -12,104 +12,111 @@
 
 import msgspec
 import psutil
-from msgspec import Struct
+from msgspec import Struct, field
 
-from garnetusher.lab.soak.discovery import Agent
-from garnetusher.lab.soak.plan import Class, Plan
+from garnetusher.lab.soak.discovery import DiscoveryAgent
+from garnetusher.lab.soak.plan import Plan, RequestClass
 from garnetusher.lab.soak.records import End
-from garnetusher.lab.soak.run import Play
+from garnetusher.lab.soak.run import SoakRun
 
-CHANGE_S = 0.5  # between changes of the list
-SAMPLE_S = 0.1
+CHANGE_INTERVAL_S = 0.5
+SAMPLE_INTERVAL_S = 0.1
 
 
-class Need(Struct):
-    """What a sidecar needed over the day."""
+class ResourceUse(Struct):
+    """What a sidecar used over a run; needs.json has it."""
 
     upstreams: int
-    cpu_s: float
-    memory_mb: float
-    descriptors: int
-    connections: int
-    list_kb: float
-    served: float
+    cpu_s: float = 0.0
+    memory_mb: float = 0.0
+    descriptors: int = 0
+    connections: int = 0
+    list_kb: float = 0.0
+    served_share: float = field(name="served", default=0.0)
 
 
 class Row(Struct):
-    """One line of the table: what was needed at both sizes, and how much may be at the larger."""
+    """One line of the table: what was used at both sizes, and the limit for the larger."""
 
-    what: str
+    resource: str = field(name="what")
     usual: float
     large: float
     limit: float
-    at_most: bool = True
+    is_maximum: bool = field(name="at_most", default=True)
 
     @property
     def kept(self) -> bool:
-        return self.large <= self.limit if self.at_most else self.large >= self.limit
+        """Whether the larger size is within the limit."""
+        return self.large <= self.limit if self.is_maximum else self.large >= self.limit
 
     def line(self) -> str:
-        """Of a Markdown table."""
+        """Return the row as a line of a Markdown table."""
         verdict = "kept" if self.kept else "OVER"
-        return f"| {self.what} | {self.usual:g} | {self.large:g} | {self.limit:.4g} | {verdict} |"
+        return f"| {self.resource} | {self.usual:g} | {self.large:g} | {self.limit:.4g} | {verdict} |"
 
 
-class Day(Play):
-    """A play without trouble, in which the sidecar is measured."""
+class MeasuredRun(SoakRun):
+    """A run of one sidecar without faults, in which its use of resources is measured."""
 
     def __init__(self, plan: Plan, folder: Path, tree: Path) -> None:
         super().__init__(plan, folder, tree)
-        self.need = Need(plan.upstreams, 0.0, 0.0, 0, 0, 0.0, 0.0)
-
-    async def run_and_measure(self) -> Need:
-        """Raises LabError where the sidecar does not start."""
-        work = asyncio.create_task(self.run())
-        while not work.done():
-            if self.sidecars and self.sidecars[0].process is not None:
-                self._sample(self.sidecars[0].process.pid)
-                self._change(self.agents[0])
-            await asyncio.sleep(SAMPLE_S)
-        await work
+        self._use = ResourceUse(plan.upstreams)
+        self._change_interval: int | None = None
+
+    async def run_and_measure(self) -> ResourceUse:
+        """Run the plan and return what the sidecar used.
+
+        Raises:
+            LabError: The sidecar did not become ready at the start.
+        """
+        run = asyncio.create_task(self.run())
+        sidecars = self.nodes.sidecars
+        while not run.done():
+            if sidecars and sidecars[0].process is not None:
+                self._sample(sidecars[0].process.pid)
+                self._change_list(self.nodes.agents[0])
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+        await run
         requests = list(self.records.requests.values())
-        need = self.need
-        need.connections = sum(upstream.accepted for upstream in self.upstreams)
-        need.list_kb = round(self.agents[0].told_bytes / 1000, 1)
-        need.served = round(sum(request.end is End.SERVED for request in requests) / max(1, len(requests)), 4)
-        return need
+        served = sum(request.end is End.SERVED for request in requests)
+        self._use.connections = sum(upstream.accepted_connections for upstream in self.nodes.upstreams)
+        self._use.list_kb = round(self.nodes.agents[0].sent_bytes / 1000, 1)
+        self._use.served_share = round(served / max(1, len(requests)), 4)
+        return self._use
 
-    def _sample(self, pid: int) -> None:
+    def _sample(self, process_id: int) -> None:
         with contextlib.suppress(psutil.Error):
-            process = psutil.Process(pid)
+            process = psutil.Process(process_id)
             times = process.cpu_times()
-            self.need.cpu_s = round(times.user + times.system, 2)
-            self.need.memory_mb = max(self.need.memory_mb, round(process.memory_info().rss / 2**20, 1))
-            self.need.descriptors = max(self.need.descriptors, process.num_fds())
+            self._use.cpu_s = round(times.user + times.system, 2)
+            self._use.memory_mb = max(self._use.memory_mb, round(process.memory_info().rss / 2**20, 1))
+            self._use.descriptors = max(self._use.descriptors, process.num_fds())
 
-    def _change(self, agent: Agent) -> None:
-        number = int(time.monotonic() / CHANGE_S)
-        if number != getattr(self, "changed", number):
-            agent.change(number % self.plan.upstreams, "active", 0)
-        self.changed = number
+    def _change_list(self, agent: DiscoveryAgent) -> None:
+        """Send a change of one endpoint when a new interval has begun."""
+        interval = int(time.monotonic() / CHANGE_INTERVAL_S)
+        if self._change_interval not in (None, interval):
+            agent.change(interval % self.plan.upstreams, "active", 0)
+        self._change_interval = interval
 
 
-def day(upstreams: int, seconds: float) -> Plan:
-    """The same day at any size."""
-    classes = [Class("read", "idempotent", 1500), Class("publish", "at_most_once", 1500)]
+def plan_for_size(upstreams: int, seconds: float) -> Plan:
+    """Return the plan of a size; the traffic is the same for all."""
     return Plan(
         seed=upstreams,
-        seconds=seconds,
+        load_s=seconds,
         sidecars=1,
         upstreams=upstreams,
         rate_per_s=40.0,
         service_ms=10.0,
-        classes=classes,
-        troubles=[],
-        dial_timeout_ms=500,
+        classes=[RequestClass("read", "idempotent", 1500), RequestClass("publish", "at_most_once", 1500)],
+        faults=[],
+        connect_timeout_ms=500,
     )
 
 
-def rows(usual: Need, large: Need) -> list[Row]:
-    """The table of what the larger size may need."""
+def rows(usual: ResourceUse, large: ResourceUse) -> list[Row]:
+    """Return the table of what the larger size may use."""
     thousands = large.upstreams / 1000
     return [
         Row("CPU seconds", usual.cpu_s, large.cpu_s, 1.4 * usual.cpu_s + 0.02 + 0.12 * thousands),
@@ -117,16 +124,17 @@
         Row("descriptors", usual.descriptors, large.descriptors, 2 * usual.descriptors + 40),
         Row("connections made to upstreams", usual.connections, large.connections, 2.5 * usual.connections + 40),
         Row("list, KB", usual.list_kb, large.list_kb, 2 * usual.list_kb + 64 + 500 * thousands),
-        Row("share served", usual.served, large.served, 0.85 * usual.served, at_most=False),
+        Row("share served", usual.served_share, large.served_share, 0.85 * usual.served_share, is_maximum=False),
     ]
 
 
 def measure(usual: int, times: int, seconds: float, folder: Path, tree: Path) -> list[Row]:
-    """Play both sizes, one after the other."""
-    needs = []
+    """Run both sizes, one after the other, and return the table."""
+    uses = []
     for upstreams in (usual, usual * times):
-        place = folder / str(upstreams)
-        place.mkdir(parents=True, exist_ok=True)
-        needs.append(asyncio.run(Day(day(upstreams, seconds), place, tree).run_and_measure()))
-    (folder / "needs.json").write_bytes(msgspec.json.format(msgspec.json.encode(needs), indent=1) + b"\n")
-    return rows(*needs)
+        run_folder = folder / str(upstreams)
+        run_folder.mkdir(parents=True, exist_ok=True)
+        run = MeasuredRun(plan_for_size(upstreams, seconds), run_folder, tree)
+        uses.append(asyncio.run(run.run_and_measure()))
+    (folder / "needs.json").write_bytes(msgspec.json.format(msgspec.json.encode(uses), indent=1) + b"\n")
+    return rows(*uses)
--- a/garnetusher/lab/soak/upstream.py
+++ b/garnetusher/lab/soak/upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams of the soak: a listener for each sidecar, so that what lies between two can fail for that pair alone."""
+"""Upstreams of the soak: a listener for each sidecar, so that the network can fail between one pair alone."""
 
 from __future__ import annotations
 
@@ -7,194 +7,224 @@
 import random
 import socket
 
+from garnetusher.lab.soak.plan import FaultKind
 from garnetusher.lab.soak.records import Attempt, Records, now_s
 
 BACKLOG = 4  # few, so that the backlog can be filled: connections that come then are up a second later
-QUEUED_S = 0.05  # after a listener accepts again, what it accepts was in its queue
-OK_BODY = b"done"
+BACKLOG_DRAIN_S = 0.05  # what is accepted so long after a listener resumes had waited in its backlog
+HEAD_END = b"\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+SERVER_ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 GARBAGE = (b"HTTP/1.1 200 OK\r\nContent-Length: zz\r\n\r\n", b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\n")
+SHORTEST_IDLE_S = 0.02  # before an idle connection is closed early
+IDLE_SPREAD_S = 0.3
 
 
-class Upstream:
-    """One upstream: what it is doing wrong by now, and its connections."""
+class SimulatedUpstream:
+    """One upstream: the faults that it shows at the time, and its connections."""
 
     def __init__(self, number: int, host: str, service_ms: float, records: Records, seed: int) -> None:
-        self.host, self.number, self.service_s, self.records = host, number, service_ms / 1000, records
+        self.number = number
+        self.host = host
+        self.records = records
         self.random = random.Random(f"{seed}-{number}")
-        self.starts = 0
+        self.incarnation = 0
         self.boot_ms = 0
-        self.doing: dict[str, float] = {}  # trouble -> share
-        self.connections: set[Connection] = set()
-        self.links: dict[int, Link] = {}  # by sidecar
-        self.gone = False
-        self.accepted = 0  # connections
-
-    async def open(self, sidecars: int) -> None:
+        self.active_faults: dict[FaultKind, float] = {}  # the share of requests that each strikes
+        self.connections: set[UpstreamConnection] = set()
+        self.listeners: dict[int, UpstreamListener] = {}  # by sidecar
+        self.being_replaced = False
+        self.accepted_connections = 0
+        self._service_s = service_ms / 1000
+
+    def open(self, sidecars: int) -> None:
+        """Listen for each sidecar."""
         for sidecar in range(sidecars):
-            self.links[sidecar] = Link(self, sidecar)
+            self.listeners[sidecar] = UpstreamListener(self, sidecar)
+
+    def draw_fault(self, kind: FaultKind) -> bool:
+        """Draw whether a fault that strikes a share of requests strikes the present one."""
+        return kind in self.active_faults and self.random.random() < self.active_faults[kind]
 
-    def does(self, what: str) -> bool:
-        """Whether a trouble that strikes a share of requests strikes this one."""
-        return what in self.doing and self.random.random() < self.doing[what]
+    def draw_service_s(self) -> float:
+        """Draw how long the upstream works on a request."""
+        return self.random.expovariate(1 / self._service_s)
 
-    def reset_all(self, share: float) -> None:
+    def reset_connections(self, share: float) -> None:
+        """Abort a share of the connections."""
         for connection in list(self.connections):
             if self.random.random() < share:
                 connection.abort()
 
     def restart(self, boot_ms: int) -> None:
-        """Its process dies and another takes its place, cold."""
-        self.starts, self.boot_ms = self.starts + 1, boot_ms
-        self.reset_all(1.0)
+        """End the upstream's process and start another that is not warmed up."""
+        self.incarnation += 1
+        self.boot_ms = boot_ms
+        self.reset_connections(1.0)
 
     def close(self) -> None:
-        for link in self.links.values():
-            link.close()
+        """Close all listeners and connections."""
+        for listener in self.listeners.values():
+            listener.close()
         for connection in list(self.connections):
             connection.abort()
 
 
-class Link:
+class UpstreamListener:
     """The listener of one upstream for one sidecar."""
 
-    def __init__(self, upstream: Upstream, sidecar: int) -> None:
-        self.upstream, self.sidecar = upstream, sidecar
+    def __init__(self, upstream: SimulatedUpstream, sidecar: int) -> None:
+        self.upstream = upstream
+        self.sidecar = sidecar
         self.loop = asyncio.get_running_loop()
-        self.sock = socket.socket()
-        self.sock.setblocking(False)
-        self.sock.bind((upstream.host, 0))
-        self.sock.listen(BACKLOG)
-        self.port = int(self.sock.getsockname()[1])
-        self.fillers: list[socket.socket] = []
-        self.let_in_s = 0.0  # when it last began to accept again
-        self.loop.add_reader(self.sock.fileno(), self.accept)
-
-    def accept(self) -> None:
-        with contextlib.suppress(OSError):
-            while True:
-                sock, _ = self.sock.accept()
-                self.upstream.accepted += 1
-                self.loop.create_task(self.loop.connect_accepted_socket(lambda: Connection(self), sock))
-
-    def hold_back(self) -> None:
-        """Connections that come from now on are up only a second or more later."""
-        self.loop.remove_reader(self.sock.fileno())
+        self.resumed_s = 0.0  # when it last resumed to accept
+        self._socket = socket.socket()
+        self._socket.setblocking(False)  # noqa: FBT003 - socket's own signature
+        self._socket.bind((upstream.host, 0))
+        self._socket.listen(BACKLOG)
+        self.port = int(self._socket.getsockname()[1])
+        self._backlog_fillers: list[socket.socket] = []
+        self.loop.add_reader(self._socket.fileno(), self._accept)
+
+    def suspend(self) -> None:
+        """Stop to accept, and fill the backlog: later connections are up only a second or more after they come."""
+        self.loop.remove_reader(self._socket.fileno())
         for _ in range(BACKLOG + 2):
             filler = socket.socket()
-            filler.setblocking(False)
+            filler.setblocking(False)  # noqa: FBT003 - socket's own signature
             filler.connect_ex((self.upstream.host, self.port))
-            self.fillers.append(filler)
+            self._backlog_fillers.append(filler)
 
-    def let_in(self) -> None:
-        for filler in self.fillers:
+    def resume(self) -> None:
+        """Accept again."""
+        for filler in self._backlog_fillers:
             filler.close()
-        self.fillers.clear()
-        self.let_in_s = now_s()
-        if self.sock.fileno() >= 0:
-            self.loop.add_reader(self.sock.fileno(), self.accept)
+        self._backlog_fillers.clear()
+        self.resumed_s = now_s()
+        if self._socket.fileno() >= 0:
+            self.loop.add_reader(self._socket.fileno(), self._accept)
 
     def close(self) -> None:
-        self.let_in()
-        self.loop.remove_reader(self.sock.fileno())
-        self.sock.close()
+        """Close the listener; connections stay."""
+        self.resume()
+        self.loop.remove_reader(self._socket.fileno())
+        self._socket.close()
 
-
-class Connection(asyncio.Protocol):
-    """One connection of a sidecar. Requests are read as they come, whatever is wrong: when they began counts."""
-
-    def __init__(self, link: Link) -> None:
-        self.link, self.upstream = link, link.upstream
-        self.transport: asyncio.Transport | None = None
-        self.data = b""
-        self.attempt: Attempt | None = None
-        # what its sidecar has taken for a connection was in the queue, and what it wrote was not read
-        self.queued = now_s() < link.let_in_s + QUEUED_S
-        self.head_end = 0
-        self.length = 0
-        self.idle: asyncio.TimerHandle | None = None
+    def _accept(self) -> None:
+        with contextlib.suppress(OSError):
+            while True:
+                accepted, _ = self._socket.accept()
+                self.upstream.accepted_connections += 1
+                self.loop.create_task(self.loop.connect_accepted_socket(lambda: UpstreamConnection(self), accepted))
+
+
+class UpstreamConnection(asyncio.Protocol):
+    """One connection of a sidecar; requests are read under any fault, since the records need their times."""
+
+    def __init__(self, listener: UpstreamListener) -> None:
+        self._listener = listener
+        self._upstream = listener.upstream
+        self._transport: asyncio.Transport | None = None
+        self._received = b""
+        self._first_byte_s = 0.0
+        self._attempt: Attempt | None = None
+        # The sidecar took a connection in the backlog for made, and wrote to it before it could be read here.
+        self._queued = now_s() < listener.resumed_s + BACKLOG_DRAIN_S
+        self._head_length = 0
+        self._body_length = 0
+        self._chunked = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        self.upstream.connections.add(self)
-        self.rest()
+        """Start to read from the sidecar."""
+        if not isinstance(transport, asyncio.Transport):
+            raise TypeError(type(transport))
+        self._transport = transport
+        self._upstream.connections.add(self)
+        self._schedule_idle_close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.upstream.connections.discard(self)
-
-    def abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
-
-    def rest(self) -> None:
-        """An upstream may close an idle connection early."""
-        if "idle_close" in self.upstream.doing:
-            self.link.loop.call_later(0.02 + self.upstream.random.random() * 0.3, self.close_if_idle)
-
-    def close_if_idle(self) -> None:
-        if self.attempt is None and self.transport is not None:
-            self.transport.close()
+        """Forget the connection."""
+        self._upstream.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        first = not self.data
-        self.data += data
-        if first:
-            self.first_byte_s = now_s()
-        if self.attempt is None and b"\r\n\r\n" in self.data:
-            self.begin()
-        if self.attempt is not None and self.whole():
-            self.attempt.whole_s = now_s()
-            self.respond(self.attempt)
-
-    def begin(self) -> None:
-        head, _, _ = self.data.partition(b"\r\n\r\n")
-        self.head_end = len(head) + 4
-        fields = {
-            name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in head.split(b"\r\n")[1:])
-        }
-        self.length = int(fields.get(b"content-length", b"0"))
-        self.chunked = fields.get(b"transfer-encoding") == b"chunked"
-        self.attempt = Attempt(
-            fields[b"x-request-id"].decode(),
-            self.link.sidecar,
-            self.upstream.number,
-            self.first_byte_s,
-            int(fields[b"x-deadline-ms"]) / 1000,
-            self.upstream.starts,
-            queued=self.queued,
-        )
-        self.queued = False
-        self.upstream.records.attempts.append(self.attempt)
-
-    def whole(self) -> bool:
-        if self.chunked:
-            return self.data.endswith(b"0\r\n\r\n")
-        return len(self.data) >= self.head_end + self.length
+        """Read a part of a request, and respond when it is complete."""
+        if not self._received:
+            self._first_byte_s = now_s()
+        self._received += data
+        if self._attempt is None and HEAD_END in self._received:
+            self._attempt = self._read_head()
+        if self._attempt is not None and self._is_complete():
+            self._attempt.body_complete_s = now_s()
+            self._respond(self._attempt)
 
-    def respond(self, attempt: Attempt) -> None:
-        upstream, later = self.upstream, self.link.loop.call_later
-        if "silent" in upstream.doing or "hang" in upstream.doing:
+    def abort(self) -> None:
+        """Reset the connection."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def _schedule_idle_close(self) -> None:
+        if FaultKind.IDLE_CLOSE in self._upstream.active_faults:
+            idle_s = SHORTEST_IDLE_S + self._upstream.random.random() * IDLE_SPREAD_S
+            self._listener.loop.call_later(idle_s, self._close_if_idle)
+
+    def _close_if_idle(self) -> None:
+        if self._attempt is None and self._transport is not None:
+            self._transport.close()
+
+    def _read_head(self) -> Attempt:
+        head, _, _ = self._received.partition(HEAD_END)
+        headers = _headers(head)
+        self._head_length = len(head) + len(HEAD_END)
+        self._body_length = int(headers.get(b"content-length", b"0"))
+        self._chunked = headers.get(b"transfer-encoding") == b"chunked"
+        attempt = Attempt(
+            headers[b"x-request-id"].decode(),
+            self._listener.sidecar,
+            self._upstream.number,
+            self._first_byte_s,
+            int(headers[b"x-deadline-ms"]) / 1000,
+            self._upstream.incarnation,
+            queued=self._queued,
+        )
+        self._queued = False
+        self._upstream.records.attempts.append(attempt)
+        return attempt
+
+    def _is_complete(self) -> bool:
+        if self._chunked:
+            return self._received.endswith(LAST_CHUNK)
+        return len(self._received) >= self._head_length + self._body_length
+
+    def _respond(self, attempt: Attempt) -> None:
+        upstream = self._upstream
+        if FaultKind.SILENT in upstream.active_faults or FaultKind.HANG in upstream.active_faults:
             return
-        if upstream.does("turn_away"):
-            attempt.turned_away = True
-            self.write(b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-        elif upstream.does("errors"):
-            later(self.worked_s(), self.write, b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-        elif upstream.does("garbage"):
-            later(self.worked_s(), self.write, upstream.random.choice(GARBAGE))
+        if upstream.draw_fault(FaultKind.REJECT):
+            attempt.rejected = True
+            self._write(REJECTION)
+        elif upstream.draw_fault(FaultKind.ERRORS):
+            self._write_later(upstream.draw_service_s(), SERVER_ERROR)
+        elif upstream.draw_fault(FaultKind.GARBAGE):
+            self._write_later(upstream.draw_service_s(), upstream.random.choice(GARBAGE))
         else:
-            later(
-                self.worked_s(),
-                self.write,
-                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(OK_BODY), OK_BODY),
-            )
+            self._write_later(upstream.draw_service_s(), RESPONSE)
 
-    def worked_s(self) -> float:
-        return self.upstream.random.expovariate(1 / self.upstream.service_s)
+    def _write_later(self, delay_s: float, response: bytes) -> None:
+        self._listener.loop.call_later(delay_s, self._write, response)
 
-    def write(self, answer: bytes) -> None:
-        if self.transport is None or self.transport.is_closing() or "silent" in self.upstream.doing:
+    def _write(self, response: bytes) -> None:
+        if self._transport is None or self._transport.is_closing():
+            return
+        if FaultKind.SILENT in self._upstream.active_faults:
             return
-        self.data, self.attempt = b"", None
-        self.transport.write(answer)
-        self.rest()
+        self._received = b""
+        self._attempt = None
+        self._transport.write(response)
+        self._schedule_idle_close()
+
+
+def _headers(head: bytes) -> dict[bytes, bytes]:
+    lines = (line.partition(b":") for line in head.split(b"\r\n")[1:])
+    return {name.lower(): value.strip() for name, _, value in lines}
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plays are drawn whole from a seed, and its oracle catches each fault that it is there for."""
+"""The soak: a plan is drawn from its seed, and the oracle catches each fault that it is there for."""
 
 from __future__ import annotations
 
@@ -11,180 +11,221 @@
 
 from garnetusher.lab.sidecars import build
 from garnetusher.lab.soak import plan as plans
-from garnetusher.lab.soak.oracle import Judge
-from garnetusher.lab.soak.plan import Class, Plan, Trouble
-from garnetusher.lab.soak.records import Attempt, Change, End, Records, Request, Step
+from garnetusher.lab.soak.oracle import Oracle
+from garnetusher.lab.soak.plan import Fault, FaultKind, Plan, RequestClass
+from garnetusher.lab.soak.records import (
+    Attempt,
+    End,
+    EndpointChange,
+    MalformedConnection,
+    ProcessEvent,
+    ProcessEventKind,
+    Records,
+    Request,
+)
 from garnetusher.lab.soak.reduce import reduced
 from garnetusher.lab.soak.run import play
-from garnetusher.lab.soak.size import Need, rows
+from garnetusher.lab.soak.size import ResourceUse, rows
 from tests.experiment import ROOT
 from tests.test_lab import tree
 
 
-def small(*troubles: Trouble, seconds: float = 3.0, rate_per_s: float = 12.0) -> Plan:
-    """Two sidecars for a few seconds."""
+def small_plan(*faults: Fault, load_s: float = 3.0, rate_per_s: float = 12.0) -> Plan:
+    """Return a plan of two sidecars for a few seconds."""
     classes = [
-        Class("read", "idempotent", 1000),
-        Class("publish", "at_most_once", 1000),
-        Class("mark", "deduplicated", 1000, "zone"),
+        RequestClass("read", "idempotent", 1000),
+        RequestClass("publish", "at_most_once", 1000),
+        RequestClass("mark", "deduplicated", 1000, "zone"),
     ]
     return Plan(
         7,
-        seconds,
+        load_s,
         sidecars=2,
         upstreams=4,
         rate_per_s=rate_per_s,
         service_ms=5.0,
         classes=classes,
-        troubles=list(troubles),
+        faults=list(faults),
     )
 
 
 # Plans
 
 
-def test_a_play_is_the_same_for_a_seed_and_is_read_as_it_was_saved(tmp_path: Path) -> None:
+def test_plan_is_read_as_drawn_when_saved(tmp_path: Path) -> None:
     plan = plans.draw(5)
     assert plan == plans.draw(5) != plans.draw(6)
-    plans.save(plan, tmp_path / "it.json")
-    assert plans.load(tmp_path / "it.json") == plan
+    path = tmp_path / "plan.json"
+    plans.save(plan, path)
+    assert plans.load(path) == plan
+    path.write_text(path.read_text().replace(plan.faults[0].kind, "nothing"))
     with pytest.raises(msgspec.ValidationError, match="kind"):
-        (tmp_path / "it.json").write_text((tmp_path / "it.json").read_text().replace(plan.troubles[0].kind, "nothing"))
-        plans.load(tmp_path / "it.json")
+        plans.load(path)
 
 
-def test_troubles_overlap_and_all_kinds_and_pairs_come_up() -> None:
+def test_plans_cover_all_kinds_and_pairs_when_many_seeds_are_drawn() -> None:
     drawn = [plans.draw(seed) for seed in range(300)]
-    assert {trouble.kind for plan in drawn for trouble in plan.troubles} == set(plans.ALL)
+    assert {fault.kind for plan in drawn for fault in plan.faults} == set(plans.ALL_FAULTS)
     assert all(len(plan.pairs()) >= 3 for plan in drawn)
     found = set().union(*(plan.pairs() for plan in drawn))
-    assert set(itertools.combinations(sorted(plans.ALL), 2)) <= found
+    assert set(itertools.combinations(sorted(plans.ALL_FAULTS), 2)) <= found
 
 
-def test_a_play_that_fails_is_made_smaller_as_long_as_it_fails() -> None:
+def test_reducer_keeps_only_needed_faults_when_a_plan_fails() -> None:
     plan = plans.draw(5)
-    needed = {plan.troubles[1].kind, plan.troubles[4].kind}
-    played = 0
+    needed = {plan.faults[1].kind, plan.faults[4].kind}
+    runs = 0
 
-    def broken(smaller: Plan) -> set[str]:
-        nonlocal played
-        played += 1
-        return {"drain"} if needed <= {trouble.kind for trouble in smaller.troubles} else {"lost"}
+    def broken_rules(smaller: Plan) -> set[str]:
+        nonlocal runs
+        runs += 1
+        return {"drain"} if needed <= {fault.kind for fault in smaller.faults} else {"lost"}
 
-    smallest = reduced(plan, {"drain"}, broken, most_plays=500)
-    assert {trouble.kind for trouble in smallest.troubles} == needed and smallest.failed == ["drain"]
-    assert smallest.sidecars < plan.sidecars and played <= 500
-    assert reduced(plan, {"drain"}, broken, most_plays=0).troubles == plan.troubles
+    smallest = reduced(plan, {"drain"}, broken_rules, max_runs=500)
+    assert {fault.kind for fault in smallest.faults} == needed
+    assert smallest.broken_rules == ["drain"]
+    assert smallest.sidecars < plan.sidecars
+    assert runs <= 500
+    assert reduced(plan, {"drain"}, broken_rules, max_runs=0).faults == plan.faults
 
 
 # The oracle, on records made by hand
 
-ASKED = Request("s0-1", 0, "publish", 1.0, sent_s=10.0, new_connection=True, end=End.SERVED, ended_s=10.2)
-SENT = Attempt("s0-1", 0, 0, first_byte_s=10.01, told_s=0.98, starts=0, whole_s=10.01)
+REQUEST = Request("s0-1", 0, "publish", 1.0, sent_s=10.0, new_connection=True, end=End.SERVED, ended_s=10.2)
+ATTEMPT = Attempt("s0-1", 0, 0, first_byte_s=10.01, announced_remaining_s=0.98, incarnation=0, body_complete_s=10.01)
 
 
 def with_request(**changes: object) -> Request:
-    values = {name: getattr(ASKED, name) for name in Request.__slots__}
+    values = {name: getattr(REQUEST, name) for name in Request.__slots__}
     return Request(**(values | changes))
 
 
 def with_attempt(**changes: object) -> Attempt:
-    values = {name: getattr(SENT, name) for name in Attempt.__slots__}
+    values = {name: getattr(ATTEMPT, name) for name in Attempt.__slots__}
     return Attempt(**(values | changes))
 
 
-def verdicts(
+def broken_rules_of(
     request: Request,
     *attempts: Attempt,
-    changes: tuple[Change, ...] = (),
-    steps: tuple[Step, ...] = (),
-    strangers: tuple[tuple[int, float, float], ...] = (),
+    changes: tuple[EndpointChange, ...] = (),
+    events: tuple[ProcessEvent, ...] = (),
+    malformed: tuple[MalformedConnection, ...] = (),
 ) -> set[str]:
-    records = Records({request.ident: request}, list(attempts), list(changes), list(steps), list(strangers))
-    return {breach.rule for breach in Judge(small(), records, []).judge()}
+    records = Records({request.request_id: request}, list(attempts), list(changes), list(events), list(malformed))
+    return {breach.rule.value for breach in Oracle(small_plan(), records, []).judge()}
 
 
 @pytest.mark.parametrize(
     ("request_", "attempts", "expected"),
     [
-        (ASKED, (SENT,), set()),
-        (with_request(end=End.SILENT, ended_s=11.8), (SENT,), {"lost"}),
-        (with_request(end=End.SERVED, ended_s=11.7), (SENT,), {"lost"}),
-        (with_request(end=End.SERVED, ended_s=11.4), (SENT,), set()),
+        (REQUEST, (ATTEMPT,), set()),
+        (with_request(end=End.SILENT, ended_s=11.8), (ATTEMPT,), {"lost"}),
+        (with_request(end=End.SERVED, ended_s=11.7), (ATTEMPT,), {"lost"}),
+        (with_request(end=End.SERVED, ended_s=11.4), (ATTEMPT,), set()),
         (with_request(end=End.CLOSED), (), {"lost"}),
         (with_request(end=End.CLOSED, new_connection=False), (), set()),
-        (with_request(end=End.CLOSED, new_connection=False), (SENT,), {"lost"}),
-        (with_request(end=End.FAILED), (SENT, with_attempt(first_byte_s=10.1)), {"duplicate"}),
-        (with_request(end=End.REFUSED), (SENT,), {"duplicate"}),
-        (with_request(end=End.REFUSED), (with_attempt(turned_away=True),), set()),
-        (with_request(end=End.REFUSED), (with_attempt(whole_s=0.0),), set()),
-        (with_request(kind="read", end=End.REFUSED), (SENT, with_attempt(first_byte_s=10.1)), set()),
-        (with_request(kind="mark"), (SENT, with_attempt(first_byte_s=10.1, upstream=1)), set()),
-        (with_request(kind="mark"), (SENT, with_attempt(first_byte_s=10.1, upstream=2)), {"duplicate"}),
-        (with_request(kind="mark", deadline_s=9.0), (SENT, with_attempt(first_byte_s=13.0)), {"duplicate"}),
-        (with_request(kind="read"), tuple(with_attempt(first_byte_s=10 + n / 100) for n in range(4)), {"attempts"}),
-        (with_request(left_s=10.1, end=End.CLOSED), (with_attempt(first_byte_s=10.15),), set()),
-        (with_request(left_s=10.1, end=End.CLOSED), (with_attempt(first_byte_s=10.3, told_s=0.5),), {"left"}),
-        (ASKED, (with_attempt(first_byte_s=10.5),), {"told"}),
-        (ASKED, (with_attempt(first_byte_s=10.5, queued=True),), set()),
+        (with_request(end=End.CLOSED, new_connection=False), (ATTEMPT,), {"lost"}),
+        (with_request(end=End.FAILED), (ATTEMPT, with_attempt(first_byte_s=10.1)), {"duplicate"}),
+        (with_request(end=End.REFUSED), (ATTEMPT,), {"duplicate"}),
+        (with_request(end=End.REFUSED), (with_attempt(rejected=True),), set()),
+        (with_request(end=End.REFUSED), (with_attempt(body_complete_s=0.0),), set()),
+        (with_request(class_name="read", end=End.REFUSED), (ATTEMPT, with_attempt(first_byte_s=10.1)), set()),
+        (with_request(class_name="mark"), (ATTEMPT, with_attempt(first_byte_s=10.1, upstream=1)), set()),
+        (with_request(class_name="mark"), (ATTEMPT, with_attempt(first_byte_s=10.1, upstream=2)), {"duplicate"}),
+        (with_request(class_name="mark", deadline_s=9.0), (ATTEMPT, with_attempt(first_byte_s=13.0)), {"duplicate"}),
+        (
+            with_request(class_name="read"),
+            tuple(with_attempt(first_byte_s=10 + n / 100) for n in range(4)),
+            {"attempts"},
+        ),
+        (with_request(disconnected_s=10.1, end=End.CLOSED), (with_attempt(first_byte_s=10.15),), set()),
+        (
+            with_request(disconnected_s=10.1, end=End.CLOSED),
+            (with_attempt(first_byte_s=10.3, announced_remaining_s=0.5),),
+            {"left"},
+        ),
+        (REQUEST, (with_attempt(first_byte_s=10.5),), {"told"}),
+        (REQUEST, (with_attempt(first_byte_s=10.5, queued=True),), set()),
     ],
 )
-def test_a_rule_is_judged_by_its_words(request_: Request, attempts: tuple[Attempt, ...], expected: set[str]) -> None:
-    assert verdicts(request_, *attempts) == expected
-
-
-def test_drains_strangers_and_processes_are_judged() -> None:
-    drained = Change(0, 0, "leaving", 8.0)
-    assert verdicts(ASKED, SENT, changes=(drained,)) == {"drain"}
-    assert verdicts(ASKED, SENT, changes=(Change(0, 0, "leaving", 9.0),)) == set()
-    assert verdicts(ASKED, SENT, changes=(drained, Change(0, 0, "active", 9.9))) == set()
-    assert verdicts(ASKED, SENT, changes=(Change(1, 0, "leaving", 8.0),)) == set()
-    assert verdicts(ASKED, SENT, strangers=((0, 5.0, 8.5), (0, 5.0, 0.0), (1, 5.0, 7.9))) == {"strangers"}
-    assert verdicts(ASKED, SENT, steps=(Step(0, "died", 9.0, "3"),)) == {"crash"}
+def test_oracle_reports_the_broken_rule_when_records_show_it(
+    request_: Request, attempts: tuple[Attempt, ...], expected: set[str]
+) -> None:
+    assert broken_rules_of(request_, *attempts) == expected
+
+
+def test_oracle_judges_drains_connections_and_processes_when_recorded() -> None:
+    drained = EndpointChange(0, 0, "leaving", 8.0)
+    malformed = (
+        MalformedConnection(0, 5.0, 8.5),
+        MalformedConnection(0, 5.0, 0.0),
+        MalformedConnection(1, 5.0, 7.9),
+    )
+    assert broken_rules_of(REQUEST, ATTEMPT, changes=(drained,)) == {"drain"}
+    assert broken_rules_of(REQUEST, ATTEMPT, changes=(EndpointChange(0, 0, "leaving", 9.0),)) == set()
+    assert broken_rules_of(REQUEST, ATTEMPT, changes=(drained, EndpointChange(0, 0, "active", 9.9))) == set()
+    assert broken_rules_of(REQUEST, ATTEMPT, changes=(EndpointChange(1, 0, "leaving", 8.0),)) == set()
+    assert broken_rules_of(REQUEST, ATTEMPT, malformed=malformed) == {"strangers"}
+    assert broken_rules_of(REQUEST, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.DIED, 9.0, "3"),)) == {"crash"}
     late = with_attempt(first_byte_s=10.31)
-    assert verdicts(ASKED, late) == {"told"}
+    assert broken_rules_of(REQUEST, late) == {"told"}
     for began_s, expected in ((10.02, set()), (9.98, {"told"})):  # before it came, or after: then it was chosen late
-        assert verdicts(ASKED, late, steps=(Step(0, "stop", began_s), Step(0, "continue", 10.3))) == expected
-    assert verdicts(ASKED, SENT, steps=(Step(0, "start", 1.0), Step(0, "ready", 12.0))) == {"ready"}
+        assert (
+            broken_rules_of(
+                REQUEST,
+                late,
+                events=(
+                    ProcessEvent(0, ProcessEventKind.PAUSE, began_s),
+                    ProcessEvent(0, ProcessEventKind.RESUME, 10.3),
+                ),
+            )
+            == expected
+        )
+    assert broken_rules_of(
+        REQUEST,
+        ATTEMPT,
+        events=(ProcessEvent(0, ProcessEventKind.START, 1.0), ProcessEvent(0, ProcessEventKind.READY, 12.0)),
+    ) == {"ready"}
     killed = with_request(end=End.CLOSED)
-    assert verdicts(killed, SENT, steps=(Step(0, "kill", 10.15),)) == set()
-    assert verdicts(killed, SENT, steps=(Step(0, "term", 10.15),)) == {"lost"}
+    assert broken_rules_of(killed, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.KILL, 10.15),)) == set()
+    assert broken_rules_of(killed, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.TERMINATE, 10.15),)) == {"lost"}
 
 
-def test_what_many_upstreams_may_need_is_judged_row_by_row() -> None:
-    usual, large = Need(200, 1.0, 20.0, 40, 60, 40.0, 1.0), Need(3200, 1.8, 50.0, 120, 190, 1700.0, 0.85)
+def test_size_table_judges_each_row_when_upstreams_grow() -> None:
+    usual, large = ResourceUse(200, 1.0, 20.0, 40, 60, 40.0, 1.0), ResourceUse(3200, 1.8, 50.0, 120, 190, 1700.0, 0.85)
     assert [row.kept for row in rows(usual, large)] == [True] * 6
-    over = Need(3200, 1.9, 51.0, 121, 191, 1800.0, 0.84)
+    over = ResourceUse(3200, 1.9, 51.0, 121, 191, 1800.0, 0.84)
     assert [row.kept for row in rows(usual, over)] == [False] * 6
     assert rows(usual, over)[0].line() == "| CPU seconds | 1 | 1.9 | 1.804 | OVER |"
 
 
 # The oracle, on programs with one fault each
 
-ERRORS = Trouble("errors", 0.5, 2.0, [0, 1, 2, 3], 0.5)
+ERRORS = Fault(FaultKind.ERRORS, 0.5, 2.0, [0, 1, 2, 3], 0.5)
 MISDEEDS = {
-    "loses_requests": ("lost", small()),
-    "repeats_unsafe": ("duplicate", small(ERRORS)),
-    "refuses_what_ran": ("duplicate", small(ERRORS)),
-    "sends_to_drained": ("drain", small(Trouble("drain", 0.3, 3.0, [0, 1]), seconds=6.0, rate_per_s=20.0)),
+    "loses_requests": ("lost", small_plan()),
+    "repeats_unsafe": ("duplicate", small_plan(ERRORS)),
+    "refuses_what_ran": ("duplicate", small_plan(ERRORS)),
+    "sends_to_drained": ("drain", small_plan(Fault(FaultKind.DRAIN, 0.3, 3.0, [0, 1]), load_s=6.0, rate_per_s=20.0)),
     "sends_for_who_left": (
         "left",
-        small(Trouble("leavers", 0.3, 2.5, [0, 1]), Trouble("reset", 1.0, 0.1, [0, 1, 2], 1.0)),
+        small_plan(Fault(FaultKind.DISCONNECTS, 0.3, 2.5, [0, 1]), Fault(FaultKind.RESET, 1.0, 0.1, [0, 1, 2], 1.0)),
     ),
-    "tells_more_time": ("told", small()),
-    "leaves_strangers_waiting": ("strangers", small(Trouble("strangers", 0.3, 2.5, [0, 1]))),
-    "dies": ("crash", small()),
+    "tells_more_time": ("told", small_plan()),
+    "leaves_strangers_waiting": ("strangers", small_plan(Fault(FaultKind.MALFORMED, 0.3, 2.5, [0, 1]))),
+    "dies": ("crash", small_plan()),
 }
 
 
 def rules_broken(folder: str, run: str, plan: Plan) -> set[str]:
-    """In a process of its own."""
+    """Run a plan on a program; called in a process of its own."""
     made = Path(folder)
     made.mkdir()
-    return {breach["rule"] for breach in play(plan, made / "play", tree(made, run)).breaches}
+    return {breach.rule for breach in play(plan, made / "play", tree(made, run)).breaches}
 
 
-def test_a_seeded_fault_is_caught_and_the_program_itself_is_not_blamed(tmp_path: Path) -> None:
+def test_soak_catches_a_seeded_fault_and_only_that_when_run_on_processes(tmp_path: Path) -> None:
     build(ROOT)
     bad = "cd {root}; exec .venv/bin/python -B -m tests.faulty.misdeeds {deed}"
     good = f"cd {ROOT}; exec .venv/bin/python -B -m garnetusher.sidecar"
