--- a/garnetusher/lab/soak/discovery.py
+++ b/garnetusher/lab/soak/discovery.py
@@ -9,17 +9,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from garnetusher.lab.soak.records import EndpointChange, Records, now_s
+from garnetusher.lab.soak.plan import cell_of, zone_of
+from garnetusher.lab.soak.records import EndpointChange, EndpointStatus, Records, now_s
 
 KEEPALIVE_S = 2.0  # between the empty lines of a watch without changes
 OLD_ADDRESS_OPEN_S = 1.5  # after a new configuration, the old address closes its watches
 KNOWN_AFTER_RELOAD_S = 4.0  # a sidecar has to know the list so long after SIGHUP
 KNOWN_AFTER_SILENCE_S = 6.0  # and so long after its watch fell silent, or after discovery is reachable again
 NEVER_RELOADED_S = -1e9
-ACTIVE = "active"
-REMOVED = "left"
-UPSTREAMS_PER_CELL = 2
-ZONES = "ab"
 
 
 @dataclass(slots=True)
@@ -29,19 +26,18 @@
     number: int
     host: str
     port: int
-    state: str
+    status: EndpointStatus
     boot_ms: int
 
     def entry(self) -> dict[str, Any]:
         """Return the endpoint as an entry of the list's JSON."""
-        cell = self.number // UPSTREAMS_PER_CELL
         return {
             "uid": f"u{self.number}",
             "endpoint": f"{self.host}:{self.port}",
-            "az": ZONES[cell % len(ZONES)],
+            "az": zone_of(self.number),
             "model": "m",
-            "pod_group": cell,
-            "state": self.state,
+            "pod_group": cell_of(self.number),
+            "state": self.status.value,
             "capacity_hint": 1.0,
             "boot_ms": self.boot_ms,
         }
@@ -58,7 +54,9 @@
         self._records = records
         self._pushed = pushed
         self._loop = asyncio.get_running_loop()
-        self._endpoints = [ListedEndpoint(number, host, port, ACTIVE, 0) for number, port in enumerate(ports)]
+        self._endpoints = [
+            ListedEndpoint(number, host, port, EndpointStatus.ACTIVE, 0) for number, port in enumerate(ports)
+        ]
         self._version = 1
         self._watches: list[asyncio.StreamWriter] = []
         self._reachable = asyncio.Event()  # cleared in an outage: the agent is silent and learns nothing
@@ -91,13 +89,13 @@
         return {
             "rev": self._version,
             "all": True,
-            "targets": [endpoint.entry() for endpoint in self._endpoints if endpoint.state != REMOVED],
+            "targets": [endpoint.entry() for endpoint in self._endpoints if endpoint.status != EndpointStatus.REMOVED],
         }
 
-    def change(self, upstream: int, state: str, boot_ms: int) -> None:
+    def change(self, upstream: int, status: EndpointStatus, boot_ms: int) -> None:
         """Change an endpoint, and send the change unless discovery is down."""
         endpoint = self._endpoints[upstream]
-        endpoint.state = state
+        endpoint.status = status
         endpoint.boot_ms = boot_ms
         if self._reachable.is_set():
             self._publish(endpoint)
@@ -114,7 +112,7 @@
         self._reachable.set()
         for endpoint in self._pending:
             change = self._publish(endpoint)
-            if endpoint.state != ACTIVE:
+            if endpoint.status != EndpointStatus.ACTIVE:
                 change.known_by_s = max(change.known_by_s, now_s() + KNOWN_AFTER_SILENCE_S)
         self._pending.clear()
 
@@ -171,14 +169,14 @@
         line = json.dumps(delta).encode()
         for writer in self._watches:
             self._send_line(writer, line)
-        change = EndpointChange(self._sidecar, endpoint.number, endpoint.state, self._known_by_s(endpoint))
+        change = EndpointChange(self._sidecar, endpoint.number, endpoint.status, self._known_by_s(endpoint))
         self._records.endpoint_changes.append(change)
         return change
 
     def _known_by_s(self, endpoint: ListedEndpoint) -> float:
         """Return by when the sidecar has to know a change; an active endpoint may be used as soon as it can know."""
         sent_s = now_s()
-        if endpoint.state == ACTIVE:
+        if endpoint.status == EndpointStatus.ACTIVE:
             return sent_s
         known_by_s = max(sent_s, self._reloaded_s + KNOWN_AFTER_RELOAD_S)
         if self._silent_watches:
--- a/garnetusher/lab/soak/faults.py
+++ b/garnetusher/lab/soak/faults.py
@@ -18,7 +18,7 @@
     FaultKind,
     Plan,
 )
-from garnetusher.lab.soak.records import ProcessEventKind, now_s
+from garnetusher.lab.soak.records import EndpointStatus, ProcessEventKind, now_s
 from garnetusher.lab.soak.sidecar_process import SidecarProcess
 from garnetusher.lab.soak.upstream import SimulatedUpstream
 from garnetusher.lab.syscall_faults import SHORT_TRANSFER, Call, FaultBoard
@@ -94,18 +94,18 @@
             return
         upstream.being_replaced = True
         if fault.kind == FaultKind.DRAIN:
-            self._announce(upstream, "leaving")
+            self._announce(upstream, EndpointStatus.DRAINING)
             await asyncio.sleep(DRAIN_S + fault.duration_s)
-        self._announce(upstream, "left")
+        self._announce(upstream, EndpointStatus.REMOVED)
         upstream.reset_connections(1.0)
         await asyncio.sleep(REPLACEMENT_S)
         upstream.restart(int(time.time() * 1000))
-        self._announce(upstream, "active")
+        self._announce(upstream, EndpointStatus.ACTIVE)
         upstream.being_replaced = False
 
-    def _announce(self, upstream: SimulatedUpstream, state: str) -> None:
+    def _announce(self, upstream: SimulatedUpstream, status: EndpointStatus) -> None:
         for agent in self._nodes.agents:
-            agent.change(upstream.number, state, upstream.boot_ms)
+            agent.change(upstream.number, status, upstream.boot_ms)
 
     async def _apply_to_sidecar(self, fault: Fault, number: int) -> None:
         sidecar = self._nodes.sidecars[number]
--- a/garnetusher/lab/soak/oracle.py
+++ b/garnetusher/lab/soak/oracle.py
@@ -8,11 +8,12 @@
 from pathlib import Path
 
 from garnetusher.lab.soak.excuses import RECORDING_DELAY_S, Excuses
-from garnetusher.lab.soak.plan import Plan, RequestClass
+from garnetusher.lab.soak.plan import Plan, RequestClass, cell_of, zone_of
 from garnetusher.lab.soak.records import (
     Attempt,
     End,
     EndpointChange,
+    EndpointStatus,
     MalformedConnection,
     ProcessEvent,
     ProcessEventKind,
@@ -31,8 +32,6 @@
 READY_S = 10.0
 EXPECTED_EXIT_CODES = ("0", "-9", "-15")
 LOG_LINE_LENGTH = 300  # of a log's line that is reported
-UPSTREAMS_PER_CELL = 2
-ACTIVE = "active"
 
 
 class Rule(enum.StrEnum):
@@ -182,7 +181,7 @@
         known_by_s = max(first.known_by_s, self._first_poll_s(attempt))
         after_s = attempt.first_byte_s - known_by_s
         if after_s > DRAIN_GRACE_S + self._excuses.recording_slack_s(attempt.first_byte_s):
-            text = f"{attempt.request_id}: sent to u{attempt.upstream} {after_s:.3f} s after {first.state} was told"
+            text = f"{attempt.request_id}: sent to u{attempt.upstream} {after_s:.3f} s after {first.status} was told"
             self._report(Rule.DRAIN, attempt.first_byte_s, text)
 
     def _first_poll_s(self, attempt: Attempt) -> float:
@@ -243,18 +242,16 @@
 
 
 def _same_deduplication_scope(request_class: RequestClass, first: Attempt, repeated: Attempt) -> bool:
-    first_cell = first.upstream // UPSTREAMS_PER_CELL
-    repeated_cell = repeated.upstream // UPSTREAMS_PER_CELL
     if request_class.group == "cell":
-        return first_cell == repeated_cell
-    return request_class.group == "all" or first_cell % 2 == repeated_cell % 2
+        return cell_of(first.upstream) == cell_of(repeated.upstream)
+    return request_class.group == "all" or zone_of(first.upstream) == zone_of(repeated.upstream)
 
 
 def _first_since_active(changes: list[EndpointChange]) -> EndpointChange | None:
-    """Return the change that ended an endpoint's last active state, or None while it is active."""
+    """Return the change that ended an endpoint's last active status, or None while it is active."""
     first: EndpointChange | None = None
     for change in reversed(changes):
-        if change.state == ACTIVE:
+        if change.status == EndpointStatus.ACTIVE:
             break
         first = change
     return first
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -21,6 +21,8 @@
 GROUP_SPREAD_S = 0.6  # the faults of one group begin within so long of each other
 OVERLAP_AFTERMATH_S = 1.0  # faults still count as overlapping so long after the end of the first
 RESTART_S = 4.0
+UPSTREAMS_PER_CELL = 2
+ZONES = "ab"  # the cells are in each zone in turn
 DEADLINES_MS = (300, 500, 1000, 1500, 2500)
 
 
@@ -161,6 +163,16 @@
         }
 
 
+def cell_of(upstream: int) -> int:
+    """Return the cell that an upstream is in."""
+    return upstream // UPSTREAMS_PER_CELL
+
+
+def zone_of(upstream: int) -> str:
+    """Return the zone that an upstream is in."""
+    return ZONES[cell_of(upstream) % len(ZONES)]
+
+
 def save(plan: Plan, path: Path) -> None:
     """Write a plan to a file from which it can be replayed."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
@@ -251,7 +263,7 @@
     """Return the settings of all sidecars, by the keys of the protocol; times in microseconds."""
     return {
         "accounts": [],
-        "areas": ["a", "b"],
+        "areas": list(ZONES),
         "granularity": 1000,
         "instances": plan.sidecars,
         "locality": 0,
--- a/garnetusher/lab/soak/records.py
+++ b/garnetusher/lab/soak/records.py
@@ -39,6 +39,14 @@
     DIED = "died"  # an end that the soak did not cause
 
 
+class EndpointStatus(enum.StrEnum):
+    """The states of an endpoint; the values are those of discovery's list."""
+
+    ACTIVE = "active"
+    DRAINING = "leaving"
+    REMOVED = "left"
+
+
 @dataclass(slots=True)
 class Request:
     """One request that a client has written completely."""
@@ -71,11 +79,11 @@
 
 @dataclass(slots=True)
 class EndpointChange:
-    """A change of an endpoint's state, and when its sidecar has to know of it at the latest."""
+    """A change of an endpoint's status, and when its sidecar has to know of it at the latest."""
 
     sidecar: int
     upstream: int
-    state: str
+    status: EndpointStatus
     known_by_s: float
 
 
--- a/garnetusher/lab/soak/size.py
+++ b/garnetusher/lab/soak/size.py
@@ -16,7 +16,7 @@
 
 from garnetusher.lab.soak.discovery import DiscoveryAgent
 from garnetusher.lab.soak.plan import Plan, RequestClass
-from garnetusher.lab.soak.records import End
+from garnetusher.lab.soak.records import End, EndpointStatus
 from garnetusher.lab.soak.run import SoakRun
 
 CHANGE_INTERVAL_S = 0.5
@@ -96,7 +96,7 @@
         """Send a change of one endpoint when a new interval has begun."""
         interval = int(time.monotonic() / CHANGE_INTERVAL_S)
         if self._change_interval not in (None, interval):
-            agent.change(interval % self.plan.upstreams, "active", 0)
+            agent.change(interval % self.plan.upstreams, EndpointStatus.ACTIVE, 0)
         self._change_interval = interval
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,6 +17,7 @@
     Attempt,
     End,
     EndpointChange,
+    EndpointStatus,
     MalformedConnection,
     ProcessEvent,
     ProcessEventKind,
@@ -156,16 +157,18 @@
 
 
 def test_oracle_judges_drains_connections_and_processes_when_recorded() -> None:
-    drained = EndpointChange(0, 0, "leaving", 8.0)
+    drained = EndpointChange(0, 0, EndpointStatus.DRAINING, 8.0)
     malformed = (
         MalformedConnection(0, 5.0, 8.5),
         MalformedConnection(0, 5.0, 0.0),
         MalformedConnection(1, 5.0, 7.9),
     )
     assert broken_rules_of(REQUEST, ATTEMPT, changes=(drained,)) == {"drain"}
-    assert broken_rules_of(REQUEST, ATTEMPT, changes=(EndpointChange(0, 0, "leaving", 9.0),)) == set()
-    assert broken_rules_of(REQUEST, ATTEMPT, changes=(drained, EndpointChange(0, 0, "active", 9.9))) == set()
-    assert broken_rules_of(REQUEST, ATTEMPT, changes=(EndpointChange(1, 0, "leaving", 8.0),)) == set()
+    assert broken_rules_of(REQUEST, ATTEMPT, changes=(EndpointChange(0, 0, EndpointStatus.DRAINING, 9.0),)) == set()
+    assert (
+        broken_rules_of(REQUEST, ATTEMPT, changes=(drained, EndpointChange(0, 0, EndpointStatus.ACTIVE, 9.9))) == set()
+    )
+    assert broken_rules_of(REQUEST, ATTEMPT, changes=(EndpointChange(1, 0, EndpointStatus.DRAINING, 8.0),)) == set()
     assert broken_rules_of(REQUEST, ATTEMPT, malformed=malformed) == {"strangers"}
     assert broken_rules_of(REQUEST, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.DIED, 9.0, "3"),)) == {"crash"}
     late = with_attempt(first_byte_s=10.31)
