--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -42,7 +42,7 @@
 
 
 def test_zone_is_evacuated_when_different_endpoints_fail_in_a_row_and_others_answer() -> None:
-    made, _ = zones()
+    made, story = zones()
     fail(made, 0, 4, SECOND)
     assert story == []  # nobody else has answered meanwhile: the fault may be here
     answer(made, 1, SECOND + 200)
@@ -64,7 +64,7 @@
 
 
 def test_zone_is_kept_when_it_is_the_last() -> None:
-    made, story = zones()
+    made, _ = zones()
     for number in (0, 1, 2):
         for other in range(3):
             if other != number:
