--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -8,8 +8,10 @@
 
 try:
     from garnetusher.policy import outlier, zones
+    from garnetusher.policy import zone as zone_module
     from garnetusher.policy.selection import EndpointSelector
-    from garnetusher.policy.zones import Zone, Zones, ZoneState
+    from garnetusher.policy.zone import Zone, ZoneState
+    from garnetusher.policy.zones import Zones
 
     HAS_ZONES = True
 except ImportError:  # the module of an earlier tree, which lacks some of these parts
@@ -38,7 +40,7 @@
 
 def _steps() -> None:
     """A zone that has answered a try is used in full at once."""
-    zones.RECOVERY_STEPS = (1.0,)
+    zone_module.RECOVERY_STEPS = (1.0,)
 
 
 def _coldness() -> None:
@@ -79,7 +81,8 @@
         yield
         return
     touched: list[tuple[Any, tuple[str, ...]]] = [
-        (zones, ("SLOW_FACTOR", "RECOVERY_STEPS", "MAX_BACKOFF_US")),
+        (zones, ("SLOW_FACTOR", "MAX_BACKOFF_US")),
+        (zone_module, ("RECOVERY_STEPS",)),
         (outlier, ("SPARE_CAPACITY_LOAD",)),
         (EndpointSelector, ("hedge_stays_in_tier",)),
         (Zones, ("evaluate", "record_overdue", "suspected", "change_state", "is_silent")),
--- a/garnetusher/policy/endpoints.py
+++ b/garnetusher/policy/endpoints.py
@@ -7,7 +7,8 @@
 from garnetusher.policy.endpoint_state import INITIAL_SLOTS, EndpointState
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, UpdateKind
 from garnetusher.policy.slots import Pool
-from garnetusher.policy.zones import Zone, Zones, ZoneState
+from garnetusher.policy.zone import Zone, ZoneState
+from garnetusher.policy.zones import Zones
 
 TIERS = 3  # this zone, this region's other zones, other regions
 
--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -19,7 +19,7 @@
 from garnetusher.policy.outlier import OutlierDetector
 from garnetusher.policy.retry import RETRIED_OUTCOMES, RetryPolicy
 from garnetusher.policy.state import AttemptState, RequestState
-from garnetusher.policy.zones import Zone
+from garnetusher.policy.zone import Zone
 
 NOT_EVIDENCE = (Outcome.REJECTED, Outcome.NOT_WRITTEN)  # say nothing of an endpoint; rejections would close all slots
 RESPONSE_WINDOW = 8  # responses that make up a class's mean response time
--- a/garnetusher/policy/outlier.py
+++ b/garnetusher/policy/outlier.py
@@ -9,7 +9,8 @@
 from garnetusher.policy.retry import IMMEDIATE_FAILURES
 from garnetusher.policy.slots import MAX_SLOTS, MIN_SLOT_LIMIT, TARGET_LOAD, Pool
 from garnetusher.policy.state import AttemptState, ClassState
-from garnetusher.policy.zones import FailedAttempt, Zones
+from garnetusher.policy.zone import FailedAttempt
+from garnetusher.policy.zones import Zones
 
 CONSECUTIVE_FAILURES = 2  # tell a failing endpoint from one broken connection or response among good ones
 SLOT_GROWTH = 0.4  # slots a round of responses moves, by the distance from the target load; 0.8 is too rash
--- a/garnetusher/policy/selection.py
+++ b/garnetusher/policy/selection.py
@@ -8,7 +8,7 @@
 from garnetusher.policy.retry import RetryPolicy
 from garnetusher.policy.slots import TARGET_LOAD, Pool
 from garnetusher.policy.state import RequestState
-from garnetusher.policy.zones import ZoneState
+from garnetusher.policy.zone import ZoneState
 
 MIN_ENDPOINTS_IN_USE = 4  # endpoints whose slots are open to a sidecar with next to no traffic
 SENDS_PER_S_PER_ENDPOINT = 1.5  # sends a second that call for one more endpoint: fewer teach nothing, more crowd it
--- a/garnetusher/policy/settings_text.py
+++ b/garnetusher/policy/settings_text.py
@@ -49,7 +49,7 @@
             raise SettingsTextError(message)
         return number
 
-    def whole(self, path: str, default: str | None = None) -> int:
+    def integer(self, path: str, default: str | None = None) -> int:
         number = self.number(path, default)
         if number != int(number):
             message = f"setting {path}: expected a whole number, got {self.text(path, default)!r}"
@@ -70,14 +70,14 @@
 def _class(options: _SettingsReader, at: str) -> RequestClass:
     return RequestClass(
         name=options.text(at + "name"),
-        latency_objective_us=options.whole(at + "aim"),
-        deadline_us=options.whole(at + "deadline"),
+        latency_objective_us=options.integer(at + "aim"),
+        deadline_us=options.integer(at + "deadline"),
         priority_weight=options.number(at + "worth"),
         late_weight=options.number(at + "late-worth", "0"),
         latency_objective_stretch=options.number(at + "aim-stretch", "0"),
         effect=options.choice(at + "effect", EFFECTS),
         deduplication_scope=options.choice(at + "group", DEDUPLICATION_SCOPES, "all"),
-        deduplication_window_us=options.whole(at + "memory-span", "0"),
+        deduplication_window_us=options.integer(at + "memory-span", "0"),
         streaming=options.flag(at + "stream", "false"),
     )
 
@@ -105,27 +105,27 @@
     o = _SettingsReader(pairs)
     try:
         return Settings(
-            classes=[_class(o, f"request-classes.{i}.") for i in range(o.whole("request-classes.count"))],
-            tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.whole("accounts.count", "0"))],
+            classes=[_class(o, f"request-classes.{i}.") for i in range(o.integer("request-classes.count"))],
+            tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.integer("accounts.count", "0"))],
             over_quota_weight=o.number("over-share-worth", "1"),
             weight_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
-            fleet_size=o.whole("instances"),
-            instance_index=o.whole("self-index", "0"),
-            zone=o.whole("locality", "0"),
-            batch_interval_us=o.whole("granularity"),
-            max_attempts=o.whole("bounds.most-tries"),
-            max_retry_after_us=o.whole("bounds.max-retry-after", "0"),
-            connect_timeout_us=o.whole("bounds.dial-timeout", "0"),
+            fleet_size=o.integer("instances"),
+            instance_index=o.integer("self-index", "0"),
+            zone=o.integer("locality", "0"),
+            batch_interval_us=o.integer("granularity"),
+            max_attempts=o.integer("bounds.most-tries"),
+            max_retry_after_us=o.integer("bounds.max-retry-after", "0"),
+            connect_timeout_us=o.integer("bounds.dial-timeout", "0"),
             send_retry_after=o.flag("bounds.retry-after"),
             cancel_attempts=o.flag("bounds.cancel"),
             health_checks=o.flag("bounds.probes"),
             hedging=o.flag("bounds.second-copies"),
             poll_endpoints=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            poll_interval_us=o.whole("invariants.ask-within", "0"),
+            poll_interval_us=o.integer("invariants.ask-within", "0"),
             warm_up_initial_fraction=o.number("invariants.cold-share"),
-            warm_up_us=o.whole("invariants.warm-up"),
+            warm_up_us=o.integer("invariants.warm-up"),
             overload_factor=o.number("invariants.overload-factor"),
-            overload_window_us=o.whole("invariants.fall"),
+            overload_window_us=o.integer("invariants.fall"),
             cross_zone_cost=o.number("fees.cross-zone", "0"),
             load_report_names=[_REPORT_NAMES.get(name, name) for name in o.text("report.names", "").split(",") if name],
             endpoint_weights=o.text("weights", "none") != "none",
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -201,7 +201,7 @@
         http_request.arrived_us = monotonic_us()
         self.has_open_request = True
         self.has_sent_valid_request = True
-        self._request_id = self.server.dispatcher.on_request(http_request, self, whole=False)
+        self._request_id = self.server.dispatcher.on_request(http_request, self, body_complete=False)
 
     def _finish_upload(self, upload: Upload) -> None:
         arrived_us = self.arrival_times.arrived_us  # the end of the upload may bring a response, which resets it
@@ -251,7 +251,7 @@
         response_started = self.writer.source is not None
         self._drop_request()
         if response_started:
-            self.finish_response(whole=False)
+            self.finish_response(complete=False)
         else:
             self._write_response(status, body, headers, close=True)
 
@@ -286,15 +286,15 @@
         """Write the next bytes of a streamed response."""
         self.writer.write_chunk(data)
 
-    def finish_response(self, whole: bool) -> None:  # noqa: FBT001 - the dispatcher passes it by position
+    def finish_response(self, *, complete: bool) -> None:
         """End a streamed response.
 
         Args:
-            whole: it is complete; else the connection is reset, as a plain end would make it look complete.
+            complete: it is; else the connection is reset, as a plain end would make it look complete.
         """
         self.has_open_request = False
         self.writer.source = None
-        if not whole:
+        if not complete:
             if self._sock is not None:
                 self._sock.reset_at_close()
             self.transport.abort()
--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -129,13 +129,13 @@
 
     # Downstream
 
-    def on_request(self, http_request: HttpRequest, response_sink: ResponseSink, *, whole: bool = True) -> int:
+    def on_request(self, http_request: HttpRequest, response_sink: ResponseSink, *, body_complete: bool = True) -> int:
         """Dispatch a request that has been read.
 
         Args:
             http_request: the request.
             response_sink: gets its one final response, unless the client disconnects first.
-            whole: whether its body has been read to the end; else `on_body_complete` follows.
+            body_complete: whether its body has been read to the end; else `on_body_complete` follows.
 
         Returns:
             The dispatcher's number for the request.
@@ -146,7 +146,7 @@
             http_request,
             self._deadlines.request_deadline_us(http_request),
             response_sink,
-            whole,
+            body_complete,
             self.settings.classes[http_request.class_index],
             self.settings.max_attempts,
         )
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -97,7 +97,7 @@
     def begin_response(self, head: Head, source: Source) -> None:
         """Begin the final response, which is long and is streamed."""
 
-    def finish_response(self, whole: bool) -> None:  # noqa: FBT001 - the signature of the downstream connection
+    def finish_response(self, *, complete: bool) -> None:
         """End a streamed response, or break it off so that the client notices."""
 
     def client_has_closed(self) -> bool:
--- a/garnetusher/sidecar/requests/responses.py
+++ b/garnetusher/sidecar/requests/responses.py
@@ -48,7 +48,7 @@
         if request.completed:
             return
         self.close(request)
-        self._call_sink(request.response_sink.finish_response, complete)
+        self._call_sink(lambda: request.response_sink.finish_response(complete=complete))
 
     def close(self, request: PendingRequest) -> None:
         """Mark a request as completed, and withdraw its attempts that have not been written."""
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,7 +13,8 @@
 from garnetusher.model.records import Believed
 from garnetusher.model.simulation import Simulation
 from garnetusher.policy.events import Outcome, ZoneOverridden
-from garnetusher.policy.zones import SILENCE_US, FailedAttempt, Zone, Zones, ZoneState
+from garnetusher.policy.zone import FailedAttempt, Zone, ZoneState
+from garnetusher.policy.zones import SILENCE_US, Zones
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
 from tests.runner import run
