--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -56,7 +56,7 @@
 
 def _waits() -> None:
     """Flaps do not make the next wait longer."""
-    zones.MAX_BACKOFF_US = zones.INITIAL_BACKOFF_US
+    zones.MAX_BACKOFF_US = zone_module.INITIAL_BACKOFF_US
 
 
 def _elsewhere() -> None:
