--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -14,7 +14,7 @@
 from garnetusher import cli, config, logs
 from garnetusher.lab import report
 from garnetusher.lab import sidecars as sidecar_processes
-from garnetusher.lab.play import play
+from garnetusher.lab.run import run_experiment
 from garnetusher.lab.sidecars import LabError
 from garnetusher.lab.soak import campaign as campaigns
 from garnetusher.lab.soak import plan as soak_plan
@@ -279,7 +279,7 @@
         logs.configure(stream)
         try:
             began_ms = int(time.time() * 1000)
-            played = asyncio.run(play(experiment, plan, tree, folder, progress))
+            played = asyncio.run(run_experiment(experiment, plan, tree, folder, progress))
         except LabError as error:
             cli.fail(str(error), cli.WRONG)
         except (asyncio.CancelledError, KeyboardInterrupt):
--- a/garnetusher/lab/directory.py
+++ b/garnetusher/lab/directory.py
@@ -11,6 +11,7 @@
 
 from garnetusher.lab import linked
 from garnetusher.lab.clockwork import Clockwork
+from garnetusher.lab.sidecar_settings import STANDARD_MODEL
 from garnetusher.model import draw
 from garnetusher.model.experiment import Directory
 from garnetusher.model.link import Weather
@@ -29,7 +30,7 @@
         "uid": uid,
         "endpoint": endpoint,
         "az": zone,
-        "model": "nodo-estandar",
+        "model": STANDARD_MODEL,
         "pod_group": 0,
         "state": state,
         "capacity_hint": 1.0,
--- a/garnetusher/lab/report.py
+++ b/garnetusher/lab/report.py
@@ -10,7 +10,7 @@
 import matplotlib
 from markupsafe import Markup
 
-from garnetusher.lab.play import Played
+from garnetusher.lab.run import CompletedRun
 from garnetusher.model import figures
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.records import Machine, Process
@@ -55,7 +55,9 @@
 }
 
 
-def write(experiment: Experiment, played: Played, result: Result, requests: list[figures.Request], path: Path) -> None:
+def write(
+    experiment: Experiment, played: CompletedRun, result: Result, requests: list[figures.Request], path: Path
+) -> None:
     """The whole report of a play."""
     told = figures.story(experiment, played.plan, requests)
     template = jinja2.Environment(
@@ -92,12 +94,12 @@
     return Markup(text[text.index("<svg") :])
 
 
-def _shade(axes: Any, played: Played) -> None:
+def _shade(axes: Any, played: CompletedRun) -> None:
     for span in played.plan.spans:
         axes.axvspan(span.at_us / 1e6, span.until_us / 1e6, color=FAULT, alpha=0.6, lw=0)
 
 
-def _over_time(played: Played, told: figures.Story, panels: list[tuple[str, dict[str, list[Any]]]]) -> Markup:
+def _over_time(played: CompletedRun, told: figures.Story, panels: list[tuple[str, dict[str, list[Any]]]]) -> Markup:
     figure, axes = plt.subplots(len(panels), 1, figsize=(10, 2.6 * len(panels)), sharex=True, squeeze=False)
     for place, (label, by_zone) in zip(axes[:, 0], panels, strict=True):
         _shade(place, played)
@@ -116,7 +118,7 @@
     return _svg(figure)
 
 
-def _states(experiment: Experiment, played: Played) -> Markup:
+def _states(experiment: Experiment, played: CompletedRun) -> Markup:
     """Each process on one line of time, in the colour of its state."""
     rows = _rows(experiment, played)
     figure, axes = plt.subplots(figsize=(10, 0.6 + 0.17 * len(rows)))
@@ -143,7 +145,7 @@
     return _svg(figure)
 
 
-def _rows(experiment: Experiment, played: Played) -> list[tuple[str, list[tuple[float, str]]]]:
+def _rows(experiment: Experiment, played: CompletedRun) -> list[tuple[str, list[tuple[float, str]]]]:
     warm_s = experiment.upstreams.warm_up_s
     rows: dict[str, list[tuple[float, str]]] = {}
     for sidecar in played.plan.sidecars:
--- /dev/null
+++ b/garnetusher/lab/sidecar_settings.py
@@ -0,0 +1,87 @@
+"""The settings that the lab writes into a sidecar's configuration file, as the platform would."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from garnetusher.model.experiment import Experiment
+from garnetusher.model.plan import Plan, SidecarPlan
+
+STANDARD_MODEL = "nodo-estandar"  # the platform's name for the one kind of machine that the lab has
+DIAL_TIMEOUT_US = 200_000
+MAX_OPEN_REQUESTS = 20_000
+MAX_RETRY_AFTER_US = 2_000_000
+CROSS_ZONE_FEE = 0.022
+CLOCK_GRANULARITY_US = 1000
+ANSWER_SLACK_US = 20_000
+RETRY_WINDOW_US = 10_000_000
+MAX_WARMING_SHARE = 0.13  # of the capacity of an endpoint that has just started
+DRAIN_GRACE_US = 1_000_000
+IDEMPOTENCY_SPAN_US = 5_000_000
+
+
+def settings_document(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> dict[str, Any]:
+    """Return the settings of one sidecar, under the platform's keys; times are in microseconds."""
+    upstreams = experiment.upstreams
+    sidecars = experiment.sidecars
+    zones = experiment.topology.zones
+    return {
+        "accounts": [
+            {
+                "name": tenant.name,
+                "share": tenant.share,
+                "allowance-per-s": tenant.share * experiment.load.requests_per_s,
+            }
+            for tenant in experiment.tenants
+        ],
+        "areas": zones,
+        "locality": zones.index(sidecar.zone),
+        "kinds": [STANDARD_MODEL],
+        "family": "mesh",
+        "bounds": {
+            "cancel": True,
+            "conn-idle": int(upstreams.idle_s * 1e6),
+            "dial-timeout": DIAL_TIMEOUT_US,
+            "max-open": MAX_OPEN_REQUESTS,
+            "max-retry-after": MAX_RETRY_AFTER_US,
+            "most-tries": sidecars.max_attempts,
+            "multiplex": 1,
+            "peers": False,
+            "probes": True,
+            "retry-after": True,
+            "second-copies": sidecars.second_copies,
+        },
+        "client-habits": {"marks-retry": experiment.clients.marks},
+        "fees": {"cross-zone": CROSS_ZONE_FEE},
+        "granularity": CLOCK_GRANULARITY_US,
+        "instances": sidecars.told or len(plan.sidecars),
+        "self-index": plan.sidecars.index(sidecar),
+        "invariants": {
+            "answer-slack": ANSWER_SLACK_US,
+            "ask-within": RETRY_WINDOW_US,
+            "cold-share": min(MAX_WARMING_SHARE, upstreams.cold_share),
+            "drain-grace": DRAIN_GRACE_US,
+            "fall": int(upstreams.fall_s * 1e6),
+            "overload-factor": upstreams.overload_factor,
+            "warm-up": int(upstreams.warm_up_s * 1e6),
+        },
+        "over-share-worth": experiment.over_share_worth,
+        "registry-mode": experiment.directory.mode,
+        "report": {"how": "none", "names": []},
+        "value-by": "request",
+        "weights": "rough",
+        "request-classes": [
+            {
+                "name": request_class.name,
+                "aim": int(request_class.aim_ms * 1000),
+                "deadline": int(request_class.deadline_ms * 1000),
+                "effect": request_class.effect,
+                "group": "all",
+                "late-worth": 0.0,
+                "memory-span": IDEMPOTENCY_SPAN_US,
+                "stream": False,
+                "worth": request_class.worth,
+            }
+            for request_class in experiment.classes
+        ],
+    }
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -1,4 +1,4 @@
-"""The processes under test: started as the deploy file of their tree says, broken by signals, never changed.
+"""The sidecar processes under test: started by the deploy file of their tree, and struck with signals, never changed.
 
 Only processes started here are ever signalled, by id; each dies with the lab, however that ends (prctl(2),
 PR_SET_PDEATHSIG).
@@ -15,349 +15,380 @@
 import socket
 import subprocess
 import tomllib
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
+from garnetusher.errors import GarnetusherError
 from garnetusher.lab.clients import is_up
 from garnetusher.lab.directory import entry
+from garnetusher.lab.sidecar_settings import settings_document
 from garnetusher.logs import logger
 from garnetusher.model import beliefs, draw
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, SidecarPlan, Step
 from garnetusher.model.records import Believed, Process
 
-READY_S = 30.0  # for a sidecar to say yes, as the platform waits
-KILL_AFTER_S = 3.7  # SIGKILL follows SIGTERM so much later at the soonest
-LOOK_S = 0.05  # between looks at what the sidecars have logged
-LAST_LINES = 8  # of a log, shown when its process has died
-_SET_PDEATHSIG = 1  # prctl's number for it
+BUILD_TIMEOUT_S = 1200
+READY_TIMEOUT_S = 30.0  # for a sidecar to become ready, as the platform waits
+READY_POLL_INTERVAL_S = 0.02
+KILL_DELAY_S = 3.7  # from SIGTERM to SIGKILL; a sidecar may exit sooner
+LOG_POLL_INTERVAL_S = 0.05  # between reads of the sidecars' logs
+LAST_LOG_LINES = 8  # shown when a process has died
+BUILD_ERROR_CHARACTERS = 500  # of a failed build's standard error, from its end
+SEED_MEMBERS = 3  # sidecars through which all others join the membership
+SEED_RANGE = 2**63
+_PR_SET_PDEATHSIG = 1  # prctl's number for it
 
 log = logger()
 
 
-class LabError(RuntimeError):
-    """A play that can't be played; `str` says why."""
+class LabError(GarnetusherError):
+    """An experiment that can't be run; `str` says why."""
+
+
+class DeployFileError(LabError):
+    """The deploy file of a tree can't be read."""
+
+    def __init__(self, path: Path, cause: Exception) -> None:
+        super().__init__(f"{path}: {cause}")
+
+
+class BuildError(LabError):
+    """The build command of a tree failed."""
+
+    def __init__(self, tree: Path, status: int, error_output: str) -> None:
+        super().__init__(f"{tree}: its build ended with {status}: {error_output.strip()[-BUILD_ERROR_CHARACTERS:]}")
+
+
+class SidecarStartError(LabError):
+    """A sidecar died at its start, or was never ready."""
+
+    def __init__(self, sidecar: str, failure: str, last_lines: list[str]) -> None:
+        super().__init__(f"sidecar {sidecar} {failure}; its last lines:\n  " + "\n  ".join(last_lines))
 
 
 def die_with_parent() -> None:
-    """Run in a child before it becomes another program."""
-    ctypes.CDLL(None).prctl(_SET_PDEATHSIG, signal.SIGKILL)
+    """Let the kernel kill this process when its parent ends; called in a child before it executes a program."""
+    ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def deploy_file(tree: Path) -> dict[str, Any]:
+    """Read the deploy file of a tree.
+
+    Raises:
+        DeployFileError: It is missing or no TOML.
+    """
     path = tree / "deploy" / "balancer.toml"
     try:
         return tomllib.loads(path.read_text())
     except (OSError, tomllib.TOMLDecodeError) as error:
-        raise LabError(f"{path}: {error}") from None
+        raise DeployFileError(path, error) from None
+
+
+def build(tree: Path, *, membership: bool = False) -> None:
+    """Run the build command of a tree's deploy file.
 
+    Args:
+        tree: The checkout.
+        membership: Also install what the membership needs, which the deploy file leaves out.
 
-def build(tree: Path, membership: bool = False) -> None:
-    """What the tree's deploy file says, once for a play; and what members need, which is not in it."""
+    Raises:
+        BuildError: The command failed.
+    """
     log.info("lab.tree.builds", tree=str(tree))
     command = str(deploy_file(tree)["build"])
     if membership:
         command += "; .venv/bin/pip install -q --disable-pip-version-check -r requirements-fleet.txt"
-    done = subprocess.run(
+    completed = subprocess.run(
         ["/bin/sh", "-c", command],
         cwd=tree,
         capture_output=True,
         text=True,
         stdin=subprocess.DEVNULL,
         check=False,
-        timeout=1200,
-        env=_plain(),
+        timeout=BUILD_TIMEOUT_S,
+        env=_clean_environment(),
     )
-    if done.returncode != 0:
-        raise LabError(f"{tree}: its build ended with {done.returncode}: {done.stderr.strip()[-500:]}")
+    if completed.returncode != 0:
+        raise BuildError(tree, completed.returncode, completed.stderr)
 
 
-def _plain() -> dict[str, str]:
-    """The environment without what would lead a process of the tree to the lab's own Python."""
+def _clean_environment() -> dict[str, str]:
+    """Return the environment without what would lead a process of the tree to the lab's own Python."""
     return {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV", "BALANCER_"))}
 
 
 def free_port(host: str) -> int:
+    """Return a TCP port that is free at present."""
     with socket.socket() as sock:
         sock.bind((host, 0))
         return int(sock.getsockname()[1])
 
 
-def settings(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> dict[str, Any]:
-    """The settings of one sidecar, by the names of the protocol's page; times in microseconds."""
-    u, s, zones = experiment.upstreams, experiment.sidecars, experiment.topology.zones
-    return {
-        "accounts": [
-            {"name": t.name, "share": t.share, "allowance-per-s": t.share * experiment.load.requests_per_s}
-            for t in experiment.tenants
-        ],
-        "areas": zones,
-        "locality": zones.index(sidecar.zone),
-        "kinds": ["nodo-estandar"],
-        "family": "mesh",
-        "bounds": {
-            "cancel": True,
-            "conn-idle": int(u.idle_s * 1e6),
-            "dial-timeout": 200_000,
-            "max-open": 20_000,
-            "max-retry-after": 2_000_000,
-            "most-tries": s.max_attempts,
-            "multiplex": 1,
-            "peers": False,
-            "probes": True,
-            "retry-after": True,
-            "second-copies": s.second_copies,
-        },
-        "client-habits": {"marks-retry": experiment.clients.marks},
-        "fees": {"cross-zone": 0.022},
-        "granularity": 1000,
-        "instances": s.told or len(plan.sidecars),
-        "self-index": plan.sidecars.index(sidecar),
-        "invariants": {
-            "answer-slack": 20_000,
-            "ask-within": 10_000_000,
-            "cold-share": min(0.13, u.cold_share),
-            "drain-grace": 1_000_000,
-            "fall": int(u.fall_s * 1e6),
-            "overload-factor": u.overload_factor,
-            "warm-up": int(u.warm_up_s * 1e6),
-        },
-        "over-share-worth": experiment.over_share_worth,
-        "registry-mode": experiment.directory.mode,
-        "report": {"how": "none", "names": []},
-        "value-by": "request",
-        "weights": "rough",
-        "request-classes": [
-            {
-                "name": c.name,
-                "aim": int(c.aim_ms * 1000),
-                "deadline": int(c.deadline_ms * 1000),
-                "effect": c.effect,
-                "group": "all",
-                "late-worth": 0.0,
-                "memory-span": 5_000_000,
-                "stream": False,
-                "worth": c.worth,
-            }
-            for c in experiment.classes
-        ],
-    }
-
-
-MEMBER_SEEDS = 3  # sidecars through which all join
+@dataclass(frozen=True, slots=True)
+class FleetSettings:
+    """What all sidecars of a run share.
+
+    Attributes:
+        experiment: What is run.
+        plan: What each sidecar does when, and what discovery lists.
+        tree: The checkout whose deploy file starts the sidecars.
+        out: The folder of the run's files.
+        cores: The CPU cores that the sidecars may use.
+        endpoints: The address of each upstream for each sidecar: uid, name, `host:port`.
+        discovery_addresses: The address of discovery for each sidecar.
+        hosts: The loopback address of each sidecar.
+    """
+
+    experiment: Experiment
+    plan: Plan
+    tree: Path
+    out: Path
+    cores: list[int]
+    endpoints: dict[str, dict[str, str]]
+    discovery_addresses: dict[str, str]
+    hosts: dict[str, str]
 
 
 class Sidecar:
     """One name, and the process that has it at present."""
 
-    def __init__(self, fleet: Fleet, plan: SidecarPlan, host: str, discovery: str) -> None:
-        self.fleet, self.plan, self.discovery = fleet, plan, discovery
+    def __init__(self, fleet: Fleet, plan: SidecarPlan) -> None:
+        settings = fleet.settings
+        host = settings.hosts[plan.name]
+        self.fleet = fleet
+        self.plan = plan
+        self.discovery_address = settings.discovery_addresses[plan.name]
         self.address = (host, free_port(host))
-        self.admin = f"{host}:{free_port(host)}"
-        self.member = f"{host}:{free_port(host)}"  # where its member listens, if it has one
+        self.admin_address = f"{host}:{free_port(host)}"
+        self.member_address = f"{host}:{free_port(host)}"  # used only where the experiment has the membership on
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
-        self.expected = False  # its end is the lab's doing
-        self.log_path = fleet.out / "logs" / f"{plan.name}.log"
-        self.log_read = 0  # bytes of it
+        self.exit_expected = False  # as the lab itself ends it
+        self.log_path = settings.out / "logs" / f"{plan.name}.log"
+        self._log_offset = 0  # bytes of the log that have been read
 
     async def spawn(self, at_us: int) -> None:
-        fleet, name = self.fleet, self.plan.name
+        """Start a process.
+
+        Args:
+            at_us: The time whose endpoint list its configuration file has.
+        """
+        fleet = self.fleet
+        name = self.plan.name
         self.starts += 1
-        folder = fleet.out / "sidecars" / f"{name}-{self.starts}"
-        (folder / "tmp").mkdir(parents=True)
-        listen = f"{self.address[0]}:{self.address[1]}"
-        path = folder / "config.json"
-        path.write_text(
-            json.dumps(
-                {
-                    "name": name,
-                    "listen": listen,
-                    "discovery": self.discovery,
-                    "admin": self.admin,
-                    "seed": f"{int(draw.uniform(fleet.plan.seed, 'sidecar', name, self.starts) * 2**63):x}",
-                    "limits": {
-                        "cores": 1.0,
-                        "memory_mb": fleet.experiment.sidecars.memory_mb,
-                        "sockets": fleet.experiment.sidecars.sockets,
-                    },
-                    "known": fleet.known(name, at_us),
-                    "settings": settings(fleet.experiment, fleet.plan, self.plan),
-                    "fleet": {"regions": fleet.experiment.topology.regions} | fleet.membership(self),
-                }
-            )
-        )
-        told = {
-            "BALANCER_NAME": name,
-            "BALANCER_LISTEN": listen,
-            "BALANCER_DISCOVERY": self.discovery,
-            "BALANCER_CONFIG": str(path),
-            "BALANCER_ADMIN": self.admin,
-            "TMPDIR": str(folder / "tmp"),
-        }
-        with self.log_path.open("ab") as file:
+        folder = fleet.settings.out / "sidecars" / f"{name}-{self.starts}"
+        configuration_path = self._write_configuration(folder, at_us)
+        with self.log_path.open("ab") as log_file:
             self.process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
                 "-c",
                 fleet.command,
-                cwd=fleet.tree,
+                cwd=fleet.settings.tree,
                 stdin=subprocess.DEVNULL,
-                stdout=file,
-                stderr=file,
-                env=_plain() | told,
+                stdout=log_file,
+                stderr=log_file,
+                env=_clean_environment() | self._variables(folder, configuration_path),
                 preexec_fn=self._before_exec,
                 start_new_session=True,
             )
-        self.expected = False
+        self.exit_expected = False
         fleet.record(name, "spawned", self.process.pid)
         log.info("lab.sidecar.started", sidecar=name, pid=self.process.pid)
-        fleet.watch(self, self.process)
+        fleet.watch_exit(self, self.process)
+
+    @property
+    def _listen_address(self) -> str:
+        return f"{self.address[0]}:{self.address[1]}"
+
+    def _write_configuration(self, folder: Path, at_us: int) -> Path:
+        (folder / "tmp").mkdir(parents=True)
+        path = folder / "config.json"
+        path.write_text(json.dumps(self._configuration(at_us)))
+        return path
+
+    def _configuration(self, at_us: int) -> dict[str, Any]:
+        fleet = self.fleet
+        experiment, plan = fleet.settings.experiment, fleet.settings.plan
+        seed = int(draw.uniform(plan.seed, "sidecar", self.plan.name, self.starts) * SEED_RANGE)
+        return {
+            "name": self.plan.name,
+            "listen": self._listen_address,
+            "discovery": self.discovery_address,
+            "admin": self.admin_address,
+            "seed": f"{seed:x}",
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": experiment.sidecars.memory_mb,
+                "sockets": experiment.sidecars.sockets,
+            },
+            "known": fleet.listed_endpoints(self.plan.name, at_us),
+            "settings": settings_document(experiment, plan, self.plan),
+            "fleet": {"regions": experiment.topology.regions} | fleet.membership_configuration(self),
+        }
+
+    def _variables(self, folder: Path, configuration_path: Path) -> dict[str, str]:
+        return {
+            "BALANCER_NAME": self.plan.name,
+            "BALANCER_LISTEN": self._listen_address,
+            "BALANCER_DISCOVERY": self.discovery_address,
+            "BALANCER_CONFIG": str(configuration_path),
+            "BALANCER_ADMIN": self.admin_address,
+            "TMPDIR": str(folder / "tmp"),
+        }
 
     def _before_exec(self) -> None:
-        """In the child, on its cores from its first step; set from here, it may have ended before."""
+        """Run in the child; if the parent set the cores, the child might have run or ended before that."""
         die_with_parent()
-        os.sched_setaffinity(0, self.fleet.cores)
+        os.sched_setaffinity(0, self.fleet.settings.cores)
 
-    def signal(self, number: int) -> None:
+    def signal(self, signal_number: int) -> None:
+        """Send a signal, if the process still runs."""
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
-    def last_lines(self) -> list[str]:
-        return self.log_path.read_text(errors="replace").splitlines()[-LAST_LINES:] if self.log_path.exists() else []
+    def last_log_lines(self) -> list[str]:
+        """Return the end of its log."""
+        if not self.log_path.exists():
+            return []
+        return self.log_path.read_text(errors="replace").splitlines()[-LAST_LOG_LINES:]
 
-    def news(self) -> list[str]:
-        """The whole lines that it has logged since the last call."""
-        if not self.log_path.exists() or self.log_path.stat().st_size <= self.log_read:
+    def new_log_lines(self) -> list[str]:
+        """Return the complete lines that it has logged since the last call."""
+        if not self.log_path.exists() or self.log_path.stat().st_size <= self._log_offset:
             return []
-        with self.log_path.open("rb") as file:
-            file.seek(self.log_read)
-            whole, newline, _ = file.read().rpartition(b"\n")
-        self.log_read += len(whole) + len(newline)
-        return whole.decode(errors="replace").splitlines()
+        with self.log_path.open("rb") as log_file:
+            log_file.seek(self._log_offset)
+            complete_lines, newline, _ = log_file.read().rpartition(b"\n")
+        self._log_offset += len(complete_lines) + len(newline)
+        return complete_lines.decode(errors="replace").splitlines()
 
 
 class Fleet:
-    """All sidecars of a play."""
+    """All sidecars of a run."""
 
     def __init__(
-        self,
-        experiment: Experiment,
-        plan: Plan,
-        tree: Path,
-        out: Path,
-        cores: list[int],
-        endpoints: dict[str, dict[str, str]],
-        lists: dict[str, str],
-        hosts: dict[str, str],
-        record: Callable[[Process | Believed], None],
-        now_us: Callable[[], int],
+        self, settings: FleetSettings, write_record: Callable[[Process | Believed], None], now_us: Callable[[], int]
     ) -> None:
-        self.experiment, self.plan, self.tree, self.out, self.cores = experiment, plan, tree, out, cores
-        self.endpoints = endpoints
-        self.command = str(deploy_file(tree)["run"])
-        self._record, self.now_us = record, now_us
-        self.unix_zero_ms = 0
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.sidecars = {s.name: Sidecar(self, s, hosts[s.name], lists[s.name]) for s in plan.sidecars}
-
-    def record(self, name: str, what: str, pid: int = 0) -> None:
-        self._record(Process(self.now_us(), name, what, pid))
-
-    def known(self, sidecar: str, at_us: int) -> dict[str, Any]:
-        """The list as it stands at some time; at a start that is what the sidecar last had."""
-        boots = {u.uid: 0 for u in self.plan.upstreams if u.from_us == 0}
-        zones = {u.uid: u.zone for u in self.plan.upstreams}
-        states = dict.fromkeys(boots, "active")
-        rev = 1
-        for step in self.plan.listed:
+        self.settings = settings
+        self.command = str(deploy_file(settings.tree)["run"])
+        self.now_us = now_us
+        self.unix_zero_ms = 0  # the wall clock at time 0 of the run
+        self._write_record = write_record
+        self._tasks: set[asyncio.Task[None]] = set()
+        self.sidecars = {plan.name: Sidecar(self, plan) for plan in settings.plan.sidecars}
+
+    def record(self, sidecar: str, change: str, pid: int = 0) -> None:
+        """Write a record of a sidecar's process."""
+        self._write_record(Process(self.now_us(), sidecar, change, pid))
+
+    def listed_endpoints(self, sidecar: str, at_us: int) -> dict[str, Any]:
+        """Return the endpoint list as of some time; at a start that is what the sidecar last received."""
+        plan = self.settings.plan
+        started_ms = {upstream.uid: 0 for upstream in plan.upstreams if upstream.from_us == 0}
+        zones = {upstream.uid: upstream.zone for upstream in plan.upstreams}
+        states = dict.fromkeys(started_ms, "active")
+        revision = 1
+        for step in plan.listed:
             if step.at_us <= at_us:
-                rev += 1
+                revision += 1
                 states[step.uid] = step.state
                 if step.started_us >= 0:
-                    boots[step.uid] = self.unix_zero_ms + step.started_us // 1000
+                    started_ms[step.uid] = self.unix_zero_ms + step.started_us // 1000
         return {
-            "rev": rev,
+            "rev": revision,
             "all": True,
             "targets": [
-                entry(uid, zones[uid], self.endpoints[uid][sidecar], state, boots.get(uid, 0))
+                entry(uid, zones[uid], self.settings.endpoints[uid][sidecar], state, started_ms.get(uid, 0))
                 for uid, state in states.items()
                 if state != "left"
             ],
         }
 
-    def membership(self, sidecar: Sidecar) -> dict[str, Any]:
-        """What switches a sidecar's member on, where the experiment wants members."""
-        if not self.experiment.sidecars.membership:
+    def membership_configuration(self, sidecar: Sidecar) -> dict[str, Any]:
+        """Return what switches a sidecar's membership on; empty where the experiment has it off."""
+        if not self.settings.experiment.sidecars.membership:
             return {}
-        seeds = [self.sidecars[plan.name].member for plan in self.plan.sidecars[:MEMBER_SEEDS]]
-        return {"membership": {"cluster": "lab", "listen": sidecar.member, "seeds": seeds}}
+        seeds = [self.sidecars[plan.name].member_address for plan in self.settings.plan.sidecars[:SEED_MEMBERS]]
+        return {"membership": {"cluster": "lab", "listen": sidecar.member_address, "seeds": seeds}}
 
     async def start(self) -> None:
-        """All of them, ready; raises LabError with the last lines of the first that dies or never says yes."""
+        """Start all sidecars, and return when each is ready.
+
+        Raises:
+            SidecarStartError: One died or was not ready in time.
+        """
         for sidecar in self.sidecars.values():
             await sidecar.spawn(0)
-        began = asyncio.get_running_loop().time()
+        loop = asyncio.get_running_loop()
+        started_s = loop.time()
         waiting = set(self.sidecars.values())
         while waiting:
             for sidecar in sorted(waiting, key=lambda s: s.plan.name):
-                assert sidecar.process is not None
-                after = asyncio.get_running_loop().time() - began
-                if sidecar.process.returncode is not None:
-                    raise LabError(
-                        f"sidecar {sidecar.plan.name} died at its start with {sidecar.process.returncode}; "
-                        "its last lines:\n  " + "\n  ".join(sidecar.last_lines())
-                    )
-                if await is_up(sidecar.address):
+                if await self._check_ready(sidecar, loop.time() - started_s):
                     waiting.discard(sidecar)
-                    self.record(sidecar.plan.name, "ready", sidecar.process.pid)
-                    log.info("lab.sidecar.ready", sidecar=sidecar.plan.name, after_s=round(after, 2))
-                elif after > READY_S:
-                    raise LabError(
-                        f"sidecar {sidecar.plan.name} was not ready within {READY_S:g} s; its last "
-                        "lines:\n  " + "\n  ".join(sidecar.last_lines())
-                    )
-            await asyncio.sleep(0.02)
-
-    def watch(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
-        async def ended() -> None:
-            status = await process.wait()
-            if sidecar.process is process and not sidecar.expected:
-                self.record(sidecar.plan.name, "died", process.pid)
-                log.error("lab.sidecar.died", sidecar=sidecar.plan.name, status=status, last_lines=sidecar.last_lines())
-            else:
-                self.record(sidecar.plan.name, "ended", process.pid)
-
-        self.keep(ended())
-
-    def keep(self, work: Any) -> None:
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+
+    async def _check_ready(self, sidecar: Sidecar, elapsed_s: float) -> bool:
+        name, process = sidecar.plan.name, sidecar.process
+        if process is None:
+            raise SidecarStartError(name, "has no process", [])
+        if process.returncode is not None:
+            raise SidecarStartError(name, f"died at its start with {process.returncode}", sidecar.last_log_lines())
+        if await is_up(sidecar.address):
+            self.record(name, "ready", process.pid)
+            log.info("lab.sidecar.ready", sidecar=name, after_s=round(elapsed_s, 2))
+            return True
+        if elapsed_s > READY_TIMEOUT_S:
+            raise SidecarStartError(name, f"was not ready within {READY_TIMEOUT_S:g} s", sidecar.last_log_lines())
+        return False
+
+    def watch_exit(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
+        """Record the end of a process, and whether the lab was its cause."""
+        self._start_task(self._record_exit(sidecar, process))
+
+    async def _record_exit(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
+        name = sidecar.plan.name
+        status = await process.wait()
+        if sidecar.process is process and not sidecar.exit_expected:
+            self.record(name, "died", process.pid)
+            log.error("lab.sidecar.died", sidecar=name, status=status, last_lines=sidecar.last_log_lines())
+        else:
+            self.record(name, "ended", process.pid)
+
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     def begin(self) -> None:
+        """Schedule the plan's faults, and follow the sidecars' logs."""
         for sidecar in self.sidecars.values():
             for step in sidecar.plan.steps:
-                self.keep(self._carry_out(sidecar, step))
-        self.keep(self._follow())
+                self._start_task(self._apply_fault(sidecar, step))
+        self._start_task(self._follow_logs())
 
-    async def _follow(self) -> None:
-        """Write down what the sidecars log of zones, dated as it is read: their lines carry no time."""
+    async def _follow_logs(self) -> None:
+        """Record what the sidecars log of zones, dated by when it is read: their lines carry no time."""
+        zones = self.settings.experiment.topology.zones
         while True:
             for name, sidecar in self.sidecars.items():
-                for line in sidecar.news():
-                    told = beliefs.belief(self.now_us(), name, line, self.experiment.topology.zones)
-                    if told is not None:
-                        self._record(told)
-            await asyncio.sleep(LOOK_S)
+                for line in sidecar.new_log_lines():
+                    zone_record = beliefs.belief(self.now_us(), name, line, zones)
+                    if zone_record is not None:
+                        self._write_record(zone_record)
+            await asyncio.sleep(LOG_POLL_INTERVAL_S)
 
-    async def _carry_out(self, sidecar: Sidecar, step: Step) -> None:
+    async def _apply_fault(self, sidecar: Sidecar, step: Step) -> None:
         await asyncio.sleep(max(0.0, (step.at_us - self.now_us()) / 1e6))
-        name, pid = sidecar.plan.name, sidecar.process.pid if sidecar.process is not None else 0
+        name = sidecar.plan.name
+        pid = sidecar.process.pid if sidecar.process is not None else 0
         log.info("lab.fault.applied", sidecar=name, what=step.what, late_ms=(self.now_us() - step.at_us) // 1000)
         if step.what == "kill":
-            sidecar.expected = True
+            sidecar.exit_expected = True
             sidecar.signal(signal.SIGKILL)
             self.record(name, "killed", pid)
         elif step.what == "stop":
@@ -369,25 +400,29 @@
         elif step.what == "start":
             await sidecar.spawn(step.at_us)
         elif step.what == "restart" and sidecar.process is not None:
-            sidecar.expected = True
-            sidecar.signal(signal.SIGTERM)
-            self.record(name, "term", pid)
-            try:
-                await asyncio.wait_for(sidecar.process.wait(), KILL_AFTER_S)
-            except TimeoutError:
-                sidecar.signal(signal.SIGKILL)
-                await sidecar.process.wait()
-            await sidecar.spawn(self.now_us())
+            await self._restart(sidecar, sidecar.process)
+
+    async def _restart(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
+        """Stop a sidecar as the platform does, SIGKILL after SIGTERM, and start its successor."""
+        sidecar.exit_expected = True
+        sidecar.signal(signal.SIGTERM)
+        self.record(sidecar.plan.name, "term", process.pid)
+        try:
+            await asyncio.wait_for(process.wait(), KILL_DELAY_S)
+        except TimeoutError:
+            sidecar.signal(signal.SIGKILL)
+            await process.wait()
+        await sidecar.spawn(self.now_us())
 
-    async def end(self) -> int:
-        """Kill what is left; how many processes that were."""
-        for task in list(self.tasks):
+    async def kill(self) -> int:
+        """Kill the sidecars that still run; return how many processes that were."""
+        for task in list(self._tasks):
             task.cancel()
-        count = 0
+        killed = 0
         for sidecar in self.sidecars.values():
-            sidecar.expected = True
+            sidecar.exit_expected = True
             if sidecar.process is not None and sidecar.process.returncode is None:
-                count += 1
+                killed += 1
                 sidecar.signal(signal.SIGKILL)
                 await sidecar.process.wait()
-        return count
+        return killed
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -1,7 +1,7 @@
-"""One process of the lab: some upstreams, the list service, or some applications.
+"""One process of the lab: it runs some upstreams, discovery, or some client applications.
 
-It is told what to play by JSON lines on standard input and answers by lines on standard output. It ends with its
-standard input, so nothing outlives the lab, whatever becomes of that.
+It reads its job and orders as JSON lines from standard input and answers by lines on standard output. It ends when its
+standard input does, so it never outlives the lab's main process.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 import os
 import sys
 import time
+from functools import partial
 from pathlib import Path
 from typing import Literal
 
@@ -20,18 +21,32 @@
 from garnetusher.lab.clients import Application
 from garnetusher.lab.clockwork import Clockwork
 from garnetusher.lab.directory import ListService
+from garnetusher.lab.linked import Listener
 from garnetusher.lab.upstreams import Machinery
 from garnetusher.model.experiment import Experiment, Topology
 from garnetusher.model.link import Weather
-from garnetusher.model.plan import Plan
+from garnetusher.model.plan import DIRECTORY, LinkStep, Plan
 from garnetusher.model.records import Journal
 
-LONGEST_LINE = 1 << 27  # bytes: the addresses of thousands of pairs
-GC_GAP = 100_000  # allocations between looks for garbage, which stall the process
+MAX_LINE_BYTES = 1 << 27  # enough for the addresses of thousands of pairs
+GC_THRESHOLDS = (100_000, 20, 20)  # rare collections, as each stalls the process
 
 
-class Job(Struct):
-    """What a worker is to be."""
+class WorkerJob(Struct):
+    """What a worker is to run.
+
+    Attributes:
+        role: Which nodes it has.
+        name: Its name in logs and records.
+        experiment: What is run.
+        plan: What each node does when.
+        journal: The file of its records.
+        cores: The CPU cores that it may use.
+        members: The upstreams (by uid) or the sidecars that are this worker's.
+        hosts: A loopback address for each uid, or for discovery.
+        endpoints: The address of each upstream for each sidecar: uid, name, `host:port`.
+        addresses: Where the sidecars listen.
+    """
 
     role: Literal["upstreams", "directory", "clients"]
     name: str
@@ -39,25 +54,46 @@
     plan: Plan
     journal: str
     cores: list[int]
-    members: list[str]  # uids or sidecars that are this worker's
-    hosts: dict[str, str] = field(default_factory=dict)  # a loopback address for each uid, or for the list by sidecar
-    endpoints: dict[str, dict[str, str]] = field(default_factory=dict)  # uid -> sidecar -> host:port
-    addresses: dict[str, tuple[str, int]] = field(default_factory=dict)  # of the sidecars
+    members: list[str]
+    hosts: dict[str, str] = field(default_factory=dict)
+    endpoints: dict[str, dict[str, str]] = field(default_factory=dict)
+    addresses: dict[str, tuple[str, int]] = field(default_factory=dict)
+
 
+class StartOrder(Struct):
+    """Sets time 0 of the run.
 
-class Begin(Struct):
-    """The play starts at this time of the monotonic clock; `unix_ms` is what the calendar says then."""
+    Attributes:
+        zero_ns: Time 0 on the monotonic clock, which all processes of the machine share.
+        unix_ms: The wall clock at that moment.
+    """
 
     zero_ns: int
     unix_ms: int
 
 
-class Ready(Struct):
-    endpoints: dict[str, dict[str, str]]  # as in `Job`; of the list service under "directory"
+STOP_ORDER = StartOrder(0, 0)  # any line after the start order stops a worker
+
+
+class WorkerReady(Struct):
+    """All sockets of a worker are open.
+
+    Attributes:
+        endpoints: Their addresses, as in `WorkerJob`; those of discovery are under `directory`.
+    """
+
+    endpoints: dict[str, dict[str, str]]
 
 
-class Closing(Struct):
-    """What a worker says at its end."""
+class WorkerSummary(Struct):
+    """What a worker reports when it stops.
+
+    Attributes:
+        events: How many of its timers fired.
+        late: How many of them fired late.
+        cpu_s: What it used.
+        not_asked: Requests that were not sent, as their application was down with its sidecar.
+    """
 
     events: int
     late: int
@@ -66,110 +102,133 @@
 
 
 class Worker:
-    def __init__(self, job: Job) -> None:
+    """The nodes of one process."""
+
+    def __init__(self, job: WorkerJob) -> None:
         self.job = job
         self.journal = Journal(Path(job.journal))
         self.clock = Clockwork(job.name, self.journal)
-        self.machines: list[Machinery] = []
-        self.service: ListService | None = None
-        self.apps: list[Application] = []
-
-    def prepare(self) -> Ready:
-        """Open all sockets; the addresses at which they are."""
+        self.upstreams: list[Machinery] = []
+        self.discovery: ListService | None = None
+        self.applications: list[Application] = []
+
+    def prepare(self) -> WorkerReady:
+        """Open all sockets."""
+        if self.job.role == "upstreams":
+            return WorkerReady(self._prepare_upstreams())
+        if self.job.role == "directory":
+            return WorkerReady({DIRECTORY: self._prepare_discovery()})
+        self._prepare_applications()
+        return WorkerReady({})
+
+    def _prepare_upstreams(self) -> dict[str, dict[str, str]]:
         job, topology = self.job, self.job.experiment.topology
-        ready: dict[str, dict[str, str]] = {}
-        if job.role == "upstreams":
-            for plan in job.plan.upstreams:
-                if plan.uid not in job.members:
-                    continue
-                machine = Machinery(self.clock, job.experiment, job.plan.seed, plan)
-                for sidecar in job.plan.sidecars:
-                    machine.link(
-                        sidecar.name, job.hosts[plan.uid], usual(topology, topology.one_way_ms(sidecar.zone, plan.zone))
-                    )
-                self.machines.append(machine)
-                ready[plan.uid] = {name: f"{x.host}:{x.port}" for name, x in machine.listeners.items()}
-        elif job.role == "directory":
-            self.service = ListService(self.clock, job.plan, job.endpoints, job.experiment.directory)
+        endpoints: dict[str, dict[str, str]] = {}
+        for plan in job.plan.upstreams:
+            if plan.uid not in job.members:
+                continue
+            upstream = Machinery(self.clock, job.experiment, job.plan.seed, plan)
             for sidecar in job.plan.sidecars:
-                self.service.link(sidecar.name, job.hosts["directory"], usual(topology, topology.cross_zone_ms))
-            ready["directory"] = {name: f"{x.host}:{x.port}" for name, x in self.service.listeners.items()}
-        else:
-            self.apps = [
-                Application(self.clock, job.experiment, job.plan, sidecar, job.addresses[sidecar.name])
-                for sidecar in job.plan.sidecars
-                if sidecar.name in job.members
-            ]
-        return Ready(ready)
+                conditions = _normal_conditions(topology, topology.one_way_ms(sidecar.zone, plan.zone))
+                upstream.link(sidecar.name, job.hosts[plan.uid], conditions)
+            self.upstreams.append(upstream)
+            endpoints[plan.uid] = _addresses(upstream.listeners)
+        return endpoints
 
-    def begin(self, order: Begin) -> None:
+    def _prepare_discovery(self) -> dict[str, str]:
+        job, topology = self.job, self.job.experiment.topology
+        self.discovery = ListService(self.clock, job.plan, job.endpoints, job.experiment.directory)
+        for sidecar in job.plan.sidecars:
+            conditions = _normal_conditions(topology, topology.cross_zone_ms)
+            self.discovery.link(sidecar.name, job.hosts[DIRECTORY], conditions)
+        return _addresses(self.discovery.listeners)
+
+    def _prepare_applications(self) -> None:
+        job = self.job
+        self.applications = [
+            Application(self.clock, job.experiment, job.plan, sidecar, job.addresses[sidecar.name])
+            for sidecar in job.plan.sidecars
+            if sidecar.name in job.members
+        ]
+
+    def begin(self, order: StartOrder) -> None:
+        """Start the clock, and schedule the plan on it."""
         self.clock.begin(order.zero_ns)
-        for machine in self.machines:
-            machine.begin()
-        if self.service is not None:
-            self.service.begin(order.unix_ms)
-        for app in self.apps:
-            app.begin()
-        self._links()
-
-    def _links(self) -> None:
-        """The plan's cuts and losses, for the links whose listening side is here."""
-        sides = {m.plan.uid: m.listeners for m in self.machines}
-        if self.service is not None:
-            sides["directory"] = self.service.listeners
+        for upstream in self.upstreams:
+            upstream.begin()
+        if self.discovery is not None:
+            self.discovery.begin(order.unix_ms)
+        for application in self.applications:
+            application.begin()
+        self._schedule_link_faults()
+
+    def _schedule_link_faults(self) -> None:
+        """Schedule the plan's cuts and losses, for the links whose listening side is here."""
+        listeners = {upstream.plan.uid: upstream.listeners for upstream in self.upstreams}
+        if self.discovery is not None:
+            listeners[DIRECTORY] = self.discovery.listeners
         for step in self.job.plan.links:
-            meant = [sides[party][name] for party in step.parties if party in sides for name in step.sidecars]
-            if not meant:
-                continue
-
-            def carry_out(step=step, meant=meant) -> None:  # type: ignore[no-untyped-def]
-                for listener in meant:
-                    if step.what == "cut":
-                        listener.cut(step.to_party, step.to_sidecar)
-                    elif step.what == "mend":
-                        listener.mend(step.to_party, step.to_sidecar)
-                    else:
-                        listener.to_party.loss = listener.to_sidecar.loss = step.value
-
-            self.clock.at(step.at_us, carry_out)
-
-    def close(self) -> Closing:
-        for machine in self.machines:
-            machine.close()
-        for app in self.apps:
-            app.close()
-        if self.service is not None:
-            self.service.close()
+            affected = [
+                listeners[node][sidecar] for node in step.parties if node in listeners for sidecar in step.sidecars
+            ]
+            if affected:
+                self.clock.at(step.at_us, partial(_apply_link_fault, step, affected))
+
+    def close(self) -> WorkerSummary:
+        """Close all sockets and the journal."""
+        for upstream in self.upstreams:
+            upstream.close()
+        for application in self.applications:
+            application.close()
+        if self.discovery is not None:
+            self.discovery.close()
         self.journal.close()
-        return Closing(self.clock.events, self.clock.late, time.process_time(), sum(app.not_asked for app in self.apps))
+        not_asked = sum(application.not_asked for application in self.applications)
+        return WorkerSummary(self.clock.events, self.clock.late, time.process_time(), not_asked)
+
+
+def _apply_link_fault(step: LinkStep, listeners: list[Listener]) -> None:
+    for listener in listeners:
+        if step.what == "cut":
+            listener.cut(step.to_party, step.to_sidecar)
+        elif step.what == "mend":
+            listener.mend(step.to_party, step.to_sidecar)
+        else:
+            listener.to_party.loss = listener.to_sidecar.loss = step.value
+
+
+def _normal_conditions(topology: Topology, one_way_ms: float) -> Weather:
+    """Return the conditions of a link that has no fault."""
+    return Weather(round(one_way_ms * 1000), topology.jitter, bytes_per_s=topology.link_kb_per_s * 1000)
 
 
-def usual(topology: Topology, way_ms: float) -> Weather:
-    """A link on which no fault lies."""
-    return Weather(round(way_ms * 1000), topology.jitter, bytes_per_s=topology.link_kb_per_s * 1000)
+def _addresses(listeners: dict[str, Listener]) -> dict[str, str]:
+    return {sidecar: f"{listener.host}:{listener.port}" for sidecar, listener in listeners.items()}
 
 
-def say(answer: Struct) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(answer) + b"\n")
+def _send(message: Struct) -> None:
+    sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
     sys.stdout.buffer.flush()
 
 
 async def main() -> None:
+    """Read the job and the orders from standard input, and carry them out."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(LONGEST_LINE)
+    reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    job = msgspec.json.decode(await reader.readline(), type=Job)
+    job = msgspec.json.decode(await reader.readline(), type=WorkerJob)
     os.sched_setaffinity(0, job.cores)
     worker = Worker(job)
-    say(worker.prepare())
+    _send(worker.prepare())
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_GAP, 20, 20)
-    line = await reader.readline()
-    if line:
-        worker.begin(msgspec.json.decode(line, type=Begin))
-        if await reader.readline():
-            say(worker.close())
+    gc.set_threshold(*GC_THRESHOLDS)
+    start_line = await reader.readline()
+    if not start_line:
+        return
+    worker.begin(msgspec.json.decode(start_line, type=StartOrder))
+    if await reader.readline():
+        _send(worker.close())
 
 
 if __name__ == "__main__":
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 import psutil
 import pytest
 
-from garnetusher.lab.play import play
+from garnetusher.lab.run import run_experiment
 from garnetusher.lab.sidecars import LabError
 from garnetusher.model import checker, compare, experiment, figures, plan, records
 from garnetusher.model.records import Answered, Asked, Attempt, Ended, Held, Told
@@ -143,7 +143,7 @@
     broken = tree(tmp_path, "echo first >&2; echo no good reason >&2; exit 3")
     with pytest.raises(LabError, match="(?s)died at its start with 3.*no good reason"):
         began = time.monotonic()
-        asyncio.run(play(it, plan.make(it, 1), broken, tmp_path / "out", lambda what, part: None))
+        asyncio.run(run_experiment(it, plan.make(it, 1), broken, tmp_path / "out", lambda what, part: None))
     assert time.monotonic() - began < 20
 
 
@@ -155,7 +155,7 @@
 
 def breaches(folder: Path, it: experiment.Experiment, run: str) -> list[checker.Breach]:
     made = plan.make(it, it.seed)
-    played = asyncio.run(play(it, made, tree(folder, run), folder / "out", lambda what, part: None))
+    played = asyncio.run(run_experiment(it, made, tree(folder, run), folder / "out", lambda what, part: None))
     return checker.check(it, made, played.records)
 
 
