--- /dev/null
+++ b/garnetusher/lab/link_sockets.py
@@ -0,0 +1,312 @@
+"""Sockets behind simulated links: each pair of a node and a sidecar has a listening socket, and a link, of its own.
+
+The node's code runs behind the link, in this process, so no byte is copied through another one. A cut closes nothing:
+what arrives is read and kept, what is sent is kept, and new connections never come up, because the listening socket's
+queue is filled until the kernel drops further requests to connect (`listen(2)`, a backlog of 0).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import random
+import socket
+from collections import deque
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Protocol
+
+from garnetusher.errors import GarnetusherError
+from garnetusher.lab.clockwork import Clockwork
+from garnetusher.model.link import StreamLink, Weather
+
+BACKLOG = 512
+FILLER_CONNECTIONS = 4  # one fills a queue of length 0; the others make sure
+MIN_DELAY_US = 400  # a shorter delay is left out: the loop's timers are no finer than a millisecond
+
+
+class UnexpectedTransportError(GarnetusherError):
+    """The event loop gave a connection a transport that is no byte stream."""
+
+    def __init__(self, transport: asyncio.BaseTransport) -> None:
+        super().__init__(f"connection: expected a stream transport, got {type(transport).__name__}")
+
+
+class ConnectionHandler(Protocol):
+    """The node's side of a connection."""
+
+    def data_arrived(self, data: bytes) -> None:
+        """Handle bytes that have come through the link."""
+
+    def closed_by_sidecar(self) -> None:
+        """Handle that the sidecar has closed, as far as the node can know."""
+
+    def data_undelivered(self, data: bytes) -> None:
+        """Handle that bytes were written into a cut link, and stay there."""
+
+
+def _passes_at_once(link: StreamLink) -> bool:
+    """Whether what is sent now arrives now, as nothing delays it by more than timers can tell."""
+    weather = link.weather
+    return weather.delay_us < MIN_DELAY_US and not (weather.cut or weather.loss or weather.bytes_per_s or link.waiting)
+
+
+class Connection(asyncio.Protocol):
+    """One connection of a sidecar, as the node sees it through the link."""
+
+    def __init__(self, listener: Listener) -> None:
+        self.listener = listener
+        self.transport: asyncio.Transport | None = None
+        self._clock = listener.clock
+        self._inbound = StreamLink(listener.to_node, listener.rng)
+        self._outbound = StreamLink(listener.to_sidecar, listener.rng)
+        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()  # one for each write in `_outbound`
+        self._timer: asyncio.TimerHandle | None = None
+        self._closed_by_sidecar = False
+        self._close_reported = False
+        self._closed_by_node = False
+        self.handler = listener.make_handler(self)
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport; called by the loop."""
+        if not isinstance(transport, asyncio.Transport):
+            raise UnexpectedTransportError(transport)
+        self.transport = transport
+        self.listener.connections.add(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Send data of the sidecar through the link; called by the loop."""
+        if self.listener.to_node.cut:
+            self.handler.data_undelivered(data)
+        if self._closed_by_node:
+            return
+        if not self.listener.to_node.cut and _passes_at_once(self._inbound):
+            self.handler.data_arrived(data)
+            return
+        self._inbound.send(self._clock.now_us(), data)
+        self._deliver()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Note that the sidecar has closed; called by the loop."""
+        self._closed_by_sidecar = True
+        if self.listener.to_node.cut or self._closed_by_node:
+            # What the cut holds back is lost: a sidecar that has closed sends nothing again.
+            self._inbound = StreamLink(self.listener.to_node, self.listener.rng)
+        self._deliver()
+
+    def write(self, data: bytes, on_delivered: Callable[[], None] | None = None) -> None:
+        """Send data towards the sidecar; `on_delivered` is called when it has come through the link."""
+        if self._closed_by_node or self._closed_by_sidecar or self.transport is None:
+            return
+        if _passes_at_once(self._outbound):
+            self.transport.write(data)
+            if on_delivered is not None:
+                on_delivered()
+            return
+        self._outbound.send(self._clock.now_us(), data)
+        self._delivery_callbacks.append(on_delivered)
+        self._deliver()
+
+    def close(self) -> None:
+        """Close in order: what has been written is still delivered."""
+        self._closed_by_node = True
+        if self.transport is not None and not self._outbound.waiting:
+            self.transport.close()
+
+    def abort(self) -> None:
+        """Reset the connection; behind a cut the sidecar can't be told, so the transport stays open."""
+        self._closed_by_node = True
+        if self.transport is not None and not self.listener.to_sidecar.cut:
+            self.transport.abort()
+
+    def restore_to_node(self) -> None:
+        """Carry on after a cut of the direction to the node."""
+        self._inbound.mend(self._clock.now_us())
+        self._deliver()
+
+    def restore_to_sidecar(self) -> None:
+        """Carry on after a cut of the direction to the sidecar; a reset that it held back is sent now."""
+        self._outbound.mend(self._clock.now_us())
+        if self._closed_by_node and self.transport is not None:
+            self.transport.abort()
+        self._deliver()
+
+    def _deliver(self) -> None:
+        """Deliver what has arrived by now, in both directions."""
+        now_us = self._clock.now_us()
+        self._deliver_to_node(now_us)
+        self._deliver_to_sidecar(now_us)
+        self._close_transport_when_done()
+        self._report_close_when_done()
+        self._set_timer()
+
+    def _deliver_to_node(self, now_us: int) -> None:
+        for data in self._inbound.arrived(now_us):
+            if not self._closed_by_node:
+                self.handler.data_arrived(data)
+
+    def _deliver_to_sidecar(self, now_us: int) -> None:
+        for data in self._outbound.arrived(now_us):
+            on_delivered = self._delivery_callbacks.popleft()
+            if self.transport is not None and not self._closed_by_sidecar:
+                self.transport.write(data)
+                if on_delivered is not None:
+                    on_delivered()
+
+    def _close_transport_when_done(self) -> None:
+        blocked = self._outbound.waiting or self.listener.to_sidecar.cut
+        if self._closed_by_node and self.transport is not None and not blocked:
+            self.transport.close()
+
+    def _report_close_when_done(self) -> None:
+        blocked = self._inbound.waiting or self.listener.to_node.cut
+        if self._closed_by_sidecar and not self._close_reported and not blocked:
+            self._close_reported = True
+            self.listener.connections.discard(self)
+            self.handler.closed_by_sidecar()
+
+    def _set_timer(self) -> None:
+        times_us = [t for t in (self._inbound.next_us(), self._outbound.next_us()) if t is not None]
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        if times_us:
+            self._timer = self._clock.at(min(times_us), self._deliver)
+
+
+class Listener:
+    """The listening socket of one pair, and the conditions of its link in both directions.
+
+    Attributes:
+        to_node: The conditions from the sidecar to the node.
+        to_sidecar: The conditions from the node to the sidecar.
+        connections: The open connections.
+        host: The address.
+        port: The port; 0 before the first `open`.
+    """
+
+    def __init__(
+        self,
+        clock: Clockwork,
+        host: str,
+        make_handler: Callable[[Connection], ConnectionHandler],
+        seed: int,
+        normal_conditions: Weather | None = None,
+    ) -> None:
+        self.clock = clock
+        self.make_handler = make_handler
+        self.rng = random.Random(seed)
+        self.to_node = replace(normal_conditions or Weather())
+        self.to_sidecar = replace(normal_conditions or Weather())
+        self.connections: set[Connection] = set()
+        self.host = host
+        self.port = 0
+        self._socket: socket.socket | None = None
+        self._fillers: list[socket.socket] = []
+        self._tasks: set[asyncio.Task[object]] = set()
+
+    def open(self) -> None:
+        """Listen, at a port of the kernel's choice the first time and at the same one later."""
+        if self._socket is not None:
+            return
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setblocking(False)
+        sock.bind((self.host, self.port))
+        sock.listen(BACKLOG)
+        self.port = sock.getsockname()[1]
+        self._socket = sock
+        if self._cut:
+            self._fill_backlog(sock)
+        else:
+            self.clock.loop.add_reader(sock.fileno(), self._accept)
+
+    def refuse(self) -> None:
+        """Refuse new connections; open ones stay."""
+        self._release_backlog()
+        if self._socket is not None:
+            self.clock.loop.remove_reader(self._socket.fileno())
+            self._socket.close()
+            self._socket = None
+
+    def cut(self, *, to_node: bool, to_sidecar: bool) -> None:
+        """Cut the given directions; cuts add up."""
+        was_cut = self._cut
+        self.to_node.cut += int(to_node)
+        self.to_sidecar.cut += int(to_sidecar)
+        if self._cut and not was_cut and self._socket is not None:
+            self._accept()
+            self._fill_backlog(self._socket)
+
+    def restore(self, *, to_node: bool, to_sidecar: bool) -> None:
+        """End a cut of the given directions; a direction works again when all its cuts have ended."""
+        self.to_node.cut -= int(to_node)
+        self.to_sidecar.cut -= int(to_sidecar)
+        if not self._cut and self._socket is not None:
+            self._release_backlog()
+            self._socket.listen(BACKLOG)
+            self.clock.loop.add_reader(self._socket.fileno(), self._accept)
+        for connection in list(self.connections):
+            if to_node and not self.to_node.cut:
+                connection.restore_to_node()
+            if to_sidecar and not self.to_sidecar.cut:
+                connection.restore_to_sidecar()
+
+    def abort_all(self) -> None:
+        """Reset all connections; behind a cut this reaches the sidecar only when the cut has ended."""
+        for connection in list(self.connections):
+            connection.abort()
+            if not self.to_sidecar.cut:
+                self.connections.discard(connection)
+
+    def close(self) -> None:
+        """Close the listening socket and all connections."""
+        self.refuse()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
+
+    @property
+    def _cut(self) -> bool:
+        """Whether no connection can come up, as that takes both directions."""
+        return bool(self.to_node.cut or self.to_sidecar.cut)
+
+    def _accept(self) -> None:
+        while self._socket is not None:
+            try:
+                sock, _ = self._socket.accept()
+            except OSError:
+                return
+            sock.setblocking(False)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            task: asyncio.Task[object] = self.clock.loop.create_task(
+                self.clock.loop.connect_accepted_socket(lambda: Connection(self), sock)
+            )
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+
+    def _fill_backlog(self, listening_socket: socket.socket) -> None:
+        """Fill the queue: with room in it the kernel would complete connections that nobody accepts."""
+        self.clock.loop.remove_reader(listening_socket.fileno())
+        listening_socket.listen(0)
+        for _ in range(FILLER_CONNECTIONS):
+            filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            filler.setblocking(False)
+            filler.connect_ex((self.host, self.port))
+            self._fillers.append(filler)
+
+    def _release_backlog(self) -> None:
+        """Close the fillers, and accept and close what is queued.
+
+        A sidecar's own connection in the queue is reset with them, as by a machine that has started anew.
+        """
+        fillers, self._fillers = self._fillers, []
+        for filler in fillers:
+            filler.close()
+        while self._socket is not None and fillers:
+            try:
+                sock, _ = self._socket.accept()
+            except OSError:
+                break
+            with contextlib.suppress(OSError):
+                sock.close()
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -22,7 +22,7 @@
 
 from garnetusher.errors import GarnetusherError
 from garnetusher.lab.clients import is_up
-from garnetusher.lab.directory import entry
+from garnetusher.lab.discovery import entry
 from garnetusher.lab.sidecar_settings import settings_document
 from garnetusher.logs import logger
 from garnetusher.model import beliefs, draw
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -1,272 +1,376 @@
-"""Upstreams on sockets: `garnetusher.model.upstream` decides what is served when; here is HTTP/1.1 and the faults."""
+"""HTTP/1.1 servers for simulated upstreams.
+
+`garnetusher.model.upstream` decides what is served when; this module has the sockets, the requests and the faults.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import random
+from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Literal
 
 import httptools
 
-from garnetusher.lab import linked
+from garnetusher.lab import link_sockets
 from garnetusher.lab.clockwork import Clockwork
 from garnetusher.model import draw
-from garnetusher.model.experiment import Experiment
+from garnetusher.model.experiment import Experiment, RequestClass
 from garnetusher.model.link import Weather
 from garnetusher.model.plan import Step, UpstreamPlan
 from garnetusher.model.records import Attempt, Ended, Held, Machine
 from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream
 
-NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-UNKNOWN = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-ALIVE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-SWEEP_S = 0.5  # between looks for connections that have been idle for too long
+NOT_RUN_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+NOT_FOUND_RESPONSE = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
+HEALTHY_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+SUCCESS_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n"
+REQUEST_ID_HEADER = b"x-request-id"
+HEALTH_PATHS = (b"/alive", b"/metrics/load")
+IDLE_CHECK_INTERVAL_S = 0.5  # between checks for connections that have been idle for too long
+
+AttemptEnd = Literal["served", "error", "turned_away", "cancelled", "reset", "dropped"]  # as told in `Ended.how`
 
 
 @dataclass(slots=True)
-class _Job:
-    n: int
-    ident: str
-    caller: Caller
+class _AttemptInProgress:
+    number: int
+    request_id: str
+    connection: SidecarConnection
 
 
-class Caller:
-    """A sidecar's connection, as an upstream sees it. It carries one request at a time."""
+class SidecarConnection:
+    """A sidecar's connection to an upstream; it carries one request at a time."""
 
-    def __init__(self, machine: Machinery, sidecar: str, connection: linked.Connection) -> None:
-        self.machine, self.sidecar, self.connection = machine, sidecar, connection
+    def __init__(self, server: UpstreamServer, sidecar: str, connection: link_sockets.Connection) -> None:
+        self.server = server
+        self.sidecar = sidecar
+        self.connection = connection
         self.parser = httptools.HttpRequestParser(self)
-        self.began_us = self.quiet_us = machine.clock.now_us()
-        self.fresh, self.reading = True, False
-        self.job: _Job | None = None
-        self.target, self.ident = b"", ""
-        machine.callers.add(self)
-        self.welcome = len(machine.callers) <= machine.most_callers
+        self.request_started_us = self.last_response_us = server.clock.now_us()
+        self.unused = True
+        self.reading = False
+        self.attempt: _AttemptInProgress | None = None
+        self._target = b""
+        self._request_id = ""
+        server.connections.add(self)
+        self.accepted = len(server.connections) <= server.max_connections
 
-    # The link
+    # Called by the link
 
-    def received(self, data: bytes) -> None:
+    def data_arrived(self, data: bytes) -> None:
+        """Parse what has come through the link."""
         if not self.reading:
-            self.reading, self.began_us = True, self.machine.clock.now_us()
+            self.reading = True
+            self.request_started_us = self.server.clock.now_us()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.machine.hang_up(self)
+            self.connection.abort()
+            self.server.connection_closed(self)
 
-    def lost(self) -> None:
-        self.machine.left(self)
+    def closed_by_sidecar(self) -> None:
+        """Cancel what it carries."""
+        self.server.connection_closed(self)
 
-    def held(self, data: bytes) -> None:
+    def data_undelivered(self, data: bytes) -> None:
+        """Record the requests that were written into a cut link."""
         for line in data.split(b"\r\n"):
-            if line[:13].lower() == b"x-request-id:":
-                self.machine.hold(self, line[13:].strip().decode("latin-1"))
+            name, _, value = line.partition(b":")
+            if name.lower() == REQUEST_ID_HEADER:
+                self.server.record_undelivered(self, value.strip().decode("latin-1"))
 
-    # The parser
+    # Called by the parser
 
     def on_url(self, url: bytes) -> None:
-        self.target += url
+        """Take a part of the request's target."""
+        self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if name.lower() == b"x-request-id":
-            self.ident = value.decode("latin-1")
+        """Take the request's id."""
+        if name.lower() == REQUEST_ID_HEADER:
+            self._request_id = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
+        """Pass a complete request on."""
         self.reading = False
-        target, self.target = self.target, b""
-        ident, self.ident = self.ident, ""
-        self.machine.whole(self, target, ident)
+        target, self._target = self._target, b""
+        request_id, self._request_id = self._request_id, ""
+        self.server.request_received(self, target, request_id)
 
 
-class Machinery:
-    """One upstream: its machine, its listeners (one for each sidecar), its callers."""
+class UpstreamServer:
+    """One upstream: the simulated machine, a listener for each sidecar, and the sidecars' connections."""
 
     def __init__(self, clock: Clockwork, experiment: Experiment, seed: int, plan: UpstreamPlan) -> None:
-        self.clock, self.experiment, self.seed, self.plan = clock, experiment, seed, plan
-        self.figures = experiment.upstreams
-        self.rng = random.Random(f"{seed} {plan.uid}")
-        self.core = Upstream(self.figures, plan.speed)
-        self.most_callers = self.figures.connections_per_core * self.figures.cores
-        self.callers: set[Caller] = set()
-        self.jobs: dict[int, _Job] = {}
-        self.last = 0
-        self.errors, self.resets = self.figures.error_share, 0.0
-        self.classes = {c.name.encode(): c for c in experiment.classes}
-        self.listeners: dict[str, linked.Listener] = {}
+        self.clock = clock
+        self.plan = plan
+        self.connections: set[SidecarConnection] = set()
+        self.listeners: dict[str, link_sockets.Listener] = {}
+        self._settings = experiment.upstreams
+        self.max_connections = self._settings.connections_per_core * self._settings.cores
+        self._seed = seed
+        self._random = random.Random(f"{seed} {plan.uid}")
+        self._machine = Upstream(self._settings, plan.speed)
+        self._attempts: dict[int, _AttemptInProgress] = {}
+        self._last_attempt = 0
+        self._error_share = self._settings.error_share
+        self._reset_share = 0.0
+        self._errors_on_arrival = False  # a fault: errors come at once, before any work
+        self._classes = {c.name.encode(): c for c in experiment.classes}
         self._timer: asyncio.TimerHandle | None = None
-        self._failing = False
-
-    def link(self, sidecar: str, host: str, usual: Weather) -> None:
-        """A listener for one sidecar."""
-        seed = int(draw.uniform(self.seed, "link", self.plan.uid, sidecar) * 2**32)
-        listener = linked.Listener(self.clock, host, lambda c: Caller(self, sidecar, c), seed, usual)
+        self._fault_handlers: dict[str, Callable[[int, Step], None]] = {
+            "die": self._die,
+            "vanish": self._vanish,
+            "boot": self._boot,
+            "hang": self._hang_or_resume,
+            "resume": self._hang_or_resume,
+            "slow": self._slow_down,
+            "errors": self._set_error_share,
+            "reset": self._set_reset_share,
+            "refuse": self._refuse,
+            "accept": self._accept,
+        }
+
+    def link(self, sidecar: str, host: str, normal_conditions: Weather) -> None:
+        """Open the listener of one sidecar."""
+        seed = int(draw.uniform(self._seed, "link", self.plan.uid, sidecar) * 2**32)
+        listener = link_sockets.Listener(
+            self.clock, host, lambda connection: SidecarConnection(self, sidecar, connection), seed, normal_conditions
+        )
         self.listeners[sidecar] = listener
         listener.open()
         if self.plan.from_us > 0:
-            listener.refuse()  # its port is known; it runs later
+            listener.refuse()  # the upstream starts later, but the list needs its port now
 
     def begin(self) -> None:
+        """Schedule the plan's faults."""
         for step in self.plan.steps:
-            self.clock.at(step.at_us, self.befall, step)
+            self.clock.at(step.at_us, self.apply_fault, step)
         if self.plan.from_us > 0:
-            self.core.die(0)
-        self._sweep()
-
-    # What befalls it
-
-    def befall(self, step: Step) -> None:
-        now = self.clock.now_us()
-        if step.what == "die":
-            for job in self.core.die(now):
-                self._over(job, "dropped")
-            self._refuse()
-        elif step.what == "vanish":  # a machine behind a cut: nobody is told
-            for job in self.core.die(now):
-                self._over(job, "dropped")
-            for listener in self.listeners.values():
-                listener.abort_all()
-            for caller in list(self.callers):
-                self.left(caller)
-        elif step.what == "boot":
-            self.core.boot(now)
-            for listener in self.listeners.values():
-                listener.open()
-        elif step.what in ("hang", "resume"):
-            self._act(self.core.hang(now, step.what == "hang"))
-        elif step.what == "slow":
-            self._act(self.core.slow_down(now, step.value))
-        elif step.what == "errors":
-            self._failing = step.value > 0
-            self.errors = step.value or self.figures.error_share
-        elif step.what == "reset":
-            self.resets = step.value
-        elif step.what == "refuse":
-            self._refuse()
-        elif step.what == "accept":
-            for listener in self.listeners.values():
-                listener.open()
-        self.clock.write(Machine(now, self.plan.uid, step.what))
-
-    def _refuse(self) -> None:
+            self._machine.die(0)
+        self._close_idle_connections()
+
+    def close(self) -> None:
+        """Close all sockets."""
+        for listener in self.listeners.values():
+            listener.close()
+
+    # Faults
+
+    def apply_fault(self, step: Step) -> None:
+        """Carry out a step of the plan, and record it."""
+        now_us = self.clock.now_us()
+        handler = self._fault_handlers.get(step.what)
+        if handler is not None:
+            handler(now_us, step)
+        self.clock.write(Machine(now_us, self.plan.uid, step.what))
+
+    def _die(self, now_us: int, step: Step) -> None:
+        self._drop_all_attempts(now_us)
+        self._refuse_connections()
+
+    def _vanish(self, now_us: int, step: Step) -> None:
+        """Die behind a cut, so that no sidecar sees a connection close."""
+        self._drop_all_attempts(now_us)
+        self._abort_connections()
+
+    def _boot(self, now_us: int, step: Step) -> None:
+        self._machine.boot(now_us)
+        self._accept_connections()
+
+    def _hang_or_resume(self, now_us: int, step: Step) -> None:
+        self._handle_actions(self._machine.hang(now_us, step.what == "hang"))
+
+    def _slow_down(self, now_us: int, step: Step) -> None:
+        self._handle_actions(self._machine.slow_down(now_us, step.value))
+
+    def _set_error_share(self, now_us: int, step: Step) -> None:
+        self._errors_on_arrival = step.value > 0
+        self._error_share = step.value or self._settings.error_share
+
+    def _set_reset_share(self, now_us: int, step: Step) -> None:
+        self._reset_share = step.value
+
+    def _refuse(self, now_us: int, step: Step) -> None:
+        self._refuse_connections()
+
+    def _accept(self, now_us: int, step: Step) -> None:
+        self._accept_connections()
+
+    def _drop_all_attempts(self, now_us: int) -> None:
+        for attempt_number in self._machine.die(now_us):
+            self._end_attempt(attempt_number, "dropped")
+
+    def _accept_connections(self) -> None:
+        for listener in self.listeners.values():
+            listener.open()
+
+    def _refuse_connections(self) -> None:
         for listener in self.listeners.values():
             listener.refuse()
             listener.abort_all()
-        for caller in list(self.callers):
-            self.left(caller)
+        self._forget_connections()
+
+    def _abort_connections(self) -> None:
+        for listener in self.listeners.values():
+            listener.abort_all()
+        self._forget_connections()
+
+    def _forget_connections(self) -> None:
+        for connection in list(self.connections):
+            self.connection_closed(connection)
 
-    # Callers
+    # Requests
 
-    def whole(self, caller: Caller, target: bytes, ident: str) -> None:
-        now = self.clock.now_us()
-        if target in (b"/alive", b"/metrics/load"):
-            caller.connection.write(ALIVE)
+    def request_received(self, connection: SidecarConnection, target: bytes, request_id: str) -> None:
+        """Answer a health check, or record an attempt and start its work."""
+        now_us = self.clock.now_us()
+        if target in HEALTH_PATHS:
+            connection.connection.write(HEALTHY_RESPONSE)
+            return
+        request_class = self._classes.get(target.split(b"?")[0].lstrip(b"/").split(b"/")[0])
+        if request_class is None or not request_id:
+            connection.connection.write(NOT_FOUND_RESPONSE)
             return
-        kind = self.classes.get(target.split(b"?")[0].lstrip(b"/").split(b"/")[0])
-        if kind is None or not ident:
-            caller.connection.write(UNKNOWN)
+        work_us = self._work_us(request_class, request_id, on_new_connection=connection.unused)
+        handshake_us = self._handshake_us(connection)
+        attempt = self._record_attempt(now_us, connection, request_id, work_us)
+        if self._fails_on_arrival(attempt):
             return
-        self.last += 1
-        job = _Job(self.last, ident, caller)
-        base = ".".join(ident.split(".")[:2])  # a client's tries are the same work
-        work = draw.work_us(self.seed, base, kind.work_ms, kind.work_cv)
-        if caller.fresh:
-            work += int(self.figures.handshake_ms * 1000)
-        self.clock.write(Attempt(now, job.n, ident, self.plan.uid, caller.sidecar, caller.began_us, work, caller.fresh))
-        trips = 2 * self.figures.handshake_trips if caller.fresh else 0.0  # ways that a handshake takes first
-        trips_us = int(trips * caller.connection.listener.to_party.delay_us)
-        caller.fresh, caller.job = False, job
-        self.jobs[job.n] = job
-        if not caller.welcome:
-            self._answer(job, NOT_RUN, "turned_away")
-        elif self.core.hung:
-            self._start(job, work)
-        elif self._failing and self.rng.random() < self.errors:
-            self._answer(job, ERROR, "error")
-        elif self.resets and self.rng.random() < self.resets:
-            self._over(job.n, "reset")
-            caller.connection.abort()
-        elif trips_us:
-            self.clock.at(now + trips_us, self._start, job, work)
+        if handshake_us and not self._machine.hung:
+            self.clock.at(now_us + handshake_us, self._start_work, attempt, work_us)
         else:
-            self._start(job, work)
-
-    def _start(self, job: _Job, work: int) -> None:
-        if job.n in self.jobs:
-            self._act(self.core.arrive(self.clock.now_us(), job.n, work))
-
-    def hold(self, caller: Caller, ident: str) -> None:
-        self.clock.write(Held(self.clock.now_us(), ident, self.plan.uid, caller.sidecar))
-
-    def left(self, caller: Caller) -> None:
-        self.callers.discard(caller)
-        if caller.job is not None:
-            self._act(self.core.cancel(self.clock.now_us(), caller.job.n))
-            if caller.job is not None:
-                self._over(caller.job.n, "cancelled")
-
-    def hang_up(self, caller: Caller) -> None:
-        caller.connection.abort()
-        self.left(caller)
+            self._start_work(attempt, work_us)
+
+    def _work_us(self, request_class: RequestClass, request_id: str, *, on_new_connection: bool) -> int:
+        first_attempt_id = ".".join(request_id.split(".")[:2])  # a client's retries are the same work
+        work_us = draw.work_us(self._seed, first_attempt_id, request_class.work_ms, request_class.work_cv)
+        if on_new_connection:
+            work_us += int(self._settings.handshake_ms * 1000)
+        return work_us
+
+    def _handshake_us(self, connection: SidecarConnection) -> int:
+        """Return the time on the way that a handshake takes before the first request of a connection."""
+        one_way_trips = 2 * self._settings.handshake_trips if connection.unused else 0.0
+        return int(one_way_trips * connection.connection.listener.to_node.delay_us)
+
+    def _record_attempt(
+        self, now_us: int, connection: SidecarConnection, request_id: str, work_us: int
+    ) -> _AttemptInProgress:
+        self._last_attempt += 1
+        attempt = _AttemptInProgress(self._last_attempt, request_id, connection)
+        self.clock.write(
+            Attempt(
+                now_us,
+                attempt.number,
+                request_id,
+                self.plan.uid,
+                connection.sidecar,
+                connection.request_started_us,
+                work_us,
+                connection.unused,
+            )
+        )
+        connection.unused = False
+        connection.attempt = attempt
+        self._attempts[attempt.number] = attempt
+        return attempt
+
+    def _fails_on_arrival(self, attempt: _AttemptInProgress) -> bool:
+        """Reject, fail or reset an attempt where the limit of connections or a fault demands it."""
+        if not attempt.connection.accepted:
+            self._respond(attempt, NOT_RUN_RESPONSE, "turned_away")
+            return True
+        if self._machine.hung:
+            return False
+        if self._errors_on_arrival and self._random.random() < self._error_share:
+            self._respond(attempt, ERROR_RESPONSE, "error")
+            return True
+        if self._reset_share and self._random.random() < self._reset_share:
+            self._end_attempt(attempt.number, "reset")
+            attempt.connection.connection.abort()
+            return True
+        return False
+
+    def _start_work(self, attempt: _AttemptInProgress, work_us: int) -> None:
+        if attempt.number in self._attempts:
+            self._handle_actions(self._machine.arrive(self.clock.now_us(), attempt.number, work_us))
+
+    def record_undelivered(self, connection: SidecarConnection, request_id: str) -> None:
+        """Record a request that was written into a cut link."""
+        self.clock.write(Held(self.clock.now_us(), request_id, self.plan.uid, connection.sidecar))
+
+    def connection_closed(self, connection: SidecarConnection) -> None:
+        """Cancel the attempt that a connection carries."""
+        self.connections.discard(connection)
+        if connection.attempt is None:
+            return
+        self._handle_actions(self._machine.cancel(self.clock.now_us(), connection.attempt.number))
+        if connection.attempt is not None:  # the machine may have finished it at this very moment
+            self._end_attempt(connection.attempt.number, "cancelled")
 
-    # The machine
+    # The simulated machine
 
-    def _act(self, actions: list[Action]) -> None:
+    def _handle_actions(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Finished):
-                job = self.jobs.get(action.job)
-                if job is None:
-                    continue
-                if self.errors and self.rng.random() < self.errors:
-                    self._answer(job, ERROR, "error")
-                else:
-                    body = f"{self.plan.uid} {job.ident}\n".encode()
-                    self._answer(
-                        job,
-                        b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s"
-                        % (len(body), body),
-                        "served",
-                    )
+                self._finish(action)
             elif isinstance(action, TurnedAway):
-                if action.job in self.jobs:
-                    self._answer(self.jobs[action.job], NOT_RUN, "turned_away")
+                if action.job in self._attempts:
+                    self._respond(self._attempts[action.job], NOT_RUN_RESPONSE, "turned_away")
             elif isinstance(action, FellOver):
-                self.clock.write(Machine(self.clock.now_us(), self.plan.uid, "fell_over"))
-                for number in action.dropped:
-                    self._over(number, "dropped")
-                self._refuse()
-        self._arm()
-
-    def _answer(self, job: _Job, data: bytes, how: str) -> None:
-        job.caller.quiet_us = self.clock.now_us()
-        self._over(job.n, how)
-        job.caller.connection.write(data)
-
-    def _over(self, number: int, how: str) -> None:
-        job = self.jobs.pop(number, None)
-        if job is not None:
-            job.caller.job = None
-            self.clock.write(Ended(self.clock.now_us(), number, job.ident, self.plan.uid, job.caller.sidecar, how))
-
-    def _arm(self) -> None:
+                self._crash(action)
+        self._set_timer()
+
+    def _finish(self, action: Finished) -> None:
+        attempt = self._attempts.get(action.job)
+        if attempt is None:
+            return
+        if self._error_share and self._random.random() < self._error_share:
+            self._respond(attempt, ERROR_RESPONSE, "error")
+        else:
+            body = f"{self.plan.uid} {attempt.request_id}\n".encode()
+            self._respond(attempt, SUCCESS_HEAD % len(body) + body, "served")
+
+    def _crash(self, action: FellOver) -> None:
+        self.clock.write(Machine(self.clock.now_us(), self.plan.uid, "fell_over"))
+        for attempt_number in action.dropped:
+            self._end_attempt(attempt_number, "dropped")
+        self._refuse_connections()
+
+    def _respond(self, attempt: _AttemptInProgress, response: bytes, end: AttemptEnd) -> None:
+        attempt.connection.last_response_us = self.clock.now_us()
+        self._end_attempt(attempt.number, end)
+        attempt.connection.connection.write(response)
+
+    def _end_attempt(self, attempt_number: int, end: AttemptEnd) -> None:
+        attempt = self._attempts.pop(attempt_number, None)
+        if attempt is None:
+            return
+        attempt.connection.attempt = None
+        sidecar = attempt.connection.sidecar
+        self.clock.write(Ended(self.clock.now_us(), attempt_number, attempt.request_id, self.plan.uid, sidecar, end))
+
+    def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        at = self.core.next_us()
-        if at is not None:
-            self._timer = self.clock.at(at, self._wake)
+        at_us = self._machine.next_us()
+        if at_us is not None:
+            self._timer = self.clock.at(at_us, self._on_timer)
 
-    def _wake(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self._act(self.core.wakeup(self.clock.now_us()))
-
-    def _sweep(self) -> None:
-        oldest = self.clock.now_us() - int(self.figures.idle_s * 1e6)
-        for caller in list(self.callers):
-            if caller.job is None and not caller.reading and caller.quiet_us < oldest and not self.core.hung:
-                caller.connection.close()
-                self.callers.discard(caller)
-        self.clock.loop.call_later(SWEEP_S, self._sweep)
-
-    def close(self) -> None:
-        for listener in self.listeners.values():
-            listener.close()
+        self._handle_actions(self._machine.wakeup(self.clock.now_us()))
+
+    def _close_idle_connections(self) -> None:
+        idle_since_us = self.clock.now_us() - int(self._settings.idle_s * 1e6)
+        for connection in list(self.connections):
+            busy = connection.attempt is not None or connection.reading
+            if not busy and connection.last_response_us < idle_since_us and not self._machine.hung:
+                connection.connection.close()
+                self.connections.discard(connection)
+        self.clock.loop.call_later(IDLE_CHECK_INTERVAL_S, self._close_idle_connections)
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -20,9 +20,9 @@
 
 from garnetusher.lab.clients import Application
 from garnetusher.lab.clockwork import Clockwork
-from garnetusher.lab.directory import ListService
-from garnetusher.lab.linked import Listener
-from garnetusher.lab.upstreams import Machinery
+from garnetusher.lab.discovery import DiscoveryServer
+from garnetusher.lab.link_sockets import Listener
+from garnetusher.lab.upstreams import UpstreamServer
 from garnetusher.model.experiment import Experiment, Topology
 from garnetusher.model.link import Weather
 from garnetusher.model.plan import DIRECTORY, LinkStep, Plan
@@ -108,8 +108,8 @@
         self.job = job
         self.journal = Journal(Path(job.journal))
         self.clock = Clockwork(job.name, self.journal)
-        self.upstreams: list[Machinery] = []
-        self.discovery: ListService | None = None
+        self.upstreams: list[UpstreamServer] = []
+        self.discovery: DiscoveryServer | None = None
         self.applications: list[Application] = []
 
     def prepare(self) -> WorkerReady:
@@ -127,7 +127,7 @@
         for plan in job.plan.upstreams:
             if plan.uid not in job.members:
                 continue
-            upstream = Machinery(self.clock, job.experiment, job.plan.seed, plan)
+            upstream = UpstreamServer(self.clock, job.experiment, job.plan.seed, plan)
             for sidecar in job.plan.sidecars:
                 conditions = _normal_conditions(topology, topology.one_way_ms(sidecar.zone, plan.zone))
                 upstream.link(sidecar.name, job.hosts[plan.uid], conditions)
@@ -137,7 +137,7 @@
 
     def _prepare_discovery(self) -> dict[str, str]:
         job, topology = self.job, self.job.experiment.topology
-        self.discovery = ListService(self.clock, job.plan, job.endpoints, job.experiment.directory)
+        self.discovery = DiscoveryServer(self.clock, job.plan, job.endpoints, job.experiment.directory)
         for sidecar in job.plan.sidecars:
             conditions = _normal_conditions(topology, topology.cross_zone_ms)
             self.discovery.link(sidecar.name, job.hosts[DIRECTORY], conditions)
@@ -190,11 +190,11 @@
 def _apply_link_fault(step: LinkStep, listeners: list[Listener]) -> None:
     for listener in listeners:
         if step.what == "cut":
-            listener.cut(step.to_party, step.to_sidecar)
+            listener.cut(to_node=step.to_party, to_sidecar=step.to_sidecar)
         elif step.what == "mend":
-            listener.mend(step.to_party, step.to_sidecar)
+            listener.restore(to_node=step.to_party, to_sidecar=step.to_sidecar)
         else:
-            listener.to_party.loss = listener.to_sidecar.loss = step.value
+            listener.to_node.loss = listener.to_sidecar.loss = step.value
 
 
 def _normal_conditions(topology: Topology, one_way_ms: float) -> Weather:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from garnetusher.lab import linked
+from garnetusher.lab import link_sockets
 from garnetusher.lab.clockwork import Clockwork
 from garnetusher.lab.datagrams import Relay
 from garnetusher.model.link import Weather
@@ -20,40 +20,40 @@
 
 
 class Echo:
-    """Says what it hears."""
+    """Answers with what it receives, in upper case."""
 
-    def __init__(self, connection: linked.Connection, heard: list[bytes], kept: list[bytes]) -> None:
+    def __init__(self, connection: link_sockets.Connection, heard: list[bytes], kept: list[bytes]) -> None:
         self.connection, self.heard, self.kept = connection, heard, kept
 
-    def received(self, data: bytes) -> None:
+    def data_arrived(self, data: bytes) -> None:
         self.heard.append(data)
         self.connection.write(data.upper())
 
-    def lost(self) -> None:
+    def closed_by_sidecar(self) -> None:
         self.heard.append(b"lost")
 
-    def held(self, data: bytes) -> None:
+    def data_undelivered(self, data: bytes) -> None:
         self.kept.append(data)
 
 
-@pytest.mark.parametrize(("to_party", "to_sidecar"), [(True, True), (True, False), (False, True)])
-def test_a_cut_is_silent_and_a_mended_link_carries_on(tmp_path: Path, to_party: bool, to_sidecar: bool) -> None:
+@pytest.mark.parametrize(("to_node", "to_sidecar"), [(True, True), (True, False), (False, True)])
+def test_a_cut_is_silent_and_a_mended_link_carries_on(tmp_path: Path, to_node: bool, to_sidecar: bool) -> None:
     async def test() -> None:
         clock, heard, kept = Clockwork("test", Journal(tmp_path / "x")), list[bytes](), list[bytes]()
-        listener = linked.Listener(clock, HOST, lambda c: Echo(c, heard, kept), 1, Weather(delay_us=2_000))
+        listener = link_sockets.Listener(clock, HOST, lambda c: Echo(c, heard, kept), 1, Weather(delay_us=2_000))
         listener.open()
         reader, writer = await asyncio.open_connection(HOST, listener.port)
         writer.write(b"one")
         assert await asyncio.wait_for(reader.read(9), 5) == b"ONE"
-        listener.cut(to_party, to_sidecar)
+        listener.cut(to_node=to_node, to_sidecar=to_sidecar)
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.read(9), 0.4)
-        assert heard == ([b"one"] if to_party else [b"one", b"two"]) and kept == ([b"two"] if to_party else [])
+        assert heard == ([b"one"] if to_node else [b"one", b"two"]) and kept == ([b"two"] if to_node else [])
         for _ in range(3):  # nobody comes in, and nobody is refused
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(asyncio.open_connection(HOST, listener.port), 0.15)
-        listener.mend(to_party, to_sidecar)
+        listener.restore(to_node=to_node, to_sidecar=to_sidecar)
         reader, writer = await asyncio.open_connection(HOST, listener.port)  # the old one's read was cancelled
         writer.write(b"three")
         assert await asyncio.wait_for(reader.read(9), 5) == b"THREE"
@@ -112,12 +112,12 @@
 def test_a_machine_that_ends_behind_a_cut_resets_nothing_until_it_is_mended(tmp_path: Path) -> None:
     async def test() -> None:
         clock, heard = Clockwork("test", Journal(tmp_path / "x")), list[bytes]()
-        listener = linked.Listener(clock, HOST, lambda c: Echo(c, heard, []), 1, Weather(delay_us=2_000))
+        listener = link_sockets.Listener(clock, HOST, lambda c: Echo(c, heard, []), 1, Weather(delay_us=2_000))
         listener.open()
         reader, writer = await asyncio.open_connection(HOST, listener.port)
         writer.write(b"one")
         assert await asyncio.wait_for(reader.read(9), 5) == b"ONE"
-        listener.cut(True, True)
+        listener.cut(to_node=True, to_sidecar=True)
         listener.abort_all()
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.open_connection(HOST, listener.port), SOON)
@@ -125,7 +125,7 @@
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.shield(reading := asyncio.ensure_future(reader.read(9))), SOON)
         listener.open()  # it has started anew
-        listener.mend(True, True)
+        listener.restore(to_node=True, to_sidecar=True)
         with contextlib.suppress(ConnectionResetError):
             assert await asyncio.wait_for(reading, 5) == b""  # its end is told at last
         assert heard[0] == b"one" and b"two" not in heard
