--- a/garnetusher/lab/clients.py
+++ b/garnetusher/lab/clients.py
@@ -1,306 +1,411 @@
-"""The applications beside the sidecars: open-loop arrivals, tries, deadlines, impatience.
+"""The applications beside the sidecars: open-loop arrivals, calls, retries, deadlines, early disconnects.
 
-An application starts and stops with its sidecar, as the platform has it: what it would have asked meanwhile is not
-asked. It never waits for an answer before the next arrival; a request is dated from when it was due, so that a stall
-anywhere, in the lab too, counts in full.
+An application starts and stops with its sidecar, as on the platform: requests that are due meanwhile are not sent. It
+never waits for a response before the next arrival. A request is dated from when it was due, so that a stall anywhere,
+also of the lab, counts in full.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from collections.abc import Iterator
+from collections.abc import Coroutine, Iterator
+from dataclasses import dataclass
+from typing import Any
 
 import httptools
 
+from garnetusher.errors import GarnetusherError
 from garnetusher.lab.clockwork import Clockwork
 from garnetusher.model.client import WAIT_ON_US, Client
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, SidecarPlan, Step, arrivals
 from garnetusher.model.records import Answered, Asked, Broke, Crossed, Extra, GaveUp, Quit, Silent, Unreached, Vanished
 
-RESTART_STOPS_US = 300_000  # after SIGTERM the application stops to ask
-CROSSING_US = 50_000  # a close that comes so soon behind a request on a used connection may not have seen it
-POLL_S = 0.05  # between calls for `GET /up` of a sidecar that starts
-UP = b"GET /up HTTP/1.1\r\nHost: api.internal\r\n\r\n"
-
-
-class Try:
-    """One try of a request."""
-
-    __slots__ = ("ident", "request", "cls", "tenant", "first_us", "until_us", "number", "over", "crossed")
-
-    def __init__(self, ident: str, request: str, cls: int, tenant: int, first_us: int, number: int) -> None:
-        self.ident, self.request, self.cls, self.tenant = ident, request, cls, tenant
-        self.first_us, self.number = first_us, number
-        self.until_us = 0
-        self.over = self.crossed = False
-
-
-class Line(asyncio.Protocol):
-    """A connection of the application."""
-
-    def __init__(self, app: Application) -> None:
-        self.app = app
+RESTART_STOP_DELAY_US = 300_000  # from SIGTERM until the application sends no more requests
+IDLE_CLOSE_RACE_US = 50_000  # a used connection that closes so soon after a request may have closed before it came
+READY_POLL_INTERVAL_S = 0.05  # between readiness checks of a sidecar that starts
+READY_TIMEOUT_S = 0.5  # of one such check
+READY_REQUEST = b"GET /up HTTP/1.1\r\nHost: api.internal\r\n\r\n"
+REJECTED_STATUSES = (429, 503)  # say that the request has not run
+
+
+class NoTransportError(GarnetusherError):
+    """A connection is used before it is up."""
+
+    def __init__(self) -> None:
+        super().__init__("connection: expected a stream transport, as after connecting, got none")
+
+
+@dataclass(slots=True, eq=False)
+class _ClientCall:
+    """One call of a request; a retry is a further call.
+
+    Attributes:
+        call_id: Its id, which is its request's for the first call.
+        request_id: The id of the request.
+        class_index: The request's class.
+        tenant_index: The request's tenant.
+        due_us: When the request's first call was due.
+        retry_index: 0 for the first call.
+        timeout_at_us: When the client stops to wait.
+        completed: The client waits no more.
+        resent: It was sent once more, as an idle connection closed just as it was written.
+    """
+
+    call_id: str
+    request_id: str
+    class_index: int
+    tenant_index: int
+    due_us: int
+    retry_index: int
+    timeout_at_us: int = 0
+    completed: bool = False
+    resent: bool = False
+
+
+class ClientConnection(asyncio.Protocol):
+    """A connection of the application to its sidecar; it carries one call at a time."""
+
+    def __init__(self, application: Application) -> None:
+        self.application = application
         self.transport: asyncio.Transport | None = None
-        self.parser: httptools.HttpResponseParser | None = None
-        self.current: Try | None = None
-        self.last = ""
-        self.carried, self.sent_us = 0, 0
+        self.call: _ClientCall | None = None
+        self.last_call_id = ""
+        self.calls_sent = 0
+        self.sent_us = 0
+        self.body = b""
+        self.retry_after_us = 0
+        self.closing = False
+        self._parser: httptools.HttpResponseParser | None = None
+
+    @property
+    def usable(self) -> bool:
+        """Whether a call can be sent on it."""
+        return self.transport is not None and not self.transport.is_closing()
+
+    def send(self, call: _ClientCall, request: bytes) -> None:
+        """Send a call."""
+        if self.transport is None:
+            raise NoTransportError
+        self.call = call
+        self.last_call_id = call.call_id
+        self.calls_sent += 1
+        self.sent_us = self.application.clock.now_us()
+        self._parser = httptools.HttpResponseParser(self)
         self.body = b""
         self.retry_after_us = 0
         self.closing = False
+        self.transport.write(request)
+
+    def abort(self) -> None:
+        """Reset the connection."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
+        """Keep the transport."""
+        if not isinstance(transport, asyncio.Transport):
+            raise NoTransportError
         self.transport = transport
-        self.app.lines.add(self)
-
-    def carry(self, it: Try, data: bytes) -> None:
-        assert self.transport is not None
-        self.current, self.last = it, it.ident
-        self.carried, self.sent_us = self.carried + 1, self.app.clock.now_us()
-        self.parser = httptools.HttpResponseParser(self)
-        self.body, self.retry_after_us, self.closing = b"", 0, False
-        self.transport.write(data)
+        self.application.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.current is None or self.parser is None:
-            self.app.extra(self)
+        """Parse a response."""
+        if self.call is None or self._parser is None:
+            self.application.unexpected_data(self)
             return
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
+    def connection_lost(self, error: Exception | None) -> None:
+        """Report the end of the connection."""
+        self.application.connection_lost(self)
+
+    # Called by the parser
+
+    def on_message_begin(self) -> None:
+        """Report a second response to a call."""
+        if self.call is None and self.last_call_id:
+            self.application.unexpected_data(self)
+
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take the Retry-After."""
         if name.lower() == b"retry-after":
             with contextlib.suppress(ValueError):
                 self.retry_after_us = int(float(value) * 1e6)
 
     def on_body(self, data: bytes) -> None:
+        """Take a part of the body."""
         self.body += data
 
-    def on_message_begin(self) -> None:
-        if self.current is None and self.last:
-            self.app.extra(self)
-
     def on_message_complete(self) -> None:
-        assert self.parser is not None
-        if self.current is None or self.parser.get_status_code() < 200:
+        """Report a final response."""
+        if self.call is None or self._parser is None:
+            return
+        status = self._parser.get_status_code()
+        if status < 200:
             return
-        it, self.current = self.current, None
-        if not self.parser.should_keep_alive():
+        call, self.call = self.call, None
+        if not self._parser.should_keep_alive():
             self.closing = True
-        self.app.answered(self, it, self.parser.get_status_code())
-
-    def connection_lost(self, error: Exception | None) -> None:
-        self.app.lost(self)
-
-    def abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
+        self.application.response_received(self, call, status)
 
 
 class Application:
-    """The client process of one sidecar."""
+    """The client process of one sidecar.
+
+    Attributes:
+        connections: All open connections.
+        not_asked: Requests that were not sent, as the application was down with its sidecar.
+    """
 
     def __init__(
         self, clock: Clockwork, experiment: Experiment, plan: Plan, sidecar: SidecarPlan, address: tuple[str, int]
     ) -> None:
-        self.clock, self.experiment, self.sidecar, self.address = clock, experiment, sidecar, address
-        self.client = Client(experiment, plan.seed, sidecar.name)
-        self.source: Iterator[tuple[int, int, int]] = iter(arrivals(experiment, plan, sidecar))
-        self.lines: set[Line] = set()
-        self.idle: list[Line] = []
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.number = 0
-        self.asking = True
+        self.clock = clock
+        self.connections: set[ClientConnection] = set()
         self.not_asked = 0
-        self.until_us = round(plan.seconds * 1e6)
+        self._experiment = experiment
+        self._sidecar = sidecar
+        self._address = address
+        self._client = Client(experiment, plan.seed, sidecar.name)
+        self._arrivals: Iterator[tuple[int, int, int]] = iter(arrivals(experiment, plan, sidecar))
+        self._idle: list[ClientConnection] = []
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._last_request = 0
+        self._running = True
+        self._end_us = round(plan.seconds * 1e6)
 
     def begin(self) -> None:
-        self._next()
-        for step in self.sidecar.steps:
-            self.clock.at(step.at_us, self._process, step)
+        """Schedule the arrivals, and what the plan does to the application."""
+        self._schedule_arrival()
+        for step in self._sidecar.steps:
+            self.clock.at(step.at_us, self._apply_fault, step)
+
+    def close(self) -> None:
+        """Close all connections."""
+        for connection in list(self.connections):
+            connection.call = None
+            connection.abort()
 
-    # Arrivals
+    # Arrivals and calls
 
-    def _next(self) -> None:
-        arrival = next(self.source, None)
+    def _schedule_arrival(self) -> None:
+        arrival = next(self._arrivals, None)
         if arrival is not None:
             self.clock.at(arrival[0], self._arrive, *arrival)
 
-    def _arrive(self, due_us: int, cls: int, tenant: int) -> None:
-        self._next()
-        if not self.asking:
+    def _arrive(self, due_us: int, class_index: int, tenant_index: int) -> None:
+        self._schedule_arrival()
+        if not self._running:
             self.not_asked += 1
             return
-        self.number += 1
-        ident = f"{self.sidecar.name}.{self.number}"
-        self._try(Try(ident, ident, cls, tenant, due_us, 0))
-
-    def _try(self, it: Try) -> None:
-        wait_us = self.client.patience_us(it.cls)
-        while self.idle:
-            line = self.idle.pop()
-            if line.transport is not None and not line.transport.is_closing():
-                self._ask(line, it, wait_us)
+        self._last_request += 1
+        request_id = f"{self._sidecar.name}.{self._last_request}"
+        self._start_call(_ClientCall(request_id, request_id, class_index, tenant_index, due_us, retry_index=0))
+
+    def _start_call(self, call: _ClientCall) -> None:
+        timeout_us = self._client.patience_us(call.class_index)
+        while self._idle:
+            connection = self._idle.pop()
+            if connection.usable:
+                self._send(connection, call, timeout_us)
                 return
-        self._spawn(self._dial(it, wait_us))
+        self._start_task(self._connect_and_send(call, timeout_us))
 
-    def _spawn(self, work: contextlib.AbstractAsyncContextManager[None] | object) -> None:
-        task: asyncio.Task[None] = self.clock.loop.create_task(work)  # type: ignore[arg-type]
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        task = self.clock.loop.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, it: Try, wait_us: int) -> None:
+    async def _connect_and_send(self, call: _ClientCall, timeout_us: int) -> None:
         try:
-            async with asyncio.timeout(wait_us / 1e6):
-                _, line = await self.clock.loop.create_connection(lambda: Line(self), *self.address)
+            async with asyncio.timeout(timeout_us / 1e6):
+                _, connection = await self.clock.loop.create_connection(lambda: ClientConnection(self), *self._address)
         except OSError:
             self.clock.write(
-                Unreached(self.clock.now_us(), it.ident, it.request, self.sidecar.name, it.cls, it.tenant, it.first_us)
+                Unreached(
+                    self.clock.now_us(),
+                    call.call_id,
+                    call.request_id,
+                    self._sidecar.name,
+                    call.class_index,
+                    call.tenant_index,
+                    call.due_us,
+                )
             )
-            self._again(it, True, 0)
+            self._schedule_retry(call, not_run=True)
             return
-        self._ask(line, it, wait_us)
-
-    def _ask(self, line: Line, it: Try, wait_us: int) -> None:
-        now = self.clock.now_us()
-        kind = self.experiment.classes[it.cls]
-        wait_ms = max(1, wait_us // 1000)
-        it.until_us = now + wait_us
-        safe = kind.effect == "idempotent"
-        tenant = f"X-Tenant: {self.experiment.tenants[it.tenant].name}\r\n" if self.experiment.tenants else ""
-        again = "X-Retry: 1\r\n" if it.number and self.experiment.clients.marks else ""
-        head = (
-            f"{'GET' if safe else 'POST'} /{kind.name}/it HTTP/1.1\r\nHost: api.internal\r\n"
-            f"X-Request-Id: {it.ident}\r\nX-Class: {kind.name}\r\n{tenant}X-Deadline-Ms: {wait_ms}\r\n"
-            + again
-            + ("" if safe else "Content-Length: 2\r\n")
-            + "\r\n"
-            + ("" if safe else "{}")
+        self._send(connection, call, timeout_us)
+
+    def _send(self, connection: ClientConnection, call: _ClientCall, timeout_us: int) -> None:
+        now_us = self.clock.now_us()
+        call.timeout_at_us = now_us + timeout_us
+        connection.send(call, self._request(call, timeout_us))
+        self.clock.write(
+            Asked(
+                now_us,
+                call.call_id,
+                call.request_id,
+                self._sidecar.name,
+                call.class_index,
+                call.tenant_index,
+                call.due_us,
+                call.timeout_at_us,
+            )
         )
-        line.carry(it, head.encode())
+        self.clock.at(call.timeout_at_us, self._time_out, connection, call)
+        disconnect_after_us = self._client.leaves_after_us(timeout_us)
+        if disconnect_after_us is not None:
+            self.clock.at(now_us + disconnect_after_us, self._disconnect_early, connection, call)
+
+    def _request(self, call: _ClientCall, timeout_us: int) -> bytes:
+        request_class = self._experiment.classes[call.class_index]
+        idempotent = request_class.effect == "idempotent"
+        lines = [
+            f"{'GET' if idempotent else 'POST'} /{request_class.name}/it HTTP/1.1",
+            "Host: api.internal",
+            f"X-Request-Id: {call.call_id}",
+            f"X-Class: {request_class.name}",
+        ]
+        if self._experiment.tenants:
+            lines.append(f"X-Tenant: {self._experiment.tenants[call.tenant_index].name}")
+        lines.append(f"X-Deadline-Ms: {max(1, timeout_us // 1000)}")
+        if call.retry_index and self._experiment.clients.marks:
+            lines.append("X-Retry: 1")
+        if not idempotent:
+            lines.append("Content-Length: 2")
+        body = "" if idempotent else "{}"
+        return ("\r\n".join(lines) + "\r\n\r\n" + body).encode()
+
+    # How a call ends
+
+    def response_received(self, connection: ClientConnection, call: _ClientCall, status: int) -> None:
+        """Record a response, and schedule a retry where it was no success."""
+        words = connection.body.decode("latin-1").split()
+        answers_call = status == 200 and len(words) == 2 and words[1] == call.call_id
+        upstream = words[0] if answers_call else ""
         self.clock.write(
-            Asked(now, it.ident, it.request, self.sidecar.name, it.cls, it.tenant, it.first_us, it.until_us)
+            Answered(self.clock.now_us(), call.call_id, self._sidecar.name, status, upstream, connection.retry_after_us)
         )
-        self.clock.at(it.until_us, self._time_out, line, it)
-        leaves_us = self.client.leaves_after_us(wait_us)
-        if leaves_us is not None:
-            self.clock.at(now + leaves_us, self._quit, line, it)
-
-    # What comes of a try
-
-    def answered(self, line: Line, it: Try, status: int) -> None:
-        now = self.clock.now_us()
-        words = line.body.decode("latin-1").split()
-        by = words[0] if status == 200 and len(words) == 2 and words[1] == it.ident else ""
-        self.clock.write(Answered(now, it.ident, self.sidecar.name, status, by, line.retry_after_us))
-        if not line.closing:
-            self.idle.append(line)
-        elif line.transport is not None:
-            line.transport.close()
-        if not it.over:
-            it.over = True
-            if status != 200:
-                self._again(it, status in (429, 503), line.retry_after_us)
-
-    def lost(self, line: Line) -> None:
-        self.lines.discard(line)
-        if line in self.idle:
-            self.idle.remove(line)
-        it, line.current = line.current, None
-        if it is None:
+        if not connection.closing:
+            self._idle.append(connection)
+        elif connection.transport is not None:
+            connection.transport.close()
+        if call.completed:
             return
-        now = self.clock.now_us()
-        if line.carried > 1 and not it.crossed and not it.over and now - line.sent_us < CROSSING_US:
-            it.crossed = True
-            self.clock.write(Crossed(now, it.ident, self.sidecar.name))
-            self._spawn(self._dial(it, it.until_us - now))
+        call.completed = True
+        if status != 200:
+            self._schedule_retry(call, not_run=status in REJECTED_STATUSES, retry_after_us=connection.retry_after_us)
+
+    def connection_lost(self, connection: ClientConnection) -> None:
+        """Send the call of an idle connection that closed at that moment once more; fail any other call."""
+        self.connections.discard(connection)
+        if connection in self._idle:
+            self._idle.remove(connection)
+        call, connection.call = connection.call, None
+        if call is None:
             return
-        self.clock.write(Broke(now, it.ident, self.sidecar.name))
-        if not it.over:
-            it.over = True
-            self._again(it, False, 0)
-
-    def extra(self, line: Line) -> None:
-        self.clock.write(Extra(self.clock.now_us(), line.last, self.sidecar.name))
-        line.abort()
+        now_us = self.clock.now_us()
+        closed_while_idle = connection.calls_sent > 1 and now_us - connection.sent_us < IDLE_CLOSE_RACE_US
+        if closed_while_idle and not call.resent and not call.completed:
+            call.resent = True
+            self.clock.write(Crossed(now_us, call.call_id, self._sidecar.name))
+            self._start_task(self._connect_and_send(call, call.timeout_at_us - now_us))
+            return
+        self.clock.write(Broke(now_us, call.call_id, self._sidecar.name))
+        if not call.completed:
+            call.completed = True
+            self._schedule_retry(call, not_run=False)
+
+    def unexpected_data(self, connection: ClientConnection) -> None:
+        """Record bytes that answer no call."""
+        self.clock.write(Extra(self.clock.now_us(), connection.last_call_id, self._sidecar.name))
+        connection.abort()
+
+    def _time_out(self, connection: ClientConnection, call: _ClientCall) -> None:
+        if call.completed or connection.call is not call:
+            return
+        call.completed = True
+        self.clock.write(GaveUp(self.clock.now_us(), call.call_id, self._sidecar.name))
+        self.clock.at(call.timeout_at_us + WAIT_ON_US, self._stop_watching, connection, call)
+        self._schedule_retry(call, not_run=False)
+
+    def _stop_watching(self, connection: ClientConnection, call: _ClientCall) -> None:
+        """Record that no response came even long after the timeout."""
+        if connection.call is call:
+            connection.call = None
+            self.clock.write(Silent(self.clock.now_us(), call.call_id, self._sidecar.name))
+            connection.abort()
+
+    def _disconnect_early(self, connection: ClientConnection, call: _ClientCall) -> None:
+        if not call.completed and connection.call is call:
+            call.completed = True
+            connection.call = None
+            self.clock.write(Quit(self.clock.now_us(), call.call_id, self._sidecar.name))
+            connection.abort()
+
+    def _schedule_retry(self, call: _ClientCall, *, not_run: bool, retry_after_us: int = 0) -> None:
+        retry_at_us = self._client.comes_again_us(
+            self.clock.now_us(), call.class_index, call.retry_index, call.due_us, not_run, retry_after_us
+        )
+        if retry_at_us is not None:
+            self.clock.at(retry_at_us, self._retry, call)
 
-    def _time_out(self, line: Line, it: Try) -> None:
-        if it.over or line.current is not it:
+    def _retry(self, call: _ClientCall) -> None:
+        if not self._running:
             return
-        it.over = True
-        self.clock.write(GaveUp(self.clock.now_us(), it.ident, self.sidecar.name))
-        self.clock.at(it.until_us + WAIT_ON_US, self._last_look, line, it)
-        self._again(it, False, 0)
-
-    def _last_look(self, line: Line, it: Try) -> None:
-        if line.current is it:
-            line.current = None
-            self.clock.write(Silent(self.clock.now_us(), it.ident, self.sidecar.name))
-            line.abort()
-
-    def _quit(self, line: Line, it: Try) -> None:
-        if not it.over and line.current is it:
-            it.over, line.current = True, None
-            self.clock.write(Quit(self.clock.now_us(), it.ident, self.sidecar.name))
-            line.abort()
-
-    def _again(self, it: Try, harmless: bool, retry_after_us: int) -> None:
-        at = self.client.comes_again_us(self.clock.now_us(), it.cls, it.number, it.first_us, harmless, retry_after_us)
-        if at is not None:
-            self.clock.at(at, self._come_again, it)
-
-    def _come_again(self, it: Try) -> None:
-        if self.asking:
-            number = it.number + 1
-            self._try(Try(f"{it.request}.{number}", it.request, it.cls, it.tenant, it.first_us, number))
-
-    # With its sidecar
-
-    def _process(self, step: Step) -> None:
-        now = self.clock.now_us()
+        retry_index = call.retry_index + 1
+        call_id = f"{call.request_id}.{retry_index}"
+        self._start_call(
+            _ClientCall(call_id, call.request_id, call.class_index, call.tenant_index, call.due_us, retry_index)
+        )
+
+    # The application's own process
+
+    def _apply_fault(self, step: Step) -> None:
+        now_us = self.clock.now_us()
         if step.what == "kill":
-            self.asking = False
-            for line in list(self.lines):
-                it, line.current = line.current, None
-                if it is not None:
-                    it.over = True
-                    self.clock.write(Vanished(now, it.ident, self.sidecar.name))
-                line.abort()
+            self._kill(now_us)
         elif step.what == "start":
-            self._spawn(self._wait_until_up())
+            self._start_task(self._resume_when_ready())
         elif step.what == "restart":
-            self.clock.at(now + RESTART_STOPS_US, self._stop_asking)
-
-    def _stop_asking(self) -> None:
-        self.asking = False
-        self._spawn(self._wait_until_up())
-
-    async def _wait_until_up(self) -> None:
-        await asyncio.sleep(2 * POLL_S)
-        while self.clock.now_us() < self.until_us:
-            if await is_up(self.address):
-                self.asking = True
+            self.clock.at(now_us + RESTART_STOP_DELAY_US, self._stop_and_resume)
+
+    def _kill(self, now_us: int) -> None:
+        self._running = False
+        for connection in list(self.connections):
+            call, connection.call = connection.call, None
+            if call is not None:
+                call.completed = True
+                self.clock.write(Vanished(now_us, call.call_id, self._sidecar.name))
+            connection.abort()
+
+    def _stop_and_resume(self) -> None:
+        self._running = False
+        self._start_task(self._resume_when_ready())
+
+    async def _resume_when_ready(self) -> None:
+        await asyncio.sleep(2 * READY_POLL_INTERVAL_S)
+        while self.clock.now_us() < self._end_us:
+            if await is_ready(self._address):
+                self._running = True
                 return
-            await asyncio.sleep(POLL_S)
-
-    def close(self) -> None:
-        for line in list(self.lines):
-            line.current = None
-            line.abort()
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
 
-async def is_up(address: tuple[str, int], patience_s: float = 0.5) -> bool:
-    """Whether a sidecar says yes at `GET /up`."""
+async def is_ready(address: tuple[str, int], timeout_s: float = READY_TIMEOUT_S) -> bool:
+    """Return whether a sidecar answers its readiness check with success."""
     writer: asyncio.StreamWriter | None = None
     try:
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(UP)
+            writer.write(READY_REQUEST)
             return (await reader.readline()).split(b" ")[1:2] == [b"200"]
     except OSError:
         return False
--- a/garnetusher/lab/link_sockets.py
+++ b/garnetusher/lab/link_sockets.py
@@ -211,7 +211,7 @@
             return
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setblocking(False)
+        sock.setblocking(False)  # noqa: FBT003 - the signature of the socket module
         sock.bind((self.host, self.port))
         sock.listen(BACKLOG)
         self.port = sock.getsockname()[1]
@@ -277,7 +277,7 @@
                 sock, _ = self._socket.accept()
             except OSError:
                 return
-            sock.setblocking(False)
+            sock.setblocking(False)  # noqa: FBT003 - the signature of the socket module
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             task: asyncio.Task[object] = self.clock.loop.create_task(
                 self.clock.loop.connect_accepted_socket(lambda: Connection(self), sock)
@@ -291,7 +291,7 @@
         listening_socket.listen(0)
         for _ in range(FILLER_CONNECTIONS):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            filler.setblocking(False)
+            filler.setblocking(False)  # noqa: FBT003 - the signature of the socket module
             filler.connect_ex((self.host, self.port))
             self._fillers.append(filler)
 
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from garnetusher.errors import GarnetusherError
-from garnetusher.lab.clients import is_up
+from garnetusher.lab.clients import is_ready
 from garnetusher.lab.discovery import entry
 from garnetusher.lab.sidecar_settings import settings_document
 from garnetusher.logs import logger
@@ -338,7 +338,7 @@
             raise SidecarStartError(name, "has no process", [])
         if process.returncode is not None:
             raise SidecarStartError(name, f"died at its start with {process.returncode}", sidecar.last_log_lines())
-        if await is_up(sidecar.address):
+        if await is_ready(sidecar.address):
             self.record(name, "ready", process.pid)
             log.info("lab.sidecar.ready", sidecar=name, after_s=round(elapsed_s, 2))
             return True
