--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -22,25 +22,27 @@
 class Echo:
     """Answers with what it receives, in upper case."""
 
-    def __init__(self, connection: link_sockets.Connection, heard: list[bytes], kept: list[bytes]) -> None:
-        self.connection, self.heard, self.kept = connection, heard, kept
+    def __init__(self, connection: link_sockets.Connection, received: list[bytes], undelivered: list[bytes]) -> None:
+        self.connection, self.received, self.undelivered = connection, received, undelivered
 
     def data_arrived(self, data: bytes) -> None:
-        self.heard.append(data)
+        self.received.append(data)
         self.connection.write(data.upper())
 
     def closed_by_sidecar(self) -> None:
-        self.heard.append(b"lost")
+        self.received.append(b"lost")
 
     def data_undelivered(self, data: bytes) -> None:
-        self.kept.append(data)
+        self.undelivered.append(data)
 
 
 @pytest.mark.parametrize(("to_node", "to_sidecar"), [(True, True), (True, False), (False, True)])
-def test_a_cut_is_silent_and_a_mended_link_carries_on(tmp_path: Path, to_node: bool, to_sidecar: bool) -> None:
+def test_listener_carries_on_without_closing_when_a_cut_ends(tmp_path: Path, to_node: bool, to_sidecar: bool) -> None:
     async def test() -> None:
-        clock, heard, kept = Clockwork("test", Journal(tmp_path / "x")), list[bytes](), list[bytes]()
-        listener = link_sockets.Listener(clock, HOST, lambda c: Echo(c, heard, kept), 1, Weather(delay_us=2_000))
+        clock, received, undelivered = Clockwork("test", Journal(tmp_path / "x")), list[bytes](), list[bytes]()
+        listener = link_sockets.Listener(
+            clock, HOST, lambda c: Echo(c, received, undelivered), 1, Weather(delay_us=2_000)
+        )
         listener.open()
         reader, writer = await asyncio.open_connection(HOST, listener.port)
         writer.write(b"one")
@@ -49,7 +51,7 @@
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.read(9), 0.4)
-        assert heard == ([b"one"] if to_node else [b"one", b"two"]) and kept == ([b"two"] if to_node else [])
+        assert received == ([b"one"] if to_node else [b"one", b"two"]) and undelivered == ([b"two"] if to_node else [])
         for _ in range(3):  # nobody comes in, and nobody is refused
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(asyncio.open_connection(HOST, listener.port), 0.15)
@@ -58,7 +60,7 @@
         writer.write(b"three")
         assert await asyncio.wait_for(reader.read(9), 5) == b"THREE"
         async with asyncio.timeout(5):
-            while b"two" not in heard:
+            while b"two" not in received:
                 await asyncio.sleep(0.01)
         listener.refuse()
         with pytest.raises(ConnectionRefusedError):
@@ -70,13 +72,13 @@
     asyncio.run(test())
 
 
-def test_members_meet_by_datagrams_that_are_lost_doubled_and_cut_one_way(tmp_path: Path) -> None:
+def test_relay_loses_duplicates_and_cuts_datagrams_when_link_has_faults(tmp_path: Path) -> None:
     class Member(asyncio.DatagramProtocol):
         def __init__(self) -> None:
-            self.heard: list[tuple[bytes, tuple[str, int]]] = []
+            self.received: list[tuple[bytes, tuple[str, int]]] = []
 
         def datagram_received(self, data: bytes, sender: tuple[str, int]) -> None:
-            self.heard.append((data, sender))
+            self.received.append((data, sender))
 
     async def test() -> None:
         loop, made = asyncio.get_running_loop(), {}
@@ -96,23 +98,23 @@
             made["z"][0].sendto(b"%d" % number, relay.as_seen_by("z", "x"))
             await asyncio.sleep(0)
         await asyncio.sleep(0.3)
-        heard = made["y"][1].heard
-        assert {sender for _, sender in heard} == {relay.as_seen_by("y", "x")}
-        assert 0.65 < len({data for data, _ in heard}) / COUNTED < 0.85 and len(heard) > 1.2 * len(set(heard))
-        assert made["z"][1].heard == [] and len(made["x"][1].heard) == COUNTED
+        received = made["y"][1].received
+        assert {sender for _, sender in received} == {relay.as_seen_by("y", "x")}
+        assert 0.65 < len({data for data, _ in received}) / COUNTED < 0.85 and len(received) > 1.2 * len(set(received))
+        assert made["z"][1].received == [] and len(made["x"][1].received) == COUNTED
         stranger, _ = await loop.create_datagram_endpoint(Member, local_addr=(HOST, 0))
         stranger.sendto(b"hello", relay.as_seen_by("z", "x"))
         await asyncio.sleep(0.05)
-        assert len(made["x"][1].heard) == COUNTED
+        assert len(made["x"][1].received) == COUNTED
         relay.close()
 
     asyncio.run(test())
 
 
-def test_a_machine_that_ends_behind_a_cut_resets_nothing_until_it_is_mended(tmp_path: Path) -> None:
+def test_listener_resets_connections_only_when_the_cut_has_ended(tmp_path: Path) -> None:
     async def test() -> None:
-        clock, heard = Clockwork("test", Journal(tmp_path / "x")), list[bytes]()
-        listener = link_sockets.Listener(clock, HOST, lambda c: Echo(c, heard, []), 1, Weather(delay_us=2_000))
+        clock, received = Clockwork("test", Journal(tmp_path / "x")), list[bytes]()
+        listener = link_sockets.Listener(clock, HOST, lambda c: Echo(c, received, []), 1, Weather(delay_us=2_000))
         listener.open()
         reader, writer = await asyncio.open_connection(HOST, listener.port)
         writer.write(b"one")
@@ -128,7 +130,7 @@
         listener.restore(to_node=True, to_sidecar=True)
         with contextlib.suppress(ConnectionResetError):
             assert await asyncio.wait_for(reading, 5) == b""  # its end is told at last
-        assert heard[0] == b"one" and b"two" not in heard
+        assert received[0] == b"one" and b"two" not in received
         listener.close()
 
     asyncio.run(test())
