--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -10,6 +10,7 @@
 from garnetusher.model import checker, figures
 from garnetusher.model.checker import Breach
 from garnetusher.model.experiment import Experiment, holds
+from garnetusher.model.figures import RunCounts
 from garnetusher.model.plan import Plan
 from garnetusher.model.records import AnyRecord
 
@@ -96,7 +97,7 @@
     """The result of a play, real or in virtual time, and its requests for the report."""
     broken = checker.check(experiment, plan, records)
     requests = figures.requests_of(experiment, records)
-    found = figures.figures(experiment, plan, records, requests, len(broken), late_share, not_asked)
+    found = figures.figures(experiment, plan, records, requests, RunCounts(len(broken), late_share, not_asked))
     lines = [
         Expectation(name, bound, found.get(name), holds(bound, found.get(name)), opened)
         for opened, bounds in ((False, experiment.expect), (True, experiment.open))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -70,7 +70,7 @@
         records = simulation.run()
         assert checker.check(config, run_plan, records) == []
         requests = figures.requests_of(config, records)
-        found = figures.figures(config, run_plan, records, requests, 0, 0.0, 0)
+        found = figures.figures(config, run_plan, records, requests, figures.RunCounts())
         assert found["served_worth.before"] > 0.9
         assert found["served_worth.after"] > 0.7
         for sidecar in simulation.sidecars.values():  # nothing is left of what has been answered
@@ -87,7 +87,7 @@
     run_plan = plan.make(config, 1)
     records = Simulation(config, run_plan).run()
     assert checker.check(config, run_plan, records) == []
-    found = figures.figures(config, run_plan, records, figures.requests_of(config, records), 0, 0.0, 0)
+    found = figures.figures(config, run_plan, records, figures.requests_of(config, records), figures.RunCounts())
     assert found["served_worth.before"] > 0.9
     assert 0.3 < found["crossings"] < 0.8
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -142,7 +142,7 @@
     moves = Counter(r.zone for r in lines if isinstance(r, Believed) and r.state == "left")
     assert checker.check(it, made, lines) == []
     requests = figures.requests_of(it, lines)
-    return moves, figures.figures(it, made, lines, requests, 0, 0.0, 0)
+    return moves, figures.figures(it, made, lines, requests, figures.RunCounts())
 
 
 @pytest.mark.parametrize(
