--- /dev/null
+++ b/garnetusher/model/fault_targets.py
@@ -0,0 +1,55 @@
+"""Which nodes a fault strikes."""
+
+from __future__ import annotations
+
+import math
+
+from garnetusher.model import draw
+from garnetusher.model.experiment import Experiment, Place
+from garnetusher.model.plan_types import DIRECTORY, Plan
+
+ROUNDING_TOLERANCE = 1e-9  # so that a share of 0.2 of five nodes is one
+
+
+class FaultTargets:
+    """Resolves the places of faults to nodes of a plan."""
+
+    def __init__(self, experiment: Experiment, plan: Plan) -> None:
+        self._experiment = experiment
+        self._plan = plan
+
+    def upstreams(self, fault_index: int, place: Place) -> list[str]:
+        """Return the upstreams at a place."""
+        if place.upstream is not None:
+            return [place.upstream]
+        if place.sidecar is not None or place.directory or place.of == "sidecars":
+            return []
+        names = [u.uid for u in self._plan.upstreams if u.from_us == 0 and self._contains(place, u.zone)]
+        return self.part(fault_index, place.part, names)
+
+    def sidecars(self, fault_index: int, place: Place) -> list[str]:
+        """Return the sidecars at a place."""
+        if place.sidecar is not None:
+            return [place.sidecar]
+        if place.upstream is not None or place.directory or place.of != "sidecars":
+            return []
+        names = [sidecar.name for sidecar in self._plan.sidecars if self._contains(place, sidecar.zone)]
+        return self.part(fault_index, place.part, names)
+
+    def part(self, fault_index: int, share: float | None, names: list[str]) -> list[str]:
+        """Return a share of some nodes, drawn by the seed and in their order; all of them if the share is None."""
+        if share is None:
+            return names
+        count = math.ceil(share * len(names) - ROUNDING_TOLERANCE)
+        order = draw.stream(self._plan.seed, "part", fault_index).permutation(len(names))
+        return [names[index] for index in sorted(order[:count])]
+
+    def _contains(self, place: Place, zone: str) -> bool:
+        if place.zone is not None and place.zone != zone:
+            return False
+        return place.region is None or self._experiment.topology.region_of(zone) == place.region
+
+
+def with_directory(names: list[str], place: Place) -> list[str]:
+    """Return some nodes, and the discovery service if the place has it."""
+    return [*names, DIRECTORY] if place.directory else [*names]
