--- a/garnetusher/model/experiment.py
+++ b/garnetusher/model/experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment file holds, checked whole. Times end in `_s` or `_ms` as people write them.
+"""The types of an experiment file, and its checks. Times end in `_s` or `_ms`, as in the file.
 
 `load` gives an `Experiment` in which every place named exists and every figure is in its range; whatever comes
 later may rely on that.
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Iterable
 from pathlib import Path
 from typing import Annotated, Literal
 
@@ -14,6 +15,7 @@
 from msgspec import Meta, Struct
 
 from garnetusher import config
+from garnetusher.errors import GarnetusherError
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
@@ -21,7 +23,7 @@
 Count = Annotated[int, Meta(ge=1, le=10_000)]
 
 Effect = Literal["idempotent", "at_most_once"]
-What = Literal[
+FaultKind = Literal[
     "kill",
     "stop",
     "restart",
@@ -42,8 +44,8 @@
     "disk_error",
     "clock_jump",
 ]
-# Kinds whose part of the product is still to come: a file that asks for one is told so, not half obeyed.
-LATER = {
+# Kinds that need a part of the product that does not exist yet, by that part.
+UNSUPPORTED_FAULTS = {
     "power_loss": "durable",
     "disk_full": "durable",
     "disk_error": "durable",
@@ -51,7 +53,7 @@
     "duplicate": "membership",
     "reorder": "membership",
 }
-NEEDS = {
+REQUIRED_KEYS = {
     "slow": "times",
     "loss": "share",
     "duplicate": "share",
@@ -62,14 +64,23 @@
     "list_late": "by_s",
     "list_lies": "share",
 }
-FOR_SIDECARS = ("kill", "stop", "restart", "silent", "cut", "loss")
-FOR_UPSTREAMS = ("kill", "stop", "restart", "silent", "cut", "refuse", "slow", "loss", "reset", "errors")
+LIST_FAULTS = ("list_late", "list_lies")
+DIRECTORY_FAULTS = ("silent", "cut")
+SIDECAR_FAULTS = ("kill", "stop", "restart", "silent", "cut", "loss")
+UPSTREAM_FAULTS = ("kill", "stop", "restart", "silent", "cut", "refuse", "slow", "loss", "reset", "errors")
 BOUND = re.compile(r"(?P<sign><=|>=|==)\s*(?P<figure>-?\d+(\.\d+)?)")
+SHARE_TOLERANCE = 0.011  # shares are written with two digits
+NAMES_IN_MESSAGE = 12
 
 
-def _need(condition: bool, where: str, expected: str, got: object = None) -> None:
-    if not condition:
-        raise ValueError(f"{where}: expected {expected}" + (f", got {got!r}" if got is not None else ""))
+class ExperimentError(GarnetusherError, ValueError):
+    """A value of an experiment that does not fit; `config.read` reports it with the file's path.
+
+    It is a `ValueError` too, as msgspec takes such an error as part of its own report.
+    """
+
+    def __init__(self, *, key: str, expected: str, found: object = None) -> None:
+        super().__init__(f"{key}: expected {expected}" + (f", got {found!r}" if found is not None else ""))
 
 
 class Topology(Struct, forbid_unknown_fields=True):
@@ -84,15 +95,20 @@
 
     @property
     def zones(self) -> list[str]:
+        """The zones of all regions."""
         return [zone for zones in self.regions.values() for zone in zones]
 
     def region_of(self, zone: str) -> str:
+        """Return the region that a zone belongs to."""
         return next(region for region, zones in self.regions.items() if zone in zones)
 
-    def one_way_ms(self, a: str, b: str) -> float:
-        if a == b:
+    def one_way_ms(self, from_zone: str, to_zone: str) -> float:
+        """Return the time from one zone to another."""
+        if from_zone == to_zone:
             return self.same_zone_ms
-        return self.cross_zone_ms if self.region_of(a) == self.region_of(b) else self.cross_region_ms
+        if self.region_of(from_zone) == self.region_of(to_zone):
+            return self.cross_zone_ms
+        return self.cross_region_ms
 
 
 class Upstreams(Struct, forbid_unknown_fields=True):
@@ -143,6 +159,8 @@
 
 
 class Clients(Struct, forbid_unknown_fields=True):
+    """How clients retry and when they give up."""
+
     retries: Annotated[int, Meta(ge=0, le=5)] = 1
     backoff_ms: NotNegative = 60.0
     honour: Share = 0.6  # of them wait as `Retry-After` says
@@ -164,6 +182,8 @@
 
 
 class RequestClass(Struct, forbid_unknown_fields=True):
+    """Requests with one latency objective, weight and effect."""
+
     name: Annotated[str, Meta(pattern="^[a-z0-9-]+$")]
     aim_ms: Positive
     deadline_ms: Positive
@@ -174,16 +194,19 @@
     work_cv: Annotated[float, Meta(ge=0, le=3)] = 0.9  # coefficient of variation, lognormal
 
     def __post_init__(self) -> None:
-        _need(self.deadline_ms >= self.aim_ms, "deadline_ms", f"at least aim_ms, {self.aim_ms}", self.deadline_ms)
+        if self.deadline_ms < self.aim_ms:
+            raise ExperimentError(key="deadline_ms", expected=f"at least aim_ms, {self.aim_ms}", found=self.deadline_ms)
 
 
 class Tenant(Struct, forbid_unknown_fields=True):
+    """A tenant and its part of the traffic."""
+
     name: Annotated[str, Meta(pattern="^[a-z0-9-]+$")]
     share: Share
 
 
 class Place(Struct, forbid_unknown_fields=True):
-    """Whom a fault meets. `part` takes a share of what the others leave, drawn by the seed."""
+    """The nodes that a fault strikes. `part` takes a share of those that the other keys select, drawn by the seed."""
 
     zone: str | None = None
     region: str | None = None
@@ -196,8 +219,10 @@
 
 
 class Fault(Struct, forbid_unknown_fields=True):
+    """A fault, where it strikes and for how long."""
+
     at_s: NotNegative
-    what: What
+    what: FaultKind
     for_s: Positive | None = None  # none: to the end
     where: Place = msgspec.field(default_factory=Place)
     to: Place | None = None  # `cut`: the other side; none: everybody
@@ -211,22 +236,29 @@
     tenant: str | None = None  # `burst`
 
     def __post_init__(self) -> None:
-        _need(
-            self.what not in LATER,
-            "what",
-            f"a fault that can be played; {self.what!r} comes with the {LATER.get(self.what)} part",
-        )
-        key = NEEDS.get(self.what)
-        if key is not None:
-            _need(getattr(self, key) is not None, key, f"this key, which {self.what!r} needs")
-        _need(self.what != "restart" or self.for_s is not None, "for_s", "this key, which 'restart' needs")
-        _need(self.to is None or self.what == "cut", "to", "this key only with 'cut', and the fault is", self.what)
-        _need(
-            not self.one_way or self.what == "cut", "one_way", "this key only with 'cut', and the fault is", self.what
-        )
+        part = UNSUPPORTED_FAULTS.get(self.what)
+        if part is not None:
+            expected = f"a fault that can be played; {self.what!r} comes with the {part} part"
+            raise ExperimentError(key="what", expected=expected)
+        key = REQUIRED_KEYS.get(self.what)
+        if key is not None and getattr(self, key) is None:
+            raise ExperimentError(key=key, expected=f"this key, which {self.what!r} needs")
+        if self.what == "restart" and self.for_s is None:
+            raise ExperimentError(key="for_s", expected="this key, which 'restart' needs")
+        if self.what != "cut":
+            self._check_keys_of_cut()
+
+    def _check_keys_of_cut(self) -> None:
+        expected = "this key only with 'cut', and the fault is"
+        if self.to is not None:
+            raise ExperimentError(key="to", expected=expected, found=self.what)
+        if self.one_way:
+            raise ExperimentError(key="one_way", expected=expected, found=self.what)
 
 
 class Experiment(Struct, forbid_unknown_fields=True):
+    """All of an experiment file."""
+
     name: Annotated[str, Meta(pattern="^[a-z0-9-]+$")]
     topology: Topology
     upstreams: Upstreams
@@ -245,91 +277,101 @@
     open: dict[str, str] = {}  # figures that are not reached yet: shown, and never failing
 
     def __post_init__(self) -> None:
+        self._check_zones()
+        self._check_counts()
+        _check_shares("class", [request_class.share for request_class in self.classes])
+        names = [request_class.name for request_class in self.classes]
+        if len(set(names)) != len(names):
+            raise ExperimentError(key="class.*.name", expected="classes of different names", found=names)
+        if self.tenants:
+            _check_shares("tenant", [tenant.share for tenant in self.tenants])
+        for index, fault in enumerate(self.faults):
+            self._check_fault(f"fault.{index}", fault)
+        _check_bounds("expect", self.expect)
+        _check_bounds("open", self.open)
+
+    def _check_zones(self) -> None:
         zones = self.topology.zones
-        _need(len(zones) > 0, "topology.regions", "at least one zone")
-        _need(len(set(zones)) == len(zones), "topology.regions", "zones of different names", zones)
-        for key, per_zone in (
+        if not zones:
+            raise ExperimentError(key="topology.regions", expected="at least one zone")
+        if len(set(zones)) != len(zones):
+            raise ExperimentError(key="topology.regions", expected="zones of different names", found=zones)
+        per_zone_keys: tuple[tuple[str, Iterable[str]], ...] = (
             ("upstreams.per_zone", self.upstreams.per_zone),
             ("sidecars.per_zone", self.sidecars.per_zone),
             ("load.zones", self.load.zones),
-        ):
-            for zone in per_zone:
-                _need(zone in zones, f"{key}.{zone}", f"a zone out of {', '.join(zones)}")
-        for key, counts in (("upstreams", self.upstreams.per_zone), ("sidecars", self.sidecars.per_zone)):
-            _need(sum(counts.values()) > 0, f"{key}.per_zone", "at least one of them")
-        _need(
-            abs(sum(c.share for c in self.classes) - 1) < 0.011,
-            "class.*.share",
-            "shares that add up to 1",
-            round(sum(c.share for c in self.classes), 4),
         )
-        names = [c.name for c in self.classes]
-        _need(len(set(names)) == len(names), "class.*.name", "classes of different names", names)
-        _need(
-            not self.tenants or abs(sum(t.share for t in self.tenants) - 1) < 0.011,
-            "tenant.*.share",
-            "shares that add up to 1",
-            round(sum(t.share for t in self.tenants), 4),
-        )
-        for number, fault in enumerate(self.faults):
-            self._check(f"fault.{number}", fault)
-        for table in ("expect", "open"):
-            for name, bound in getattr(self, table).items():
-                _need(
-                    BOUND.fullmatch(bound) is not None,
-                    f"{table}.{name}",
-                    'a bound such as ">= 0.9" (<=, >= or ==, and a number)',
-                    bound,
-                )
-
-    def _check(self, key: str, fault: Fault) -> None:
-        _need(
-            fault.at_s < self.seconds,
-            f"{key}.at_s",
-            f"a time within the {self.seconds:g} s of the experiment",
-            fault.at_s,
-        )
-        for side, place in (("where", fault.where), ("to", fault.to)):
-            if place is None:
-                continue
-            for name, known in (
-                ("zone", self.topology.zones),
-                ("region", list(self.topology.regions)),
-                ("sidecar", sidecar_names(self)),
-                ("upstream", upstream_names(self)),
-            ):
-                value = getattr(place, name)
-                _need(
-                    value is None or value in known,
-                    f"{key}.{side}.{name}",
-                    f"one of {', '.join(known[:12])}{', ...' if len(known) > 12 else ''}",
-                    value,
-                )
-            _need(
-                place.agent is None, f"{key}.{side}.agent", "a place that exists; agents come with the directory part"
-            )
-        sidecars = fault.where.of == "sidecars" or fault.where.sidecar is not None
+        for key, named_zones in per_zone_keys:
+            for zone in named_zones:
+                if zone not in zones:
+                    raise ExperimentError(key=f"{key}.{zone}", expected=f"a zone out of {', '.join(zones)}")
+
+    def _check_counts(self) -> None:
+        for key, counts in (("upstreams", self.upstreams.per_zone), ("sidecars", self.sidecars.per_zone)):
+            if sum(counts.values()) <= 0:
+                raise ExperimentError(key=f"{key}.per_zone", expected="at least one of them")
+
+    def _check_fault(self, key: str, fault: Fault) -> None:
+        if fault.at_s >= self.seconds:
+            expected = f"a time within the {self.seconds:g} s of the experiment"
+            raise ExperimentError(key=f"{key}.at_s", expected=expected, found=fault.at_s)
+        self._check_place(f"{key}.where", fault.where)
+        if fault.to is not None:
+            self._check_place(f"{key}.to", fault.to)
         if fault.what == "burst":
-            _need(
-                fault.tenant is None or fault.tenant in [t.name for t in self.tenants],
-                f"{key}.tenant",
-                f"one of {', '.join(t.name for t in self.tenants)}",
-                fault.tenant,
-            )
-        elif fault.what not in ("list_late", "list_lies") and not fault.where.directory:
-            kinds = FOR_SIDECARS if sidecars else FOR_UPSTREAMS
-            _need(
-                fault.what in kinds,
-                f"{key}.what",
-                f"for {'sidecars' if sidecars else 'upstreams'} one of {', '.join(kinds)}",
-                fault.what,
+            self._check_burst(key, fault)
+        elif fault.what not in LIST_FAULTS and not fault.where.directory:
+            _check_fault_kind(key, fault)
+        if fault.where.directory and fault.what not in DIRECTORY_FAULTS:
+            expected = f"for the directory one of {', '.join(DIRECTORY_FAULTS)}"
+            raise ExperimentError(key=f"{key}.what", expected=expected, found=fault.what)
+
+    def _check_place(self, key: str, place: Place) -> None:
+        known_names: tuple[tuple[str, str | None, list[str]], ...] = (
+            ("zone", place.zone, self.topology.zones),
+            ("region", place.region, list(self.topology.regions)),
+            ("sidecar", place.sidecar, sidecar_names(self)),
+            ("upstream", place.upstream, upstream_names(self)),
+        )
+        for name, value, known in known_names:
+            if value is not None and value not in known:
+                more = ", ..." if len(known) > NAMES_IN_MESSAGE else ""
+                expected = f"one of {', '.join(known[:NAMES_IN_MESSAGE])}{more}"
+                raise ExperimentError(key=f"{key}.{name}", expected=expected, found=value)
+        if place.agent is not None:
+            raise ExperimentError(
+                key=f"{key}.agent", expected="a place that exists; agents come with the directory part"
             )
-        if fault.where.directory:
-            _need(fault.what in ("silent", "cut"), f"{key}.what", "for the directory one of silent, cut", fault.what)
+
+    def _check_burst(self, key: str, fault: Fault) -> None:
+        names = [tenant.name for tenant in self.tenants]
+        if fault.tenant is not None and fault.tenant not in names:
+            raise ExperimentError(key=f"{key}.tenant", expected=f"one of {', '.join(names)}", found=fault.tenant)
+
+
+def _check_shares(table: str, shares: list[float]) -> None:
+    total = sum(shares)
+    if abs(total - 1) >= SHARE_TOLERANCE:
+        raise ExperimentError(key=f"{table}.*.share", expected="shares that add up to 1", found=round(total, 4))
+
+
+def _check_bounds(table: str, bounds: dict[str, str]) -> None:
+    for name, bound in bounds.items():
+        if BOUND.fullmatch(bound) is None:
+            expected = 'a bound such as ">= 0.9" (<=, >= or ==, and a number)'
+            raise ExperimentError(key=f"{table}.{name}", expected=expected, found=bound)
+
+
+def _check_fault_kind(key: str, fault: Fault) -> None:
+    strikes_sidecars = fault.where.of == "sidecars" or fault.where.sidecar is not None
+    kinds = SIDECAR_FAULTS if strikes_sidecars else UPSTREAM_FAULTS
+    if fault.what not in kinds:
+        side = "sidecars" if strikes_sidecars else "upstreams"
+        raise ExperimentError(key=f"{key}.what", expected=f"for {side} one of {', '.join(kinds)}", found=fault.what)
 
 
 def upstream_names(experiment: Experiment) -> list[str]:
-    """Those that are there from the start, as `fault.where.upstream` names them."""
+    """Return the upstreams that are there from the start, as `fault.where.upstream` names them."""
     return [
         f"u-{zone}-{number}"
         for zone in experiment.topology.zones
@@ -338,6 +380,7 @@
 
 
 def sidecar_names(experiment: Experiment) -> list[str]:
+    """Return all sidecars, as `fault.where.sidecar` names them."""
     return [
         f"{zone}-{number}"
         for zone in experiment.topology.zones
@@ -345,35 +388,49 @@
     ]
 
 
-def scaled(experiment: Experiment, sidecars: int, alone: bool = False) -> Experiment:
-    """The same with about so many sidecars; zones keep their parts. Upstreams and load grow with them, unless they
-    grow `alone`."""
+def scaled(experiment: Experiment, sidecars: int, *, alone: bool = False) -> Experiment:
+    """Return the experiment with about so many sidecars, zones keeping their parts.
+
+    Args:
+        experiment: The experiment.
+        sidecars: How many.
+        alone: Whether upstreams and load stay as they are, instead of growing with the sidecars.
+    """
     times = sidecars / sum(experiment.sidecars.per_zone.values())
 
-    def more(counts: dict[str, int]) -> dict[str, int]:
+    def grown(counts: dict[str, int]) -> dict[str, int]:
         return {zone: max(1, round(count * times)) if count else 0 for zone, count in counts.items()}
 
     replace = msgspec.structs.replace
     if alone:
-        return replace(experiment, sidecars=replace(experiment.sidecars, per_zone=more(experiment.sidecars.per_zone)))
+        return replace(experiment, sidecars=replace(experiment.sidecars, per_zone=grown(experiment.sidecars.per_zone)))
     return replace(
         experiment,
         load=replace(experiment.load, requests_per_s=experiment.load.requests_per_s * times),
-        sidecars=replace(experiment.sidecars, per_zone=more(experiment.sidecars.per_zone)),
-        upstreams=replace(experiment.upstreams, per_zone=more(experiment.upstreams.per_zone)),
+        sidecars=replace(experiment.sidecars, per_zone=grown(experiment.sidecars.per_zone)),
+        upstreams=replace(experiment.upstreams, per_zone=grown(experiment.upstreams.per_zone)),
     )
 
 
 def load(path: Path | str) -> Experiment:
-    """Read and check a file; raises `config.FileError`."""
+    """Read and check a file.
+
+    Raises:
+        config.FileError: It cannot be read, or does not fit.
+    """
     return config.read(path, Experiment)
 
 
 def holds(bound: str, figure: float | None) -> bool:
-    """Whether a figure keeps a bound such as `<= 3.0`; one that was not measured keeps none."""
-    found = BOUND.fullmatch(bound)
-    assert found is not None, bound
+    """Return whether a figure keeps a bound such as `<= 3.0`; one that was not measured keeps none.
+
+    Raises:
+        ExperimentError: The bound is none.
+    """
+    parsed = BOUND.fullmatch(bound)
+    if parsed is None:
+        raise ExperimentError(key="bound", expected="a sign and a number", found=bound)
     if figure is None:
         return False
-    limit = float(found["figure"])
-    return {"<=": figure <= limit, ">=": figure >= limit, "==": figure == limit}[found["sign"]]
+    limit = float(parsed["figure"])
+    return {"<=": figure <= limit, ">=": figure >= limit, "==": figure == limit}[parsed["sign"]]
