--- a/garnetusher/cli/model_commands.py
+++ b/garnetusher/cli/model_commands.py
@@ -162,7 +162,7 @@
 def replay(file: Annotated[Path, typer.Argument(help="What `model explore` has kept.")]) -> None:
     """Play a schedule that broke a rule once more; tell it step by step."""
     try:
-        failure = exploration.kept(file)
+        failure = exploration.load(file)
     except (OSError, msgspec.MsgspecError) as error:
         cli.fail(f"{file}: expected a schedule that `model explore` has kept: {error}")
     schedule, parts = failure.schedule, schedule_search.PARTS
--- a/garnetusher/cli/schedule_search.py
+++ b/garnetusher/cli/schedule_search.py
@@ -12,7 +12,7 @@
 from msgspec import Struct, field
 
 from garnetusher.model import explore
-from garnetusher.model.explore import Find, Part
+from garnetusher.model.explore import FailingSchedule, Part
 from garnetusher.model.explore.membership import Membership
 from garnetusher.model.explore.module import Module
 
@@ -36,7 +36,7 @@
     seeds: list[int]
     schedules: int = 0
     max_steps: int = field(name="steps", default=0)
-    failures: list[Find] = field(name="finds", default_factory=list)
+    failures: list[FailingSchedule] = field(name="finds", default_factory=list)
 
     @property
     def lines(self) -> list[str]:
@@ -47,14 +47,14 @@
             f"{self.part}: {self.schedules} schedules of up to {self.max_steps} steps, seeds {self.seeds[0]} to "
             f"{self.seeds[1]}: {summary}"
         ]
-        first_by_rule: dict[str, Find] = {}
+        first_by_rule: dict[str, FailingSchedule] = {}
         for failure in self.failures:
             first_by_rule.setdefault(failure.broken.rule, failure)
         for failure in first_by_rule.values():
             lines += self._failure_lines(failure)
         return lines
 
-    def _failure_lines(self, failure: Find) -> list[str]:
+    def _failure_lines(self, failure: FailingSchedule) -> list[str]:
         schedule = failure.schedule
         steps = PARTS[self.part].tell(schedule)[-SHOWN_STEPS:]
         return [
@@ -84,7 +84,7 @@
             yield result
 
 
-def _failures(part: str, seeds: range, max_steps: int) -> list[Find]:
+def _failures(part: str, seeds: range, max_steps: int) -> list[FailingSchedule]:
     return [failure for _, failure in explore.explore(PARTS[part], seeds, max_steps) if failure is not None]
 
 
@@ -99,13 +99,13 @@
         rule_in_name = "".join(character if character.isalnum() else "-" for character in rule)
         path = folder / f"{result.part}-{rule_in_name}-{failure.schedule.seed}.json"
         folder.mkdir(parents=True, exist_ok=True)
-        explore.keep(failure, path)
+        explore.save(failure, path)
         paths.append(path)
     return paths
 
 
-def _smallest_by_rule(failures: list[Find]) -> dict[str, Find]:
-    smallest: dict[str, Find] = {}
+def _smallest_by_rule(failures: list[FailingSchedule]) -> dict[str, FailingSchedule]:
+    smallest: dict[str, FailingSchedule] = {}
     for failure in failures:
         best = smallest.setdefault(failure.broken.rule, failure)
         if len(failure.schedule.steps) < len(best.schedule.steps):
--- a/garnetusher/model/explore/__init__.py
+++ b/garnetusher/model/explore/__init__.py
@@ -1,8 +1,8 @@
-"""Seeded schedules of events played against a core, and what breaks one made as small as it goes.
+"""Run seeded schedules of events against a core, and shrink those that break a rule.
 
-A part of the product joins in by four methods (`Part`). A schedule is plain data: it is drawn from its seed, played
-with no clock and no I/O, and kept as JSON. A schedule that breaks something is shrunk by delta debugging (Zeller and
-Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002): fewer steps, a smaller setting, smaller numbers,
+A part of the product is explored through the four methods of `Part`. A schedule is plain data: it is drawn from its
+seed, run with no clock and no I/O, and saved as JSON. One that breaks a rule is shrunk by delta debugging (Zeller and
+Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002): fewer steps, a smaller setup, smaller numbers,
 as long as the same rule breaks.
 """
 
@@ -15,11 +15,11 @@
 import msgspec
 from msgspec import Struct, structs
 
-MOST_PLAYS = 3000  # for shrinking one schedule
+MAX_SHRINK_RUNS = 3000  # for one schedule
 
 
 class Step(Struct, frozen=True, array_like=True):
-    """One thing that happens; what the numbers mean is the part's business."""
+    """One event; the part defines what its numbers mean."""
 
     what: str
     a: int = 0
@@ -27,7 +27,7 @@
 
 
 class Schedule(Struct, frozen=True):
-    """All that is needed to play it again."""
+    """All that is needed to run it again."""
 
     part: str
     seed: int
@@ -43,8 +43,8 @@
     step: int
 
 
-class Find(Struct, frozen=True):
-    """A schedule that breaks a rule. `kept` is what `model replay` reads."""
+class FailingSchedule(Struct, frozen=True):
+    """A schedule that breaks a rule, as `model replay` reads it."""
 
     schedule: Schedule
     broken: Broken
@@ -52,93 +52,113 @@
 
 
 class Part(Protocol):
-    """What can be explored."""
+    """A part of the product that can be explored."""
 
     name: str
 
     def draw(self, seed: int, steps: int) -> Schedule:
-        """The schedule of this seed."""
+        """Return the schedule of a seed, of so many steps at the most."""
 
     def play(self, schedule: Schedule) -> Broken | None:
-        """Play it on a new core; what broke first, or None."""
+        """Run a schedule on a new core; return the first rule that broke, or None."""
 
     def simpler(self, setup: dict[str, int]) -> Iterator[dict[str, int]]:
-        """Smaller settings to try instead."""
+        """Yield simpler setups than this one."""
 
     def tell(self, schedule: Schedule) -> list[str]:
-        """The schedule as a story, a line each step."""
+        """Describe a schedule, a line for each step."""
 
 
-def explore(part: Part, seeds: Iterable[int], steps: int) -> Iterator[tuple[int, Find | None]]:
-    """Play the schedule of each seed; with each seed what it found, shrunk."""
+def explore(part: Part, seeds: Iterable[int], steps: int) -> Iterator[tuple[int, FailingSchedule | None]]:
+    """Run the schedule of each seed; yield each seed with its shrunk failure, if any."""
     for seed in seeds:
         schedule = part.draw(seed, steps)
         broken = part.play(schedule)
         yield seed, None if broken is None else shrink(part, schedule, broken)
 
 
-def shrink(part: Part, schedule: Schedule, broken: Broken) -> Find:
-    """The smallest schedule found that breaks the same rule."""
-    search = _Search(part, structs.replace(schedule, steps=schedule.steps[: broken.step + 1]), broken)
-    search.run()
-    return Find(search.best, search.broken, len(schedule.steps))
+def shrink(part: Part, schedule: Schedule, broken: Broken) -> FailingSchedule:
+    """Return the smallest schedule found that breaks the same rule."""
+    shrinker = _Shrinker(part, _until_breach(schedule, broken), broken)
+    shrinker.run()
+    return FailingSchedule(shrinker.best, shrinker.broken, len(schedule.steps))
 
 
-class _Search:
+def _until_breach(schedule: Schedule, broken: Broken) -> Schedule:
+    return structs.replace(schedule, steps=schedule.steps[: broken.step + 1])
+
+
+class _Shrinker:
+    """The smallest failing schedule so far, made smaller until nothing more can be left out."""
+
     def __init__(self, part: Part, schedule: Schedule, broken: Broken) -> None:
-        self.part, self.best, self.broken = part, schedule, broken
-        self.plays = 0
+        self._part = part
+        self.best = schedule
+        self.broken = broken
+        self._runs = 0
 
     def run(self) -> None:
+        """Shrink until a round brings nothing, or the runs are used up."""
         before = None
-        while before != self.best and self.plays < MOST_PLAYS:
+        while before != self.best and self._runs < MAX_SHRINK_RUNS:
             before = self.best
-            self.fewer_steps()
-            for setup in self.part.simpler(self.best.setup):
-                self.holds(structs.replace(self.best, setup=setup))
-            self.smaller_numbers()
-
-    def holds(self, schedule: Schedule) -> bool:
-        """Whether the same rule still breaks; then this is the best so far."""
-        if self.plays >= MOST_PLAYS:
+            self._remove_steps()
+            for setup in self._part.simpler(self.best.setup):
+                self._accept(structs.replace(self.best, setup=setup))
+            self._reduce_numbers()
+
+    def _accept(self, schedule: Schedule) -> bool:
+        """Run a smaller schedule; keep it as the best and return True if it breaks the same rule."""
+        if self._runs >= MAX_SHRINK_RUNS:
             return False
-        self.plays += 1
-        broken = self.part.play(schedule)
+        self._runs += 1
+        broken = self._part.play(schedule)
         if broken is None or broken.rule != self.broken.rule:
             return False
-        self.best = structs.replace(schedule, steps=schedule.steps[: broken.step + 1])
+        self.best = _until_breach(schedule, broken)
         self.broken = broken
         return True
 
-    def fewer_steps(self) -> None:
+    def _remove_steps(self) -> None:
         size = max(1, len(self.best.steps) // 2)
         while True:
             place = 0
             while place < len(self.best.steps):
                 rest = self.best.steps[:place] + self.best.steps[place + size :]
-                if not self.holds(structs.replace(self.best, steps=rest)):
+                if not self._accept(structs.replace(self.best, steps=rest)):
                     place += size
             if size == 1:
                 return
             size //= 2
 
-    def smaller_numbers(self) -> None:
-        place = 0
-        while place < len(self.best.steps):
-            step = self.best.steps[place]
-            for other in (Step(step.what), Step(step.what, step.a // 2, step.b), Step(step.what, step.a, step.b // 2)):
-                if other != step and self.holds(
-                    structs.replace(self.best, steps=[*self.best.steps[:place], other, *self.best.steps[place + 1 :]])
-                ):
+    def _reduce_numbers(self) -> None:
+        index = 0
+        while index < len(self.best.steps):  # which become fewer if an accepted schedule breaks the rule earlier
+            step = self.best.steps[index]
+            smaller_steps = (
+                Step(step.what),
+                Step(step.what, step.a // 2, step.b),
+                Step(step.what, step.a, step.b // 2),
+            )
+            for smaller in smaller_steps:
+                if smaller != step and self._accept(self._with_step(index, smaller)):
                     break
-            place += 1
+            index += 1
+
+    def _with_step(self, index: int, step: Step) -> Schedule:
+        return structs.replace(self.best, steps=[*self.best.steps[:index], step, *self.best.steps[index + 1 :]])
+
 
+def save(failure: FailingSchedule, path: Path) -> None:
+    """Write a failure to a file as JSON."""
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(failure), indent=1) + b"\n")
 
-def keep(find: Find, path: Path) -> None:
-    """Write it so that it can be played again."""
-    path.write_bytes(msgspec.json.format(msgspec.json.encode(find), indent=1) + b"\n")
 
+def load(path: Path) -> FailingSchedule:
+    """Read a failure from a file.
 
-def kept(path: Path) -> Find:
-    """Read it back; raises OSError, or msgspec.MsgspecError naming what is wrong."""
-    return msgspec.json.decode(path.read_bytes(), type=Find)
+    Raises:
+        OSError: The file cannot be read.
+        msgspec.MsgspecError: It is no failing schedule; the text says why.
+    """
+    return msgspec.json.decode(path.read_bytes(), type=FailingSchedule)
--- a/garnetusher/model/records.py
+++ b/garnetusher/model/records.py
@@ -1,6 +1,6 @@
-"""What the stand-ins, the clients and the lab write down: the only thing that the checker and the figures read.
+"""The records of stand-ins, clients and the lab: the only thing that the checker and the figures read.
 
-One JSON object a line in `events.jsonl`, in the order of time. `t` is microseconds from the start of the play on the
+One JSON object a line in `events.jsonl`, in the order of time. `t` is microseconds from the start of the run on the
 one monotonic clock that all processes of a machine share; `e` names the kind.
 """
 
@@ -15,6 +15,8 @@
 
 
 class Record(Struct, tag_field="e", omit_defaults=True):
+    """The base of all records."""
+
     t: int
 
 
@@ -232,14 +234,16 @@
         self._file: IO[bytes] = path.open("wb", buffering=1 << 18)
 
     def write(self, record: AnyRecord) -> None:
+        """Append a record."""
         self._file.write(_ENCODER.encode(record) + b"\n")
 
     def close(self) -> None:
+        """Write what is buffered, and close the file."""
         self._file.close()
 
 
 def read(path: Path) -> Iterator[AnyRecord]:
-    """The records of a file; a last line that was cut off by a kill is passed over."""
+    """Yield the records of a file, without a last line that was cut off as its process was killed."""
     with path.open("rb") as file:
         for line in file:
             if line.endswith(b"\n"):
@@ -247,7 +251,7 @@
 
 
 def merge(parts: Iterable[Path], whole: Path) -> list[AnyRecord]:
-    """All records of a play in the order of time, written to one file."""
+    """Write all records of a run to one file, in the order of time, and return them."""
     records = sorted((record for part in parts for record in read(part)), key=lambda record: record.t)
     journal = Journal(whole)
     for record in records:
@@ -257,5 +261,5 @@
 
 
 def line_of(record: AnyRecord) -> str:
-    """A record as it stands in the file."""
+    """Return a record as it stands in the file."""
     return _ENCODER.encode(record).decode()
--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -1,4 +1,4 @@
-"""What a play comes to: figures against bounds, breaches, and whether the lab itself kept up."""
+"""The result of a run: figures against bounds, breaches, and whether the lab itself kept up."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from garnetusher.model.plan import Plan
 from garnetusher.model.records import AnyRecord
 
-LATE_SHARE = 0.01  # of the lab's own timers; a play in which more were late counts for nothing
+LATE_SHARE = 0.01  # of the lab's own timers; a run in which more were late counts for nothing
 
 
 class Expectation(Struct):
@@ -109,8 +109,10 @@
 
 
 def write(result: Result, path: Path) -> None:
+    """Write a result to a file as JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
 
 
 def read(path: Path) -> Result:
+    """Read a result from a file."""
     return msgspec.json.decode(path.read_bytes(), type=Result)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -8,7 +8,7 @@
 import pytest
 
 from garnetusher.model import explore
-from garnetusher.model.explore import Find
+from garnetusher.model.explore import FailingSchedule
 from garnetusher.model.explore.module import Module
 from garnetusher.policy.actions import SetTimer
 from garnetusher.policy.balancer import Attempt, Balancer, Request
@@ -55,7 +55,7 @@
     patch.setattr(Balancer, "on_left", lambda self, request: None)
 
 
-def first_find(seeds: range) -> Find:
+def first_find(seeds: range) -> FailingSchedule:
     for _, find in explore.explore(Module(), seeds, 120):
         if find is not None:
             return find
@@ -78,8 +78,8 @@
         bug(patch)
         find = first_find(range(1, FOUND_WITHIN))
         assert find.broken.rule == rule and len(find.schedule.steps) <= 20 < find.drawn_steps
-        explore.keep(find, tmp_path / "find.json")
-        again = explore.kept(tmp_path / "find.json")
+        explore.save(find, tmp_path / "find.json")
+        again = explore.load(tmp_path / "find.json")
         assert Module().play(again.schedule) == find.broken
         assert find.broken.text in Module().tell(again.schedule)[-1]
     assert Module().play(find.schedule) is None  # it is the bug that breaks it
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -26,6 +26,6 @@
 
 @pytest.mark.parametrize("part", [Module(), Membership()], ids=lambda part: str(part.name))
 def test_explorer_schedule_is_replayed_without_a_breach_when_recorded_before(part: Part) -> None:
-    recorded = explore.kept(RECORDED / f"{part.name}-{EXPLORER_SEED}.json").schedule
+    recorded = explore.load(RECORDED / f"{part.name}-{EXPLORER_SEED}.json").schedule
     assert recorded == part.draw(EXPLORER_SEED, EXPLORER_STEPS)
     assert part.play(recorded) is None
