--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -1,4 +1,4 @@
-"""What a play comes to: figures against bounds, breaches, and whether the lab itself kept up."""
+"""The result of a run: figures against bounds, breaches, and whether the lab itself kept up."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 from garnetusher.model import checker, figures
 from garnetusher.model.checker import Breach
 from garnetusher.model.experiment import Experiment, holds
+from garnetusher.model.figures import RunCounts
 from garnetusher.model.plan import Plan
 from garnetusher.model.records import AnyRecord
 
-LATE_SHARE = 0.01  # of the lab's own timers; a play in which more were late counts for nothing
+LATE_SHARE = 0.01  # of the lab's own timers; a run in which more were late counts for nothing
 
 
 class Expectation(Struct):
@@ -96,7 +97,7 @@
     """The result of a play, real or in virtual time, and its requests for the report."""
     broken = checker.check(experiment, plan, records)
     requests = figures.requests_of(experiment, records)
-    found = figures.figures(experiment, plan, records, requests, len(broken), late_share, not_asked)
+    found = figures.figures(experiment, plan, records, requests, RunCounts(len(broken), late_share, not_asked))
     lines = [
         Expectation(name, bound, found.get(name), holds(bound, found.get(name)), opened)
         for opened, bounds in ((False, experiment.expect), (True, experiment.open))
@@ -108,8 +109,10 @@
 
 
 def write(result: Result, path: Path) -> None:
+    """Write a result to a file as JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
 
 
 def read(path: Path) -> Result:
+    """Read a result from a file."""
     return msgspec.json.decode(path.read_bytes(), type=Result)
