--- a/garnetusher/lab/report.py
+++ b/garnetusher/lab/report.py
@@ -17,7 +17,7 @@
 from garnetusher.model.result import Result
 
 matplotlib.use("svg")
-from matplotlib import pyplot as plt  # noqa: E402  (the backend has to be chosen first)
+from matplotlib import pyplot as plt
 
 SHOWN_BREACHES = 20  # with their event lines; result.json has all
 SHOWN_LINES = 30  # of one breach
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    "bug, rule",
+    ("bug", "rule"),
     [
         (keeps_a_slot, "slots"),
         (repeats_after_a_reset, "rule 2"),
@@ -82,7 +82,8 @@
     with monkeypatch.context() as patch:
         bug(patch)
         find = first_find(range(1, FOUND_WITHIN))
-        assert find.broken.rule == rule and len(find.schedule.steps) <= 20 < find.drawn_steps
+        assert find.broken.rule == rule
+        assert len(find.schedule.steps) <= 20 < find.drawn_steps
         explore.save(find, tmp_path / "find.json")
         again = explore.load(tmp_path / "find.json")
         assert Module().play(again.schedule) == find.broken
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -71,14 +71,19 @@
     told, errors = process.communicate(timeout=120)
     assert (process.returncode, errors) == (0, "")
     document = json.loads(told)
-    assert document["name"] == "small" and document["seed"] == 5 and document["held"] and document["broken"] == []
+    assert document["name"] == "small"
+    assert document["seed"] == 5
+    assert document["held"]
+    assert document["broken"] == []
     found = document["figures"]
-    assert found["requests"] > 250 and found["served_worth.during_fault"] < found["served_worth.before"]
+    assert found["requests"] > 250
+    assert found["served_worth.during_fault"] < found["served_worth.before"]
     assert [e["open"] for e in document["expectations"]] == [False, False, True]
     page = (out / "report.html").read_text()
-    assert page.count("<svg") == 3 and "http://" not in page.replace("http://www.w3.org", "").replace(
-        "http://purl.org", ""
-    ).replace("http://creativecommons.org", "").replace("http://matplotlib.org", "")
+    assert page.count("<svg") == 3
+    assert "http://" not in page.replace("http://www.w3.org", "").replace("http://purl.org", "").replace(
+        "http://creativecommons.org", ""
+    ).replace("http://matplotlib.org", "")
     lines = list(records.read(out / "events.jsonl"))
     assert [r.t for r in lines] == sorted(r.t for r in lines)
     assert (out / "latency.hlog").read_text().count("Tag=publish") >= 2
@@ -92,10 +97,14 @@
     cut = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-b") and 1.05e6 < r.t < 2e6]
     near = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-a") and 1.05e6 < r.t < 2e6]
     held = [r for r in lines if isinstance(r, Held)]
-    assert not cut and len(near) > 30 and held and all(r.upstream.startswith("u-b") for r in held)
+    assert not cut
+    assert len(near) > 30
+    assert held
+    assert all(r.upstream.startswith("u-b") for r in held)
     ended = [r for r in lines if isinstance(r, Ended) and r.upstream.startswith("u-b") and r.how == "served"]
     after = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-b") and r.t > 2.1e6]
-    assert after and ended
+    assert after
+    assert ended
 
 
 def test_nothing_outlives_an_interrupt_or_a_killed_lab(tmp_path: Path) -> None:
@@ -141,7 +150,7 @@
 def test_a_sidecar_that_dies_at_its_start_ends_the_play_with_its_last_lines(tmp_path: Path) -> None:
     it = small()
     broken = tree(tmp_path, "echo first >&2; echo no good reason >&2; exit 3")
-    with pytest.raises(LabError, match="(?s)died at its start with 3.*no good reason"):
+    with pytest.raises(LabError, match="(?s)died at its start with 3.*no good reason"):  # noqa: PT012, RUF043 - the plan is made inside; the text has no pattern
         began = time.monotonic()
         asyncio.run(run_experiment(it, plan.make(it, 1), broken, tmp_path / "out", lambda what, part: None))
     assert time.monotonic() - began < 20
@@ -196,7 +205,8 @@
         it,
         f"cd {ROOT}; {DEPLOY['run'].replace('garnetusher.sidecar', f'tests.faulty.misdeeds {deed}')}",
     )
-    assert {b.rule for b in bad} == {rule} and all(b.lines for b in bad)
+    assert {b.rule for b in bad} == {rule}
+    assert all(b.lines for b in bad)
     assert breaches(tmp_path / "good", it, f"cd {ROOT}; {DEPLOY['run']}") == []
 
 
@@ -280,11 +290,15 @@
 
 def test_a_difference_is_shown_only_where_there_is_one() -> None:
     same = compare.difference("x", [0.9, 0.92, 0.91, 0.9, 0.9, 0.91], [0.91, 0.9, 0.92, 0.9, 0.9, 0.9])
-    assert not same.shown and "no difference shown" in str(same)
+    assert not same.shown
+    assert "no difference shown" in str(same)
     better = compare.difference("x", [0.8, 0.82, 0.81, 0.8, 0.82, 0.81], [0.9, 0.91, 0.93, 0.9, 0.9, 0.92])
-    assert better.shown and better.low < better.mean < better.high and better.low > 0.05
+    assert better.shown
+    assert better.low < better.mean < better.high
+    assert better.low > 0.05
     few = compare.difference("x", [0.8] * 5, [0.9] * 5)
-    assert not few.shown and "fewer than 6 tell nothing" in str(few)  # one sign five times: chance, once in 16
+    assert not few.shown
+    assert "fewer than 6 tell nothing" in str(few)
     with pytest.raises(ValueError, match="as many plays"):
         compare.difference("x", [1.0], [])
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -51,7 +51,8 @@
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.read(9), 0.4)
-        assert received == ([b"one"] if to_node else [b"one", b"two"]) and undelivered == ([b"two"] if to_node else [])
+        assert received == ([b"one"] if to_node else [b"one", b"two"])
+        assert undelivered == ([b"two"] if to_node else [])
         for _ in range(3):  # nobody comes in, and nobody is refused
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(asyncio.open_connection(HOST, listener.port), 0.15)
@@ -60,7 +61,7 @@
         writer.write(b"three")
         assert await asyncio.wait_for(reader.read(9), 5) == b"THREE"
         async with asyncio.timeout(5):
-            while b"two" not in received:
+            while b"two" not in received:  # noqa: ASYNC110 - the peers set no event
                 await asyncio.sleep(0.01)
         listener.refuse()
         with pytest.raises(ConnectionRefusedError):
@@ -100,8 +101,10 @@
         await asyncio.sleep(0.3)
         received = made["y"][1].received
         assert {sender for _, sender in received} == {relay.as_seen_by("y", "x")}
-        assert 0.65 < len({data for data, _ in received}) / COUNTED < 0.85 and len(received) > 1.2 * len(set(received))
-        assert made["z"][1].received == [] and len(made["x"][1].received) == COUNTED
+        assert 0.65 < len({data for data, _ in received}) / COUNTED < 0.85
+        assert len(received) > 1.2 * len(set(received))
+        assert made["z"][1].received == []
+        assert len(made["x"][1].received) == COUNTED
         stranger, _ = await loop.create_datagram_endpoint(Member, local_addr=(HOST, 0))
         stranger.sendto(b"hello", relay.as_seen_by("z", "x"))
         await asyncio.sleep(0.05)
@@ -130,7 +133,8 @@
         listener.restore(to_node=True, to_sidecar=True)
         with contextlib.suppress(ConnectionResetError):
             assert await asyncio.wait_for(reading, 5) == b""  # its end is told at last
-        assert received[0] == b"one" and b"two" not in received
+        assert received[0] == b"one"
+        assert b"two" not in received
         listener.close()
 
     asyncio.run(test())
