--- a/garnetusher/membership/actions.py
+++ b/garnetusher/membership/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a member asks for. The transport and its owner carry them out in the order given."""
+"""Actions that a member requests. The transport and its owner carry them out in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StopReason(enum.StrEnum):
-    """Why a process is no longer a member; the values appear in the log and at the admin address."""
+    """The reason why a process is no longer a member; the values appear in the log and at the admin address."""
 
     LEFT = "left"
     REPLACED = "replaced"
@@ -18,21 +18,21 @@
 
 
 class SendDatagram(Struct, frozen=True):
-    """Send a datagram."""
+    """Send a datagram to an address."""
 
     address: Address
     data: bytes
 
 
 class MemberChanged(Struct, frozen=True):
-    """The state or generation believed of a member has changed."""
+    """The view has a new state or generation for a member."""
 
     entry: Entry
     previous: Entry | None
 
 
 class Persist(Struct, frozen=True):
-    """Write both numbers to disk, if there is one: neither may ever decrease."""
+    """Write both numbers to disk, if there is a disk; neither number may ever decrease."""
 
     generation: int
     incarnation: int
@@ -42,8 +42,8 @@
     """Write a line to the log.
 
     Attributes:
-        event: a name from docs/logs.md.
-        fields: the fields that docs/logs.md lists for it.
+        event: The name of the event, which docs/logs.md lists.
+        fields: The fields that docs/logs.md lists for the event.
     """
 
     event: str
@@ -54,8 +54,8 @@
     """This process is no longer a member.
 
     Attributes:
-        reason: why.
-        superseded_by: the process that has the name now, if there is one.
+        reason: The reason for the end of the membership.
+        superseded_by: The address of the process that now has the name, or None.
     """
 
     reason: StopReason
--- a/garnetusher/membership/anti_entropy.py
+++ b/garnetusher/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Full exchange between members whose views differ: by digests of buckets, then the buckets that differ."""
+"""Anti-entropy: members whose views differ exchange digests of buckets, then the buckets that differ."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from garnetusher.membership.dissemination import Dissemination
 from garnetusher.membership.merge import EntryMerger
 from garnetusher.membership.messages import Address, BucketDigests, Entries, Entry
-from garnetusher.membership.state import MemberState, Phase
+from garnetusher.membership.state import Phase, ProtocolState
 
-EXCHANGE_INTERVAL_US = 1_000_000  # between exchanges with members whose views differ
-UNKNOWN_MEMBER_INTERVAL_US = 250_000  # between exchanges with members that are heard but not known
-MAX_EXCHANGE_INTERVAL_US = 4_000_000  # without an exchange while changes keep coming and views differ
-CATCH_UP_US = 500_000  # after joining, in which entries from an exchange are known to the others already
-DISPUTE_AFTER_US = 300_000  # that two views differ before it is more than gossip under way
-DIGEST_VALID_US = 2_000_000  # after which a member's last digest is too old to compare with
-ENTRIES_HEADER_BYTES = 8  # reserved for the list of entries itself
-MAX_DIFFERING_NAMES = 8  # that are kept for operators
+EXCHANGE_INTERVAL_US = 1_000_000  # minimum time between exchanges with members whose views differ
+UNKNOWN_MEMBER_INTERVAL_US = 250_000  # minimum time between exchanges with members that are not in the view
+MAX_EXCHANGE_INTERVAL_US = 4_000_000  # views that differ are exchanged after this time even if changes keep coming
+CATCH_UP_US = 500_000  # for this time after joining, the other members already know entries from an exchange
+DISPUTE_AFTER_US = 300_000  # views that differ for less time may differ only because gossip is still being delivered
+DIGEST_VALID_US = 2_000_000  # a member's last digest is too old for a comparison after this time
+ENTRIES_HEADER_BYTES = 8  # reserved for the encoding of the list around the entries
+MAX_DIFFERING_NAMES = 8  # the number of names that are kept for operators
 
 
 class Dispute(Struct):
-    """A member whose view differed when it was last heard.
+    """A difference between this view and the view of another member, according to its last digest.
 
     Attributes:
-        since_us: when its view first differed.
-        heard_us: when its digest was last received.
-        digest: its last digest.
+        since_us: The time at which the views first differed.
+        heard_us: The time at which the other member's last digest arrived.
+        digest: The other member's last digest.
     """
 
     since_us: int
@@ -35,13 +35,13 @@
 
 
 class AntiEntropy:
-    """Compares digests and repairs what differs.
+    """Compares digests of views and exchanges the entries that differ.
 
     Attributes:
-        differing_names: names on which the last exchange differed.
+        differing_names: Names of members whose entries differed in the last exchange that found a difference.
     """
 
-    def __init__(self, state: MemberState, dissemination: Dissemination, merger: EntryMerger) -> None:
+    def __init__(self, state: ProtocolState, dissemination: Dissemination, merger: EntryMerger) -> None:
         self._state = state
         self._dissemination = dissemination
         self._merger = merger
@@ -49,14 +49,15 @@
         self._last_exchange_us = 0
         self.differing_names: list[str] = []
 
-    def request(self, address: Address, first: Entry | None = None) -> None:
-        """Send this view's bucket digests, and ask for the recipient's."""
-        self._state.send(address, BucketDigests(self._state.view.bucket_digests, reply_requested=True), first)
+    def request(self, address: Address, priority_entry: Entry | None = None) -> None:
+        """Send the bucket digests of this view, and ask the recipient for its own."""
+        self._state.send(address, BucketDigests(self._state.view.bucket_digests, reply_requested=True), priority_entry)
 
     def contact_unknown_member(self, address: Address, known_entry: Entry | None) -> None:
-        """Exchange with a member that is heard but not believed active.
+        """Begin an exchange with a member that sent a datagram but is not active in this view.
 
-        One that joined while no broadcast reached this process would otherwise wait for its own probes to find it.
+        Otherwise a member that joined while no broadcast reached this process would stay unknown until its own probes
+        reveal the difference.
         """
         state = self._state
         if state.now_us - self._last_exchange_us >= UNKNOWN_MEMBER_INTERVAL_US:
@@ -64,7 +65,7 @@
             self.request(address, known_entry)
 
     def compare(self, sender: str, digest: int) -> None:
-        """Compare a member's digest with this view's, and begin an exchange where they differ and nothing is new."""
+        """Compare the digest of a member with that of this view, and begin an exchange if one is needed."""
         state = self._state
         if digest == state.view.digest or not digest:
             self._disputes.pop(sender, None)
@@ -78,7 +79,10 @@
             self.request(entry.address)
 
     def _may_exchange(self) -> bool:
-        """Return whether an exchange helps: while much changes all views differ, and gossip is on its way."""
+        """Return whether to begin an exchange now.
+
+        While the view keeps changing, views differ anyway, and gossip is about to resolve most of the differences.
+        """
         now_us = self._state.now_us
         since_exchange_us = now_us - self._last_exchange_us
         if since_exchange_us < EXCHANGE_INTERVAL_US:
@@ -87,7 +91,7 @@
         return is_quiet or since_exchange_us >= MAX_EXCHANGE_INTERVAL_US
 
     def handle_digests(self, message: BucketDigests, address: Address) -> None:
-        """Send the entries of the buckets that differ, and this view's digests where they are asked for."""
+        """Send the entries of the buckets that differ, and the digests of this view if the sender asks for them."""
         own_digests = self._state.view.bucket_digests
         if len(message.digests) != len(own_digests):
             self._state.dropped[DropReason.MALFORMED.value] += 1
@@ -99,26 +103,26 @@
 
     def _send_buckets(self, bucket_indexes: list[int], address: Address) -> None:
         state = self._state
-        remaining = [entry for index in bucket_indexes for entry in state.view.in_bucket(index)]
+        remaining = [entry for index in bucket_indexes for entry in state.view.entries_in_bucket(index)]
         while remaining:
-            part = self._take_part(remaining)
-            if part:
-                state.send_entries(address, part)
+            batch = self._take_batch(remaining)
+            if batch:
+                state.send_entries(address, batch)
             else:
-                remaining.pop()  # it fits into no datagram
+                remaining.pop()  # the last entry alone does not fit into a datagram
 
-    def _take_part(self, remaining: list[Entry]) -> list[Entry]:
-        """Remove as many entries from the end as fit into one datagram, and return them."""
+    def _take_batch(self, remaining: list[Entry]) -> list[Entry]:
+        """Remove as many entries from the end of the list as fit into one datagram, and return them."""
         codec = self._state.codec
-        room = codec.room(self._state.name, Entries([])) - ENTRIES_HEADER_BYTES
-        part = []
-        while remaining and room >= codec.size(remaining[-1]):
-            room -= codec.size(remaining[-1])
-            part.append(remaining.pop())
-        return part
+        available_bytes = codec.gossip_capacity(self._state.name, Entries([])) - ENTRIES_HEADER_BYTES
+        batch = []
+        while remaining and available_bytes >= codec.encoded_size(remaining[-1]):
+            available_bytes -= codec.encoded_size(remaining[-1])
+            batch.append(remaining.pop())
+        return batch
 
     def handle_entries(self, message: Entries, sender: str) -> None:
-        """Merge entries that another member has sent."""
+        """Merge the entries that another member sent."""
         state = self._state
         entries = state.view.entries
         differing = [entry.name for entry in message.entries if entries.get(entry.name) != entry]
@@ -129,14 +133,17 @@
         self._dissemination.catching_up = False
 
     def discard_old_disputes(self) -> None:
-        """Drop disputes with members that were not heard of late."""
+        """Remove disputes with members that sent no digest recently."""
         self._disputes = {name: dispute for name, dispute in self._disputes.items() if self._is_recent(dispute)}
 
     def disputes(self) -> dict[str, Dispute]:
-        """Return the members heard of late whose views differ for longer than gossip takes."""
-        return {name: dispute for name, dispute in sorted(self._disputes.items()) if self._is_confirmed(dispute)}
+        """Return the disputes with recent digests that have lasted longer than gossip takes.
+
+        The result is keyed by the name of the other member.
+        """
+        return {name: dispute for name, dispute in sorted(self._disputes.items()) if self._is_lasting(dispute)}
 
-    def _is_confirmed(self, dispute: Dispute) -> bool:
+    def _is_lasting(self, dispute: Dispute) -> bool:
         differs_us = self._state.now_us - dispute.since_us
         return dispute.digest != self._state.view.digest and differs_us >= DISPUTE_AFTER_US and self._is_recent(dispute)
 
--- a/garnetusher/membership/codec.py
+++ b/garnetusher/membership/codec.py
@@ -1,7 +1,8 @@
-"""Datagrams of one cluster: MessagePack with a version, the cluster's name and a sequence number.
+"""Encoding of datagrams in MessagePack, with a version, the cluster's name and a sequence number.
 
-A datagram is an authentication tag of 16 bytes (keyed BLAKE2b; zeroes where no key is set) and an `Envelope`. A body is
-decoded separately: one that a later version has added is counted and ignored, and the gossip beside it is still used.
+A datagram is an authentication tag of 16 bytes (keyed BLAKE2b, or zeros if no key is set) followed by an `Envelope`.
+The body is decoded separately, so that a body type of a later version is counted and ignored, and the gossip beside it
+is still used.
 """
 
 from __future__ import annotations
@@ -30,21 +31,22 @@
     Welcome,
 )
 
-VERSION = 1  # of envelopes; of a higher one the fields known here are read, as fields are only ever appended
-MAX_DATAGRAM_BYTES = 1200  # under the smallest path MTU that IPv6 allows, less its headers
+# The version of envelopes. Versions only append fields, so the known fields of a higher version are still read.
+VERSION = 1
+MAX_DATAGRAM_BYTES = 1200  # fits into the minimum MTU of IPv6 together with the headers
 AUTH_TAG_BYTES = 16
 EMPTY_AUTH_TAG = bytes(AUTH_TAG_BYTES)
-LONGER_LIST_BYTES = 2  # more that the header of a list of over 15 entries takes
-MAX_NAME_BYTES = 64  # of a member or a zone, in UTF-8; of a sender, in characters
+LONGER_LIST_BYTES = 2  # the header of a list of more than 15 entries takes this many more bytes
+MAX_NAME_BYTES = 64  # limits member and zone names in bytes of UTF-8, and sender names in characters
 MAX_ROLE_LENGTH = 16
-MAX_HOST_LENGTH = 45  # an IPv6 address in text
+MAX_HOST_LENGTH = 45  # the length of the longest IPv6 address in text form
 PORT_LIMIT = 65536
 MAX_STATE = 3
-NUMBER_LIMIT = 2**63  # of generations and incarnations, exclusive
+NUMBER_LIMIT = 2**63  # generations and incarnations are less than this
 
 
 class DropReason(enum.StrEnum):
-    """Why a datagram is not taken; the values are keys of counters at the admin address."""
+    """The reason why a datagram is dropped; the values are keys of counters at the admin address."""
 
     OVERSIZED = "oversized"
     WRONG_KEY = "wrong key"
@@ -56,7 +58,7 @@
 
 
 class DatagramError(GarnetusherError, ValueError):
-    """A datagram is not taken."""
+    """A datagram is dropped."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -64,7 +66,7 @@
 
 
 class Envelope(Struct, array_like=True, frozen=True):
-    """A datagram as it is read; the body is decoded separately."""
+    """A received datagram without its authentication tag; the body is decoded separately."""
 
     version: int
     cluster: str
@@ -76,7 +78,7 @@
 
 
 class _OutgoingEnvelope(Struct, array_like=True, frozen=True):
-    """A datagram as it is written."""
+    """A datagram to send, without its authentication tag."""
 
     version: int
     cluster: str
@@ -95,7 +97,7 @@
 
 
 class Received(Struct, frozen=True):
-    """A valid datagram; `body` is None where a later version has added its type."""
+    """A valid datagram; `body` is None if its type is from a later version."""
 
     sender: str
     generation: int
@@ -108,8 +110,8 @@
     """Encodes and decodes the datagrams of one cluster.
 
     Attributes:
-        keys: the first one signs; all are accepted.
-        dropped: counts by reason of datagrams that were not taken.
+        keys: The keys; the first one signs datagrams, and all are accepted.
+        dropped: The number of dropped datagrams by reason.
     """
 
     def __init__(self, cluster: str, keys: Sequence[bytes] = ()) -> None:
@@ -119,25 +121,30 @@
         self._sequence = 0
 
     def encode(self, sender: str, generation: int, body: Body, gossip: list[Entry]) -> bytes:
-        """Encode one datagram; the caller keeps it within the limit by `room`."""
+        """Encode one datagram; the caller limits its size with `gossip_capacity`."""
         self._sequence += 1
         envelope = _OutgoingEnvelope(VERSION, self.cluster, sender, generation, self._sequence, body, gossip)
         data = _ENCODER.encode(envelope)
         auth_tag = self._auth_tag(self.keys[0], data) if self.keys else EMPTY_AUTH_TAG
         return auth_tag + data
 
-    def room(self, sender: str, body: Body) -> int:
-        """Return how many bytes of gossip fit beside this body."""
+    def gossip_capacity(self, sender: str, body: Body) -> int:
+        """Return the number of bytes that are left for gossip in a datagram with this body."""
         envelope = _OutgoingEnvelope(VERSION, self.cluster, sender, NUMBER_LIMIT, NUMBER_LIMIT, body, [])
         return MAX_DATAGRAM_BYTES - AUTH_TAG_BYTES - len(_ENCODER.encode(envelope)) - LONGER_LIST_BYTES
 
     @staticmethod
-    def size(entry: Entry) -> int:
-        """Return how many bytes an entry takes."""
+    def encoded_size(entry: Entry) -> int:
+        """Return the number of bytes in the encoding of an entry."""
         return len(_ENCODER.encode(entry))
 
     def decode(self, data: bytes) -> Received | None:
-        """Decode one datagram; None, and counted, where it is malformed, foreign, oversized or has no known key."""
+        """Decode one datagram.
+
+        Returns:
+            The datagram. None if it is malformed, from another cluster, oversized or not signed with a known key; the
+            drop is then counted.
+        """
         try:
             return self._decode(data)
         except DatagramError as error:
@@ -164,10 +171,10 @@
     def _decode_body(self, raw: msgspec.Raw) -> Body | None:
         untyped: Any = msgspec.msgpack.decode(raw)
         if isinstance(untyped, list) and untyped and isinstance(untyped[0], str) and untyped[0] not in _BODY_TAGS:
-            self.dropped[DropReason.UNKNOWN_TYPE.value] += 1  # of a later version
+            self.dropped[DropReason.UNKNOWN_TYPE.value] += 1  # the body type is from a later version
             return None
         body = _BODY_DECODER.decode(raw)
-        if not are_valid(_entries_of(body)):
+        if not are_valid(_entries_in(body)):
             raise DatagramError(DropReason.MALFORMED)
         return body
 
@@ -179,7 +186,7 @@
         return hashlib.blake2b(payload, digest_size=AUTH_TAG_BYTES, key=key).digest()
 
 
-def _entries_of(body: Body) -> list[Entry]:
+def _entries_in(body: Body) -> list[Entry]:
     if isinstance(body, Entries):
         return body.entries
     if isinstance(body, Join):
@@ -190,7 +197,7 @@
 
 
 def are_valid(entries: list[Entry]) -> bool:
-    """Return whether a member can have sent these entries; others must not get into a view."""
+    """Return whether all entries are valid; an entry that no member sends must not enter a view."""
     return all(
         0 < len(entry.name.encode()) <= MAX_NAME_BYTES
         and len(entry.zone.encode()) <= MAX_NAME_BYTES
--- a/garnetusher/membership/dissemination.py
+++ b/garnetusher/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Changes of the view and their broadcast: as gossip beside other messages, and in rounds of their own."""
+"""Changes to the view and their broadcast, as gossip attached to other messages and in separate gossip rounds."""
 
 from __future__ import annotations
 
@@ -10,33 +10,34 @@
 from garnetusher.membership import log_events
 from garnetusher.membership.actions import MemberChanged, StopReason
 from garnetusher.membership.messages import Entries, Entry
-from garnetusher.membership.state import MemberState, Phase
+from garnetusher.membership.state import Phase, ProtocolState
 from garnetusher.membership.view import State
 
-GOSSIP_PERIOD_US = 150_000  # between rounds in which pending broadcasts are sent without another message
-GOSSIP_FANOUT = 3  # members that each round sends to
+GOSSIP_PERIOD_US = 150_000  # each gossip round sends pending broadcasts in messages of their own
+GOSSIP_FANOUT = 3  # each round sends to this many members
 LEAVE_BROADCAST_ROUNDS = 3
 
 EntryListener = Callable[[Entry, Entry | None], None]
 
 
 class Dissemination:
-    """The one place where the view changes.
+    """Applies all entries to the view and broadcasts them.
 
     Attributes:
-        listeners: called with each entry that was applied and the one that it replaced.
-        last_change_us: when the view last changed.
-        catching_up: entries of a first full exchange are being applied; the other members know them already.
+        listeners: Functions that are called with each applied entry and the entry that it replaced, or None.
+        last_change_us: The time at which an entry was last applied.
+        catching_up: Whether entries of a first full exchange are being applied. These are not broadcast, as the other
+            members know them already.
     """
 
-    def __init__(self, state: MemberState) -> None:
+    def __init__(self, state: ProtocolState) -> None:
         self._state = state
         self.listeners: list[EntryListener] = []
         self.last_change_us = state.now_us
         self.catching_up = False
 
     def apply(self, entry: Entry) -> None:
-        """Put an entry into the view, queue it for broadcast, and report a change of state or generation."""
+        """Put an entry into the view, queue it for broadcast, and report any change of state or generation."""
         state = self._state
         broadcast = entry.name == state.name or not self.catching_up
         previous = state.view.apply(entry, state.now_us, broadcast=broadcast)
@@ -49,18 +50,19 @@
     def _report_change(self, entry: Entry, previous: Entry | None) -> None:
         self._state.add_action(MemberChanged(entry, previous))
         if entry.name == self._state.name and previous is None:
-            return  # `membership.joined` reports this one
+            return  # the log event `membership.joined` reports this change
         self._state.add_action(log_events.state_changed(entry))
 
     def run_gossip_round(self) -> None:
-        """Send pending broadcasts to a few members, if there are any."""
+        """Send pending broadcasts, if there are any, to a few members."""
         if self._state.view.has_pending_broadcasts():
             self._send_to_sample(None)
 
     def leave(self) -> None:
-        """Broadcast that this process leaves, in a few rounds, and stop after the last one."""
+        """Broadcast in several rounds that this process leaves, and stop after the last round."""
         state = self._state
-        state.phase = Phase.LEAVING  # not present: a present member refutes every accusation, even its own leaving
+        # A present member would refute its own entry that says that it has left.
+        state.phase = Phase.LEAVING
         self.apply(structs.replace(state.own_entry, state=State.LEFT, reporter=state.name))
         state.timers.clear()
         self._broadcast_leave(LEAVE_BROADCAST_ROUNDS)
@@ -73,7 +75,7 @@
         else:
             state.stop(StopReason.LEFT)
 
-    def _send_to_sample(self, first: Entry | None) -> None:
+    def _send_to_sample(self, priority_entry: Entry | None) -> None:
         state = self._state
         for other in state.view.sample(state.random, GOSSIP_FANOUT, {state.name}):
-            state.send(other.address, Entries([]), first)
+            state.send(other.address, Entries([]), priority_entry)
--- a/garnetusher/membership/events.py
+++ b/garnetusher/membership/events.py
@@ -1,4 +1,4 @@
-"""Events that a member handles."""
+"""The events that a member handles."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class DatagramReceived(Struct, frozen=True):
-    """A datagram has arrived at the member's socket."""
+    """A datagram arrived at the member's socket."""
 
     data: bytes
     address: Address
 
 
 class TimerFired(Struct, frozen=True):
-    """The time given by `Member.next_us` has come."""
+    """The time `Member.next_timer_us` was reached."""
 
 
 class LeaveRequested(Struct, frozen=True):
-    """The process is about to end."""
+    """The process is about to exit and leaves the cluster."""
 
 
 Event = DatagramReceived | TimerFired | LeaveRequested
--- a/garnetusher/membership/fleet_size.py
+++ b/garnetusher/membership/fleet_size.py
@@ -1,8 +1,9 @@
-"""The number of instances by which the fleet's limits are divided, while views may differ.
+"""Estimates the number of instances by which the fleet's limits are divided, while views may differ.
 
-Each sidecar allows itself one part in that number. A number that is too small lets all sidecars together through too
-much; one that is too large only leaves capacity unused. So growth counts at once, a member that left counts on for a
-moment, and one that failed for as long as a split may last: it may be serving on the other side.
+Each sidecar uses its share of a limit, which is the limit divided by that number. If the number is too small, all
+sidecars together exceed the limit; if it is too large, some capacity stays unused. So a new member counts at once. A
+member that left still counts for a short time, and a failed member counts for as long as a network split may last,
+because it may be serving on the other side of the split.
 """
 
 from __future__ import annotations
@@ -15,17 +16,18 @@
 from garnetusher.membership.member import Member
 from garnetusher.membership.view import State, is_active
 
-HOLD_US = 10_000_000  # for which the largest size holds on: longer than it takes until a change is agreed on
-HOLD_FAILED_US = 120_000_000  # for which a failed member counts on: twice the split of a minute that must be survived
+HOLD_US = 10_000_000  # a size is held for this time, which is longer than members take to agree on a change
+# A failed member counts for this time, which is twice the split of one minute that the fleet must survive.
+HOLD_FAILED_US = 120_000_000
 
 
 class FleetSize(Struct, frozen=True):
-    """What limits are divided by.
+    """The estimated size of the fleet.
 
     Attributes:
-        instances: one part in so many is this sidecar's.
-        index: its place among the members present.
-        trusted: views agree, and only members that are present count.
+        instances: The number of instances by which limits are divided.
+        index: The position of this sidecar among the active members, sorted by name.
+        trusted: Whether all views agree and only active members count.
     """
 
     instances: int
@@ -34,14 +36,15 @@
 
 
 class SizeObservation(Struct, frozen=True):
-    """What one view says of the fleet's size.
+    """The size of the fleet according to one view.
 
     Attributes:
-        present: names of the active members, in order.
-        failed_since_us: failed members, and when they failed.
-        own_name: the observer.
-        agreed: other members have the same view.
-        welcome_count: how many a newcomer was told of, while it may not have heard of them all.
+        present: Names of the active members, sorted.
+        failed_since_us: For the name of each failed member, the time at which it was declared failed.
+        own_name: Name of the member that has the view.
+        agreed: Whether the other members have the same view.
+        welcome_count: For a new member, the size of the fleet according to a seed, as its own view may not be complete
+            yet; otherwise 0.
     """
 
     present: Sequence[str]
@@ -52,46 +55,52 @@
 
 
 class FleetSizeEstimator:
-    """Holds the largest size of late; `floor` is the least that the operator allows."""
+    """Keeps the largest recent size.
+
+    Args:
+        floor: The smallest size to return, which the operator sets.
+        hold_us: The time for which a size is held.
+        hold_failed_us: The time for which a failed member counts.
+    """
 
     def __init__(self, floor: int = 1, hold_us: int = HOLD_US, hold_failed_us: int = HOLD_FAILED_US) -> None:
         self._floor = max(1, floor)
         self._hold_us = hold_us
         self._hold_failed_us = hold_failed_us
-        self._held: deque[tuple[int, int]] = deque()  # (held until, size): deadlines ascend, sizes descend
+        self._held_sizes: deque[tuple[int, int]] = deque()  # (expiry time, size); times ascend and sizes descend
 
     def estimate(self, member: Member, now_us: int, role: str) -> FleetSize:
-        """Return the size of the fleet by one member's view of its role."""
+        """Return the size of the fleet, counting the members of one role in a member's view."""
         view = member.view
         entries = [entry for _, entry in sorted(view.entries.items()) if entry.role == role]
-        is_newcomer = now_us - member.present_since_us < self._hold_us
+        is_new_member = now_us - member.present_since_us < self._hold_us
         observation = SizeObservation(
             present=[entry.name for entry in entries if is_active(entry)],
-            failed_since_us={e.name: view.since_us[e.name] for e in entries if e.state == State.FAILED},
+            failed_since_us={e.name: view.state_since_us[e.name] for e in entries if e.state == State.FAILED},
             own_name=member.name,
             agreed=member.agreed,
-            welcome_count=member.welcome_member_count + 1 if is_newcomer else 0,
+            welcome_count=member.welcome_member_count + 1 if is_new_member else 0,
         )
         return self.observe(now_us, observation)
 
     def observe(self, now_us: int, observation: SizeObservation) -> FleetSize:
-        """Take in an observation and return the size that holds now."""
-        self._hold(now_us, self._count(now_us, observation), agreed=observation.agreed)
-        largest = self._held[0][1]
+        """Record an observation, and return the current estimate."""
+        self._record_size(now_us, self._observed_size(now_us, observation), agreed=observation.agreed)
+        largest = self._held_sizes[0][1]
         present = observation.present
         index = present.index(observation.own_name) if observation.own_name in present else 0
         trusted = observation.agreed and largest == len(present)
         return FleetSize(max(largest, self._floor), index, trusted)
 
-    def _count(self, now_us: int, observation: SizeObservation) -> int:
+    def _observed_size(self, now_us: int, observation: SizeObservation) -> int:
         failed_since = observation.failed_since_us.values()
         recently_failed = sum(now_us - since_us < self._hold_failed_us for since_us in failed_since)
         return max(len(observation.present) + recently_failed, observation.welcome_count)
 
-    def _hold(self, now_us: int, size: int, *, agreed: bool) -> None:
-        """Add a size; larger ones expire only while views agree."""
-        while agreed and self._held and self._held[0][0] <= now_us:
-            self._held.popleft()
-        while self._held and self._held[-1][1] <= size:
-            self._held.pop()
-        self._held.append((now_us + self._hold_us, size))
+    def _record_size(self, now_us: int, size: int, *, agreed: bool) -> None:
+        """Record a size; larger sizes expire only while views agree."""
+        while agreed and self._held_sizes and self._held_sizes[0][0] <= now_us:
+            self._held_sizes.popleft()
+        while self._held_sizes and self._held_sizes[-1][1] <= size:
+            self._held_sizes.pop()
+        self._held_sizes.append((now_us + self._hold_us, size))
--- a/garnetusher/membership/join.py
+++ b/garnetusher/membership/join.py
@@ -1,4 +1,4 @@
-"""Joining through seeds, the claim of a name that is taken, and rejoining of members that were lost."""
+"""Joining through seeds, conflicts over a member name while joining, and contact with lost members."""
 
 from __future__ import annotations
 
@@ -11,51 +11,52 @@
 from garnetusher.membership.anti_entropy import AntiEntropy
 from garnetusher.membership.dissemination import Dissemination
 from garnetusher.membership.messages import Ack, Address, Entry, Join, Ping, Welcome
-from garnetusher.membership.state import MemberState, Phase
+from garnetusher.membership.state import Phase, ProtocolState
 from garnetusher.membership.view import State, is_active
 
-FIRST_JOIN_BACKOFF_US = 500_000  # between calls to seeds, doubled with each
+FIRST_JOIN_BACKOFF_US = 500_000  # doubled with each attempt to join through seeds
 MAX_JOIN_BACKOFF_US = 4_000_000
-ALONE_AFTER_BACKOFF_US = 2 * FIRST_JOIN_BACKOFF_US  # a seed whose backoff is longer has heard of no other member
+ALONE_AFTER_BACKOFF_US = 2 * FIRST_JOIN_BACKOFF_US  # a seed with a longer backoff considers itself alone
 SEEDS_PER_ATTEMPT = 2
-NAME_CLAIM_TIMEOUT_US = 1_000_000  # in which the holder of a name has to answer the newcomer
-REJOIN_INTERVAL_US = 1_000_000  # between pings of members that failed, by which the parts of a split find each other
+NAME_CLAIM_TIMEOUT_US = 1_000_000  # the holder of a name has to answer the joining process within this time
+# Members ping failed members at this interval on average, so that the parts of a split find each other when it heals.
+REJOIN_INTERVAL_US = 1_000_000
 
 
 class _NameClaim(Struct, frozen=True):
-    """A ping to the process that holds this process's name."""
+    """A ping to the process that already has the name of this one."""
 
     probe_id: int
     holder: Entry
 
 
 class Joiner:
-    """Makes this process a member, and welcomes others."""
+    """Joins this process to the cluster, and answers the join requests of others."""
 
     def __init__(
         self,
-        state: MemberState,
+        state: ProtocolState,
         dissemination: Dissemination,
         anti_entropy: AntiEntropy,
-        joined: Callable[[], None],
+        on_joined: Callable[[], None],
     ) -> None:
         self._state = state
         self._dissemination = dissemination
         self._anti_entropy = anti_entropy
-        self._joined = joined
+        self._on_joined = on_joined
         self._backoff_us = FIRST_JOIN_BACKOFF_US
         self._name_claim: _NameClaim | None = None
-        self.welcome_member_count = 0  # members that a seed counted, which may not all be in the view yet
+        self.welcome_member_count = 0  # the seed's count of members; some may not be in the view yet
 
     def try_seeds(self) -> None:
-        """Send a join request to some seeds, and schedule the next attempt."""
+        """Send a join request to a few seeds, and schedule the next attempt."""
         state = self._state
         if state.phase != Phase.JOINING or self._name_claim is not None:
             return
         is_seed = state.own_address in state.settings.seeds
         seeds = [seed for seed in state.settings.seeds if seed != state.own_address]
         if not seeds or (is_seed and self._backoff_us > ALONE_AFTER_BACKOFF_US):
-            self._become_present(None)  # the first member of all, or a seed that hears of no other
+            self._become_present(None)  # no other seed is configured, or none has answered this seed
             return
         for seed in state.random.sample(seeds, min(SEEDS_PER_ATTEMPT, len(seeds))):
             state.send(seed, Join(state.own_entry))
@@ -70,11 +71,14 @@
         if message.entry.name == state.name:
             state.send(address, Welcome(state.own_entry))
             return
-        state.send(address, Welcome(state.view.entries.get(message.entry.name), state.view.present))
+        state.send(address, Welcome(state.view.entries.get(message.entry.name), state.view.active_count))
         self._anti_entropy.request(address)
 
     def handle_welcome(self, message: Welcome) -> None:
-        """Become present, unless the name may be taken: its holder has to say so itself, as it may have just died."""
+        """Become present, or ask the holder of this name first if there seems to be one.
+
+        Only an answer from the holder itself proves that the name is in use, as the holder may have just died.
+        """
         state = self._state
         self.welcome_member_count = max(self.welcome_member_count, message.member_count)
         state.acknowledged = True
@@ -87,19 +91,19 @@
             self._become_present(known)
 
     def handle_name_claim(self, ping: Ping, address: Address) -> None:
-        """Answer a newcomer that wants this process's name."""
+        """Answer a joining process that claims the name of this process."""
         state = self._state
         if state.phase == Phase.PRESENT:
             state.add_action(log_events.name_taken(address, state.generation))
             state.send(address, Ack(ping.probe_id, state.view.digest))
 
     def is_name_claim_answer(self, ack: Ack, address: Address) -> bool:
-        """Return whether the holder of this process's name has answered the claim."""
+        """Return whether the ack is the name holder's answer to this process's claim."""
         claim = self._name_claim
         return claim is not None and ack.probe_id == claim.probe_id and address == claim.holder.address
 
-    def refuse(self, holder: Address) -> None:
-        """Give up, as the name is taken."""
+    def stop_as_refused(self, holder: Address) -> None:
+        """Stop because the holder still uses the name."""
         self._state.stop(StopReason.REFUSED, holder)
 
     def _is_held_by_another(self, known: Entry) -> bool:
@@ -121,37 +125,41 @@
     def _become_present(self, known: Entry | None) -> None:
         state = self._state
         if known is not None and known.generation >= state.generation:
-            # a clock that went back would make this process the earlier one
+            # If the clock went back, other members would take this process for an earlier one.
             state.generation = known.generation + 1
         state.phase = Phase.PRESENT
         state.present_since_us = state.now_us
         state.persist()
         self._dissemination.apply(state.own_entry)
-        state.add_action(log_events.joined(state.generation, state.view.present))
-        self._joined()
+        state.add_action(log_events.joined(state.generation, state.view.active_count))
+        self._on_joined()
 
 
 class Rejoiner:
-    """Contacts members that failed, and seeds that are not active: they may be on the other side of a split."""
+    """Contacts failed members and inactive seeds, which may be on the other side of a network split."""
 
-    def __init__(self, state: MemberState, anti_entropy: AntiEntropy) -> None:
+    def __init__(self, state: ProtocolState, anti_entropy: AntiEntropy) -> None:
         self._state = state
         self._anti_entropy = anti_entropy
 
     def contact_lost_members(self) -> None:
-        """Contact one lost address, or all if this process is alone, and schedule the next attempt."""
+        """Contact one lost address, or all of them if this process is alone, and schedule the next attempt."""
         state = self._state
         state.schedule_after(int(REJOIN_INTERVAL_US * (0.5 + state.random.random())), self.contact_lost_members)
         lost = self._lost_addresses()
         if not lost:
             return
-        # alone: the member that welcomed this process may have died; one address at a time would take too long
-        is_alone = state.view.present <= 1
+        # If this process is alone, the member that welcomed it may have died. Contacting one address at a time would
+        # then take too long.
+        is_alone = state.view.active_count <= 1
         for address in lost if is_alone else [state.random.choice(lost)]:
             self._contact(address)
 
     def _lost_addresses(self) -> list[Address]:
-        """Return failed members and inactive seeds: a seed that left and returned alone would find nobody otherwise."""
+        """Return the addresses of failed members and inactive seeds.
+
+        Without the inactive seeds, a seed that left and returned alone would find no other member.
+        """
         state = self._state
         entries = state.view.entries.values()
         failed = [entry.address for entry in entries if entry.state == State.FAILED]
@@ -159,7 +167,7 @@
         return failed + [seed for seed in state.settings.seeds if seed not in active]
 
     def _contact(self, address: Address) -> None:
-        """Send whoever is at the address an introduction of this process."""
+        """Send a message that introduces this process to the member at the address."""
         state = self._state
         entry = next((entry for entry in state.view.entries.values() if entry.address == address), None)
         if entry is None:
--- a/garnetusher/membership/key_file.py
+++ b/garnetusher/membership/key_file.py
@@ -1,4 +1,4 @@
-"""The file of the keys that sign datagrams."""
+"""Parsing of the key file; the keys authenticate datagrams."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 
 class KeyFileError(GarnetusherError, ValueError):
-    """A key file can't be used."""
+    """The content of a key file is not valid."""
 
 
 def parse_keys(text: str) -> list[bytes]:
-    """Parse a key file: a key a line in hexadecimal, the one that signs first.
+    """Parse the text of a key file.
+
+    Each line holds one key in hexadecimal; the first key signs datagrams. A `#` starts a comment.
 
     Raises:
-        KeyFileError: a line is no key, or there is none.
+        KeyFileError: A line is not a valid key, or the file holds no key.
     """
     keys = []
     for line_number, line in enumerate(text.splitlines(), 1):
--- a/garnetusher/membership/local_health.py
+++ b/garnetusher/membership/local_health.py
@@ -1,20 +1,20 @@
-"""Lifeguard's local health multiplier: a process that may itself be slow waits longer before it accuses others."""
+"""Lifeguard's local health multiplier: a process that may be slow itself waits longer before it suspects others."""
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # as in Lifeguard: periods and timeouts are at most nine times as long
+MAX_SCORE = 8  # the value of Lifeguard; periods and timeouts grow to at most nine times their length
 
 
 class LocalHealth:
-    """A score from 0, healthy, to `MAX_SCORE`."""
+    """A score from 0, which is healthy, to `MAX_SCORE`."""
 
     def __init__(self) -> None:
         self.score = 0
 
-    def adjust(self, by: int) -> None:
-        """Raise the score on evidence that this process is slow, lower it on evidence of the contrary."""
-        self.score = min(MAX_SCORE, max(0, self.score + by))
+    def adjust(self, delta: int) -> None:
+        """Change the score; a positive delta means evidence that this process is slow, a negative one the opposite."""
+        self.score = min(MAX_SCORE, max(0, self.score + delta))
 
     def scale(self, duration_us: int) -> int:
-        """Lengthen a period or a timeout by the score."""
+        """Return a period or timeout multiplied by 1 + score."""
         return duration_us * (1 + self.score)
--- a/garnetusher/membership/log_events.py
+++ b/garnetusher/membership/log_events.py
@@ -1,4 +1,7 @@
-"""The log lines of docs/logs.md: names and fields stay as scripts read them, whatever the code calls these things."""
+"""The log events that docs/logs.md lists.
+
+Scripts read the event and field names, so these stay the same even where the code uses other terms.
+"""
 
 from __future__ import annotations
 
@@ -10,17 +13,17 @@
 
 
 def state_label(state: int) -> str:
-    """Return the word for a state in the log and at the admin address."""
+    """Return the name of a state in the log and at the admin address."""
     return _STATE_LABELS[State(state)]
 
 
 def joined(generation: int, member_count: int) -> LogEvent:
-    """Return the event of this process becoming present."""
+    """Return the event that this process became present."""
     return LogEvent("membership.joined", {"boot": generation, "members": member_count})
 
 
 def state_changed(entry: Entry) -> LogEvent:
-    """Return the event of a change in what is believed of a member."""
+    """Return the event that the state or generation of a member changed in the view."""
     fields: dict[str, object] = {
         "member": entry.name,
         "boot": entry.generation,
@@ -31,7 +34,7 @@
 
 
 def refuted(incarnation: int, accusation: Entry) -> LogEvent:
-    """Return the event of this process answering an accusation by a higher incarnation."""
+    """Return the event that this process refuted an accusation with a higher incarnation."""
     fields: dict[str, object] = {
         "incarnation": incarnation,
         "by": accusation.reporter,
@@ -41,17 +44,17 @@
 
 
 def starved(late_us: int) -> LogEvent:
-    """Return the event of this process not being run for so long."""
+    """Return the event that this process did not run for the given time."""
     return LogEvent("membership.starved", {"late_s": round(late_us / 1e6, 3)})
 
 
 def name_taken(other: Address, generation: int) -> LogEvent:
-    """Return the event of another process that wants this name, or had it."""
+    """Return the event that another process claims or uses the name of this one."""
     return LogEvent("membership.name_taken", {"by": _format_address(other), "boot": generation})
 
 
 def stopped(reason: StopReason, superseded_by: Address | None) -> LogEvent:
-    """Return the event of the end of this process as a member."""
+    """Return the event that this process is no longer a member."""
     by = _format_address(superseded_by) if superseded_by else ""
     return LogEvent("membership.stopped", {"why": reason.value, "by": by})
 
--- a/garnetusher/membership/member.py
+++ b/garnetusher/membership/member.py
@@ -1,7 +1,8 @@
-"""One process's part in the membership: dispatch of events to the parts of the protocol.
+"""The membership protocol of one process: dispatches events to the components of the protocol.
 
-A member probes another each period. One that answers neither directly nor through others is suspected, which is
-broadcast; it refutes that by a higher incarnation, or counts as failed. No clock, no socket, no file.
+A member probes one other member per period. A member that answers neither directly nor through others is suspected,
+and the suspicion is broadcast. The suspected member either refutes the suspicion with a higher incarnation or counts as
+failed. This module uses no clock, socket or file.
 """
 
 from __future__ import annotations
@@ -32,20 +33,25 @@
 from garnetusher.membership.name_conflicts import NameConflicts
 from garnetusher.membership.replay_filter import Freshness, ReplayFilter
 from garnetusher.membership.settings import PROBE_PERIOD_US, MemberSettings
-from garnetusher.membership.state import MemberState, Phase
+from garnetusher.membership.state import Phase, ProtocolState
 from garnetusher.membership.suspicion import SuspicionTracker
 from garnetusher.membership.timers import Callback
 from garnetusher.membership.view import View, is_active
 
-STARVED_AFTER_US = 100_000  # behind a timer, beyond which this process was starved and accuses nobody for that time
+# If a timer is late by more than this, the process was starved of CPU time. It postpones all deadlines by the delay, so
+# that it accuses no member because of the delay.
+STARVED_AFTER_US = 100_000
 FORGET_PERIOD_US = 60_000_000
 
 
 class Member:
-    """Feed it events; `next_us` is when it needs a `TimerFired`."""
+    """A member of the cluster.
+
+    The caller passes events to `handle`, including a `TimerFired` at `next_timer_us`.
+    """
 
     def __init__(self, settings: MemberSettings, codec: Codec, generation: int, seed: int, now_us: int) -> None:
-        state = MemberState(settings, codec, generation, seed, now_us)
+        state = ProtocolState(settings, codec, generation, seed, now_us)
         self._state = state
         self._dissemination = Dissemination(state)
         self._suspicions = SuspicionTracker(state, self._dissemination)
@@ -59,94 +65,94 @@
         self._replay_filter = ReplayFilter()
         state.schedule_after(0, self._joiner.try_seeds)
 
-    # What others may know
+    # Queries
 
     @property
     def settings(self) -> MemberSettings:
-        """What this process says of itself."""
+        """The settings of this member."""
         return self._state.settings
 
     @property
     def codec(self) -> Codec:
-        """The codec of its datagrams."""
+        """The codec of the datagrams."""
         return self._state.codec
 
     @property
     def name(self) -> str:
-        """The member's name."""
+        """The name of this member."""
         return self._state.name
 
     @property
     def generation(self) -> int:
-        """Number of this process among those of its name."""
+        """The generation of this process; a later process of the same name has a higher one."""
         return self._state.generation
 
     @property
     def incarnation(self) -> int:
-        """How often this process has refuted what others believed of it."""
+        """The incarnation, which this process raises to refute suspicions and other entries about itself."""
         return self._state.incarnation
 
     @property
     def phase(self) -> Phase:
-        """Whether it is joining, present, leaving or stopped."""
+        """The phase of the membership of this process."""
         return self._state.phase
 
     @property
     def present_since_us(self) -> int:
-        """When it became present."""
+        """The time at which this process became present."""
         return self._state.present_since_us
 
     @property
     def view(self) -> View:
-        """What it believes of all members."""
+        """The view that this process has of all members."""
         return self._state.view
 
     @property
     def local_health_score(self) -> int:
-        """Lifeguard's score: 0 is healthy."""
+        """Lifeguard's local health score; 0 is healthy."""
         return self._state.local_health.score
 
     @property
     def dropped(self) -> Counter[str]:
-        """Counts by reason of datagrams that were not taken, beside the codec's own."""
+        """The number of datagrams rejected after decoding, by reason; the codec counts those that it rejects."""
         return self._state.dropped
 
     @property
     def welcome_member_count(self) -> int:
-        """How many members a seed counted when this process joined; some may not be in the view yet."""
+        """The number of members that a seed counted when this process joined; some may not be in the view yet."""
         return self._joiner.welcome_member_count
 
     @property
     def differing_names(self) -> list[str]:
-        """Names on which the last full exchange differed."""
+        """Names of members whose entries differed in the last exchange that found a difference."""
         return self._anti_entropy.differing_names
 
     @property
     def agreed(self) -> bool:
-        """Whether no member heard of late has another view."""
+        """Whether there is no dispute with any other member."""
         return not self.disputes()
 
     def disputes(self) -> dict[str, Dispute]:
-        """Return the members heard of late whose views differ for longer than gossip takes."""
+        """Return the disputes with recent digests that have lasted longer than gossip takes, by member name."""
         return self._anti_entropy.disputes()
 
     @property
-    def next_us(self) -> int:
-        """When the next timer has to fire."""
+    def next_timer_us(self) -> int:
+        """The time at which the next `TimerFired` event is due."""
         next_due_us = self._state.timers.next_due_us
         return next_due_us if next_due_us is not None else self._state.now_us + PROBE_PERIOD_US
 
     # Events
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Handle an event and run the timers that are due.
+        """Handle an event, and run the timers that are due.
 
         Args:
-            now_us: the monotonic time; one that went back counts as the last one.
-            event: what has happened.
+            now_us: The monotonic time. An earlier time than in the last call counts as that time.
+            event: The event.
 
         Returns:
-            What is to be done, in this order.
+            The actions to carry out, in order.
         """
         state = self._state
         now_us = max(now_us, state.now_us)
@@ -167,7 +173,7 @@
 
     def _is_fresh(self, received: Received, address: Address) -> bool:
         if isinstance(received.body, Join):
-            return True  # its sender has no generation of its own yet; a join request changes nothing here
+            return True  # the sender's generation may still change, and a join request changes nothing in this view
         freshness = self._replay_filter.check(received.sender, received.generation, received.sequence)
         if freshness == Freshness.REPLAYED:
             self._state.dropped[DropReason.REPLAYED.value] += 1
@@ -177,7 +183,7 @@
         return freshness == Freshness.FRESH
 
     def _notify_superseded(self, received: Received, address: Address) -> None:
-        """Notify an earlier process that another has taken its place."""
+        """Notify an earlier process that a later one has superseded it."""
         entry = self._state.view.entries.get(received.sender)
         if entry is not None and entry.generation > received.generation:
             self._state.send(address, Entries([]), entry)
@@ -220,7 +226,7 @@
     def _handle_ping(self, ping: Ping, sender: str, address: Address) -> None:
         state = self._state
         if ping.target != state.name:
-            return  # meant for a process that had this address before
+            return  # the ping is for a process that had this address before
         if ping.claims_name:
             self._joiner.handle_name_claim(ping, address)
         elif state.phase == Phase.PRESENT:
@@ -229,7 +235,7 @@
 
     def _handle_ack(self, ack: Ack, sender: str, address: Address) -> None:
         if self._joiner.is_name_claim_answer(ack, address):
-            self._joiner.refuse(address)
+            self._joiner.stop_as_refused(address)
             return
         self._failure_detector.handle_ack(ack.probe_id)
         self._anti_entropy.compare(sender, ack.digest)
@@ -243,7 +249,7 @@
     # Timers
 
     def _start_timers(self) -> None:
-        """Begin the periodic work of a present member, each part at a random time within its period."""
+        """Start the periodic tasks of a present member, each at a random time within its first period."""
         self._start_periodic(PROBE_PERIOD_US, self._failure_detector.probe_next)
         self._start_periodic(GOSSIP_PERIOD_US, self._run_gossip_round)
         self._start_periodic(REJOIN_INTERVAL_US, self._rejoiner.contact_lost_members)
@@ -271,7 +277,7 @@
             callback()
 
     def _allow_for_starvation(self, now_us: int) -> None:
-        """Postpone all deadlines by the time for which this process could not run, as it has heard nothing then."""
+        """Postpone all deadlines by the time for which this process could not run, as it received nothing then."""
         state = self._state
         next_due_us = state.timers.next_due_us
         if next_due_us is None or now_us - next_due_us <= STARVED_AFTER_US:
--- a/garnetusher/membership/merge.py
+++ b/garnetusher/membership/merge.py
@@ -1,4 +1,4 @@
-"""Merging of entries received from other members into the view."""
+"""Merges entries received from other members into the view."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from garnetusher.membership.dissemination import Dissemination
 from garnetusher.membership.messages import Entry
 from garnetusher.membership.name_conflicts import NameConflicts
-from garnetusher.membership.state import MemberState
+from garnetusher.membership.state import ProtocolState
 from garnetusher.membership.suspicion import SuspicionTracker
 from garnetusher.membership.view import State, supersedes
 
 
 class EntryMerger:
-    """Decides what a received entry changes."""
+    """Applies received entries according to the rules of SWIM."""
 
     def __init__(
         self,
-        state: MemberState,
+        state: ProtocolState,
         dissemination: Dissemination,
         suspicions: SuspicionTracker,
         name_conflicts: NameConflicts,
@@ -28,7 +28,12 @@
         self._name_conflicts = name_conflicts
 
     def merge(self, entry: Entry, sender: str) -> None:
-        """Take in an entry about any member, this one included."""
+        """Merge an entry about any member, including this one.
+
+        Args:
+            entry: The received entry.
+            sender: Name of the member that sent it.
+        """
         if entry.name == self._state.name:
             self._name_conflicts.handle_own_entry(entry)
             return
--- a/garnetusher/membership/messages.py
+++ b/garnetusher/membership/messages.py
@@ -1,6 +1,7 @@
 """Messages between members.
 
-Messages are arrays in MessagePack: the order of fields and the tags are the wire format. Fields are only ever appended.
+Messages are MessagePack arrays, so the order of fields and the tags define the wire format. New fields are only
+appended.
 """
 
 from __future__ import annotations
@@ -11,19 +12,22 @@
 
 
 class Entry(Struct, array_like=True, frozen=True):
-    """What is believed of one member. (generation, incarnation, state) decides which entry supersedes which.
+    """The information about one member that a view holds and members exchange.
+
+    The entry with the higher (generation, incarnation, state) supersedes another one for the same name.
 
     Attributes:
-        name: unique in the cluster.
-        host: the member's address.
-        port: its UDP port.
-        role: sidecar, agent or replica.
-        zone: where it runs.
-        generation: of the process; a later process of the same name has a higher one.
-        incarnation: raised by the member alone, to refute what others believe of it.
-        state: `view.State` as a number.
-        replaces: it has taken over from an earlier process on purpose.
-        reporter: who suspects it, or has declared it failed; independent suspicions confirm each other.
+        name: The name of the member, which is unique in the cluster.
+        host: The host at which other members reach the member.
+        port: The UDP port of the member.
+        role: The role of the member: sidecar, agent or replica.
+        zone: The zone in which the member runs.
+        generation: The generation of the process; a later process of the same name has a higher one.
+        incarnation: The incarnation, which only the member itself raises, to refute other members' entries about it.
+        state: The value of `view.State`.
+        replaces: Whether the process replaces an earlier one on purpose.
+        reporter: Name of the member that reports this one as suspected, failed or left. Suspicions by different
+            reporters confirm each other.
     """
 
     name: str
@@ -39,7 +43,7 @@
 
     @property
     def address(self) -> Address:
-        """Where the member is reached."""
+        """The address at which other members reach the member."""
         return self.host, self.port
 
 
@@ -47,10 +51,10 @@
     """A probe.
 
     Attributes:
-        probe_id: repeated in the answer.
-        target: name of the member that is probed.
-        digest: of the sender's complete view; 0 = none.
-        claims_name: the sender wants the target's name.
+        probe_id: The id of the probe, which the answer repeats.
+        target: Name of the probed member.
+        digest: The digest of the sender's complete view; 0 if there is none.
+        claims_name: Whether the sender claims the name of the target.
     """
 
     probe_id: int
@@ -60,14 +64,14 @@
 
 
 class Ack(Struct, array_like=True, frozen=True, tag="ack"):
-    """The answer to a `Ping`; `digest` is of the sender's complete view."""
+    """The answer to a `Ping`; `digest` is the digest of the sender's complete view, or 0."""
 
     probe_id: int
     digest: int = 0
 
 
 class PingRequest(Struct, array_like=True, frozen=True, tag="ping_req"):
-    """A request to probe a member for the sender."""
+    """A request to probe a member on behalf of the sender."""
 
     probe_id: int
     target: str
@@ -76,23 +80,23 @@
 
 
 class Nack(Struct, array_like=True, frozen=True, tag="nack"):
-    """The target has not answered the relay either; the relay itself is well."""
+    """The answer of a working relay that has received no answer from the target either."""
 
     probe_id: int
 
 
 class Join(Struct, array_like=True, frozen=True, tag="join"):
-    """A request for the list of members."""
+    """A request to join the cluster, which asks for the list of members."""
 
     entry: Entry
 
 
 class Welcome(Struct, array_like=True, frozen=True, tag="welcome"):
-    """The answer to a `Join`; the entries follow by an exchange of buckets.
+    """The answer to a `Join`; an exchange of buckets then transfers the entries.
 
     Attributes:
-        known_entry: what is known of the joiner's name.
-        member_count: how many members are active.
+        known_entry: The sender's entry for the name of the joining process, or None.
+        member_count: The number of active members in the sender's view.
     """
 
     known_entry: Entry | None
@@ -100,14 +104,14 @@
 
 
 class BucketDigests(Struct, array_like=True, frozen=True, tag="buckets"):
-    """A digest of each bucket of names; `reply_requested` asks for the recipient's own."""
+    """The digest of each bucket of names; `reply_requested` asks the recipient for its own digests."""
 
     digests: list[int]
     reply_requested: bool = False
 
 
 class Entries(Struct, array_like=True, frozen=True, tag="entries"):
-    """Entries of buckets that differ; empty where only the gossip beside it matters."""
+    """The entries of buckets that differ; the list is empty if the datagram only carries gossip."""
 
     entries: list[Entry]
 
--- a/garnetusher/membership/name_conflicts.py
+++ b/garnetusher/membership/name_conflicts.py
@@ -1,4 +1,4 @@
-"""What others believe of this process: refutation, and conflicts with another process of the same name."""
+"""Handling of entries about this process: refutation, and conflicts with another process of the same name."""
 
 from __future__ import annotations
 
@@ -6,35 +6,36 @@
 from garnetusher.membership.actions import StopReason
 from garnetusher.membership.dissemination import Dissemination
 from garnetusher.membership.messages import Entries, Entry
-from garnetusher.membership.state import MemberState, Phase
+from garnetusher.membership.state import Phase, ProtocolState
 from garnetusher.membership.view import State
 
-RECENTLY_JOINED_US = 30_000_000  # a process present for less gives way to another of its name
+RECENTLY_JOINED_US = 30_000_000  # a process that joined more recently stops if another process has its name
 
 
 class NameConflicts:
-    """Handles entries that bear this process's own name."""
+    """Handles received entries with the name of this process."""
 
-    def __init__(self, state: MemberState, dissemination: Dissemination) -> None:
+    def __init__(self, state: ProtocolState, dissemination: Dissemination) -> None:
         self._state = state
         self._dissemination = dissemination
 
     def handle_own_entry(self, entry: Entry) -> None:
-        """Refute the entry, supersede it, or give way to the process that it is of."""
+        """Refute the entry, supersede it, or stop in favor of the process that it describes."""
         state = self._state
         if state.phase != Phase.PRESENT or entry.generation < state.generation:
             return
         if entry.generation > state.generation:
             self._handle_later_generation(entry)
-        elif self._is_of_earlier_process(entry):
+        elif self._is_from_earlier_process(entry):
             self._supersede(entry)
         elif self._is_current_accusation(entry):
             self._refute(entry)
 
-    def _is_of_earlier_process(self, entry: Entry) -> bool:
-        """Return whether an earlier process had this very generation, as its clock was ahead.
+    def _is_from_earlier_process(self, entry: Entry) -> bool:
+        """Return whether an earlier process, whose clock was ahead, had the generation of this one.
 
-        Others take what this process says for the earlier one's, or drop it, as they have seen higher sequence numbers.
+        Other members then attribute the datagrams of this process to the earlier one, or drop them as replays, as they
+        have seen higher sequence numbers.
         """
         state = self._state
         if entry.incarnation > state.incarnation and entry.address == state.own_address:
@@ -57,7 +58,7 @@
         if entry.replaces:
             state.stop(StopReason.REPLACED, entry.address)
         elif entry.address == state.own_address:
-            self._supersede(entry)  # an earlier process here, whose clock was ahead
+            self._supersede(entry)  # the entry is from an earlier process at this address, whose clock was ahead
         elif state.now_us - state.present_since_us < RECENTLY_JOINED_US:
             state.stop(StopReason.REFUSED, entry.address)
         else:
@@ -66,7 +67,7 @@
             state.send(entry.address, Entries([]), state.own_entry)
 
     def _supersede(self, entry: Entry) -> None:
-        """Take a higher generation: this process is the later one, or was here first."""
+        """Take a higher generation than the entry has, because this process is later or has the name already."""
         state = self._state
         state.generation = entry.generation + 1
         state.persist()
--- a/garnetusher/membership/replay_filter.py
+++ b/garnetusher/membership/replay_filter.py
@@ -1,4 +1,4 @@
-"""Rejection of datagrams that were received before, or are of an earlier process of their sender."""
+"""Rejects datagrams that arrived before, or that an earlier process of their sender sent."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from msgspec import Struct
 
-WINDOW_BITS = 64  # sequence numbers of a sender that may arrive out of order
+WINDOW_BITS = 64  # the latest sequence numbers of a sender, which may arrive out of order
 _WINDOW_MASK = (1 << WINDOW_BITS) - 1
 
 
 class Freshness(enum.Enum):
-    """What the sequence number of a datagram says of it."""
+    """The result of a check of a datagram's generation and sequence number."""
 
     FRESH = enum.auto()
     REPLAYED = enum.auto()
@@ -20,7 +20,7 @@
 
 
 class _Window(Struct):
-    """Sequence numbers received from one process; bit n of `received` stands for `highest` - n."""
+    """The sequence numbers received from one process; bit n of `received` stands for `highest` - n."""
 
     generation: int
     highest: int
@@ -28,13 +28,13 @@
 
 
 class ReplayFilter:
-    """Accepts each sequence number of a sender once, and an earlier generation not at all."""
+    """Accepts each sequence number of a sender once, and rejects earlier generations of the sender."""
 
     def __init__(self) -> None:
         self._windows: dict[str, _Window] = {}
 
     def check(self, sender: str, generation: int, sequence: int) -> Freshness:
-        """Return whether a datagram is fresh, and note it as received."""
+        """Return whether a datagram is fresh, and record it as received."""
         window = self._windows.get(sender)
         if window is None or generation > window.generation:
             self._windows[sender] = _Window(generation, sequence)
@@ -52,5 +52,5 @@
         return Freshness.FRESH
 
     def retain(self, names: Container[str]) -> None:
-        """Forget all senders but these."""
+        """Remove all senders except the named ones."""
         self._windows = {name: window for name, window in self._windows.items() if name in names}
--- a/garnetusher/membership/settings.py
+++ b/garnetusher/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one member, and the protocol's period."""
+"""Settings of one member, and the probe period of the protocol."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 from garnetusher.membership.messages import Address
 
-PROBE_PERIOD_US = 400_000  # between two probes by one member: a failed member is first probed after about one period
+# Each member sends one probe per period, so a failed member is first probed after about one period.
+PROBE_PERIOD_US = 400_000
 
 
 class MemberSettings(Struct, frozen=True):
-    """What a process says of itself when it joins.
+    """The identity with which a process joins, and the seeds.
 
     Attributes:
-        name: unique in the cluster.
-        role: sidecar, agent or replica.
-        zone: where it runs.
-        host: the address at which other members reach it.
-        port: the UDP port there.
-        seeds: addresses of members through which it joins.
-        replaces: it takes over from a process of the same name, which may still run.
+        name: The name of the member, which is unique in the cluster.
+        role: The role of the process: sidecar, agent or replica.
+        zone: The zone in which the process runs.
+        host: The host at which other members reach this process.
+        port: The UDP port at that host.
+        seeds: Addresses of members through which this process joins.
+        replaces: Whether this process replaces one of the same name, which may still be running.
     """
 
     name: str
--- a/garnetusher/membership/state.py
+++ b/garnetusher/membership/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of one member share, and the only functions that send and stop."""
+"""The state that the components of the protocol share, with the functions that send messages and stop the member."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Phase(enum.StrEnum):
-    """How far a process is between joining and its end as a member; the values appear at the admin address."""
+    """The phase of a process's membership; the values appear at the admin address."""
 
     JOINING = "joining"
     PRESENT = "present"
@@ -26,15 +26,15 @@
     STOPPED = "stopped"
 
 
-class MemberState:
-    """Identity, view, timers and pending actions of one member.
+class ProtocolState:
+    """The identity, view, timers and pending actions of one member.
 
     Attributes:
-        generation: of this process; a later process of the same name has a higher one.
-        incarnation: raised by this process alone, to refute what others believe of it.
-        present_since_us: when it became present.
-        acknowledged: another member has answered this process, so it is known as distinct from an earlier one.
-        dropped: counts by reason of datagrams that were not taken, beside the codec's own.
+        generation: The generation of this process; a later process of the same name has a higher one.
+        incarnation: The incarnation, which only this process raises, to refute other members' entries about it.
+        present_since_us: The time at which this process became present.
+        acknowledged: Whether another member has answered this process, and so distinguishes it from an earlier one.
+        dropped: The number of datagrams rejected after decoding, by reason; the codec counts those that it rejects.
     """
 
     def __init__(self, settings: MemberSettings, codec: Codec, generation: int, seed: int, now_us: int) -> None:
@@ -50,23 +50,23 @@
         self.acknowledged = False
         self.local_health = LocalHealth()
         self.dropped: Counter[str] = Counter()
-        self._numbers = itertools.count(1)  # shared: probe ids and the order of timers
-        self.timers = TimerQueue(self._numbers)
+        self._unique_numbers = itertools.count(1)  # probe ids and the sequence of timers share these numbers
+        self.timers = TimerQueue(self._unique_numbers)
         self._actions: list[Action] = []
 
     @property
     def name(self) -> str:
-        """The member's own name."""
+        """The name of this member."""
         return self.settings.name
 
     @property
     def own_address(self) -> Address:
-        """Where other members reach this process."""
+        """The address at which other members reach this process."""
         return self.settings.host, self.settings.port
 
     @property
     def own_entry(self) -> Entry:
-        """What this process says of itself."""
+        """The entry that this process publishes about itself."""
         settings = self.settings
         return Entry(
             settings.name,
@@ -81,26 +81,26 @@
         )
 
     def next_probe_id(self) -> int:
-        """Return a number that no other probe of this member has."""
-        return next(self._numbers)
+        """Return a probe id that is unique within this member."""
+        return next(self._unique_numbers)
 
     def schedule_after(self, delay_us: int, callback: Callback) -> None:
-        """Run the callback so much later."""
+        """Schedule the callback to run after the delay."""
         self.timers.schedule(self.now_us + delay_us, callback)
 
-    def send(self, address: Address, body: Body, first: Entry | None = None) -> None:
+    def send(self, address: Address, body: Body, priority_entry: Entry | None = None) -> None:
         """Send a message with as much gossip as fits.
 
         Args:
-            address: the recipient.
-            body: the message.
-            first: an entry that goes before all other gossip.
+            address: The address of the recipient.
+            body: The message.
+            priority_entry: An entry to send before all other gossip.
         """
-        gossip = self.view.select_gossip(self.codec.room(self.name, body), first)
+        gossip = self.view.select_gossip(self.codec.gossip_capacity(self.name, body), priority_entry)
         self._send_with_gossip(address, body, gossip)
 
     def send_entries(self, address: Address, entries: list[Entry]) -> None:
-        """Send entries without gossip beside them."""
+        """Send entries without gossip."""
         self._send_with_gossip(address, Entries(entries), [])
 
     def _send_with_gossip(self, address: Address, body: Body, gossip: list[Entry]) -> None:
@@ -108,26 +108,29 @@
         self._actions.append(SendDatagram(address, data))
 
     def accusation_against(self, name: str) -> Entry | None:
-        """Return the entry of a member that is not believed present: it must receive that first, to refute it."""
+        """Return the entry of a member if it says that the member is not present.
+
+        The member must receive this entry before other gossip, so that it can refute the entry.
+        """
         entry = self.view.entries.get(name)
         return entry if entry is not None and entry.state != State.PRESENT else None
 
     def persist(self) -> None:
-        """Ask that generation and incarnation be written to disk."""
+        """Request that the generation and incarnation are written to disk."""
         self._actions.append(Persist(self.generation, self.incarnation))
 
     def add_action(self, action: Action) -> None:
-        """Add an action to those that the current event results in."""
+        """Add an action to the result of the current event."""
         self._actions.append(action)
 
     def stop(self, reason: StopReason, superseded_by: Address | None = None) -> None:
-        """End this process's membership."""
+        """End the membership of this process."""
         self.phase = Phase.STOPPED
         self.timers.clear()
         self._actions.append(log_events.stopped(reason, superseded_by))
         self._actions.append(Stopped(reason, superseded_by))
 
     def take_actions(self) -> list[Action]:
-        """Return the pending actions, and forget them."""
+        """Return and clear the pending actions."""
         actions, self._actions = self._actions, []
         return actions
--- a/garnetusher/membership/transport.py
+++ b/garnetusher/membership/transport.py
@@ -1,4 +1,4 @@
-"""The member's UDP socket and timer; it decides nothing."""
+"""Connects a member to its UDP socket and timer, without protocol logic."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from garnetusher.membership.messages import Address
 from garnetusher.membership.state import Phase
 
-LEAVE_TIMEOUT_S = 2.0  # for the leave broadcast
+LEAVE_TIMEOUT_S = 2.0  # limits the time for the leave broadcast
 
 
 def monotonic_us() -> int:
-    """Return the monotonic time; the wall clock may jump."""
+    """Return the monotonic time, as the wall clock may jump."""
     return time.monotonic_ns() // 1000
 
 
@@ -24,8 +24,8 @@
     """Runs one member.
 
     Args:
-        create_member: makes the member from its own address and the time.
-        handle_action: is given every action but the datagrams.
+        create_member: Creates the member from its own address and the current time.
+        handle_action: Carries out all actions except `SendDatagram`.
     """
 
     def __init__(
@@ -42,10 +42,10 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def open(self, host: str, port: int) -> Address:
-        """Bind, and begin to join.
+        """Bind the socket, start to join, and return the bound address.
 
         Raises:
-            OSError: the address can't be bound.
+            OSError: The address cannot be bound.
         """
         self._transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
         address: Address = self._transport.get_extra_info("sockname")[:2]
@@ -54,12 +54,12 @@
         return address
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Count the datagram and hand it to the member."""
+        """Count the bytes of the datagram and pass it to the member."""
         self.bytes_in += len(data)
         self.dispatch(DatagramReceived(data, address))
 
     def dispatch(self, event: Event) -> None:
-        """Hand an event to the member and carry out what it asks for."""
+        """Pass an event to the member and carry out the resulting actions."""
         member, transport = self.member, self._transport
         if member is None or transport is None or transport.is_closing():
             return
@@ -77,11 +77,11 @@
     def _set_timer(self, member: Member) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        delay_us = member.next_us - monotonic_us()
+        delay_us = member.next_timer_us - monotonic_us()
         self._timer = self.loop.call_later(max(0.0, delay_us / 1e6), self.dispatch, TimerFired())
 
     async def leave(self) -> None:
-        """Broadcast that this process leaves, and close."""
+        """Broadcast that this process leaves, then close."""
         self.dispatch(LeaveRequested())
         try:
             await asyncio.wait_for(self.closed.wait(), LEAVE_TIMEOUT_S)
--- a/garnetusher/model/members.py
+++ b/garnetusher/model/members.py
@@ -222,9 +222,9 @@
             return
         for action in member.handle(self.clock.now_us, event):
             self._carry_out(node, action)
-        if member.phase != Phase.STOPPED and not 0 <= node.timer_us <= member.next_us:
-            node.timer_us = member.next_us
-            at_us = member.next_us + self.delays_us.get(node.name, 0)
+        if member.phase != Phase.STOPPED and not 0 <= node.timer_us <= member.next_timer_us:
+            node.timer_us = member.next_timer_us
+            at_us = member.next_timer_us + self.delays_us.get(node.name, 0)
             self.clock.at(at_us, self._fire_timer, node, member)
 
     def _carry_out(self, node: Node, action: Action) -> None:
--- a/garnetusher/model/presence.py
+++ b/garnetusher/model/presence.py
@@ -170,7 +170,7 @@
 
 
 def _all_see(nodes: list[Node], count: int) -> bool:
-    return all(node.member is not None and node.member.view.present == count for node in nodes)
+    return all(node.member is not None and node.member.view.active_count == count for node in nodes)
 
 
 def _all_agree(nodes: list[Node]) -> bool:
--- a/garnetusher/sidecar/membership.py
+++ b/garnetusher/sidecar/membership.py
@@ -1,7 +1,8 @@
-"""The sidecar's part in the fleet's membership, where the file's `fleet.membership` switches it on.
+"""Runs the sidecar as a member of the fleet if the setting `fleet.membership` is present.
 
-Nothing else in `run` imports this, and it alone imports `garnetusher.membership`. It reports by how many instances the
-fleet's limits are divided; without it, or until it has joined, the policy uses the number of the settings.
+In the sidecar only this module imports `garnetusher.membership`, and `startup` imports this module only if the setting
+is present. The module reports the number of instances by which the fleet's limits are divided. Without membership, or
+until the sidecar has joined, the policy uses the number from the settings.
 """
 
 from __future__ import annotations
@@ -30,15 +31,15 @@
 
 log = logging.getLogger(__name__)
 
-REFRESH_INTERVAL_S = 0.5  # between two estimates of the fleet's size: a size that is held expires without an event
+REFRESH_INTERVAL_S = 0.5  # the fleet's size is estimated periodically, as a held size expires without an event
 SETTING_KEYS = {"cluster", "listen", "seeds", "floor", "key_file", "replaces", "kind"}
 REQUIRED_TEXT_KEYS = ("cluster", "listen")
 PORT_LIMIT = 65536
-SEED_BYTES = 8  # of the name, that the random seed depends on
+SEED_BYTES = 8  # the random seed depends on this many last bytes of the name
 
 
 class MembershipSettingsError(GarnetusherError, ValueError):
-    """A key of `fleet.membership` is wrong."""
+    """A key of `fleet.membership` is not valid."""
 
     def __init__(self, key: str, problem: str) -> None:
         path = f"fleet.membership.{key}" if key else "fleet.membership"
@@ -47,18 +48,18 @@
 
 @dataclass(slots=True)
 class MembershipSettings:
-    """`fleet.membership` of the file.
+    """The setting `fleet.membership`, with the name and zone of the sidecar.
 
     Attributes:
-        name: the sidecar's name.
-        zone: the sidecar's zone.
-        cluster: members of other clusters are ignored.
-        listen: the UDP address.
-        seeds: addresses of members through which it joins.
-        floor: the least number of instances that limits are divided by.
-        keys: the first one signs datagrams; all are accepted.
-        replaces: it takes over from a process of its name that may still run.
-        role: limits are divided among members of the same role.
+        name: The name of the sidecar.
+        zone: The zone of the sidecar.
+        cluster: The name of the cluster; datagrams of other clusters are ignored.
+        listen: The UDP address to bind.
+        seeds: Addresses of members through which the sidecar joins.
+        floor: The smallest number of instances by which limits are divided.
+        keys: The keys; the first one signs datagrams, and all are accepted.
+        replaces: Whether the sidecar replaces a process of its name that may still be running.
+        role: The role of the member; limits are divided among members of the same role.
     """
 
     name: str
@@ -73,16 +74,16 @@
 
 
 def parse_membership_settings(raw: Any, name: str, zone: str) -> MembershipSettings:
-    """Check and convert `fleet.membership`.
+    """Validate and convert `fleet.membership`.
 
     Args:
-        raw: the value in the file.
-        name: the sidecar's name.
-        zone: the sidecar's zone.
+        raw: The value in the configuration file.
+        name: The name of the sidecar.
+        zone: The zone of the sidecar.
 
     Raises:
-        MembershipSettingsError: a key is wrong, or not known.
-        OSError: the key file can't be read.
+        MembershipSettingsError: The value of a key is not valid, or a key is missing or unknown.
+        OSError: The key file cannot be read.
     """
     if not isinstance(raw, Mapping):
         raise MembershipSettingsError(key="", problem=f"expected an object, got {raw!r}")
@@ -90,12 +91,12 @@
         raise MembershipSettingsError(key, f"expected one of {', '.join(sorted(SETTING_KEYS))}")
     for key in REQUIRED_TEXT_KEYS:
         if not isinstance(raw.get(key), str) or not raw[key]:
-            raise MembershipSettingsError(key, f"expected a text, got {raw.get(key)!r}")
+            raise MembershipSettingsError(key, f"expected a non-empty string, got {raw.get(key)!r}")
     seeds, floor = raw.get("seeds", []), raw.get("floor", 1)
     if not isinstance(seeds, list):
         raise MembershipSettingsError(key="seeds", problem=f"expected a list of host:port, got {seeds!r}")
     if isinstance(floor, bool) or not isinstance(floor, int) or floor < 1:
-        raise MembershipSettingsError(key="floor", problem=f"expected a number of 1 or more, got {floor!r}")
+        raise MembershipSettingsError(key="floor", problem=f"expected an integer of 1 or more, got {floor!r}")
     keys = _read_keys(raw["key_file"]) if raw.get("key_file") else []
     return MembershipSettings(
         name=name,
@@ -125,16 +126,16 @@
 
 
 class FleetMembership:
-    """Runs this sidecar's member.
+    """Runs the member of this sidecar.
 
     Args:
-        settings: of the member.
-        fleet_size_changed: is given the number of instances whenever it changes; 0 when none is known.
+        settings: The settings of the member.
+        on_fleet_size_changed: Called with the number of instances whenever it changes; 0 means that none is known.
     """
 
-    def __init__(self, settings: MembershipSettings, fleet_size_changed: Callable[[int], None]) -> None:
+    def __init__(self, settings: MembershipSettings, on_fleet_size_changed: Callable[[int], None]) -> None:
         self._settings = settings
-        self._fleet_size_changed = fleet_size_changed
+        self._on_fleet_size_changed = on_fleet_size_changed
         self._codec = Codec(settings.cluster, settings.keys)
         self._estimator = FleetSizeEstimator(settings.floor)
         self._transport = UdpTransport(self._create_member, self._handle_action)
@@ -143,24 +144,24 @@
         self._refresh_timer: asyncio.TimerHandle | None = None
 
     async def open(self) -> Address:
-        """Bind and begin to join.
+        """Bind the socket, start to join, and return the bound address.
 
         Raises:
-            OSError: the address can't be bound.
+            OSError: The address cannot be bound.
         """
         address = await self._transport.open(*self._settings.listen)
         self._refresh()
         return address
 
     async def leave(self) -> None:
-        """Broadcast that this sidecar leaves; the policy keeps the last number of instances."""
+        """Broadcast that this sidecar leaves; the policy keeps the last reported number of instances."""
         if self._refresh_timer is not None:
             self._refresh_timer.cancel()
         with contextlib.suppress(OSError):
             await self._transport.leave()
 
     def describe(self) -> dict[str, object]:
-        """Return what the admin address shows: the members, whether all agree, and what follows from it."""
+        """Return the document for the admin address, with the members, the disputes and the number of instances."""
         member, size = self._transport.member, self._fleet_size()
         if member is None:
             return {"phase": Phase.JOINING.value, "members": []}
@@ -182,7 +183,7 @@
             "bytes_in": self._transport.bytes_in,
             "bytes_out": self._transport.bytes_out,
             "members": [
-                _describe_entry(entry, now_us - member.view.since_us[name])
+                _describe_entry(entry, now_us - member.view.state_since_us[name])
                 for name, entry in sorted(member.view.entries.items())
             ],
         }
@@ -190,7 +191,8 @@
     def _create_member(self, own_address: Address, now_us: int) -> Member:
         settings = self._settings
         host, port = own_address
-        # a later process has a higher generation; where the clock went back, the other members make it go higher
+        # A later process needs a higher generation. If the clock went back, the process raises its generation when it
+        # learns of the higher one from other members.
         generation = time.time_ns() // 1_000_000
         member_settings = MemberSettings(
             settings.name, settings.role, settings.zone, host, port, settings.seeds, settings.replaces
@@ -198,7 +200,7 @@
         return Member(member_settings, self._codec, generation, generation ^ _stable_hash(settings.name), now_us)
 
     def _handle_action(self, action: Action) -> None:
-        """Carry out an action; `Persist` needs a disk, which a sidecar does not have yet."""
+        """Carry out an action; `Persist` is ignored, as a sidecar has no disk yet."""
         if isinstance(action, LogEvent):
             fields = " ".join(f"{name}={value}" for name, value in action.fields.items())
             log.info("%s %s", action.event, fields)
@@ -209,7 +211,7 @@
             self._refresh()
 
     def _fleet_size(self) -> FleetSize | None:
-        """Return what holds now; None before the member has joined and after it has stopped."""
+        """Return the current estimate, or None before the member has joined and after it has stopped."""
         member = self._transport.member
         if member is None or member.phase != Phase.PRESENT:
             return None
@@ -223,7 +225,7 @@
         instances = size.instances if size is not None else 0
         if instances != self._reported_instances:
             self._reported_instances = instances
-            self._fleet_size_changed(instances)
+            self._on_fleet_size_changed(instances)
         if not self._transport.closed.is_set():
             self._refresh_timer = self._transport.loop.call_later(REFRESH_INTERVAL_S, self._refresh)
 
@@ -251,5 +253,5 @@
 
 
 def _stable_hash(name: str) -> int:
-    """Return a number that is the same in every process."""
+    """Return a hash of the name that is the same in every process."""
     return int.from_bytes(name.encode()[-SEED_BYTES:].rjust(SEED_BYTES, b"\0"), "big")
--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -1,18 +1,18 @@
-"""Fleets of simulated members for tests."""
+"""Simulated fleets of members for tests."""
 
 from __future__ import annotations
 
 from garnetusher.model.members import Members, Node
 
-SECOND = 1_000_000  # in microseconds
-JOIN_US = 8 * SECOND
-JOIN_WITH_LOSS_US = 20 * SECOND
+SECOND_US = 1_000_000
+JOIN_US = 8 * SECOND_US
+JOIN_WITH_LOSS_US = 20 * SECOND_US
 
 
 def joined_fleet(
     size: int, seed: int = 1, loss: float = 0.0, keys: list[bytes] | None = None
 ) -> tuple[Members, list[Node]]:
-    """Return that many members, joined through the first two, which all agree on who is present."""
+    """Return members that have joined through the first two and all have the complete list of active members."""
     members = Members(seed, loss=loss, keys=keys)
     nodes = [members.add(f"m{index}") for index in range(size)]
     for node in nodes:
@@ -22,6 +22,6 @@
     return members, nodes
 
 
-def logged(node: Node, event: str) -> list[dict[str, object]]:
-    """Return the fields of each log event of that name."""
+def logged_fields(node: Node, event: str) -> list[dict[str, object]]:
+    """Return the fields of each log event with the given name."""
     return [log_event.fields for _, log_event in node.log if log_event.event == event]
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams of members: keys, garbage, replays, other clusters and later versions."""
+"""Datagrams between members: keys, invalid data, replays, other clusters and later versions."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 from garnetusher.membership.replay_filter import WINDOW_BITS, Freshness, ReplayFilter
 from garnetusher.membership.view import State
 from garnetusher.model.members import CLUSTER
-from tests.membership_fleet import SECOND, joined_fleet
+from tests.membership_fleet import SECOND_US, joined_fleet
 
 
 def test_members_stay_present_when_keys_are_rotated_and_count_a_wrong_key() -> None:
     old, new = parse_keys("00" * 32)[0], parse_keys(f"# next\n{'11' * 16}  # comment\n")[0]
     members, nodes = joined_fleet(3, keys=[old])
-    for keys in ([old, new], [new, old], [new]):  # known everywhere before it signs anywhere
+    for keys in ([old, new], [new, old], [new]):  # all members accept a new key before any member signs with it
         for node in nodes:
             assert node.member is not None
             node.member.codec.keys = keys
-            members.run(SECOND)
+            members.run(SECOND_US)
     assert len(members.active_names(nodes[0])) == 3
     assert members.failed_names(nodes[0]) == []
     assert nodes[0].member is not None
     assert nodes[1].member is not None
     nodes[1].member.codec.keys = [b"w" * 32]
-    members.run(5 * SECOND)
+    members.run(5 * SECOND_US)
     assert members.failed_names(nodes[0]) == ["m1"]
     assert nodes[0].member.codec.dropped["wrong key"] > 0
 
 
 @pytest.mark.parametrize("text", ["", "zz", "00"])
-def test_parse_keys_raises_when_a_line_is_no_key(text: str) -> None:
+def test_parse_keys_raises_when_a_line_is_not_a_key(text: str) -> None:
     with pytest.raises(KeyFileError, match="expected"):
         parse_keys(text)
 
 
-_GARBAGE_FLEET = joined_fleet(2)
+_INVALID_DATAGRAM_FLEET = joined_fleet(2)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.binary(max_size=1400) | st.binary(max_size=300).map(lambda payload: EMPTY_AUTH_TAG + payload))
-def test_view_stays_when_garbage_arrives(data: bytes) -> None:
-    members, nodes = _GARBAGE_FLEET
+def test_view_is_unchanged_when_an_invalid_datagram_arrives(data: bytes) -> None:
+    members, nodes = _INVALID_DATAGRAM_FLEET
     member = nodes[0].member
     assert member is not None
     entries, dropped = dict(member.view.entries), sum(member.codec.dropped.values())
@@ -55,7 +55,7 @@
     assert (dict(member.view.entries), sum(member.codec.dropped.values())) == (entries, dropped + 1)
 
 
-def test_member_counts_the_reason_when_a_datagram_is_foreign_replayed_or_of_a_later_version() -> None:
+def test_member_counts_the_reason_when_a_datagram_is_foreign_replayed_or_from_a_later_version() -> None:
     members, nodes = joined_fleet(2)
     member, other = nodes[0].member, nodes[1].member
     assert member is not None
@@ -63,7 +63,7 @@
     members.deliver(nodes[0], ("10.9.9.9", 9), Codec("another").encode("x", 1, Ack(1), []))
     ping = other.codec.encode("m1", other.generation, Ping(9, "m0"), [])
     answers = [member.handle(members.clock.now_us, DatagramReceived(ping, nodes[1].address)) for _ in range(2)]
-    assert [any(isinstance(a, SendDatagram) for a in actions) for actions in answers] == [True, False]
+    assert [any(isinstance(action, SendDatagram) for action in actions) for actions in answers] == [True, False]
     later_codec = Codec(CLUSTER)
     later_codec._sequence = 10**6
     gossip = Entry("m9", "10.8.8.8", 8, "sidecar", "z", 1, 0, State.PRESENT)
@@ -71,7 +71,7 @@
     member.handle(members.clock.now_us, DatagramReceived(data, nodes[1].address))
     assert member.codec.dropped == {"foreign": 1, "unknown kind": 1}
     assert member.dropped["replayed"] == 1
-    assert "m9" in member.view.entries  # the gossip beside a body that is not known yet is taken
+    assert "m9" in member.view.entries  # gossip beside an unknown body is still merged
 
 
 def test_replay_filter_accepts_each_sequence_number_once_when_they_arrive_out_of_order() -> None:
@@ -81,7 +81,7 @@
     assert all(replay_filter.check("a", 1, sequence) == Freshness.REPLAYED for sequence in order)
 
 
-def test_replay_filter_rejects_a_datagram_when_it_is_far_behind_or_of_an_old_generation() -> None:
+def test_replay_filter_rejects_a_datagram_when_it_is_far_behind_or_from_an_old_generation() -> None:
     replay_filter = ReplayFilter()
     assert replay_filter.check("a", 2, WINDOW_BITS + 1) == Freshness.FRESH
     assert replay_filter.check("a", 2, 1) == Freshness.REPLAYED
--- a/tests/test_membership_transport.py
+++ b/tests/test_membership_transport.py
@@ -1,4 +1,4 @@
-"""Members on real sockets."""
+"""Members that communicate through real UDP sockets."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
             transports.append(UdpTransport(create_member(index), actions.append))
             seeds.append(await transports[-1].open("127.0.0.1", 0))
         async with asyncio.timeout(20):
-            while any(t.member is None or t.member.view.present < 4 for t in transports):  # noqa: ASYNC110  a member has no event for it
+            while any(t.member is None or t.member.view.active_count < 4 for t in transports):  # noqa: ASYNC110  a member has no event for it
                 await asyncio.sleep(0.02)
             await transports[3].leave()
             first = transports[0].member
