--- a/tests/test_membership_exploration.py
+++ b/tests/test_membership_exploration.py
@@ -1,4 +1,4 @@
-"""Explored schedules of membership: they hold, and they find faults that are seeded into it."""
+"""Explored schedules of membership keep all rules, and break a rule when a fault is injected into the protocol."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_membership_keeps_all_rules_when_schedules_are_explored() -> None:
-    assert [find.broken.text for _, find in explore.explore(Membership(), range(1, 26), STEPS) if find] == []
+    assert [failure.broken.text for _, failure in explore.explore(Membership(), range(1, 26), STEPS) if failure] == []
 
 
 def never_contacts_failed_members(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -32,11 +32,11 @@
     monkeypatch.setattr(fleet_size.FleetSizeEstimator.__init__, "__defaults__", (1, 0, 0))
 
 
-@pytest.mark.parametrize("seed_fault", [never_contacts_failed_members, never_refutes, drops_failed_members_at_once])
-def test_exploration_finds_the_fault_when_one_is_seeded(
-    seed_fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("inject_fault", [never_contacts_failed_members, never_refutes, drops_failed_members_at_once])
+def test_exploration_finds_the_fault_when_one_is_injected(
+    inject_fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    seed_fault(monkeypatch)
+    inject_fault(monkeypatch)
     part = Membership()
     broken = next((b for seed in range(1, 200) if (b := part.play(part.draw(seed, STEPS))) is not None), None)
     assert broken is not None
@@ -45,6 +45,10 @@
 
 @pytest.mark.parametrize("seed", [9_182_256, 9_182_296])
 def test_membership_keeps_all_rules_when_a_schedule_once_broke_one(seed: int) -> None:
-    """A process restarted with the generation of an earlier one; two that never found each other behind a dead seed."""
+    """Replay two schedules that once broke a rule.
+
+    In one, a process restarted with the generation of an earlier process. In the other, two members never found each
+    other after their seed had died.
+    """
     part = Membership()
     assert part.play(part.draw(seed, 120)) is None
--- a/tests/test_membership_timers.py
+++ b/tests/test_membership_timers.py
@@ -1,4 +1,4 @@
-"""The queue of a member's timers."""
+"""The timer queue of a member."""
 
 from __future__ import annotations
 
--- a/tests/test_membership_wire_format.py
+++ b/tests/test_membership_wire_format.py
@@ -1,4 +1,8 @@
-"""The bytes of each message, as the version before the modules were renamed wrote them."""
+"""The wire format of each message.
+
+The expected bytes come from the version before the modules were renamed, so a change that breaks compatibility with it
+fails here.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,8 @@
 )
 from garnetusher.membership.view import State
 
-HEADER = "9701a163a26d300501"  # seven fields: version 1, cluster c, sender m0, generation 5, sequence 1
+# The header of an array of seven fields, with version 1, cluster c, sender m0, generation 5 and sequence 1.
+HEADER = "9701a163a26d300501"
 NO_GOSSIP = "90"
 ENTRY = Entry("m1", "10.0.0.1", 7000, "sidecar", "z", 3, 2, State.SUSPECTED, replaces=True, reporter="m2")
 ENTRY_HEX = "9aa26d31a831302e302e302e31cd1b58a773696465636172a17a030201c3a26d32"
--- a/tests/test_sidecar_membership.py
+++ b/tests/test_sidecar_membership.py
@@ -1,4 +1,4 @@
-"""Members beside real sidecars: they find each other, and the admin address shows what one of them believes."""
+"""Membership of real sidecars: they find each other, and the admin address shows the view of each."""
 
 from __future__ import annotations
 
@@ -21,12 +21,14 @@
 from tests.net import free_port
 from tests.processes import configuration
 
-TIMEOUT_S = 30.0  # for what takes seconds on an idle machine
+TIMEOUT_S = 30.0  # the awaited changes take a few seconds on an idle machine
 
 
 @contextmanager
-def sidecars(folder: Path, memberships: list[dict[str, Any]]) -> Iterator[list[tuple[subprocess.Popen[bytes], str]]]:
-    """Run sidecars; yield the processes with their admin addresses."""
+def running_sidecars(
+    folder: Path, memberships: list[dict[str, Any]]
+) -> Iterator[list[tuple[subprocess.Popen[bytes], str]]]:
+    """Run one sidecar per membership setting, and yield each process with its admin address."""
     running = []
     try:
         for index, membership in enumerate(memberships):
@@ -53,22 +55,22 @@
             process.wait()
 
 
-def read_members(at: str) -> dict[str, Any]:
-    done = subprocess.run(
-        [sys.executable, "-m", "garnetusher", "members", "--at", at, "--json"],
+def read_members(admin: str) -> dict[str, Any]:
+    completed = subprocess.run(
+        [sys.executable, "-m", "garnetusher", "members", "--at", admin, "--json"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=30,
         check=False,
     )
-    return json.loads(done.stdout) if done.returncode == 0 else {"phase": done.stderr, "members": []}
+    return json.loads(completed.stdout) if completed.returncode == 0 else {"phase": completed.stderr, "members": []}
 
 
-def wait_until(at: str, holds: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-    began = time.monotonic()
-    while not holds(document := read_members(at)):
-        assert time.monotonic() - began < TIMEOUT_S, document
+def wait_until(admin: str, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+    started_s = time.monotonic()
+    while not condition(document := read_members(admin)):
+        assert time.monotonic() - started_s < TIMEOUT_S, document
         time.sleep(0.1)
     return document
 
@@ -80,7 +82,7 @@
 def test_sidecars_count_each_other_when_one_is_killed_and_one_leaves(tmp_path: Path) -> None:
     ports = [free_port() for _ in range(3)]
     seeds = [f"127.0.0.1:{port}" for port in ports[:2]]
-    with sidecars(
+    with running_sidecars(
         tmp_path, [{"cluster": "test", "listen": f"127.0.0.1:{port}", "seeds": seeds} for port in ports]
     ) as running:
         admin = running[0][1]
@@ -97,7 +99,7 @@
 
 
 def test_sidecar_serves_alone_when_its_membership_settings_are_wrong(tmp_path: Path) -> None:
-    with sidecars(tmp_path, [{"cluster": "test", "listen": "127.0.0.1:none"}]) as running:
+    with running_sidecars(tmp_path, [{"cluster": "test", "listen": "127.0.0.1:none"}]) as running:
         process, admin = running[0]
         document = wait_until(admin, lambda document: "not switched on" in document["phase"])
         assert document["members"] == []
