--- a/garnetusher/membership/anti_entropy.py
+++ b/garnetusher/membership/anti_entropy.py
@@ -16,7 +16,7 @@
 CATCH_UP_US = 500_000  # for this time after joining, the other members already know entries from an exchange
 DISPUTE_AFTER_US = 300_000  # views that differ for less time may differ only because gossip is still being delivered
 DIGEST_VALID_US = 2_000_000  # a member's last digest is too old for a comparison after this time
-ENTRIES_HEADER_BYTES = 8  # reserved for the encoding of the list around the entries
+ENTRIES_HEADER_BYTES = 8  # this many bytes are reserved for the encoding of the list itself
 MAX_DIFFERING_NAMES = 8  # the number of names that are kept for operators
 
 
--- a/garnetusher/membership/join.py
+++ b/garnetusher/membership/join.py
@@ -14,7 +14,7 @@
 from garnetusher.membership.state import Phase, ProtocolState
 from garnetusher.membership.view import State, is_active
 
-FIRST_JOIN_BACKOFF_US = 500_000  # doubled with each attempt to join through seeds
+FIRST_JOIN_BACKOFF_US = 500_000  # the backoff doubles with each attempt to join through seeds
 MAX_JOIN_BACKOFF_US = 4_000_000
 ALONE_AFTER_BACKOFF_US = 2 * FIRST_JOIN_BACKOFF_US  # a seed with a longer backoff considers itself alone
 SEEDS_PER_ATTEMPT = 2
--- a/garnetusher/membership/local_health.py
+++ b/garnetusher/membership/local_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # the value of Lifeguard; periods and timeouts grow to at most nine times their length
+MAX_SCORE = 8  # Lifeguard has the same limit; it multiplies periods and timeouts by at most nine
 
 
 class LocalHealth:
--- a/garnetusher/membership/name_conflicts.py
+++ b/garnetusher/membership/name_conflicts.py
@@ -9,7 +9,7 @@
 from garnetusher.membership.state import Phase, ProtocolState
 from garnetusher.membership.view import State
 
-RECENTLY_JOINED_US = 30_000_000  # a process that joined more recently stops if another process has its name
+RECENTLY_JOINED_US = 30_000_000  # a process that joined within this time stops if another has its name
 
 
 class NameConflicts:
--- a/garnetusher/membership/replay_filter.py
+++ b/garnetusher/membership/replay_filter.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-WINDOW_BITS = 64  # the latest sequence numbers of a sender, which may arrive out of order
+WINDOW_BITS = 64  # this many of a sender's latest sequence numbers may arrive out of order
 _WINDOW_MASK = (1 << WINDOW_BITS) - 1
 
 
--- a/tests/test_membership_transport.py
+++ b/tests/test_membership_transport.py
@@ -33,11 +33,11 @@
             transports.append(UdpTransport(create_member(index), actions.append))
             seeds.append(await transports[-1].open("127.0.0.1", 0))
         async with asyncio.timeout(20):
-            while any(t.member is None or t.member.view.active_count < 4 for t in transports):  # noqa: ASYNC110  a member has no event for it
+            while any(t.member is None or t.member.view.active_count < 4 for t in transports):  # noqa: ASYNC110  a member has no event to wait for
                 await asyncio.sleep(0.02)
             await transports[3].leave()
             first = transports[0].member
-            while first is None or first.view.entries["p3"].state != State.LEFT:  # noqa: ASYNC110  a member has no event for it
+            while first is None or first.view.entries["p3"].state != State.LEFT:  # noqa: ASYNC110  a member has no event to wait for
                 await asyncio.sleep(0.02)
         assert Stopped(StopReason.LEFT) in actions
         for transport in transports:
