--- a/garnetusher/sidecar/addresses.py
+++ b/garnetusher/sidecar/addresses.py
@@ -1,4 +1,4 @@
-"""Network addresses in the form `host:port`, as the configuration and the endpoint list have them."""
+"""Parses network addresses of the form `host:port`, which the configuration and the endpoint list use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AddressError(GarnetusherError, ValueError):
-    """A text that is no `host:port`."""
+    """A string is not a valid `host:port` address."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"expected host:port, got {text!r}")
@@ -20,7 +20,7 @@
     """Return the host and the port of `host:port`.
 
     Raises:
-        AddressError: the text has another form, or its port is out of range.
+        AddressError: `text` does not have this form, or its port is out of range.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) >= PORT_LIMIT:
--- a/garnetusher/sidecar/discovery/__init__.py
+++ b/garnetusher/sidecar/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: how it is received from discovery, watched for changes, and made known to the policy."""
+"""Receives the endpoint list from discovery, watches it for changes, and passes it on to the policy."""
--- a/garnetusher/sidecar/discovery/endpoint_list.py
+++ b/garnetusher/sidecar/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery has listed: their numbers, and the events by which the policy learns of them."""
+"""Keeps the endpoints that discovery lists, assigns their ids, and creates the events that update the policy."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 )
 from garnetusher.sidecar.discovery.start_times import StartTimes
 
-# Entries that are parsed or applied in one round of the event loop, in some 5 ms. Ten thousand at once would delay all
-# requests by 100 ms.
-PIECE_SIZE = 500
+# Number of entries that are parsed or applied in one iteration of the event loop, which takes about 5 ms. An iteration
+# with 10,000 entries would delay all requests by 100 ms.
+BATCH_SIZE = 500
 
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """What the policy and the connections need to know of one list: the event, and where its endpoints listen."""
+    """The changes that an endpoint list makes: an event for the policy, and the addresses of the listed endpoints."""
 
     event: EndpointsUpdated
     addresses: dict[int, Address]
 
 
-class ListPiece:
-    """A part of an endpoint list that is small enough to be handled in one round of the event loop."""
+class ListBatch:
+    """A part of an endpoint list that is small enough to be processed in one iteration of the event loop."""
 
     def __init__(self, received: RawList, first_index: int = 0, *, is_last: bool = True) -> None:
-        """Hold a part of a list.
+        """Create a batch.
 
         Args:
-            received: the part, as a list of its own.
-            first_index: the index of its first entry in the complete list, for errors.
-            is_last: whether the list is applied in full with this piece.
+            received: list that has only the entries of this batch.
+            first_index: index of the first entry in the complete list, for error messages.
+            is_last: whether this is the last batch of the complete list.
         """
         self.version = received.version
         self.update_kind = UpdateKind.SNAPSHOT if received.is_snapshot else UpdateKind.DELTA
@@ -50,7 +50,7 @@
         self._entries: list[ListEntry] | None = None
 
     def entries(self) -> list[ListEntry]:
-        """Return its entries, which are parsed at the first call.
+        """Return the entries of the batch, which the first call parses.
 
         Raises:
             EndpointListError: an entry is malformed.
@@ -62,14 +62,14 @@
 
 
 class EndpointList:
-    """Translates entries of discovery into endpoints of the policy.
+    """Converts discovery's entries to the policy's endpoints.
 
-    Each uid gets a number, and start times are converted to the sidecar's monotonic clock.
+    Each uid gets a numeric id, and start times are converted to the sidecar's monotonic clock.
 
     Attributes:
-        zones: the names of the zones, by their index in the settings.
-        machine_types: likewise of machine types.
-        endpoint_ids: the number of each uid that is listed.
+        zones: names of the zones; the policy identifies a zone by its index here.
+        machine_types: names of the machine types; the policy identifies a machine type by its index here.
+        endpoint_ids: numeric id of each listed endpoint, by uid.
     """
 
     def __init__(self, zones: list[str], machine_types: list[str]) -> None:
@@ -79,45 +79,45 @@
         self._last_endpoint_id = 0
         self._start_times = StartTimes(monotonic_us)
 
-    def split(self, received: RawList) -> list[ListPiece]:
-        """Return a list as pieces, which make the same changes one after another as the list would at once.
+    def split(self, received: RawList) -> list[ListBatch]:
+        """Return a list as batches; applying them in order has the same effect as applying the list as a whole.
 
-        A long snapshot becomes deltas, of which the first ones remove what is not listed any more.
+        A long snapshot becomes deltas; the first of them remove the endpoints that are no longer listed.
 
         Raises:
-            EndpointListError: an entry has no start time or no uid; other faults show when a piece is parsed.
+            EndpointListError: an entry has no valid start time or uid; other errors are raised when a batch is parsed.
         """
-        # All start times of a long list are observed before its first entry is applied.
+        # The start times of the whole list are observed first, as they affect the estimate for every entry.
         self._start_times.observe(parse_start_times_ms(received.entries))
-        if len(received.entries) <= PIECE_SIZE:
-            return [ListPiece(received)]
+        if len(received.entries) <= BATCH_SIZE:
+            return [ListBatch(received)]
         removed = self._removed_entries(received) if received.is_snapshot else []
         entries = [*removed, *received.entries]
         return [
-            ListPiece(
-                RawList(received.version, is_snapshot=False, entries=entries[start : start + PIECE_SIZE]),
+            ListBatch(
+                RawList(received.version, is_snapshot=False, entries=entries[start : start + BATCH_SIZE]),
                 first_index=start - len(removed),
-                is_last=start + PIECE_SIZE >= len(entries),
+                is_last=start + BATCH_SIZE >= len(entries),
             )
-            for start in range(0, len(entries), PIECE_SIZE)
+            for start in range(0, len(entries), BATCH_SIZE)
         ]
 
     def apply(self, update_kind: UpdateKind, entries: Sequence[ListEntry], version: int) -> EndpointUpdate:
-        """Apply the entries of a list, or of a piece of it.
+        """Apply the entries of a list or of a batch.
 
         Args:
-            update_kind: what the entries are; all but `DELTA` mean that endpoints that are not listed are removed.
-            entries: the entries.
-            version: the version of the list.
+            update_kind: kind of the list; any kind but `DELTA` removes the endpoints that are not in `entries`.
+            entries: parsed entries.
+            version: version of the list.
 
         Returns:
-            The update to pass on.
+            The update for the policy and for the connections.
         """
         self._start_times.observe(entry.started_ms for entry in entries)
         endpoints: list[Endpoint] = []
         addresses: dict[int, Address] = {}
         for entry in entries:
-            endpoint = self._endpoint(entry)
+            endpoint = self._create_endpoint(entry)
             endpoints.append(endpoint)
             addresses[endpoint.id] = entry.address
         if update_kind is not UpdateKind.DELTA:
@@ -131,7 +131,7 @@
         listed = parse_uids(snapshot.entries)
         return [removed_entry(uid) for uid in self.endpoint_ids if uid not in listed]
 
-    def _endpoint(self, entry: ListEntry) -> Endpoint:
+    def _create_endpoint(self, entry: ListEntry) -> Endpoint:
         if entry.uid not in self.endpoint_ids:
             self._last_endpoint_id += 1
             self.endpoint_ids[entry.uid] = self._last_endpoint_id
@@ -155,5 +155,5 @@
 
 
 def _index_of(name: object, names: list[str]) -> int:
-    """Return the index of a name; one past the last for a name that is not known."""
+    """Return the index of a name, or the number of names if the name is unknown."""
     return names.index(name) if isinstance(name, str) and name in names else len(names)
--- a/garnetusher/sidecar/discovery/messages.py
+++ b/garnetusher/sidecar/discovery/messages.py
@@ -1,6 +1,6 @@
-"""The endpoint list as discovery sends it: typed entries and lists, and the functions that parse them from JSON.
+"""The endpoint list as discovery sends it: types for lists and entries, and functions that parse them from JSON.
 
-The keys of the JSON are discovery's own; this module is the only one that knows them.
+Discovery defines the keys of the JSON; no other module uses them.
 """
 
 from __future__ import annotations
@@ -26,30 +26,30 @@
 KEY_STARTED_MS = "boot_ms"
 
 STATUSES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
-REMOVED_ADDRESS: Address = ("0.0.0.0", 1)  # of an entry that is only listed to say that the endpoint is removed
+REMOVED_ADDRESS: Address = ("0.0.0.0", 1)  # placeholder in an entry that reports a removal
 
-LIST = -1  # in place of an entry's index: the list itself
+WHOLE_LIST = -1  # stands in place of an entry's index for the list itself
 _CONVERSION_ERRORS = (TypeError, KeyError, ValueError, OverflowError)
 _Number = TypeVar("_Number", int, float)
 
 
 class EndpointListError(InvalidValueError):
-    """An endpoint list that cannot be read."""
+    """An endpoint list is malformed."""
 
 
 @dataclass(slots=True)
 class ListEntry:
-    """What discovery says of one endpoint.
+    """One endpoint as discovery lists it.
 
     Attributes:
-        uid: its name, unique and never used again; text by the protocol, but any JSON scalar is accepted.
-        address: where it listens.
-        zone: the name of its zone; compared with known names only.
-        machine_type: the name of its machine type; likewise.
-        cell: its group of replicas.
-        status: whether it may be sent to.
-        weight: its relative size.
-        started_ms: when it started, in Unix time; 0 = long ago.
+        uid: name of the endpoint, unique and never reused; the protocol has a string, but any JSON scalar is accepted.
+        address: address on which the endpoint listens.
+        zone: name of the endpoint's zone; only compared with the configured names, so its type is not checked.
+        machine_type: name of the endpoint's machine type; not type-checked either.
+        cell: group of replicas that the endpoint belongs to.
+        status: whether requests may be sent to the endpoint.
+        weight: relative capacity of the endpoint.
+        started_ms: start time of the endpoint in Unix time; 0 means long ago.
     """
 
     uid: Hashable
@@ -64,12 +64,12 @@
 
 @dataclass(slots=True)
 class RawList:
-    """An endpoint list whose entries have not been parsed yet, as parsing thousands of them takes a while.
+    """An endpoint list with unparsed entries: parsing thousands of them at once would block the event loop.
 
     Attributes:
-        version: the version that the receiver has once it has applied the list.
-        is_snapshot: whether it is the complete list; otherwise it has the changed entries only.
-        entries: the entries, as read from JSON.
+        version: version that the receiver has once it has applied the list.
+        is_snapshot: whether the list is complete; a delta has only the changed entries.
+        entries: entries as decoded from JSON.
     """
 
     version: int
@@ -78,45 +78,45 @@
 
 
 def parse_list(document: object) -> RawList:
-    """Return the list that a JSON document holds, with its entries still to be parsed.
+    """Return the endpoint list in a JSON document, with its entries unparsed.
 
     Raises:
-        EndpointListError: the document is no endpoint list.
+        EndpointListError: the document is not an endpoint list.
     """
-    is_snapshot = bool(_value(document, KEY_SNAPSHOT, LIST))
+    is_snapshot = bool(_value(document, KEY_SNAPSHOT, WHOLE_LIST))
     return _parse_list_of_kind(document, is_snapshot=is_snapshot)
 
 
 def parse_cached_list(document: object) -> RawList:
-    """Return the list that a JSON document holds, which is complete without saying so.
+    """Return the cached endpoint list in a JSON document, which is always a snapshot, even if it has no key for that.
 
     Raises:
-        EndpointListError: the document is no endpoint list.
+        EndpointListError: the document is not an endpoint list.
     """
     return _parse_list_of_kind(document, is_snapshot=True)
 
 
 def parse_start_times_ms(entries: list[Any]) -> list[int]:
-    """Return the start times of all entries, and parse nothing else of them.
+    """Return the start times of all entries without parsing their other values.
 
     Raises:
-        EndpointListError: an entry has none.
+        EndpointListError: an entry has no valid start time.
     """
     try:
-        return [int(entry[KEY_STARTED_MS]) for entry in entries]  # the fast way, as there may be thousands
-    except _CONVERSION_ERRORS:  # the careful way says which entry is at fault
+        return [int(entry[KEY_STARTED_MS]) for entry in entries]  # fast path, as a list may have thousands of entries
+    except _CONVERSION_ERRORS:  # the slow path raises an error that names the malformed entry
         return [_number(int, entry, KEY_STARTED_MS, index) for index, entry in enumerate(entries)]
 
 
 def parse_uids(entries: list[Any]) -> set[Hashable]:
-    """Return the uids of all entries, and parse nothing else of them.
+    """Return the uids of all entries without parsing their other values.
 
     Raises:
-        EndpointListError: an entry has none.
+        EndpointListError: an entry has no valid uid.
     """
     try:
-        return {entry[KEY_UID] for entry in entries}  # the fast way, as there may be thousands
-    except _CONVERSION_ERRORS:  # the careful way says which entry is at fault
+        return {entry[KEY_UID] for entry in entries}  # fast path, as a list may have thousands of entries
+    except _CONVERSION_ERRORS:  # the slow path raises an error that names the malformed entry
         return {_uid(entry, index) for index, entry in enumerate(entries)}
 
 
@@ -124,11 +124,11 @@
     """Parse entries.
 
     Args:
-        entries: the entries, as read from JSON; one that is typed already stays as it is.
-        first_index: the place of the first of them in the list, for errors.
+        entries: entries as decoded from JSON; a `ListEntry` among them is returned unchanged.
+        first_index: index of the first entry in the complete list, for error messages.
 
     Raises:
-        EndpointListError: one of them is malformed.
+        EndpointListError: an entry is malformed.
     """
     return [
         entry if isinstance(entry, ListEntry) else _parse_entry(entry, index)
@@ -137,7 +137,7 @@
 
 
 def removed_entry(uid: Hashable) -> ListEntry:
-    """Return the entry that says that an endpoint is removed."""
+    """Return an entry that reports the removal of an endpoint."""
     return ListEntry(
         uid=uid,
         address=REMOVED_ADDRESS,
@@ -151,10 +151,10 @@
 
 
 def _parse_list_of_kind(document: object, *, is_snapshot: bool) -> RawList:
-    version = _number(int, document, KEY_VERSION, LIST)
-    entries = _value(document, KEY_ENTRIES, LIST)
+    version = _number(int, document, KEY_VERSION, WHOLE_LIST)
+    entries = _value(document, KEY_ENTRIES, WHOLE_LIST)
     if not isinstance(entries, list):
-        raise _error(KEY_ENTRIES, LIST, "a list of entries", entries)
+        raise _error(KEY_ENTRIES, WHOLE_LIST, "a list of entries", entries)
     return RawList(version, is_snapshot, entries)
 
 
@@ -191,7 +191,7 @@
 def _uid(entry: object, index: int) -> Hashable:
     uid: object = _value(entry, KEY_UID, index)
     if not isinstance(uid, Hashable):
-        raise _error(KEY_UID, index, "a text", uid)
+        raise _error(KEY_UID, index, "a string", uid)
     return uid
 
 
@@ -199,7 +199,7 @@
     text = _value(entry, KEY_ADDRESS, index)
     try:
         return parse_address(text)
-    except (AddressError, AttributeError):  # a value that is no text has no `rpartition`
+    except (AddressError, AttributeError):  # AttributeError: the value is not a string
         raise _error(KEY_ADDRESS, index, "host:port", text) from None
 
 
@@ -211,5 +211,5 @@
 
 
 def _error(key: str, index: int, expected: str, found: object) -> EndpointListError:
-    place = "" if index == LIST else join_path(KEY_ENTRIES, str(index))
+    place = "" if index == WHOLE_LIST else join_path(KEY_ENTRIES, str(index))
     return EndpointListError(key, place, expected, found)
--- a/garnetusher/sidecar/discovery/start_times.py
+++ b/garnetusher/sidecar/discovery/start_times.py
@@ -1,10 +1,11 @@
-"""When endpoints started, on this process's monotonic clock, estimated from times of day that other machines report.
-
-Neither this machine's wall clock nor another's can be trusted alone: either may have been stepped, by seconds or by an
-hour. If an endpoint that has just started were taken for older than it is, all sidecars together would send it the load
-of a warmed-up one, and it would fail; if it were taken for younger, it would only serve less during one warm-up. So the
-estimate of the present time of day is the lowest possible one: the newest start that a list has reported, which lies
-in the past, and what has passed since then; and no more than the wall clock says, as one endpoint's clock may be ahead.
+"""Estimates when endpoints started, on this process's monotonic clock, from Unix times that other machines report.
+
+No wall clock can be trusted alone, neither this machine's nor another's: either may have been stepped by seconds or by
+an hour. If the estimate makes a newly started endpoint too old, all sidecars together send it the load of a warmed-up
+endpoint, and it fails. If the estimate makes the endpoint too young, it only serves less during one warm-up. So this
+module uses the lowest possible value of the current Unix time: the newest start time that a list has reported, which is
+in the past, plus the time that has passed since the report. The wall clock is an upper limit for this value, as one
+endpoint's clock may be ahead.
 """
 
 from __future__ import annotations
@@ -13,40 +14,40 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
 
-LONG_AGO = 0  # a start time, in a list or on the monotonic clock, that is too long ago to matter
-EARLIEST_START_US = 1  # on the monotonic clock, where 0 means long ago
+LONG_AGO = 0  # start time, in a list or on the monotonic clock, of an endpoint that started too long ago to matter
+EARLIEST_START_US = 1  # lowest start time on the monotonic clock, as 0 means long ago
 
 
 def wall_clock_us() -> int:
-    """Return Unix time, as this machine's clock has it."""
+    """Return the Unix time of this machine's wall clock."""
     return time.time_ns() // 1000
 
 
 @dataclass(slots=True)
-class KnownStart:
-    """The start of an endpoint, as reported and as estimated then."""
+class StartEstimate:
+    """The start time of an endpoint as discovery reported it, and the estimate that was made from it."""
 
     reported_ms: int
     started_us: int
 
 
 class StartTimes:
-    """Start times of endpoints; one that is reported again with the same time of day keeps its estimate."""
+    """Start times of endpoints; an estimate is kept for as long as the reported start time stays the same."""
 
     def __init__(self, clock_us: Callable[[], int], wall_us: Callable[[], int] = wall_clock_us) -> None:
-        """Start with no endpoint.
+        """Create an empty collection of start times.
 
         Args:
-            clock_us: the monotonic clock to which start times are converted.
-            wall_us: this machine's time of day.
+            clock_us: returns the time of the monotonic clock, to which start times are converted.
+            wall_us: returns the Unix time of this machine's wall clock.
         """
         self._clock_us = clock_us
         self._wall_us = wall_us
-        self._wall_offset_us: int | None = None  # from the monotonic clock to the lowest possible time of day
-        self._known: dict[Hashable, KnownStart] = {}
+        self._wall_offset_us: int | None = None  # lowest possible Unix time minus monotonic time
+        self._estimates: dict[Hashable, StartEstimate] = {}
 
     def observe(self, starts_ms: Iterable[int]) -> None:
-        """Note that a list reports these starts: the time of day is at least the newest of them."""
+        """Record the start times that a list reports: the current Unix time is at least the newest of them."""
         newest_ms = max(starts_ms, default=LONG_AGO)
         if newest_ms == LONG_AGO:
             return
@@ -54,26 +55,26 @@
         if self._wall_offset_us is None or offset_us > self._wall_offset_us:
             self._wall_offset_us = offset_us
 
-    def now_us(self) -> int:
-        """Return the lowest possible time of day."""
+    def lowest_unix_us(self) -> int:
+        """Return the lowest possible value of the current Unix time."""
         wall_us = self._wall_us()
         if self._wall_offset_us is None:
             return wall_us
         return min(wall_us, self._wall_offset_us + self._clock_us())
 
     def started_us(self, uid: Hashable, start_ms: int) -> int:
-        """Return when an endpoint started, on the monotonic clock; 0 for long ago."""
+        """Return the estimated start time of an endpoint on the monotonic clock; 0 means long ago."""
         if start_ms == LONG_AGO:
-            self._known.pop(uid, None)
+            self._estimates.pop(uid, None)
             return LONG_AGO
-        known = self._known.get(uid)
-        if known is not None and known.reported_ms == start_ms:
-            return known.started_us
-        age_us = max(0, self.now_us() - start_ms * 1000)
+        estimate = self._estimates.get(uid)
+        if estimate is not None and estimate.reported_ms == start_ms:
+            return estimate.started_us
+        age_us = max(0, self.lowest_unix_us() - start_ms * 1000)
         started_us = max(EARLIEST_START_US, self._clock_us() - age_us)
-        self._known[uid] = KnownStart(start_ms, started_us)
+        self._estimates[uid] = StartEstimate(start_ms, started_us)
         return started_us
 
     def forget(self, uid: Hashable) -> None:
-        """Forget an endpoint that is not listed any more."""
-        self._known.pop(uid, None)
+        """Delete the estimate of an endpoint that is no longer listed."""
+        self._estimates.pop(uid, None)
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: one long-lived HTTP call to discovery at a time, over which changes arrive."""
+"""Watches the endpoint list for changes, over one long-lived HTTP call to discovery at a time."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 from garnetusher.policy.events import EndpointsUpdated, UpdateKind
 from garnetusher.sidecar.addresses import Address
-from garnetusher.sidecar.discovery.endpoint_list import EndpointList, EndpointUpdate, ListPiece
+from garnetusher.sidecar.discovery.endpoint_list import EndpointList, EndpointUpdate, ListBatch
 from garnetusher.sidecar.discovery.list_reader import ListReader
 from garnetusher.sidecar.discovery.messages import RawList, parse_cached_list, parse_entries
 
 log = logging.getLogger(__name__)
 
-# A change counts as known to the sidecar 6 s after discovery has it, with 1 s of grace, whether it has arrived or not.
-# Within that time a watch that has fallen silent must be noticed and opened again twice.
+# The sidecar is assumed to know a change 6 s after discovery has it, plus 1 s of grace, even if the change has not
+# arrived. Within that time the watcher must detect a silent watch and reconnect twice.
 SILENCE_TIMEOUT_S = 3.0  # discovery sends an empty line every 2 s
-RESPONSE_TIMEOUT_S = 2.5  # of a call that has no response yet, whose first line may be an empty one
-RECONNECT_DELAY_S = 0.25  # discovery answers at once and at little cost; short beside the 1 s that a drain leaves
+RESPONSE_TIMEOUT_S = 2.5  # time limit for the first bytes of a response, which may be an empty line
+RECONNECT_DELAY_S = 0.25  # discovery answers at once and at low cost; short compared with the 1 s that a drain leaves
 
 Listener = Callable[[EndpointsUpdated, dict[int, Address]], None]
 
 
 class WatchState(enum.Enum):
-    """How far one watch has come."""
+    """The state of one watch."""
 
     CONNECTING = "connecting"
     AWAITING_RESPONSE = "awaiting response"
-    STREAMING = "streaming"  # bytes of the response have come
-    CLOSED = "closed"  # it has ended or was replaced; what still arrives over it is ignored, as it may be outdated
+    STREAMING = "streaming"  # the first bytes of the response have arrived
+    CLOSED = "closed"  # the watch ended or was replaced; data that still arrives is ignored, as it may be outdated
 
 
 class WatchConnection(asyncio.Protocol):
-    """One call for changes, which lasts until its connection ends; then it has failed."""
+    """One watch call to discovery; it has no regular end, so that its end is always a failure."""
 
     def __init__(self, watcher: EndpointWatcher) -> None:
         self.state = WatchState.CONNECTING
@@ -50,8 +50,8 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the call, unless the watch was replaced while its connection came up."""
-        self._transport = cast("asyncio.Transport", transport)  # a TCP connection reads and writes
+        """Send the HTTP request, unless the watch was replaced while it was connecting."""
+        self._transport = cast("asyncio.Transport", transport)  # a TCP transport supports both reading and writing
         if self.state is WatchState.CLOSED:
             self._transport.abort()
             return
@@ -63,40 +63,40 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        """Read what discovery sends; what cannot be read ends the watch."""
+        """Parse data from discovery; malformed data ends the watch."""
         if self.state is WatchState.CLOSED:
             return
         self.state = WatchState.STREAMING
         try:
             self._parser.feed_data(data)
-        except Exception as error:  # whatever is wrong with the data, the sidecar goes on
-            log.warning("the watch can't be read: %r", error)
+        except Exception as error:  # malformed data of any kind must not stop the sidecar
+            log.warning("closing the watch: cannot process data from discovery: %r", error)
             self.fail()
 
     def on_body(self, data: bytes) -> None:
-        """Read a part of the response's body."""
+        """Process a part of the response body."""
         if self._parser.get_status_code() != http.HTTPStatus.OK:
             return
         self._watcher.note_activity()
         for line in self._reader.split_lines(data):
-            if self.state is not WatchState.CLOSED:  # a line before may have led to another watch
-                self._take_line(line)
+            if self.state is not WatchState.CLOSED:  # an earlier line may have replaced this watch
+                self._process_line(line)
 
     def on_message_complete(self) -> None:
-        """Fail, as the response of a watch never ends by itself."""
+        """Fail the watch: discovery never completes the response of a healthy watch."""
         self.fail()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail, as the connection has ended."""
+        """Fail the watch, as its connection is closed."""
         self.fail()
 
     def fail(self, *, reconnect: bool = False) -> None:
-        """End the call; with `reconnect` the watcher makes another one, even if it does not watch permanently."""
+        """End the call; with `reconnect` the watcher opens another watch even if it does not watch permanently."""
         self._abort()
         self._watcher.on_connection_failed(self, reconnect=reconnect)
 
     def close(self) -> None:
-        """End the call, and ignore what still arrives."""
+        """End the call and ignore data that still arrives."""
         self.state = WatchState.CLOSED
         self._abort()
 
@@ -104,16 +104,16 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _take_line(self, line: bytes) -> None:
+    def _process_line(self, line: bytes) -> None:
         received = self._reader.add_line(line)
         if received is not None:
-            self._watcher.take_list(received)
+            self._watcher.on_list_received(received)
         elif not line:
             self._watcher.on_no_change()
 
 
 class StepKind(enum.Enum):
-    """What a step does with a piece of a list."""
+    """What a step does with a batch of entries."""
 
     PARSE = "parse"
     APPLY = "apply"
@@ -121,25 +121,26 @@
 
 @dataclass(slots=True)
 class Step:
-    """Work on a list that is done in one round of the event loop."""
+    """Work on a list that is done in one iteration of the event loop."""
 
     kind: StepKind
-    piece: ListPiece
+    batch: ListBatch
 
 
 class EndpointWatcher:
     """Watches the endpoint list: permanently, or while the policy requests it.
 
-    The policy is notified of each failure of a watch that it requested. A permanent watch is opened again here, and so
-    is, once, a watch that was answered and has fallen silent: sidecars do so spread over the 2 s between empty lines.
+    The watcher notifies the policy of each failure of a watch that the policy requested. The watcher itself reopens a
+    permanent watch and, once, a watch that became silent after discovery had answered it: in a large fleet these calls
+    are spread over the 2 s between empty lines.
 
     Attributes:
-        address: where discovery listens.
-        version: the version of the list that has been applied in full.
-        watch: the present call; None while there is none.
-        watching: whether the watch is permanent.
-        has_current_list: set once discovery has answered, so that the list is no longer the cached one.
-        pending_steps: what is still to be done with lists that have been received.
+        address: address on which discovery listens.
+        version: version of the last list that was applied completely.
+        watch: the current watch call, or None.
+        watches_permanently: whether the watcher reopens its watch without a request from the policy.
+        has_current_list: event that is set once discovery has answered and the list is no longer the cached one.
+        pending_steps: remaining work on received lists.
     """
 
     def __init__(self, address: Address, endpoint_list: EndpointList, listener: Listener) -> None:
@@ -149,45 +150,45 @@
         self.listener = listener
         self.version = 0
         self.watch: WatchConnection | None = None
-        self.watching = False
+        self.watches_permanently = False
         self.has_current_list = asyncio.Event()
         self.pending_steps: deque[Step] = deque()
-        self.last_activity_s = 0.0  # on the event loop's clock
+        self.last_activity_s = 0.0  # time on the event loop's clock
         self.connect_task: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = None  # of the next check for silence, or of the next call
+        self._timer: asyncio.TimerHandle | None = None  # timer for the next silence check or the next call
 
     def load_cached(self, document: object) -> None:
-        """Apply the list as this sidecar last had it, if it can be read: otherwise the sidecar starts without one."""
+        """Apply the cached endpoint list; if it is malformed, the sidecar starts without a list."""
         try:
             cached = parse_cached_list(document)
             entries = parse_entries(cached.entries)
             update = self.endpoint_list.apply(UpdateKind.CACHED, entries, cached.version)
-        except Exception as error:  # whatever is wrong with the cached list, a new one must be requested
-            log.warning("the known list can't be read: %r", error)
+        except Exception as error:  # a malformed cached list must not keep the sidecar from requesting a new one
+            log.warning("ignoring the cached endpoint list, which is malformed: %r", error)
             return
         self.version = cached.version
         self._notify(update)
 
     def watch_permanently(self) -> None:
-        """Watch from now on without a request of the policy, which makes none where changes are pushed."""
-        self.watching = True
+        """Start a watch without a request from the policy, which makes no requests if changes are pushed."""
+        self.watches_permanently = True
         self._open_watch()
 
-    def move(self, address: Address) -> None:
-        """Watch at another address from now on; what the old one still sends is ignored, as it may be outdated."""
+    def change_address(self, address: Address) -> None:
+        """Watch at a new address; data from the old address is ignored from now on, as it may be outdated."""
         self.address = address
-        log.info("discovery has moved to %s:%d", *address)
+        log.info("the address of discovery has changed to %s:%d", *address)
         self._open_watch()
 
     def watch_endpoints(self, active: bool) -> None:  # noqa: FBT001 called through a `Callable[[bool], None]`
-        """Watch from now on, in place of an earlier watch; or stop."""
+        """Start a watch that replaces any earlier one, or stop watching."""
         if active:
             self._open_watch()
         else:
             self.stop()
 
     def stop(self) -> None:
-        """End the watch; what was received before is still applied."""
+        """End the watch; lists that were received earlier are still applied."""
         watch, self.watch = self.watch, None
         if self._timer is not None:
             self._timer.cancel()
@@ -197,40 +198,40 @@
             watch.close()
 
     def note_activity(self) -> None:
-        """Note that discovery has just sent something."""
+        """Record the current time as that of the last data from discovery."""
         self.last_activity_s = self.loop.time()
 
     def on_no_change(self) -> None:
-        """Discovery has said that nothing has changed."""
+        """Handle an empty line, which means that the list has not changed."""
         if not self.pending_steps:
             self.has_current_list.set()
 
     def on_connection_failed(self, watch: WatchConnection, *, reconnect: bool = False) -> None:
-        """A call has ended: make another one after a moment, or notify the policy."""
+        """Handle the end of a call: open another watch after a short delay, or notify the policy."""
         if watch is not self.watch:
             return
         self.stop()
-        if self.watching or reconnect:
+        if self.watches_permanently or reconnect:
             self._timer = self.loop.call_later(RECONNECT_DELAY_S, self._open_watch)
         else:
             self.listener(EndpointsUpdated(UpdateKind.FAILED), {})
 
-    def take_list(self, received: RawList) -> None:
-        """Apply a list: a short one at once, a long one in pieces between which requests go on.
+    def on_list_received(self, received: RawList) -> None:
+        """Apply a short list at once, or a long one in batches so that requests are processed in between.
 
-        All of a long list is parsed before any of it is applied. The version is the new one only once the last piece is
-        applied: a watch that begins earlier must be sent what is not applied yet.
+        A long list is parsed completely before its first batch is applied. The version changes only when the last batch
+        is applied: discovery must send the changes that are not applied yet to a watch that starts earlier.
 
         Raises:
-            EndpointListError: the list is malformed; nothing of it is applied.
+            EndpointListError: the list is malformed; none of its entries are applied.
         """
         if received.is_snapshot:
-            self.pending_steps.clear()  # this list is newer and complete
+            self.pending_steps.clear()  # the snapshot is newer than the pending lists and replaces them
         is_idle = not self.pending_steps
-        pieces = self.endpoint_list.split(received)
-        if len(pieces) > 1:
-            self.pending_steps.extend(Step(StepKind.PARSE, piece) for piece in pieces)
-        self.pending_steps.extend(Step(StepKind.APPLY, piece) for piece in pieces)
+        batches = self.endpoint_list.split(received)
+        if len(batches) > 1:
+            self.pending_steps.extend(Step(StepKind.PARSE, batch) for batch in batches)
+        self.pending_steps.extend(Step(StepKind.APPLY, batch) for batch in batches)
         if is_idle:
             self._run_step()
 
@@ -244,11 +245,11 @@
     async def _connect(self, watch: WatchConnection) -> None:
         try:
             await self.loop.create_connection(lambda: watch, *self.address)
-        except (OSError, ValueError):  # ValueError: the host is no valid name
+        except (OSError, ValueError):  # ValueError: the host name is invalid
             self.on_connection_failed(watch)
 
     def _check_silence(self) -> None:
-        """End a watch that has been silent for too long: one to a machine that is cut off would stay open for ever."""
+        """End a watch that is silent for too long; a connection to an unreachable machine would stay open forever."""
         if self.watch is None:
             return
         was_answered = self.watch.state is WatchState.STREAMING
@@ -257,12 +258,12 @@
         if remaining_s > 0:
             self._timer = self.loop.call_later(remaining_s, self._check_silence)
             return
-        log.warning("the watch is silent")
-        # The policy's next call may come later than 6 s after the watch fell silent.
+        log.warning("closing the watch: discovery has sent no data within the time limit")
+        # The policy's next poll may come more than 6 s after the watch became silent.
         self.watch.fail(reconnect=was_answered)
 
     def _run_step(self) -> None:
-        """Do one step, and leave the others to later rounds of the event loop."""
+        """Run the first pending step, and leave the others to later iterations of the event loop."""
         step = self.pending_steps[0]
         try:
             update = self._run(step)
@@ -271,8 +272,8 @@
             raise
         self.pending_steps.popleft()
         if update is not None:
-            if step.piece.is_last:
-                self.version = step.piece.version
+            if step.batch.is_last:
+                self.version = step.batch.version
             self._notify(update)
         if self.pending_steps:
             self.loop.call_soon(self._run_next_step)
@@ -280,18 +281,18 @@
             self.has_current_list.set()
 
     def _run(self, step: Step) -> EndpointUpdate | None:
-        entries = step.piece.entries()
+        entries = step.batch.entries()
         if step.kind is StepKind.PARSE:
             return None
-        return self.endpoint_list.apply(step.piece.update_kind, entries, step.piece.version)
+        return self.endpoint_list.apply(step.batch.update_kind, entries, step.batch.version)
 
     def _run_next_step(self) -> None:
         if not self.pending_steps:
             return
         try:
             self._run_step()
-        except Exception as error:  # whatever is wrong with the list, the sidecar goes on
-            log.warning("the list can't be read: %r", error)
+        except Exception as error:  # a malformed list must not stop the sidecar
+            log.warning("cannot apply the endpoint list: %r", error)
             if self.watch is not None:
                 self.watch.fail()
 
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -100,7 +100,7 @@
     def _apply_discovery(self, previous: Configuration, current: Configuration) -> None:
         watcher = self.endpoint_watcher
         if current.discovery != previous.discovery:
-            watcher.move(current.discovery)
+            watcher.change_address(current.discovery)
         if current.settings.poll_endpoints != previous.settings.poll_endpoints:
-            watcher.watching = not current.settings.poll_endpoints
-            watcher.watch_endpoints(watcher.watching)
+            watcher.watches_permanently = not current.settings.poll_endpoints
+            watcher.watch_endpoints(watcher.watches_permanently)
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -30,7 +30,7 @@
 )
 from tests.runner import run, status
 from tests.test_crossing_stop import never_up
-from tests.test_crossing_watch import Wire
+from tests.test_interleaving_watch import FakeTransport
 from tests.world import World, settings, upstreams
 
 
@@ -230,7 +230,7 @@
             here, there = socket.socketpair()
             with here, there:
                 here.setblocking(False)
-                connection, wire = UpstreamConnection(pool, address, here), Wire()
+                connection, wire = UpstreamConnection(pool, address, here), FakeTransport()
                 connection.connection_made(wire)
                 pool.remove(connection)
                 attempt = attempt_at(pool, address, lambda result: None)
@@ -294,7 +294,7 @@
         with socket.socket() as sock:
             ends: list[object] = []
             attempt = attempt_at(pool, address, ends.append)
-            connection, wire = UpstreamConnection(pool, address, sock), Wire()
+            connection, wire = UpstreamConnection(pool, address, sock), FakeTransport()
             connection.attempt, attempt.connection = attempt, connection
             attempt.abandon()
             connection.connection_made(wire)
--- a/tests/test_discovery_messages.py
+++ b/tests/test_discovery_messages.py
@@ -1,4 +1,4 @@
-"""Endpoint lists parsed from JSON: typed entries, and errors that say which key is wrong, and where."""
+"""Tests the parsing of endpoint lists from JSON, and errors that name the wrong key and its path."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     ("key", "value", "expected"),
     [
-        ("uid", ["u0"], "a text"),
+        ("uid", ["u0"], "a string"),
         ("endpoint", "nowhere", "host:port"),
         ("endpoint", None, "host:port"),
         ("pod_group", "many", "a number"),
@@ -37,7 +37,7 @@
         ("boot_ms", None, "a number"),
     ],
 )
-def test_parse_entries_names_key_and_place_when_a_value_is_wrong(key: str, value: object, expected: str) -> None:
+def test_parse_entries_names_key_and_path_when_a_value_is_invalid(key: str, value: object, expected: str) -> None:
     with pytest.raises(EndpointListError) as caught:
         parse_entries([entry("u0", 1), entry("u1", 1) | {key: value}], first_index=500)
     error = caught.value
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("raw_entry", [None, 5, "uid", ["uid"], {}])
-def test_light_parsers_name_the_entry_when_it_is_none(raw_entry: object) -> None:
+def test_parse_start_times_and_uids_name_the_entry_when_it_is_malformed(raw_entry: object) -> None:
     for parse in (parse_start_times_ms, parse_uids):
         with pytest.raises(EndpointListError, match=r"^targets\.1\."):
             parse([entry("u0", 1), raw_entry])
@@ -67,10 +67,10 @@
 
 
 @pytest.mark.parametrize("document", [None, 5, "list", [], {"rev": "x", "all": True, "targets": []}])
-def test_parse_list_fails_when_the_document_is_no_list(document: object) -> None:
+def test_parse_list_fails_when_the_document_is_not_a_list(document: object) -> None:
     with pytest.raises(EndpointListError):
         parse_list(document)
 
 
-def test_parse_cached_list_returns_a_snapshot_when_the_list_does_not_say_so() -> None:
+def test_parse_cached_list_returns_a_snapshot_when_the_key_for_it_is_missing() -> None:
     assert parse_cached_list({"rev": 3, "targets": []}).is_snapshot
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the sidecar polls and watches it."""
+"""Tests how the sidecar polls and watches the endpoint list."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from typing import cast
 
 from garnetusher.sidecar.discovery.endpoint_list import EndpointList
-from garnetusher.sidecar.discovery.watch import EndpointWatcher as Discovering
-from tests.driven_loop import DrivenLoop
+from garnetusher.sidecar.discovery.watch import EndpointWatcher
+from tests.fake_loop import FakeEventLoop
 from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listing, request, sidecar
 from tests.runner import run, status
 
 
-def test_sidecar_uses_cached_endpoints_at_once_and_updates_as_they_come() -> None:
+def test_sidecar_uses_cached_endpoints_at_once_and_applies_updates_on_arrival() -> None:
     async def test() -> None:
         old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
         await new.start()
@@ -24,16 +24,16 @@
             changes = [entry("u0", old.port, "leaving"), entry("u1", new.port)]
             discovery.line(listing(*changes, rev=2, full=False))
 
-            async def moved() -> bool:
+            async def new_upstream_is_used() -> bool:
                 assert status(await it.ask(request())) == 200
                 return bool(new.requests)
 
-            while not await moved():
+            while not await new_upstream_is_used():
                 pass
-            before = len(old.requests)
+            earlier_count = len(old.requests)
             for _ in range(5):
-                await moved()
-            assert len(old.requests) == before
+                await new_upstream_is_used()
+            assert len(old.requests) == earlier_count
             discovery.writers[-1].transport.abort()
             await discovery.watched()
             assert b"since=2 " in discovery.calls[1]
@@ -51,10 +51,10 @@
             discovery.line(listing(entry("u0", old.port, "left"), entry("u1", new.port), rev=2, full=False))
             while not new.requests:
                 assert status(await it.ask(request())) == 200
-            before = len(old.requests)
+            earlier_count = len(old.requests)
             assert status(await it.ask(request())) == 200
-            assert len(old.requests) == before
-            discovery.writers[-1].transport.abort()  # the call fails, and is made again
+            assert len(old.requests) == earlier_count
+            discovery.writers[-1].transport.abort()  # the watch fails, and the sidecar reconnects
             await discovery.watched()
             assert b"follow=1&since=2 " in discovery.calls[1]
         new.stop()
@@ -62,7 +62,7 @@
     run(test)
 
 
-def test_watcher_keeps_old_list_and_ends_watch_when_update_is_unreadable() -> None:
+def test_watcher_keeps_old_list_and_ends_watch_when_update_is_malformed() -> None:
     async def test() -> None:
         upstream, discovery = Upstream(answering(OK)), Discovery()
         async with sidecar(upstream, discovery=discovery) as it:
@@ -74,18 +74,18 @@
     run(test)
 
 
-def test_watcher_polls_when_cached_endpoints_are_unreadable() -> None:
+def test_watcher_polls_when_cached_endpoints_are_malformed() -> None:
     async def test() -> None:
-        up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+        probe = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         upstream, discovery = Upstream(answering(OK)), Discovery()
         known = {"rev": 7, "all": True, "targets": [{"uid": "u0", "state": "unheard of"}]}
         async with sidecar(upstream, discovery=discovery, known=known) as it:
-            assert status(await it.ask(up)) == 503
+            assert status(await it.ask(probe)) == 503
             await discovery.watched()
             assert b"since=0 " in discovery.calls[0]
             discovery.line(listing(entry("u0", upstream.port), rev=8))
             async with asyncio.timeout(PATIENCE_S):
-                while status(await it.ask(up)) != 200:
+                while status(await it.ask(probe)) != 200:
                     pass
             assert status(await it.ask(request())) == 200
 
@@ -106,16 +106,16 @@
 
 def test_watcher_connects_twice_within_7_s_when_discovery_is_silent() -> None:
     async def test() -> None:
-        loop = DrivenLoop()
-        discovery = Discovering(("127.0.0.1", 1), EndpointList(["a"], ["m"]), lambda event, addresses: None)
-        discovery.loop = cast(asyncio.AbstractEventLoop, loop)
-        discovery.watch_permanently()
-        assert discovery.watch is not None
-        discovery.watch.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-        before = loop.dials
-        loop.advance(2.5)  # an empty line is late
-        assert loop.dials == before
-        loop.advance(6.9)  # told at 6 s, whether it arrived or not, and 1 s of grace
-        assert loop.dials == before + 2
+        loop = FakeEventLoop()
+        watcher = EndpointWatcher(("127.0.0.1", 1), EndpointList(["a"], ["m"]), lambda event, addresses: None)
+        watcher.loop = cast(asyncio.AbstractEventLoop, loop)
+        watcher.watch_permanently()
+        assert watcher.watch is not None
+        watcher.watch.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+        initial_count = loop.connect_count
+        loop.advance(2.5)  # discovery sends an empty line every 2 s, so one is late
+        assert loop.connect_count == initial_count
+        loop.advance(6.9)  # the sidecar is assumed to know a change after 6 s, plus 1 s of grace
+        assert loop.connect_count == initial_count + 2
 
     run(test)
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -1,4 +1,4 @@
-"""The upstream list: asking for it, failures, deltas, full lists, restarts."""
+"""Tests the endpoint list: polling and its failures, deltas, snapshots and restarted endpoints."""
 
 from __future__ import annotations
 
@@ -8,120 +8,120 @@
 
 from garnetusher.policy.actions import SetTimer, WatchEndpoints
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, Outcome, UpdateKind
-from garnetusher.sidecar.discovery.endpoint_list import PIECE_SIZE, EndpointList
+from garnetusher.sidecar.discovery.endpoint_list import BATCH_SIZE, EndpointList
 from garnetusher.sidecar.discovery.messages import parse_list
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from tests.world import START_US, World, settings, upstreams
 
 
-def asking_world() -> World:
+def polling_world() -> World:
     world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000))
     world.tell_list(upstreams(4), UpdateKind.CACHED)
     return world
 
 
-def asks(world: World) -> list[int]:
-    """When the world's balancer asked, seen by stepping through time."""
+def polls(world: World) -> list[int]:
+    """Return the positions in the log of the actions that poll the list."""
     return [i for i, action in enumerate(world.log) if isinstance(action, WatchEndpoints)]
 
 
-def test_a_list_that_must_be_asked_for_is_subscribed_to() -> None:
-    world = asking_world()
+def test_policy_polls_the_list_when_updates_are_not_pushed() -> None:
+    world = polling_world()
     world.advance(2_000_000)
-    assert len(asks(world)) >= 1
+    assert len(polls(world)) >= 1
 
 
-def test_a_pushed_list_is_never_asked_for() -> None:
+def test_policy_never_polls_the_list_when_updates_are_pushed() -> None:
     world = World()
     world.tell_list(upstreams(4), UpdateKind.CACHED)
     world.advance(60_000_000)
-    assert not asks(world)
+    assert not polls(world)
 
 
-def wait_for_ask(world: World) -> int:
-    """How long the world's balancer takes to ask again."""
-    before, start_us = len(asks(world)), world.now_us
-    while len(asks(world)) == before:
+def wait_for_next_poll(world: World) -> int:
+    """Advance the time to the next poll and return the duration in microseconds."""
+    earlier_count, start_us = len(polls(world)), world.now_us
+    while len(polls(world)) == earlier_count:
         world.advance(10_000)
     return world.now_us - start_us
 
 
-def test_a_failed_list_call_is_repeated_with_growing_waits_inside_ask_within() -> None:
-    world = asking_world()
+def test_delays_between_polls_grow_up_to_a_limit_when_polls_fail() -> None:
+    world = polling_world()
     world.advance(2_000_000)
-    waits = []
+    delays_us = []
     for _ in range(12):
         world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        waits.append(wait_for_ask(world))
-    assert waits[0] <= 750_000
-    assert max(waits) > 2_000_000
-    assert max(waits) <= 20_000_000  # after a failed call it may be four times ask-within
+        delays_us.append(wait_for_next_poll(world))
+    assert delays_us[0] <= 750_000
+    assert max(delays_us) > 2_000_000
+    assert max(delays_us) <= 20_000_000  # after a failed poll, up to four poll intervals are allowed
 
 
-def fleet_waits(failed: bool) -> list[int]:
-    """When each of forty sidecars calls discovery after they have all started, or lost their watches."""
-    waits = []
+def fleet_poll_delays(failed: bool) -> list[int]:
+    """Return the delays after which 40 sidecars poll, once all have started or, if `failed`, lost their watches."""
+    delays_us = []
     for number in range(40):
         world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=40), number)
         world.tell_list(upstreams(4), UpdateKind.CACHED)
         if failed:
-            wait_for_ask(world)
+            wait_for_next_poll(world)
             world.tell_list([], UpdateKind.DELTA)
             world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        waits.append(wait_for_ask(world))
-    return sorted(waits)
+        delays_us.append(wait_for_next_poll(world))
+    return sorted(delays_us)
 
 
-def test_the_calls_of_a_large_fleet_to_discovery_are_spread() -> None:
-    for waits in (fleet_waits(failed=False), fleet_waits(failed=True)):
-        assert waits[-1] <= 3_000_000  # rule 3: a change counts as told 6 s after discovery could be reached
-        most = max(sum(1 for at in waits if start <= at < start + 300_000) for start in waits)
-        assert most <= 10  # 4 on average; all forty in one moment where they call at once
+def test_polls_of_a_large_fleet_are_spread() -> None:
+    for delays_us in (fleet_poll_delays(failed=False), fleet_poll_delays(failed=True)):
+        assert delays_us[-1] <= 3_000_000  # a sidecar must have a change 6 s after discovery becomes reachable
+        most = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 300_000) for start_us in delays_us)
+        assert most <= 10  # 4 on average; 40 if all sidecars poll at once
 
 
-def calls_after_a_break(failures: int) -> list[int]:
-    """How long each of 200 sidecars waits for its next call to discovery once its calls have failed so often."""
-    waits = []
+def poll_delays_after_failures(failures: int) -> list[int]:
+    """Return the delays after which 200 sidecars poll again, once this number of calls of each has failed."""
+    delays_us = []
     for number in range(200):
         world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=200), number)
         world.tell_list(upstreams(4), UpdateKind.CACHED)
-        wait_for_ask(world)
+        wait_for_next_poll(world)
         world.tell_list([], UpdateKind.DELTA)
         for _ in range(failures - 1):
             world.tell(EndpointsUpdated(UpdateKind.FAILED))
-            wait_for_ask(world)
+            wait_for_next_poll(world)
         world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        waits.append(wait_for_ask(world))
-    return sorted(waits)
+        delays_us.append(wait_for_next_poll(world))
+    return sorted(delays_us)
 
 
 @pytest.mark.parametrize("failures", [1, 2, 4])
-def test_a_change_is_learnt_within_6_s_of_discovery_being_in_reach_in_a_large_fleet(failures: int) -> None:
-    """A call that fails takes up to 2.5 s, and so does the one after it: what is left lies between them."""
-    waits = calls_after_a_break(failures)
-    assert waits[-1] <= 3_500_000
-    busiest = max(sum(1 for at in waits if start <= at < start + 500_000) for start in waits)
-    assert busiest <= 60  # 29 on average; all 200 at once were a stampede
+def test_large_fleet_polls_early_enough_to_get_a_change_within_6_s_when_calls_fail(failures: int) -> None:
+    """A failing call takes up to 2.5 s, and so does the next call; the delay between them must fit into the rest of 6 s."""
+    delays_us = poll_delays_after_failures(failures)
+    assert delays_us[-1] <= 3_500_000
+    most = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 500_000) for start_us in delays_us)
+    assert most <= 60  # 29 on average; 200 if all sidecars poll at once
 
 
-def test_a_second_failure_before_the_repeat_does_not_double_the_calls() -> None:
-    world = asking_world()
+def test_second_failure_before_the_next_poll_does_not_add_a_poll() -> None:
+    world = polling_world()
     world.advance(2_000_000)
-    before = len(asks(world))
+    earlier_count = len(polls(world))
     world.tell(EndpointsUpdated(UpdateKind.FAILED))
     world.tell(EndpointsUpdated(UpdateKind.FAILED))
     world.advance(4_000_000)
     world.tell_list(upstreams(4), UpdateKind.DELTA)
-    assert len(asks(world)) == before + 1
+    assert len(polls(world)) == earlier_count + 1
 
 
-def test_a_call_that_is_never_answered_is_made_again_within_ask_within() -> None:
-    world = asking_world()
+def test_policy_polls_again_within_the_poll_interval_when_a_call_gets_no_response() -> None:
+    world = polling_world()
     world.advance(10_000_000)
-    assert len(asks(world)) >= 2
+    assert len(polls(world)) >= 2
 
 
-def test_a_delta_changes_only_what_it_names() -> None:
+def test_delta_changes_only_the_endpoints_that_it_lists() -> None:
     world = World()
     world.tell_list(upstreams(2))
     world.tell_list([Endpoint(100, EndpointStatus.DRAINING)], UpdateKind.DELTA)
@@ -130,7 +130,7 @@
     assert {s.endpoint_id for s in world.sends()} == {101}
 
 
-def test_what_a_full_list_leaves_out_is_gone_and_may_come_back() -> None:
+def test_endpoint_is_removed_when_a_snapshot_omits_it_and_is_used_again_when_listed_again() -> None:
     world = World()
     world.tell_list(upstreams(2))
     world.tell_list(upstreams(1))
@@ -143,7 +143,7 @@
     assert {s.endpoint_id for s in world.sends()} == {100, 101}
 
 
-def test_a_restart_under_the_same_id_is_cold_again() -> None:
+def test_endpoint_is_cold_again_when_it_restarts_under_the_same_id() -> None:
     world = World()
     world.tell_list(upstreams(3))
     world.tell_list([Endpoint(100, started_us=START_US)], UpdateKind.DELTA)
@@ -154,7 +154,7 @@
     assert sum(1 for s in world.sends() if s.endpoint_id == 100) <= 6
 
 
-def test_an_empty_list_and_an_empty_delta_are_taken_calmly() -> None:
+def test_policy_keeps_working_when_a_delta_or_a_snapshot_is_empty() -> None:
     world = World()
     world.tell_list(upstreams(2))
     world.tell_list([], UpdateKind.DELTA)
@@ -179,36 +179,36 @@
     }
 
 
-def test_endpoint_watcher_applies_all_pieces_when_a_list_is_long() -> None:
+def test_endpoint_watcher_applies_all_batches_when_a_list_is_long() -> None:
     async def test() -> None:
-        heard: list[EndpointsUpdated] = []
-        discovery = EndpointWatcher(
-            ("127.0.0.1", 9), EndpointList(["a"], ["m"]), lambda event, addresses: heard.append(event)
+        events: list[EndpointsUpdated] = []
+        watcher = EndpointWatcher(
+            ("127.0.0.1", 9), EndpointList(["a"], ["m"]), lambda event, addresses: events.append(event)
         )
-        discovery.take_list(
-            parse_list({"rev": 1, "all": True, "targets": [entry(f"old-{n}") for n in range(PIECE_SIZE)]})
+        watcher.on_list_received(
+            parse_list({"rev": 1, "all": True, "targets": [entry(f"old-{n}") for n in range(BATCH_SIZE)]})
         )
-        assert len(heard) == 1
-        assert discovery.version == 1
-        old = {e.id for e in heard[0].endpoints}
-        whole = [entry(f"new-{n}") for n in range(3 * PIECE_SIZE)]
-        discovery.take_list(parse_list({"rev": 2, "all": True, "targets": whole}))
-        discovery.take_list(parse_list({"rev": 3, "all": False, "targets": [entry("new-7", "leaving")]}))
-        assert discovery.version == 1  # else a watch that breaks now would never be told the rest
-        while discovery.pending_steps:  # noqa: ASYNC110 - the watcher sets no event for its steps
+        assert len(events) == 1
+        assert watcher.version == 1
+        old_ids = {e.id for e in events[0].endpoints}
+        snapshot = [entry(f"new-{n}") for n in range(3 * BATCH_SIZE)]
+        watcher.on_list_received(parse_list({"rev": 2, "all": True, "targets": snapshot}))
+        watcher.on_list_received(parse_list({"rev": 3, "all": False, "targets": [entry("new-7", "leaving")]}))
+        assert watcher.version == 1  # a watch that reconnects with a newer version would miss entries
+        while watcher.pending_steps:  # noqa: ASYNC110 - the watcher sets no event for its steps
             await asyncio.sleep(0)
-        assert discovery.version == 3
-        assert max(len(event.endpoints) for event in heard) <= PIECE_SIZE
-        states = {e.id: e.status for event in heard for e in event.endpoints}
-        assert all(states[ident] is EndpointStatus.REMOVED for ident in old)
-        assert sum(state is EndpointStatus.READY for state in states.values()) == 3 * PIECE_SIZE - 1
-        discovery.take_list(parse_list({"rev": 4, "all": True, "targets": whole[: 2 * PIECE_SIZE]}))
-        discovery.take_list(
-            parse_list({"rev": 5, "all": True, "targets": whole[:1]})
-        )  # overtakes what is not yet taken
-        assert discovery.version == 5
-        assert not discovery.pending_steps
-        assert heard[-1].update_kind is UpdateKind.SNAPSHOT
-        assert len(heard[-1].endpoints) == 1
+        assert watcher.version == 3
+        assert max(len(event.endpoints) for event in events) <= BATCH_SIZE
+        statuses = {e.id: e.status for event in events for e in event.endpoints}
+        assert all(statuses[endpoint_id] is EndpointStatus.REMOVED for endpoint_id in old_ids)
+        assert sum(status is EndpointStatus.READY for status in statuses.values()) == 3 * BATCH_SIZE - 1
+        watcher.on_list_received(parse_list({"rev": 4, "all": True, "targets": snapshot[: 2 * BATCH_SIZE]}))
+        watcher.on_list_received(
+            parse_list({"rev": 5, "all": True, "targets": snapshot[:1]})
+        )  # a snapshot replaces pending lists
+        assert watcher.version == 5
+        assert not watcher.pending_steps
+        assert events[-1].update_kind is UpdateKind.SNAPSHOT
+        assert len(events[-1].endpoints) == 1
 
     asyncio.run(test())
