--- a/garnetusher/sidecar/discovery/messages.py
+++ b/garnetusher/sidecar/discovery/messages.py
@@ -42,7 +42,7 @@
     """One endpoint as discovery lists it.
 
     Attributes:
-        uid: name of the endpoint, unique and never reused; the protocol has a string, but any JSON scalar is accepted.
+        uid: name of the endpoint, unique and never reused; a string in the protocol, but any JSON scalar is accepted.
         address: address on which the endpoint listens.
         zone: name of the endpoint's zone; only compared with the configured names, so its type is not checked.
         machine_type: name of the endpoint's machine type; not type-checked either.
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -40,7 +40,7 @@
 
 
 class WatchConnection(asyncio.Protocol):
-    """One watch call to discovery; it has no regular end, so that its end is always a failure."""
+    """One watch call to discovery; a healthy call never ends, so any end of it is a failure."""
 
     def __init__(self, watcher: EndpointWatcher) -> None:
         self.state = WatchState.CONNECTING
@@ -259,7 +259,7 @@
             self._timer = self.loop.call_later(remaining_s, self._check_silence)
             return
         log.warning("closing the watch: discovery has sent no data within the time limit")
-        # The policy's next poll may come more than 6 s after the watch became silent.
+        # Does not wait for the policy's next poll, which may come more than 6 s after the watch became silent.
         self.watch.fail(reconnect=was_answered)
 
     def _run_step(self) -> None:
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -75,8 +75,8 @@
 def test_polls_of_a_large_fleet_are_spread() -> None:
     for delays_us in (fleet_poll_delays(failed=False), fleet_poll_delays(failed=True)):
         assert delays_us[-1] <= 3_000_000  # a sidecar must have a change 6 s after discovery becomes reachable
-        most = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 300_000) for start_us in delays_us)
-        assert most <= 10  # 4 on average; 40 if all sidecars poll at once
+        most_polls = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 300_000) for start_us in delays_us)
+        assert most_polls <= 10  # 4 on average; 40 if all sidecars poll at once
 
 
 def poll_delays_after_failures(failures: int) -> list[int]:
@@ -100,8 +100,8 @@
     """A failing call takes up to 2.5 s, and so does the next call; the delay between them must fit into the rest of 6 s."""
     delays_us = poll_delays_after_failures(failures)
     assert delays_us[-1] <= 3_500_000
-    most = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 500_000) for start_us in delays_us)
-    assert most <= 60  # 29 on average; 200 if all sidecars poll at once
+    most_polls = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 500_000) for start_us in delays_us)
+    assert most_polls <= 60  # 29 on average; 200 if all sidecars poll at once
 
 
 def test_second_failure_before_the_next_poll_does_not_add_a_poll() -> None:
