--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -75,7 +75,9 @@
 def test_polls_of_a_large_fleet_are_spread() -> None:
     for delays_us in (fleet_poll_delays(failed=False), fleet_poll_delays(failed=True)):
         assert delays_us[-1] <= 3_000_000  # a sidecar must have a change 6 s after discovery becomes reachable
-        most_polls = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 300_000) for start_us in delays_us)
+        most_polls = max(
+            sum(1 for at_us in delays_us if start_us <= at_us < start_us + 300_000) for start_us in delays_us
+        )
         assert most_polls <= 10  # 4 on average; 40 if all sidecars poll at once
 
 
@@ -97,7 +99,7 @@
 
 @pytest.mark.parametrize("failures", [1, 2, 4])
 def test_large_fleet_polls_early_enough_to_get_a_change_within_6_s_when_calls_fail(failures: int) -> None:
-    """A failing call takes up to 2.5 s, and so does the next call; the delay between them must fit into the rest of 6 s."""
+    """A failing call takes up to 2.5 s, as does the next one; the delay between them must fit into the rest of 6 s."""
     delays_us = poll_delays_after_failures(failures)
     assert delays_us[-1] <= 3_500_000
     most_polls = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 500_000) for start_us in delays_us)
