--- a/garnetusher/sidecar/admin/handlers.py
+++ b/garnetusher/sidecar/admin/handlers.py
@@ -45,7 +45,7 @@
         trace = self._sidecar.trace
         client_request_id = request.query.removeprefix("request=")
         events = trace.find(client_request_id) if request.query else list(trace.events)
-        return _response("\n".join(json.dumps(event.shown()) for event in events))
+        return _response("\n".join(json.dumps(event.to_dict()) for event in events))
 
     def counters(self, request: AdminRequest) -> AdminResponse:
         """Report the counters."""
--- a/garnetusher/sidecar/requests/__init__.py
+++ b/garnetusher/sidecar/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests in flight: their attempts, deadlines and final responses, and the gate at each write."""
+"""Requests in progress: their attempts, deadlines and final responses, and the gate that checks each write."""
--- a/garnetusher/sidecar/requests/attempts.py
+++ b/garnetusher/sidecar/requests/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of requests: how they start, are withdrawn or abandoned, and end."""
+"""Starts, withdraws, abandons and ends the attempts of requests."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 
 
 class AttemptListener(Protocol):
-    """What is notified of attempts: the dispatcher."""
+    """Receives the events of attempts; the dispatcher implements it."""
 
     def on_attempt_ended(self, request: PendingRequest, attempt_index: int, result: AttemptResult) -> None:
-        """Handle the end of an attempt; called once for each."""
+        """Handle the end of an attempt; called exactly once for each attempt."""
 
     def on_response_started(
         self, request: PendingRequest, attempt_index: int, head: Head, source: Source
     ) -> Sink | None:
-        """Handle the first bytes of a streamed response; return where it goes, or None if it is not needed."""
+        """Handle the first bytes of a streamed response; return the sink for it, or None if nobody needs it."""
 
     def on_client_half_closed(self, request_id: int) -> None:
-        """Handle a client that was found to send nothing more."""
+        """Handle a client that has closed its sending side, as the write gate has found."""
 
 
 class AttemptController:
-    """Starts attempts and ends each of them exactly once."""
+    """Starts attempts, and ends each of them exactly once."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._listener = listener
 
     def start(self, request: PendingRequest, action: Forward) -> None:
-        """Start the attempt that the policy has asked for, or end it at once if it may not start."""
+        """Start the attempt that the policy has requested, or end it at once if the write gate denies it."""
         now_us = monotonic_us()
         attempt_index = len(request.attempts)
         target = self._endpoints.get(action.endpoint_id)
@@ -78,7 +78,7 @@
         attempt.handle = self._transport.start_attempt(
             target.address,
             request.http_request,
-            lambda: self._permission(request, attempt_index),
+            lambda: self._authorize_write(request, attempt_index),
             lambda result: self.end(request, attempt_index, result),
             lambda head, source: self._listener.on_response_started(request, attempt_index, head, source),
         )
@@ -86,34 +86,35 @@
             self._deadlines.call_at(action.latest_start_us, self.withdraw, request, attempt_index)
 
     def withdraw(self, request: PendingRequest, attempt_index: int) -> None:
-        """End an attempt of which nothing has been written: it still waits for a connection."""
+        """End an attempt if none of its bytes have been written because it still waits for a connection."""
         handle = request.attempts[attempt_index].handle
         if handle is not None and not handle.written:
             handle.abandon()
             self.end(request, attempt_index, AttemptResult(Outcome.NOT_WRITTEN))
 
     def withdraw_unwritten(self, request: PendingRequest) -> None:
-        """Withdraw all attempts of a request that still wait for a connection."""
+        """Withdraw the attempts of a request that still wait for a connection."""
         for attempt_index in range(len(request.attempts)):
             self.withdraw(request, attempt_index)
 
     def withdraw_stale(self, request: PendingRequest) -> None:
-        """Withdraw the attempts that wait for a connection to an endpoint which has changed since.
+        """Withdraw the attempts that wait for a connection to an endpoint that has changed since it was chosen.
 
-        The connection may come up long after the endpoint was reported as draining, and one that has restarted
-        meanwhile is warming up.
+        The connection may be established long after the endpoint was reported as draining. An endpoint that has
+        restarted in the meantime is warming up, which the policy did not know when it chose the endpoint.
         """
         for attempt_index, attempt in enumerate(request.attempts):
             if self._write_gate.endpoint_has_changed(attempt):
                 self.withdraw(request, attempt_index)
 
     def abandon(self, request: PendingRequest, attempt_index: int, outcome: Outcome) -> None:
-        """Stop waiting for an attempt.
+        """Stop waiting for the response to an attempt, and end it.
 
         Args:
-            request: its request.
-            attempt_index: which one.
-            outcome: how it ends; one that has not been written never ran, and ends as `CONNECT_FAILED`.
+            request: the request of the attempt.
+            attempt_index: the index of the attempt.
+            outcome: the outcome of the attempt; an attempt that has not been written never ran, and ends as
+                `CONNECT_FAILED` instead.
         """
         attempt = request.attempts[attempt_index]
         if attempt.ended or attempt.handle is None:
@@ -124,26 +125,26 @@
         self.end(request, attempt_index, AttemptResult(outcome))
 
     def abandon_all(self, request: PendingRequest, outcome: Outcome) -> None:
-        """Stop waiting for all attempts of a request."""
+        """Abandon all attempts of a request."""
         for attempt_index in range(len(request.attempts)):
             self.abandon(request, attempt_index, outcome)
 
     def end(self, request: PendingRequest, attempt_index: int, result: AttemptResult) -> None:
-        """End an attempt, unless it has ended: the only place where attempts get their outcome."""
+        """End an attempt unless it has ended already; only this method sets the outcome of an attempt."""
         attempt = request.attempts[attempt_index]
         if attempt.ended:
             return
         attempt.outcome = result.outcome
         attempt.handle = None
-        self._write_gate.trace.note(
+        self._write_gate.trace.record_event(
             EventName.ENDED, request.request_id, attempt_index, attempt.endpoint_id, result.outcome.value
         )
         self._deadlines.cancel_attempt_timer(attempt)
         self._listener.on_attempt_ended(request, attempt_index, result)
 
-    def _permission(self, request: PendingRequest, attempt_index: int) -> WritePermit | Denial:
+    def _authorize_write(self, request: PendingRequest, attempt_index: int) -> WritePermit | Denial:
         now_us = monotonic_us()
-        permission = self._write_gate.may_write(request, attempt_index, now_us)
+        permission = self._write_gate.authorize_write(request, attempt_index, now_us)
         if isinstance(permission, WritePermit):
             request.attempts[attempt_index].written_us = now_us
         elif permission is Denial.CLIENT_LEFT:
--- a/garnetusher/sidecar/requests/deadlines.py
+++ b/garnetusher/sidecar/requests/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines of requests and timeouts of attempts, as timers of the event loop."""
+"""The deadlines of requests and the timeouts of attempts, implemented as timers of the event loop."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Attempt, HttpRequest, PendingRequest
 
-OVERDUE_DELAY_US = 5_000  # the dispatcher's own timer fires so long after the deadline that the policy keeps
+# The policy responds by the deadline; the timer of the dispatcher fires this much later, in case the policy did not.
+OVERDUE_DELAY_US = 5_000
 MICROSECONDS_PER_SECOND = 1e6
 
 
@@ -16,7 +17,7 @@
     """The timers of requests and attempts.
 
     Attributes:
-        process_deadline_us: when this process gives its last responses; 0 = it is not stopping.
+        process_deadline_us: the time by which all responses must be sent because the process stops; 0 = not stopping.
     """
 
     def __init__(
@@ -30,25 +31,25 @@
         self._on_attempt_timeout = on_attempt_timeout
 
     def call_at(self, at_us: int, callback: Callable[..., None], *args: object) -> asyncio.TimerHandle:
-        """Call back at a time of the monotonic clock, never before it."""
+        """Schedule a callback for a time of the monotonic clock; it never runs earlier."""
         delay_us = max(0, at_us - monotonic_us() + 1)
         return self._loop.call_later(delay_us / MICROSECONDS_PER_SECOND, callback, *args)
 
     def request_deadline_us(self, http_request: HttpRequest) -> int:
-        """Return when a request has to have its response: in the client's time, and before this process ends."""
+        """Return the time by which a request needs its response: before the client times out and this process ends."""
         deadline_us = http_request.arrived_us + max(1, http_request.client_timeout_us - RESPONSE_MARGIN_US)
         if self.process_deadline_us:
             return min(deadline_us, self.process_deadline_us)
         return deadline_us
 
     def set_request_deadline(self, request: PendingRequest, deadline_us: int) -> None:
-        """Set a deadline, with a timer of its own: the client gets a response whatever becomes of the policy's."""
+        """Set the deadline of a request, with a timer that ensures a response even if the policy sends none."""
         request.deadline_us = deadline_us
         self.cancel_request_timer(request)
         request.deadline_timer = self.call_at(deadline_us + OVERDUE_DELAY_US, self._on_request_overdue, request)
 
     def start_attempt_timer(self, request: PendingRequest, attempt_index: int) -> None:
-        """Start, or start again, the timeout of an attempt, which ends with its request's deadline at the latest."""
+        """Start or restart the timeout of an attempt; it expires no later than the deadline of the request."""
         attempt = request.attempts[attempt_index]
         self.cancel_attempt_timer(attempt)
         timeout_at_us = request.deadline_us
@@ -57,19 +58,19 @@
         attempt.timeout_timer = self.call_at(timeout_at_us, self._on_attempt_timeout, request, attempt_index)
 
     def restart_attempt_timers(self, request: PendingRequest) -> None:
-        """Start the timeouts of all attempts in flight again, after a change of the deadline."""
+        """Restart the timeouts of all attempts in flight after a change of the deadline."""
         for attempt_index, attempt in enumerate(request.attempts):
             if not attempt.ended:
                 self.start_attempt_timer(request, attempt_index)
 
     @staticmethod
     def cancel_request_timer(request: PendingRequest) -> None:
-        """Cancel the timer of a request's deadline."""
+        """Cancel the deadline timer of a request."""
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
 
     @staticmethod
     def cancel_attempt_timer(attempt: Attempt) -> None:
-        """Cancel the timer of an attempt's timeout."""
+        """Cancel the timeout timer of an attempt."""
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -1,6 +1,7 @@
-"""Dispatches what happens to requests to the policy as events, and carries out the actions that it returns.
+"""Sends events to the policy, and executes the actions that the policy returns.
 
-Nothing is decided here. Attempts are started and ended in `attempts`, responses are sent by `responses`.
+The dispatcher makes no decisions of its own. The module `attempts` starts and ends attempts; the module `responses`
+sends responses.
 """
 
 from __future__ import annotations
@@ -65,14 +66,14 @@
 
 
 class RequestDispatcher:
-    """One `Balancer`, and the requests and attempts that it decides on.
+    """Holds one `Balancer`, and the requests and attempts on which it decides.
 
     Attributes:
         settings: the current settings.
         balancer: the policy.
-        trace: the last events and the counters.
-        write_gate: the rules of the protocol.
-        watch_endpoints: called when the policy starts or stops watching the endpoint list.
+        trace: the most recent events, and the counters.
+        write_gate: checks the protocol rules.
+        watch_endpoints: called with whether to watch the endpoint list, when the policy starts or stops the watch.
     """
 
     def __init__(self, settings: Settings, seed: int, transport: UpstreamTransport, trace: Trace | None = None) -> None:
@@ -94,28 +95,28 @@
     # The process
 
     def start(self) -> None:
-        """Let the policy ask for what it needs from the start, such as a watch of the endpoint list."""
+        """Let the policy request its first actions, such as to watch the endpoint list."""
         self._dispatch_event(TimerFired(0))
 
     @property
     def ready(self) -> bool:
-        """Whether there is an endpoint to send to."""
+        """Whether at least one endpoint is ready."""
         return self._endpoints.any_ready
 
     def apply_settings(self, settings: Settings) -> None:
         """Replace the settings."""
-        before, self.settings = self.settings, settings
+        previous, self.settings = self.settings, settings
         self.write_gate.settings = settings
         self._dispatch_event(
             SettingsChanged(
                 settings,
-                previous_indexes(settings.classes, before.classes),
-                previous_indexes(settings.tenants, before.tenants),
+                previous_indexes(settings.classes, previous.classes),
+                previous_indexes(settings.tenants, previous.tenants),
             )
         )
 
     def finish_by(self, at_us: int) -> None:
-        """Give every request its response by a time at which this process ends, also where its client waits longer."""
+        """Respond to every request by the time at which this process ends, even if the client would wait longer."""
         self._deadlines.process_deadline_us = at_us
         for request in self._requests.snapshot():
             if request.body_complete and request.is_response_awaited and request.deadline_us > at_us:
@@ -124,7 +125,7 @@
                 self._dispatch_event(DeadlineChanged(request.request_id, at_us))
 
     def set_fleet_size(self, instances: int) -> None:
-        """Set how many sidecars share the fleet's limits, as its members count each other; 0 = as in the settings."""
+        """Set the number of sidecars that share the limits, counted by membership; 0 = the number in the settings."""
         self._dispatch_event(FleetSizeChanged(instances))
 
     # Downstream
@@ -134,8 +135,8 @@
 
         Args:
             http_request: the request.
-            response_sink: gets its one final response, unless the client disconnects first.
-            body_complete: whether its body has been read to the end; else `on_body_complete` follows.
+            response_sink: receives the single final response, unless the client disconnects first.
+            body_complete: whether the body has been read to the end; if not, a call of `on_body_complete` follows.
 
         Returns:
             The dispatcher's number for the request.
@@ -151,7 +152,7 @@
             self.settings.max_attempts,
         )
         self._requests.add(request)
-        self.trace.note(EventName.RECEIVED, request.request_id, reason=http_request.client_request_id)
+        self.trace.record_event(EventName.RECEIVED, request.request_id, reason=http_request.client_request_id)
         if request.body_complete:
             self._deadlines.set_request_deadline(request, request.deadline_us)
         self._dispatch_event(
@@ -169,7 +170,7 @@
         return request.request_id
 
     def on_body_complete(self, request_id: int, arrived_us: int) -> None:
-        """Handle the last byte of a long body: the client's timeout begins, unless its response already streams."""
+        """Handle the end of a long body: the client timeout starts, unless a response is already being streamed."""
         request = self._requests.get(request_id)
         if request is None or request.completed or request.body_complete:
             return
@@ -185,12 +186,15 @@
         self._dispatch_event(RequestBodyComplete(request_id, request.deadline_us))
 
     def on_not_replayable(self, request_id: int) -> None:
-        """Handle a long body of which more has been forwarded than is buffered: it can't be sent again."""
+        """Handle a long body that can't be sent again because more of it has been forwarded than the buffer holds."""
         if request_id in self._requests:
             self._dispatch_event(RequestNotReplayable(request_id))
 
     def on_body_stalled(self, request_id: int) -> None:
-        """Handle an upstream that reads no more of a long body: without all of it, it has not begun to run it."""
+        """Handle an upstream that has stopped reading a long body.
+
+        An upstream does not start to execute a request before it has the complete body, so the attempts never ran.
+        """
         request = self._requests.get(request_id)
         if request is not None and not request.body_complete:
             self._attempts.abandon_all(request, Outcome.CONNECT_FAILED)
@@ -200,19 +204,19 @@
         request = self._requests.get(request_id)
         if request is None or request.completed:
             return
-        self.trace.note(EventName.CLIENT_DISCONNECTED, request_id)
+        self.trace.record_event(EventName.CLIENT_DISCONNECTED, request_id)
         if not request.body_complete or request.is_streaming:
-            # the rest of the body does not come, the rest of the response can't be sent
+            # The rest of the request body will not arrive, or the rest of the response can't be sent.
             request.response_state = ResponseState.COMPLETED
             self._attempts.abandon_all(request, Outcome.CANCELLED)
         self._responses.close(request)
         self._dispatch_event(ClientDisconnected(request_id))
 
     def on_client_half_closed(self, request_id: int) -> None:
-        """Handle a client that sends nothing more: it has disconnected, or only waits for its response."""
+        """Handle a client that has closed its sending side: it has disconnected, or it still waits for its response."""
         request = self._requests.get(request_id)
         if request is not None and request.is_response_awaited:
-            self.trace.note(EventName.CLIENT_HALF_CLOSED, request_id)
+            self.trace.record_event(EventName.CLIENT_HALF_CLOSED, request_id)
             self._dispatch_event(ClientHalfClosed(request_id))
             self._attempts.withdraw_unwritten(request)
 
@@ -223,7 +227,7 @@
 
         Args:
             event: the update.
-            addresses: where the endpoints of the update listen, by their ids.
+            addresses: the addresses on which the endpoints of the update listen, by endpoint id.
         """
         for address in self._endpoints.update(event, addresses):
             self._transport.close_idle_connections(address)
@@ -235,7 +239,7 @@
     # Operators
 
     def zone_reports(self, names: list[str]) -> list[dict[str, object]]:
-        """Return what the policy knows of each zone, with the keys of the admin address."""
+        """Return the state of each zone in the policy, with the keys that the admin address uses."""
         now_us = monotonic_us()
         zones = sorted(self.balancer.zones.zones.values(), key=lambda zone: zone.number)
         return [
@@ -244,7 +248,7 @@
         ]
 
     def override_zone(self, zone: int, *, evacuate: bool) -> OverrideRejection | None:
-        """Evacuate or restore a zone by an operator's order; return why it is not done, or None."""
+        """Evacuate or restore a zone by an operator's order; return a rejection if it is not possible, else None."""
         objection = self.balancer.zones.objection(zone) if evacuate else ""
         if objection:
             return OverrideRejection(objection)
@@ -256,7 +260,7 @@
     def on_response_started(
         self, request: PendingRequest, attempt_index: int, head: Head, source: Source
     ) -> Sink | None:
-        """Handle the first bytes of a streamed response; return where it goes, or None if it is not needed."""
+        """Handle the first bytes of a streamed response; return the sink for it, or None if nobody needs it."""
         attempt = request.attempts[attempt_index]
         if attempt.ended or not request.is_response_awaited:
             return None
@@ -266,7 +270,7 @@
         return request.response_sink
 
     def on_attempt_ended(self, request: PendingRequest, attempt_index: int, result: AttemptResult) -> None:
-        """Handle the end of an attempt: respond if it was served, and notify the policy."""
+        """Handle the end of an attempt: send the response if it succeeded, and notify the policy."""
         succeeded = result.outcome is Outcome.OK
         if attempt_index == request.streaming_attempt_index:
             self._responses.finish_streaming(request, complete=succeeded)
@@ -286,14 +290,14 @@
 
     def _on_request_overdue(self, request: PendingRequest) -> None:
         if request.is_response_awaited:
-            log.warning("a request was overdue")
+            log.warning("the policy sent no response before the deadline; failing the request")
             self._responses.complete(request, FinalResponse(Disposition.FAILED))
             self._dispatch_event(ClientDisconnected(request.request_id))
 
-    # Events in, actions out
+    # Events and actions
 
     def _dispatch_event(self, event: Event) -> None:
-        """Hand an event to the policy and carry out its actions; events that these cause are handled afterwards."""
+        """Send an event to the policy and execute its actions; events that the actions cause are handled afterwards."""
         self._events.append(event)
         if self._dispatching:
             return
@@ -308,23 +312,23 @@
         try:
             actions = self.balancer.handle(monotonic_us(), event)
         except Exception:
-            log.exception("the module failed on %s", type(event).__name__)
+            log.exception("the policy raised an error on the event %s", type(event).__name__)
             self._fail_request_of(event)
             return
         for action in actions:
             try:
-                self._carry_out(action)
+                self._execute(action)
             except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
+                log.exception("executing the action %s failed", type(action).__name__)
 
     def _fail_request_of(self, event: Event) -> None:
-        """Fail the one request that the policy raised an error on: the others go on."""
+        """Fail only the request of an event on which the policy raised an error; other requests continue."""
         request = self._requests.get(getattr(event, "request_id", 0))
         if request is not None and not request.completed:
             self._responses.complete(request, FinalResponse(Disposition.FAILED))
             self._events.append(ClientDisconnected(request.request_id))
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, Forward):
             self._forward(action)
         elif isinstance(action, Shed):
@@ -343,11 +347,11 @@
         elif isinstance(action, LogMessage):
             log.info("%s", action.text)
         else:
-            log.warning("not carried out here: %s", type(action).__name__)
+            log.warning("the dispatcher does not support the action %s", type(action).__name__)
 
     def _forward(self, action: Forward) -> None:
         request = self._requests.get(action.request_id)
-        if request is not None:  # else it is done with, and the policy's event for that is queued
+        if request is not None:  # if it is None, the request has ended, and an event for the policy is queued
             self._attempts.start(request, action)
 
     def _complete(self, request_id: int, response: FinalResponse) -> None:
--- a/garnetusher/sidecar/requests/endpoints.py
+++ b/garnetusher/sidecar/requests/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that are ready, with their addresses, as the endpoint list has them now."""
+"""The endpoints that are ready according to the current endpoint list, with their addresses."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadyEndpoint:
-    """An endpoint that takes requests, and where it listens."""
+    """An endpoint that accepts requests, and the address on which it listens."""
 
     endpoint: Endpoint
     address: Address
 
 
 class ReadyEndpoints:
-    """The ready endpoints by their ids; changed by updates of the list only."""
+    """The ready endpoints by id; only updates of the endpoint list change them."""
 
     def __init__(self) -> None:
         self._ready: dict[int, ReadyEndpoint] = {}
 
     @property
     def any_ready(self) -> bool:
-        """Whether there is an endpoint to send to."""
+        """Whether at least one endpoint is ready."""
         return bool(self._ready)
 
     def get(self, endpoint_id: int) -> ReadyEndpoint | None:
-        """Return a ready endpoint, or None if it is not ready or not listed."""
+        """Return the ready endpoint with this id, or None if it is not ready or not listed."""
         return self._ready.get(endpoint_id)
 
     def update(self, event: EndpointsUpdated, addresses: Mapping[int, Address]) -> list[Address]:
@@ -38,10 +38,10 @@
 
         Args:
             event: the update.
-            addresses: where the endpoints of the update listen, by their ids.
+            addresses: the addresses on which the endpoints of the update listen, by endpoint id.
 
         Returns:
-            The addresses that are used no more, in the order of the update.
+            The addresses that are no longer in use, in the order of the update.
         """
         released: list[Address] = []
         if event.update_kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
@@ -49,10 +49,10 @@
                 released.append(self._ready.pop(endpoint_id).address)
         for endpoint in event.endpoints:
             address = addresses[endpoint.id]
-            before = self._ready.get(endpoint.id)
-            if before is not None and before.address != address:
+            previous = self._ready.get(endpoint.id)
+            if previous is not None and previous.address != address:
                 del self._ready[endpoint.id]
-                released.append(before.address)
+                released.append(previous.address)
             if endpoint.status is EndpointStatus.READY:
                 self._ready[endpoint.id] = ReadyEndpoint(endpoint, address)
             else:
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -1,4 +1,4 @@
-"""A client's request, its attempts and its response, as downstream, the dispatcher and upstream exchange them."""
+"""The types that downstream, the dispatcher and upstream exchange: requests, their attempts and their responses."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from garnetusher.sidecar.requests.endpoints import Address, ReadyEndpoint
 from garnetusher.sidecar.streaming import Head, Sink, Source, Upload
 
-RESPONSE_MARGIN_US = 10_000  # a response is sent so long before the client's timeout, to arrive in time
+RESPONSE_MARGIN_US = 10_000  # a response is sent this long before the client times out, so that it arrives in time
 
-# outcomes which prove that an upstream never began with an attempt
+# These outcomes prove that the upstream never started to execute the attempt.
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN)
 
 
 @dataclass(slots=True)
 class HttpRequest:
-    """A request of the application, as it was read.
+    """A request of the application, as the sidecar has read it.
 
     Attributes:
         method: the HTTP method.
         target: the HTTP request target.
-        headers: those that are forwarded to the upstream.
-        body: the body, or what has been read of it when `upload` is set.
-        arrived_us: when it arrived, at the earliest.
-        client_timeout_us: how long the client waits, counted from its arrival.
-        class_index: its class, as an index into the settings' classes.
-        tenant_index: its tenant, as an index into the settings' tenants.
+        headers: the headers that are forwarded to the upstream.
+        body: the body; if `upload` is set, the part of the body that has been read.
+        arrived_us: the earliest time at which the request may have arrived.
+        client_timeout_us: how long the client waits for a response, counted from the arrival.
+        class_index: the request class, as an index into the classes of the settings.
+        tenant_index: the tenant, as an index into the tenants of the settings.
         affinity_key: requests with the same key go to the same endpoint; 0 = none.
-        expected_work_us: how long the client expects it to take; 0 = unknown.
-        client_retry: whether the client says that it is a retry.
+        expected_work_us: how long the client expects the request to take; 0 = unknown.
+        client_retry: whether the client marked the request as a retry.
         client_request_id: the client's `X-Request-Id`.
-        upload: the body, if it is too long to be buffered.
+        upload: the streamed body, if it is too long for the buffer; else None.
     """
 
     method: bytes
@@ -55,7 +55,7 @@
 
 
 class Disposition(enum.Enum):
-    """The kind of a final response; the values are counter keys and trace reasons."""
+    """The kinds of final responses; their values are counter names and trace reasons."""
 
     SERVED = "served"
     SHED = "refused"
@@ -64,13 +64,13 @@
 
 @dataclass(slots=True)
 class FinalResponse:
-    """The one final response to a request.
+    """The single final response to a request.
 
     Attributes:
-        disposition: its kind.
-        body: the upstream's body, of a served request.
-        content_type: the upstream's `Content-Type`, of a served request.
-        retry_after_us: when the client of a shed request may retry; 0 = no Retry-After is sent.
+        disposition: the kind of the response.
+        body: the body from the upstream, if the request was served.
+        content_type: the `Content-Type` from the upstream, if the request was served.
+        retry_after_us: the delay after which the client of a shed request may retry; 0 = no Retry-After is sent.
     """
 
     disposition: Disposition
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, with the upstream's response if there is one."""
+    """The outcome of an attempt, with the response of the upstream if there is one."""
 
     outcome: Outcome
     body: bytes = b""
@@ -89,26 +89,26 @@
 
 
 class ResponseSink(Sink, Protocol):
-    """The downstream connection that a request came on."""
+    """The downstream connection on which a request arrived."""
 
     def send_response(self, response: FinalResponse) -> None:
-        """Send the one final response, unless a streamed one has begun."""
+        """Send the final response, unless a streamed response has started."""
 
     def begin_response(self, head: Head, source: Source) -> None:
-        """Begin the final response, which is long and is streamed."""
+        """Start a final response that is streamed because it is long."""
 
     def finish_response(self, *, complete: bool) -> None:
-        """End a streamed response, or break it off so that the client notices."""
+        """End a streamed response; if it is incomplete, abort it so that the client detects this."""
 
     def client_has_closed(self) -> bool:
-        """Whether the client has closed, or ended its sending side, as far as the kernel knows by now."""
+        """Return whether the kernel reports that the client has closed its connection or its sending side."""
 
     def body_complete_since_us(self) -> int:
-        """Return the earliest time at which the client may have written the last byte of a body still being read."""
+        """Return the earliest time at which the client may have written the last byte of a body that is being read."""
 
 
 class Denial(enum.Enum):
-    """Why an attempt may not be written now; the names are counter keys and trace reasons."""
+    """Why an attempt may not be written now; the member names are part of counter names and are trace reasons."""
 
     REQUEST_OVER = "the request has its final answer, or its client has gone"
     ANSWER_BEGUN = "another attempt's answer has begun to go to the client"
@@ -123,10 +123,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WritePermit:
-    """An attempt may be written now.
+    """Permission to write an attempt now.
 
     Attributes:
-        remaining_us: the time left, which is sent to its upstream.
+        remaining_us: the time left for the response, which the sidecar sends to the upstream.
     """
 
     remaining_us: int
@@ -136,18 +136,18 @@
 
 
 class AttemptHandle(Protocol):
-    """An attempt in flight, as the upstream side knows it."""
+    """An attempt in flight, as the dispatcher controls it on the upstream side."""
 
     @property
     def written(self) -> bool:
-        """Whether any byte of it has been written."""
+        """Whether any byte of the attempt has been written."""
 
     def abandon(self) -> None:
-        """Stop waiting: nothing more is written, and a connection that has carried it is closed."""
+        """Stop waiting for the response: write nothing more, and close the connection if the attempt has used it."""
 
 
 class UpstreamTransport(Protocol):
-    """The side of the upstreams."""
+    """The upstream side of the sidecar, which sends attempts to endpoints."""
 
     def start_attempt(
         self,
@@ -160,15 +160,15 @@
         """Start an attempt.
 
         Args:
-            address: where it goes.
-            http_request: what is sent.
-            permission: called when the first byte is about to be written.
-            on_ended: called once, later, unless the attempt is abandoned first.
-            on_response_started: called before it where the response is streamed; returns where the response goes, or
-                None if it is not needed any more.
+            address: the address of the endpoint.
+            http_request: the request to send.
+            permission: called immediately before the first byte is written; returns a permit or a denial.
+            on_ended: called once after this method has returned, unless the attempt is abandoned first.
+            on_response_started: called before `on_ended` if the response is streamed; returns the sink for the
+                response, or None if nobody needs the response any more.
 
         Returns:
-            The handle to abandon it by.
+            The handle with which the caller can abandon the attempt.
         """
 
     def close_idle_connections(self, address: Address) -> None:
@@ -177,18 +177,18 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request at an endpoint.
+    """One attempt to send a request to an endpoint.
 
     Attributes:
-        endpoint_id: where the policy sent it.
-        started_us: when it started; of a body that is still coming, when that is complete.
-        target: the endpoint as it was listed then; None = it was no longer ready.
-        handle: the upstream side's handle, while the attempt is in flight.
-        timeout_timer: the timer of its timeout.
-        timeout_us: the policy's timeout; 0 = the request's deadline.
-        latest_start_us: it is not written from this time on; 0 = no such limit.
-        outcome: how it ended; None = it is in flight.
-        written_us: when its first byte was written; 0 = not yet.
+        endpoint_id: the endpoint that the policy chose.
+        started_us: the start time of the attempt; if the request body arrives later, the time at which it is complete.
+        target: the endpoint as it was listed at the start of the attempt; None = the endpoint was no longer ready.
+        handle: the handle from the upstream side while the attempt is in flight; else None.
+        timeout_timer: the timer that ends the attempt at its timeout.
+        timeout_us: the timeout that the policy set; 0 = the deadline of the request applies.
+        latest_start_us: the time from which the attempt may no longer be written; 0 = no such limit.
+        outcome: the outcome of the attempt; None = the attempt is in flight.
+        written_us: the time at which the first byte was written; 0 = nothing has been written.
     """
 
     endpoint_id: int
@@ -203,39 +203,39 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it has an outcome."""
+        """Whether the attempt has an outcome."""
         return self.outcome is not None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether its upstream may have begun with it, or may yet."""
+        """Whether the upstream may have executed the attempt, or may still execute it."""
         return self.written_us > 0 and self.outcome not in NEVER_RAN
 
 
 class ResponseState(enum.Enum):
-    """How far the response to a request is."""
+    """The progress of the response to a request."""
 
     AWAITED = enum.auto()  # nothing has been sent to the client
-    STREAMING = enum.auto()  # the first bytes of an attempt's response have been sent, and no other response can be
-    COMPLETED = enum.auto()  # the client has its response, or has disconnected
+    STREAMING = enum.auto()  # the response of one attempt is being sent, and no other response can be sent
+    COMPLETED = enum.auto()  # the final response has been sent, or the client has disconnected
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request whose response or attempts are not complete.
+    """A request that has no final response yet, or that has an attempt in flight.
 
     Attributes:
-        request_id: the dispatcher's number for it.
-        http_request: what the client sent.
-        deadline_us: when its response has to be sent.
-        response_sink: where the response goes.
-        body_complete: whether its body has been read to the end; if not, the client's timeout has not begun.
-        request_class: its class as it was at the arrival: later settings do not change it.
-        max_attempts: the limit of attempts at the arrival.
-        response_state: how far its response is.
-        streaming_attempt_index: the attempt whose response is streamed to the client.
-        attempts: in the order in which the policy asked for them.
-        deadline_timer: the timer of its deadline.
+        request_id: the dispatcher's number for the request.
+        http_request: the request as the client sent it.
+        deadline_us: the time by which the response must be sent.
+        response_sink: receives the response.
+        body_complete: whether the body has been read to the end; until then the client timeout has not started.
+        request_class: the class with the settings at the arrival of the request; later settings do not change it.
+        max_attempts: the maximum number of attempts in the settings at the arrival of the request.
+        response_state: the progress of the response.
+        streaming_attempt_index: the index of the attempt whose response is streamed to the client; None = no attempt.
+        attempts: the attempts in the order in which the policy requested them.
+        deadline_timer: the timer that ends the request soon after its deadline.
     """
 
     request_id: int
@@ -262,13 +262,13 @@
 
     @property
     def completed(self) -> bool:
-        """Whether the client has its response, or has disconnected."""
+        """Whether the final response has been sent, or the client has disconnected."""
         return self.response_state is ResponseState.COMPLETED
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideRejection:
-    """Why an operator's order for a zone is not followed."""
+    """The reason why an operator's order to evacuate a zone is rejected."""
 
     reason: str
 
--- a/garnetusher/sidecar/requests/request_table.py
+++ b/garnetusher/sidecar/requests/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that are not done with, by their ids."""
+"""The requests in progress, by id."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RequestTable:
-    """Requests without a final response, and those whose attempts have not all ended."""
+    """The requests that have no final response yet, or that have an attempt in flight."""
 
     def __init__(self) -> None:
         self._requests: dict[int, PendingRequest] = {}
@@ -19,15 +19,15 @@
         self._requests[request.request_id] = request
 
     def get(self, request_id: int) -> PendingRequest | None:
-        """Return a request, or None if it is done with."""
+        """Return a request, or None if it is no longer in progress."""
         return self._requests.get(request_id)
 
     def snapshot(self) -> list[PendingRequest]:
-        """Return the requests in the order of their arrival, as they are now."""
+        """Return a copy of the list of requests, in order of arrival."""
         return list(self._requests.values())
 
     def remove_if_done(self, request: PendingRequest) -> None:
-        """Remove a request that is completed and has no attempt in flight."""
+        """Remove a request if it is completed and has no attempt in flight."""
         if request.response_state is not ResponseState.COMPLETED:
             return
         if all(attempt.ended for attempt in request.attempts):
--- a/garnetusher/sidecar/requests/responses.py
+++ b/garnetusher/sidecar/requests/responses.py
@@ -1,4 +1,4 @@
-"""The one final response to each request."""
+"""Sends the single final response to each request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ResponseSender:
-    """Moves requests through the states of their response, and sends each one response at the most."""
+    """Tracks the response state of requests, and sends at most one response to each."""
 
     def __init__(
         self, requests: RequestTable, attempts: AttemptController, deadlines: Deadlines, write_gate: WriteGate
@@ -28,7 +28,7 @@
         self._write_gate = write_gate
 
     def complete(self, request: PendingRequest, response: FinalResponse) -> None:
-        """Send the final response, unless the request has one or one is being streamed."""
+        """Send the final response, unless one has been sent or is being streamed."""
         if not request.is_response_awaited:
             return
         response = self._write_gate.final_response(request, response, monotonic_us())
@@ -36,7 +36,7 @@
         self._call_sink(request.response_sink.send_response, response)
 
     def begin_streaming(self, request: PendingRequest, attempt_index: int, head: Head, source: Source) -> None:
-        """Bind the client to an attempt whose response has started; no timer may cut it off any more."""
+        """Stream the response of one attempt to the client; from now on no timer may interrupt it."""
         request.response_state = ResponseState.STREAMING
         request.streaming_attempt_index = attempt_index
         self._deadlines.cancel_attempt_timer(request.attempts[attempt_index])
@@ -44,25 +44,26 @@
         request.response_sink.begin_response(head, source)
 
     def finish_streaming(self, request: PendingRequest, *, complete: bool) -> None:
-        """End a streamed response, or break it off, unless its client has disconnected."""
+        """End a streamed response, or abort it if it is incomplete, unless the client has disconnected."""
         if request.completed:
             return
         self.close(request)
         self._call_sink(lambda: request.response_sink.finish_response(complete=complete))
 
     def close(self, request: PendingRequest) -> None:
-        """Mark a request as completed, and withdraw its attempts that have not been written."""
+        """Mark a request as completed, and withdraw the attempts that have not been written."""
         request.response_state = ResponseState.COMPLETED
         self._deadlines.cancel_request_timer(request)
         self._attempts.withdraw_unwritten(request)
         self._requests.remove_if_done(request)
 
     def _call_sink(self, send: Callable[..., None], *args: object) -> None:
-        """Call the downstream side, and log its errors.
+        """Call the response sink, and log its errors.
 
-        The policy has to be notified of the attempt's end in any case: else its slot would be lost for good.
+        An error must not prevent the notification of the policy that the attempt has ended, because the slot of the
+        attempt would never be freed.
         """
         try:
             send(*args)
         except Exception:
-            log.exception("an answer could not be written")
+            log.exception("sending a response to the client failed")
--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -1,4 +1,4 @@
-"""The last events of requests, kept in memory, and counters since the start: for operators and for the log."""
+"""The most recent request events, kept in memory, and counters since the process start, for operators and the log."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 log = logging.getLogger(__name__)
 
-LAST_EVENTS = 1024  # some seconds of a busy sidecar; 150 KB
-MAX_LOGGED_EVENTS = 24  # of one request: a log line has to stay below what a pipe takes at once
+TRACE_CAPACITY = 1024  # events of a few seconds in a busy sidecar; they take 150 KB
+MAX_LOGGED_EVENTS = 24  # events of one request in a log line, which has to fit into a single write to a pipe
 
 NO_REQUEST = 0
 NO_ATTEMPT = -1
@@ -21,7 +21,7 @@
 
 
 class EventName(enum.StrEnum):
-    """What happened; the values are part of the JSON at the admin address (docs/on-call/requests.md)."""
+    """The kinds of events; their values are part of the JSON at the admin address (docs/on-call/requests.md)."""
 
     RECEIVED = "taken"
     CHOSEN = "chosen"
@@ -35,15 +35,15 @@
 
 
 class TraceEvent(NamedTuple):
-    """One step of a request.
+    """One event in the lifetime of a request.
 
     Attributes:
-        at_us: when, on the monotonic clock.
-        name: what happened.
-        request_id: the dispatcher's number of the request; `NO_REQUEST` if it concerns none.
-        attempt_index: the attempt, or `NO_ATTEMPT`.
-        endpoint_id: the endpoint of the attempt, or `NO_ENDPOINT`.
-        reason: an outcome, a denial, a disposition, a rule, or the client's id of a received request.
+        at_us: the time of the event on the monotonic clock.
+        name: the kind of the event.
+        request_id: the dispatcher's number for the request; `NO_REQUEST` if the event concerns no request.
+        attempt_index: the index of the attempt; `NO_ATTEMPT` if the event concerns no attempt.
+        endpoint_id: the endpoint of the attempt; `NO_ENDPOINT` if the event concerns no endpoint.
+        reason: an outcome, a denial, a disposition or a rule; for a received request, the client's request id.
     """
 
     at_us: int
@@ -53,28 +53,28 @@
     endpoint_id: int = NO_ENDPOINT
     reason: str = ""
 
-    def shown(self) -> dict[str, object]:
-        """Return the event with the keys of the admin address, without those that do not apply."""
-        shown: dict[str, object] = {"at_us": self.at_us, "what": self.name.value}
+    def to_dict(self) -> dict[str, object]:
+        """Return the event with the keys that the admin address uses, without the fields that do not apply."""
+        result: dict[str, object] = {"at_us": self.at_us, "what": self.name.value}
         if self.request_id != NO_REQUEST:
-            shown["request"] = self.request_id
+            result["request"] = self.request_id
         if self.attempt_index != NO_ATTEMPT:
-            shown["attempt"] = self.attempt_index
+            result["attempt"] = self.attempt_index
         if self.endpoint_id != NO_ENDPOINT:
-            shown["upstream"] = self.endpoint_id
+            result["upstream"] = self.endpoint_id
         if self.reason:
-            shown["reason"] = self.reason
-        return shown
+            result["reason"] = self.reason
+        return result
 
 
 class Trace:
-    """A ring of the last events, and the counters."""
+    """A ring buffer of the most recent events, and the counters."""
 
     def __init__(self) -> None:
-        self.events: deque[TraceEvent] = deque(maxlen=LAST_EVENTS)
+        self.events: deque[TraceEvent] = deque(maxlen=TRACE_CAPACITY)
         self.counts: Counter[str] = Counter()
 
-    def note(
+    def record_event(
         self,
         name: EventName,
         request_id: int = NO_REQUEST,
@@ -82,19 +82,19 @@
         endpoint_id: int = NO_ENDPOINT,
         reason: str = "",
     ) -> None:
-        """Append an event, dated now."""
+        """Append an event with the current time."""
         self.events.append(TraceEvent(monotonic_us(), name, request_id, attempt_index, endpoint_id, reason))
 
     def count(self, counter: str) -> None:
-        """Increment a counter; its name comes from a fixed set."""
+        """Increment a counter; the set of counter names is bounded."""
         self.counts[counter] += 1
 
-    def of_request(self, request_id: int) -> list[TraceEvent]:
-        """Return the events of a request that are still in the ring."""
+    def events_of_request(self, request_id: int) -> list[TraceEvent]:
+        """Return the events of a request that are still in the ring buffer."""
         return [event for event in self.events if event.request_id == request_id]
 
     def find(self, client_request_id: str) -> list[TraceEvent]:
-        """Return the events of the requests that have this `X-Request-Id`."""
+        """Return the buffered events of the requests that have this `X-Request-Id`."""
         request_ids = {
             event.request_id
             for event in self.events
@@ -102,13 +102,13 @@
         }
         return [event for event in self.events if event.request_id in request_ids]
 
-    def violated(
+    def record_violation(
         self, rule: str, request_id: int, attempt_index: int = NO_ATTEMPT, endpoint_id: int = NO_ENDPOINT
     ) -> None:
-        """Count and log a violation of a rule, prevented or not, with the events of its request."""
-        self.note(EventName.VIOLATION, request_id, attempt_index, endpoint_id, rule)
+        """Count and log the violation of a rule, whether or not it was prevented, with the events of its request."""
+        self.record_event(EventName.VIOLATION, request_id, attempt_index, endpoint_id, rule)
         self.count(f"violation: {rule}")
-        events = [event.shown() for event in self.of_request(request_id)[-MAX_LOGGED_EVENTS:]]
+        events = [event.to_dict() for event in self.events_of_request(request_id)[-MAX_LOGGED_EVENTS:]]
         log.error(
             "rule violated: %s: request %d attempt %d upstream %d: %s",
             rule,
--- a/garnetusher/sidecar/requests/write_gate.py
+++ b/garnetusher/sidecar/requests/write_gate.py
@@ -1,8 +1,9 @@
-"""The rules of the protocol, checked at the moment of each write, retry, final response and close.
+"""Checks the protocol rules immediately before each write, retry, final response and connection close.
 
-The policy decides on what it knows when it decides. By the time of the write the client may have disconnected, a
-deadline may have passed, the endpoint may be draining, and this process may have been suspended. What such events
-forbid is a `Denial`. What only a fault of the policy could ask for is denied too, counted, and logged as a violation.
+The policy decides with the state that it knows at that time. Before the attempt is written, the client may disconnect,
+a deadline may pass, the endpoint may start to drain, and this process may be suspended. If such an event forbids the
+write, the gate returns a `Denial`. An attempt that only a faulty policy can request is denied as well; the gate counts
+it and logs it as a violation.
 """
 
 from __future__ import annotations
@@ -21,15 +22,18 @@
 )
 from garnetusher.sidecar.requests.trace import EventName, Trace
 
-LATE_RESPONSE_US = 70_000  # after a deadline: the settings' slack of 20 ms, and 50 ms that sockets may take
+# A response is late this long after its deadline: the settings allow 20 ms, and the sockets may take another 50 ms.
+LATE_RESPONSE_US = 70_000
+
+# Only a fault in the policy leads to these denials at the start of an attempt.
 POLICY_FAULTS = frozenset((Denial.MAY_HAVE_RUN, Denial.STILL_OUT, Denial.TOO_MANY))
 
 
 class WriteGate:
-    """The rules of the protocol, independent of the policy's own bookkeeping.
+    """Checks the protocol rules without relying on the state that the policy keeps.
 
     Attributes:
-        trace: where denials and violations are recorded.
+        trace: records the denials and violations.
         settings: the current settings.
         endpoints: the endpoints that are ready now.
     """
@@ -40,29 +44,30 @@
         self.endpoints = endpoints if endpoints is not None else ReadyEndpoints()
 
     def may_start(self, request: PendingRequest, attempt_index: int, now_us: int) -> bool:
-        """Whether an attempt that the policy has just asked for may start; one against the rules is its fault."""
+        """Return whether an attempt that the policy has just requested may start; a faulty request is a violation."""
         attempt = request.attempts[attempt_index]
         denial = self.denial(request, attempt_index, now_us)
-        self.trace.note(EventName.CHOSEN, request.request_id, attempt_index, attempt.endpoint_id)
+        self.trace.record_event(EventName.CHOSEN, request.request_id, attempt_index, attempt.endpoint_id)
         if denial is not None:
             self._record_denial(request, attempt_index, denial, violation=denial in POLICY_FAULTS)
         return denial is None
 
-    def may_write(self, request: PendingRequest, attempt_index: int, now_us: int) -> WritePermit | Denial:
-        """Whether the first byte of an attempt may be written now."""
+    def authorize_write(self, request: PendingRequest, attempt_index: int, now_us: int) -> WritePermit | Denial:
+        """Return a permit to write the first byte of an attempt now, or the reason why it is denied."""
         denial = self.denial(request, attempt_index, now_us)
         if denial is None and request.response_sink.client_has_closed():
             denial = Denial.CLIENT_LEFT
         if denial is not None:
-            # new settings may have forbidden hedging, or so many attempts, since this attempt started
+            # Settings that changed after the start of this attempt may forbid hedging or allow fewer attempts, so
+            # these denials are not the fault of the policy.
             self._record_denial(request, attempt_index, denial, violation=denial is Denial.MAY_HAVE_RUN)
             return denial
         attempt = request.attempts[attempt_index]
-        self.trace.note(EventName.WRITTEN, request.request_id, attempt_index, attempt.endpoint_id)
+        self.trace.record_event(EventName.WRITTEN, request.request_id, attempt_index, attempt.endpoint_id)
         return WritePermit(self.remaining_us(request, attempt, now_us))
 
     def denial(self, request: PendingRequest, attempt_index: int, now_us: int) -> Denial | None:
-        """Return what forbids an attempt, without a look at its client's connection; None = nothing."""
+        """Return the rule that forbids an attempt, or None; the state of the client connection is not checked."""
         attempt = request.attempts[attempt_index]
         return (
             _response_denial(request)
@@ -72,7 +77,7 @@
         )
 
     def endpoint_has_changed(self, attempt: Attempt) -> bool:
-        """Whether its endpoint is no longer the ready one that was chosen: it drains, has moved or has restarted."""
+        """Return whether the chosen endpoint is draining, was removed, has a new address or has restarted since."""
         current = self.endpoints.get(attempt.endpoint_id)
         chosen = attempt.target
         if current is None or chosen is None:
@@ -80,25 +85,28 @@
         return current.address != chosen.address or current.endpoint.started_us != chosen.endpoint.started_us
 
     def retry_denial(self, request: PendingRequest, attempt: Attempt, now_us: int) -> Denial | None:
-        """Return why a request may not be repeated, from what was written of its other attempts and how they ended."""
+        """Return why the other attempts of a request forbid this one, or None.
+
+        The result depends on which of them were written, and on how they ended.
+        """
         others = [other for other in request.attempts if other is not attempt]
         if not self.settings.hedging and any(other.written_us and not other.ended for other in others):
             return Denial.STILL_OUT
-        first = next((other for other in others if other.may_have_run), None)
-        if first is None or request.request_class.effect == "idempotent":
+        possibly_executed = next((other for other in others if other.may_have_run), None)
+        if possibly_executed is None or request.request_class.effect == "idempotent":
             return None
         if request.request_class.effect == "at_most_once":
             return Denial.MAY_HAVE_RUN
-        if now_us >= first.written_us + request.request_class.deduplication_window_us:
+        if now_us >= possibly_executed.written_us + request.request_class.deduplication_window_us:
             return Denial.WINDOW_OVER
-        if _deduplicated_together(request.request_class.deduplication_scope, first, attempt):
+        if _deduplicated_together(request.request_class.deduplication_scope, possibly_executed, attempt):
             return None
         return Denial.MAY_HAVE_RUN
 
     def remaining_us(self, request: PendingRequest, attempt: Attempt, now_us: int) -> int:
-        """Return how long the response to an attempt is waited for.
+        """Return how long the sidecar waits for the response to an attempt.
 
-        While a body is still coming, the client's timeout counts from its latest read.
+        While the request body is still arriving, the client timeout counts from the latest read of the body.
         """
         if not request.body_complete:
             client_timeout_at_us = (
@@ -106,24 +114,28 @@
             )
             remaining_us = client_timeout_at_us - RESPONSE_MARGIN_US - now_us
             return min(attempt.timeout_us or remaining_us, remaining_us)
-        ends_us = request.deadline_us
+        timeout_at_us = request.deadline_us
         if attempt.timeout_us:
-            ends_us = min(ends_us, attempt.started_us + attempt.timeout_us)
-        return ends_us - now_us
+            timeout_at_us = min(timeout_at_us, attempt.started_us + attempt.timeout_us)
+        return timeout_at_us - now_us
 
     def final_response(self, request: PendingRequest, response: FinalResponse, now_us: int) -> FinalResponse:
-        """Return what the client may be sent: a shed request promises that nothing has run, else it has failed."""
-        self.trace.note(EventName.ANSWERED, request.request_id, reason=response.disposition.value)
+        """Return the response that the client may receive.
+
+        A response that sheds a request promises the client that a retry is safe. If the request may have run and may
+        not be repeated, the response reports a failure instead.
+        """
+        self.trace.record_event(EventName.ANSWERED, request.request_id, reason=response.disposition.value)
         self.trace.count(f"answered: {response.disposition.value}")
         if now_us > request.deadline_us + LATE_RESPONSE_US:
             self.trace.count("answered late")
         if response.disposition is Disposition.SHED and not self.may_shed(request):
-            self.trace.violated("refused, though it may have run and may not be repeated", request.request_id)
+            self.trace.record_violation("refused, though it may have run and may not be repeated", request.request_id)
             return FinalResponse(Disposition.FAILED)
         return response
 
     def may_shed(self, request: PendingRequest) -> bool:
-        """Whether a client may retry the request without harm."""
+        """Return whether a client may safely retry the request."""
         request_class = request.request_class
         if request_class.effect == "idempotent":
             return True
@@ -131,10 +143,10 @@
             return True
         return not any(attempt.may_have_run for attempt in request.attempts)
 
-    def may_close(self, request_id: int, unanswered: bool) -> bool:  # noqa: FBT001 - downstream passes it by position
-        """Whether this side may close the connection of a client."""
+    def may_close(self, request_id: int, unanswered: bool) -> bool:  # noqa: FBT001 - the caller passes it by position
+        """Return whether the sidecar may close the connection to a client."""
         if unanswered:
-            self.trace.violated("closed with a request unanswered", request_id)
+            self.trace.record_violation("closed with a request unanswered", request_id)
         return not unanswered
 
     def _time_denial(self, request: PendingRequest, attempt: Attempt, now_us: int) -> Denial | None:
@@ -153,10 +165,10 @@
 
     def _record_denial(self, request: PendingRequest, attempt_index: int, denial: Denial, *, violation: bool) -> None:
         endpoint_id = request.attempts[attempt_index].endpoint_id
-        self.trace.note(EventName.DENIED, request.request_id, attempt_index, endpoint_id, denial.name)
+        self.trace.record_event(EventName.DENIED, request.request_id, attempt_index, endpoint_id, denial.name)
         self.trace.count(f"denied: {denial.name}")
         if violation:
-            self.trace.violated(denial.value, request.request_id, attempt_index, endpoint_id)
+            self.trace.record_violation(denial.value, request.request_id, attempt_index, endpoint_id)
 
 
 def _response_denial(request: PendingRequest) -> Denial | None:
@@ -167,13 +179,13 @@
     return None
 
 
-def _deduplicated_together(scope: str, first: Attempt, retry: Attempt) -> bool:
-    """Whether the endpoints of two attempts discard each other's duplicates."""
+def _deduplicated_together(scope: str, earlier: Attempt, retry: Attempt) -> bool:
+    """Return whether the endpoints of two attempts share the deduplication of requests."""
     if scope not in ("zone", "cell"):
         return True
-    if first.target is None or retry.target is None:
+    if earlier.target is None or retry.target is None:
         return False
-    return _scope_key(scope, first.target.endpoint) == _scope_key(scope, retry.target.endpoint)
+    return _scope_key(scope, earlier.target.endpoint) == _scope_key(scope, retry.target.endpoint)
 
 
 def _scope_key(scope: str, endpoint: Endpoint) -> int:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -44,12 +44,12 @@
     from garnetusher.sidecar.requests.trace import Trace  # noqa: PLC0415 - the copy of this file in the test of the list has no sidecar
 
     found: list[str] = []
-    violated = Trace.violated
+    violated = Trace.record_violation
 
     def noted(self: Trace, rule: str, ident: int, attempt: int = -1, upstream: int = -1) -> None:
         found.append(rule)
         violated(self, rule, ident, attempt, upstream)
 
-    monkeypatch.setattr(Trace, "violated", noted)
+    monkeypatch.setattr(Trace, "record_violation", noted)
     yield
     assert bool(found) == (request.node.get_closest_marker("violates") is not None), found
