--- a/tests/test_crossing_any.py
+++ b/tests/test_interleaving_random.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.crossing_player import Play
+from tests.interleaving_driver import Play
 from tests.runner import run
 
 SEEDS = range(24)
