--- a/garnetusher/sidecar/requests/write_gate.py
+++ b/garnetusher/sidecar/requests/write_gate.py
@@ -59,7 +59,7 @@
             denial = Denial.CLIENT_LEFT
         if denial is not None:
             # Settings that changed after the start of this attempt may forbid hedging or allow fewer attempts, so
-            # these denials are not the fault of the policy.
+            # only `MAY_HAVE_RUN` proves a fault in the policy here.
             self._record_denial(request, attempt_index, denial, violation=denial is Denial.MAY_HAVE_RUN)
             return denial
         attempt = request.attempts[attempt_index]
--- a/tests/interleaving_driver.py
+++ b/tests/interleaving_driver.py
@@ -1,7 +1,8 @@
-"""Peers on plain sockets that a seed plays step by step against a real sidecar in the same loop.
+"""Stand-ins on plain sockets that take the steps of a seed against a real sidecar in the same event loop.
 
-Nothing happens between two steps but the rounds of the loop that a step asks for, so what is there in one look of the
-loop, and in which order, is the seed's choice and no race's."""
+Between two steps the event loop runs only as many rounds as the seed chooses. The seed therefore decides what the
+sidecar finds in one round of the loop and in which order; no race decides it.
+"""
 
 from __future__ import annotations
 
@@ -15,45 +16,61 @@
 
 from tests.net import PATIENCE_S, Discovery, Sidecar, entry, listing, request, sidecar
 
-SETTLED_ROUNDS = 40  # of the loop, in which what was told is taken and a connection on this machine comes up
-OPEN, SERVED, BEGUN, FAILED, NOT_RUN, BROKEN = "open", "served", "begun", "failed", "not run", "broken"
-BEGINNINGS = {
+SETTLE_ROUNDS = 40  # loop rounds in which the sidecar applies an update and a loopback connection is established
+OPEN, SERVED, STARTED, FAILED, NOT_RUN, BROKEN = "open", "served", "started", "failed", "not run", "broken"
+RESPONSE_PREFIXES = {
     SERVED: b"HTTP/1.1 200 OK\r\n",
-    BEGUN: b"HTTP/1.1 200 OK\r\n",
+    STARTED: b"HTTP/1.1 200 OK\r\n",
     FAILED: b"HTTP/1.1 500 Oops\r\n",
     NOT_RUN: b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n",
 }
-LONG = 100_000  # bytes, more than is held of a body or of an answer
+LONG_BODY_SIZE = 100_000  # bytes; more than the sidecar buffers of a request body or of a response
 
 
 @dataclass
-class Came:
-    """A request that has come whole to an upstream."""
-
-    ident: str
-    line: Line
+class ReceivedRequest:
+    """A complete request at an upstream.
+
+    Attributes:
+        request_id: the client's `X-Request-Id`.
+        connection: the connection on which the request arrived.
+        round: the loop round in which the request was complete.
+        state: the state of the response; one of `OPEN`, `SERVED`, `STARTED`, `FAILED`, `NOT_RUN` and `BROKEN`.
+        unsent_response: the rest of a response that has been started.
+    """
+
+    request_id: str
+    connection: Connection
     round: int
     state: str = OPEN
-    rest: bytes = b""  # of its answer, which has begun
+    unsent_response: bytes = b""
 
 
 @dataclass(eq=False)
-class Line:
-    """A connection from the sidecar to an upstream."""
+class Connection:
+    """A connection from the sidecar to an upstream, with the bytes of the next request that have arrived."""
 
     sock: socket.socket
-    data: bytes = b""
+    buffer: bytes = b""
     open: bool = True
 
 
 @dataclass(eq=False)
-class Place:
-    """An upstream's address."""
+class StandInUpstream:
+    """An upstream with an address of its own.
+
+    Attributes:
+        uid: the upstream's id in the endpoint list.
+        listener: the listening socket.
+        connections: all connections that the sidecar has opened.
+        requests: all complete requests that have arrived.
+        drained_round: the loop round in which the endpoint list reported it as draining or removed; -1 = never.
+    """
 
     uid: str
     listener: socket.socket
-    lines: list[Line] = field(default_factory=list)
-    came: list[Came] = field(default_factory=list)
+    connections: list[Connection] = field(default_factory=list)
+    requests: list[ReceivedRequest] = field(default_factory=list)
     drained_round: int = -1
 
     @property
@@ -62,304 +79,378 @@
 
 
 @dataclass(eq=False)
-class Caller:
-    """A client's connection, which carries one request."""
-
-    ident: str
-    kind: str
+class ClientRequest:
+    """A request of a client, and what the client has received on its connection.
+
+    Attributes:
+        request_id: the `X-Request-Id` that the client sends.
+        class_name: the request class.
+        sock: the connection of the client, which carries one request at a time.
+        unsent: the part of the request that has not been sent.
+        received: the bytes of the response.
+        closed_by_sidecar: whether the sidecar has closed the connection.
+        left_round: the loop round in which the client closed the connection or its sending side; -1 = it did not.
+        reuses_connection: whether the connection carried a request before; if the sidecar closes such a connection
+            before it reads the request, a client sends the request again on another connection.
+        superseded: whether the response has arrived and the connection carries another request.
+    """
+
+    request_id: str
+    class_name: str
     sock: socket.socket
-    rest: bytes  # of its request, not sent yet
-    data: bytes = b""
-    ended: bool = False  # by the sidecar
+    unsent: bytes
+    received: bytes = b""
+    closed_by_sidecar: bool = False
     left_round: int = -1
-    again: bool = False  # on a connection that has carried a request: if that closes unread, it is sent anew elsewhere
-    over: bool = False  # answered, and its connection goes on with another
+    reuses_connection: bool = False
+    superseded: bool = False
 
 
-def whole_message(data: bytes) -> tuple[bytes, bytes, bytes] | None:
-    """Head, body and what follows, if all of it is there."""
+def split_message(data: bytes) -> tuple[bytes, bytes, bytes] | None:
+    """Return the head and the body of the first message, and the bytes after it; None if it is incomplete."""
     head, found, rest = data.partition(b"\r\n\r\n")
     lengths = [line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length:")]
     length = int(lengths[0].split(b":")[1]) if lengths else 0
     return (head, rest[:length], rest[length:]) if found and len(rest) >= length else None
 
 
-def body_of(ident: str, long: bool) -> bytes:
-    """What a request carries, or its answer: nobody else's."""
-    return (ident + ";").encode() * (LONG // len(ident) if long else 1)
+def make_body(request_id: str, is_long: bool) -> bytes:
+    """Return the body of a request and of the response to it; it differs from the bodies of all other requests."""
+    return (request_id + ";").encode() * (LONG_BODY_SIZE // len(request_id) if is_long else 1)
 
 
-class Play:
-    """One seed's steps, and what must hold after each of them and at the end."""
+class InterleavingDriver:
+    """Takes the random steps of one seed, and checks the invariants after each of them and at the end."""
 
     def __init__(self, seed: int) -> None:
-        self.dice = random.Random(seed)
+        self.random = random.Random(seed)
         self.round = 0
-        self.rev = 1
-        self.calls: list[Caller] = []
-        self.places = [self.place(f"u{number}") for number in range(3)]
+        self.revision = 1
+        self.client_requests: list[ClientRequest] = []
+        self.upstreams = [self.create_upstream(f"u{number}") for number in range(3)]
         self.discovery = Discovery()
-        self.steps: list[str] = []
+        self.step_log: list[str] = []
         self.stopped = False
-        self.stops_at = self.dice.randrange(300)  # a step that most plays don't reach
+        self.stop_step = self.random.randrange(300)  # most runs end before this step
 
-    def place(self, uid: str) -> Place:
+    def create_upstream(self, uid: str) -> StandInUpstream:
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        return Place(uid, listener)
+        return StandInUpstream(uid, listener)
 
-    def note(self, what: str) -> None:
-        self.steps.append(f"{self.round} {what}")
+    def log_step(self, text: str) -> None:
+        self.step_log.append(f"{self.round} {text}")
 
-    def need(self, held: bool, what: str) -> None:
-        if not held:
-            raise AssertionError(f"{what}; the last steps: {self.steps[-25:]}")
+    def check(self, holds: bool, message: str) -> None:
+        if not holds:
+            raise AssertionError(f"{message}; the last steps: {self.step_log[-25:]}")
 
-    async def play(self, steps: int) -> None:
-        known = listing(*(entry(place.uid, place.port) for place in self.places))
+    async def run(self, steps: int) -> None:
+        endpoint_list = listing(*(entry(upstream.uid, upstream.port) for upstream in self.upstreams))
         async with sidecar(
-            known=known, discovery=self.discovery, cancel_attempts=True, hedging=self.dice.random() < 0.5
-        ) as it:
+            known=endpoint_list, discovery=self.discovery, cancel_attempts=True, hedging=self.random.random() < 0.5
+        ) as running:
             await self.discovery.watched()
             try:
                 for number in range(steps):
-                    self.step(it, number)
-                    for _ in range(self.dice.choice((0, 0, 0, 1, 1, 2, 3, SETTLED_ROUNDS))):
-                        await self.turn()
-                    if self.dice.random() < 0.05:
-                        await asyncio.sleep(0.015)  # connections settle
-                        self.look()
+                    self.take_step(running, number)
+                    for _ in range(self.random.choice((0, 0, 0, 1, 1, 2, 3, SETTLE_ROUNDS))):
+                        await self.run_loop_round()
+                    if self.random.random() < 0.05:
+                        await asyncio.sleep(0.015)  # pending connections are established
+                        self.poll_sockets()
                 await self.finish()
             finally:
-                for place in self.places:
-                    place.listener.close()
-                    for line in place.lines:
-                        line.sock.close()
-                for call in self.calls:
-                    call.sock.close()
-
-    async def turn(self) -> None:
+                for upstream in self.upstreams:
+                    upstream.listener.close()
+                    for connection in upstream.connections:
+                        connection.sock.close()
+                for client_request in self.client_requests:
+                    client_request.sock.close()
+
+    async def run_loop_round(self) -> None:
         self.round += 1
         await asyncio.sleep(0)
-        self.look()
+        self.poll_sockets()
 
     async def finish(self) -> None:
-        """What was begun is ended, and all upstreams answer but to a process that ends; then everybody who is there has
-        an answer."""
-        until = time.monotonic() + PATIENCE_S
-        for call in self.calls:
-            self.send(call, len(call.rest))
-        while time.monotonic() < until and any(not self.served(call) for call in self.calls):
-            for place in self.places:
-                for came in place.came:
-                    if came.state == BEGUN or (came.state == OPEN and not self.stopped):
-                        self.answer(place, came, SERVED)
+        """Complete all started requests and responses, and check that each connected client gets its response.
+
+        Upstreams respond to the open requests as well, unless the sidecar is stopping.
+        """
+        give_up_at = time.monotonic() + PATIENCE_S
+        for client_request in self.client_requests:
+            self.send_bytes(client_request, len(client_request.unsent))
+        while time.monotonic() < give_up_at and any(not self.is_done(each) for each in self.client_requests):
+            for upstream in self.upstreams:
+                for received in upstream.requests:
+                    if received.state == STARTED or (received.state == OPEN and not self.stopped):
+                        self.respond(upstream, received, SERVED)
             await asyncio.sleep(0.002)
-            self.look()
-        for call in self.calls:
-            self.need(self.served(call), f"{call.ident} has no answer: {call.data[:90]!r}, ended: {call.ended}")
+            self.poll_sockets()
+        for client_request in self.client_requests:
+            self.check(
+                self.is_done(client_request),
+                f"{client_request.request_id} has no response: {client_request.received[:90]!r}, "
+                f"closed by the sidecar: {client_request.closed_by_sidecar}",
+            )
 
-    def came(self, ident: str) -> list[Came]:
-        return [came for place in self.places for came in place.came if came.ident == ident]
+    def received_copies(self, request_id: str) -> list[ReceivedRequest]:
+        """Return the copies of a request that have arrived at upstreams."""
+        return [
+            received
+            for upstream in self.upstreams
+            for received in upstream.requests
+            if received.request_id == request_id
+        ]
 
-    def served(self, call: Caller) -> bool:
-        if call.over or call.left_round >= 0 or whole_message(call.data) is not None:
+    def is_done(self, client_request: ClientRequest) -> bool:
+        """Return whether a client has its response, or may do without one."""
+        if (
+            client_request.superseded
+            or client_request.left_round >= 0
+            or split_message(client_request.received) is not None
+        ):
             return True
-        if not call.ended:
+        if not client_request.closed_by_sidecar:
             return False
-        unread = call.again and not call.data and not self.came(call.ident)
-        return unread or (b" 200 " in call.data[:16] and any(came.state == BROKEN for came in self.came(call.ident)))
+        unread = (
+            client_request.reuses_connection
+            and not client_request.received
+            and not self.received_copies(client_request.request_id)
+        )
+        return unread or (
+            b" 200 " in client_request.received[:16]
+            and any(copy.state == BROKEN for copy in self.received_copies(client_request.request_id))
+        )
 
-    # What a step does
+    # Steps
 
-    def step(self, it: Sidecar, number: int) -> None:
-        if number == self.stops_at:
-            self.note("SIGTERM")
-            it.stop.set()
+    def take_step(self, running: Sidecar, number: int) -> None:
+        if number == self.stop_step:
+            self.log_step("SIGTERM")
+            running.stop.set()
             self.stopped = True
             return
-        what = self.dice.choices(
-            (self.call, self.go_on, self.say_more, self.leave, self.answer_one, self.tell, self.stray),
+        step = self.random.choices(
+            (
+                self.request_on_new_connection,
+                self.request_on_idle_connection,
+                self.send_rest_of_request,
+                self.disconnect_client,
+                self.respond_to_one,
+                self.replace_upstream,
+                self.send_stray_response,
+            ),
             (7, 3, 4, 3, 8, 3, 1),
         )[0]
-        what(it)
+        step(running)
 
-    def call(self, it: Sidecar) -> None:
+    def request_on_new_connection(self, running: Sidecar) -> None:
         if not self.stopped:
-            sock = socket.create_connection(("127.0.0.1", it.port))
+            sock = socket.create_connection(("127.0.0.1", running.port))
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.ask(sock, again=False)
-
-    def go_on(self, it: Sidecar) -> None:
-        """Another request on a connection that is at rest."""
-        resting = [
-            call
-            for call in self.calls
-            if call.left_round < 0 and not call.over and not call.ended and whole_message(call.data) is not None
+            self.start_request(sock, reuses_connection=False)
+
+    def request_on_idle_connection(self, running: Sidecar) -> None:
+        """Start another request on a client connection whose request has its response."""
+        idle = [
+            client_request
+            for client_request in self.client_requests
+            if client_request.left_round < 0
+            and not client_request.superseded
+            and not client_request.closed_by_sidecar
+            and split_message(client_request.received) is not None
         ]
-        if resting:
-            call = self.dice.choice(resting)
-            call.over = True
-            self.ask(call.sock, again=True)
-
-    def ask(self, sock: socket.socket, again: bool) -> None:
-        kind = self.dice.choice(("pay", "pay", "read", "mark"))
-        ident = f"{kind}{len(self.calls)}"
-        data = request(kind, ident, b"" if kind == "read" else body_of(ident, self.dice.random() < 0.1))
-        call = Caller(ident, kind, sock, data, again=again)
-        self.calls.append(call)
-        self.send(call, self.dice.choice((len(data), len(data), len(data) - 1, len(data) // 2, 30)))
-
-    def send(self, call: Caller, size: int) -> None:
-        if call.rest and call.left_round < 0:
+        if idle:
+            client_request = self.random.choice(idle)
+            client_request.superseded = True
+            self.start_request(client_request.sock, reuses_connection=True)
+
+    def start_request(self, sock: socket.socket, reuses_connection: bool) -> None:
+        """Send all of a new request, or only its first bytes."""
+        class_name = self.random.choice(("pay", "pay", "read", "mark"))
+        request_id = f"{class_name}{len(self.client_requests)}"
+        data = request(
+            class_name, request_id, b"" if class_name == "read" else make_body(request_id, self.random.random() < 0.1)
+        )
+        client_request = ClientRequest(request_id, class_name, sock, data, reuses_connection=reuses_connection)
+        self.client_requests.append(client_request)
+        self.send_bytes(client_request, self.random.choice((len(data), len(data), len(data) - 1, len(data) // 2, 30)))
+
+    def send_bytes(self, client_request: ClientRequest, size: int) -> None:
+        """Send the next bytes of a request."""
+        if client_request.unsent and client_request.left_round < 0:
             with contextlib.suppress(OSError):
-                call.sock.send(call.rest[:size])
-            self.note(f"{call.ident} sends {size} of {len(call.rest)}")
-            call.rest = call.rest[size:]
-
-    def say_more(self, it: Sidecar) -> None:
-        halves = [call for call in self.calls if call.rest]
-        if halves:
-            call = self.dice.choice(halves)
-            self.send(call, len(call.rest))
-
-    def leave(self, it: Sidecar) -> None:
-        there = [call for call in self.calls if not self.served(call)]
-        if there:
-            call, how = self.dice.choice(there), self.dice.choice(("ends", "resets", "closes"))
-            call.left_round = self.round
-            self.note(f"{call.ident} {how}")
-            if how == "ends":
+                client_request.sock.send(client_request.unsent[:size])
+            self.log_step(f"{client_request.request_id} sends {size} of {len(client_request.unsent)}")
+            client_request.unsent = client_request.unsent[size:]
+
+    def send_rest_of_request(self, running: Sidecar) -> None:
+        incomplete = [client_request for client_request in self.client_requests if client_request.unsent]
+        if incomplete:
+            client_request = self.random.choice(incomplete)
+            self.send_bytes(client_request, len(client_request.unsent))
+
+    def disconnect_client(self, running: Sidecar) -> None:
+        """Close or reset the connection of a waiting client, or close only its sending side."""
+        waiting = [client_request for client_request in self.client_requests if not self.is_done(client_request)]
+        if waiting:
+            client_request, action = self.random.choice(waiting), self.random.choice(("ends", "resets", "closes"))
+            client_request.left_round = self.round
+            self.log_step(f"{client_request.request_id} {action}")
+            if action == "ends":
                 with contextlib.suppress(OSError):
-                    call.sock.shutdown(socket.SHUT_WR)
+                    client_request.sock.shutdown(socket.SHUT_WR)
                 return
-            if how == "resets":
-                call.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            call.sock.close()
+            if action == "resets":
+                client_request.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            client_request.sock.close()
 
-    def open(self) -> list[tuple[Place, Came]]:
+    def open_requests(self) -> list[tuple[StandInUpstream, ReceivedRequest]]:
+        """Return the requests at upstreams that do not have their complete response."""
         return [
-            (place, came)
-            for place in self.places
-            for came in place.came
-            if came.state in (OPEN, BEGUN) and came.line.open
+            (upstream, received)
+            for upstream in self.upstreams
+            for received in upstream.requests
+            if received.state in (OPEN, STARTED) and received.connection.open
         ]
 
-    def answer_one(self, it: Sidecar) -> None:
-        if there := self.open():
-            place, came = self.dice.choice(there)
-            after = (SERVED, BROKEN) if came.state == BEGUN else (SERVED, SERVED, BEGUN, FAILED, NOT_RUN, BROKEN)
-            self.answer(place, came, self.dice.choice(after))
-
-    def answer(self, place: Place, came: Came, how: str) -> None:
-        self.note(f"{place.uid}: {came.ident} is {how}")
-        begun, came.state = came.state == BEGUN, how
-        if how == BROKEN:
-            came.line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            came.line.sock.close()
-            came.line.open = False
-        elif came.line.open:
-            data = came.rest
-            if not begun:
-                body = body_of(came.ident, how == BEGUN) if how in (SERVED, BEGUN) else b""
-                data = BEGINNINGS[how] + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
-            if how == BEGUN:
-                data, came.rest = data[:-1000], data[-1000:]
+    def respond_to_one(self, running: Sidecar) -> None:
+        if open_requests := self.open_requests():
+            upstream, received = self.random.choice(open_requests)
+            next_states = (
+                (SERVED, BROKEN)
+                if received.state == STARTED
+                else (SERVED, SERVED, STARTED, FAILED, NOT_RUN, BROKEN)
+            )
+            self.respond(upstream, received, self.random.choice(next_states))
+
+    def respond(self, upstream: StandInUpstream, received: ReceivedRequest, state: str) -> None:
+        """Bring the response to a request into a state: send all of it, send a part of it, or reset the connection."""
+        self.log_step(f"{upstream.uid}: {received.request_id} is {state}")
+        was_started, received.state = received.state == STARTED, state
+        if state == BROKEN:
+            received.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            received.connection.sock.close()
+            received.connection.open = False
+        elif received.connection.open:
+            data = received.unsent_response
+            if not was_started:
+                body = make_body(received.request_id, state == STARTED) if state in (SERVED, STARTED) else b""
+                data = RESPONSE_PREFIXES[state] + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+            if state == STARTED:
+                data, received.unsent_response = data[:-1000], data[-1000:]
             with contextlib.suppress(OSError):
-                came.line.sock.send(data)
+                received.connection.sock.send(data)
 
-    def stray(self, it: Sidecar) -> None:
-        """More comes behind an answer, at once."""
-        if there := self.open():
-            place, came = self.dice.choice(there)
-            self.answer(place, came, SERVED)
+    def send_stray_response(self, running: Sidecar) -> None:
+        """Respond to a request, and send a second response immediately after the first."""
+        if open_requests := self.open_requests():
+            upstream, received = self.random.choice(open_requests)
+            self.respond(upstream, received, SERVED)
             with contextlib.suppress(OSError):
-                came.line.sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
-
-    def tell(self, it: Sidecar) -> None:
-        """One drains, and another is there in its place."""
-        ready = [place for place in self.places if place.drained_round < 0]
-        place, new = self.dice.choice(ready), self.place(f"u{len(self.places)}")
-        self.places.append(new)
-        place.drained_round = self.round
-        self.rev += 1
-        self.note(f"{place.uid} drains, {new.uid} is there")
+                received.connection.sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
+
+    def replace_upstream(self, running: Sidecar) -> None:
+        """Report one upstream as draining or removed, and a new one as ready."""
+        ready = [upstream for upstream in self.upstreams if upstream.drained_round < 0]
+        upstream, replacement = self.random.choice(ready), self.create_upstream(f"u{len(self.upstreams)}")
+        self.upstreams.append(replacement)
+        upstream.drained_round = self.round
+        self.revision += 1
+        self.log_step(f"{upstream.uid} drains, {replacement.uid} is ready")
         self.discovery.line(
             listing(
-                entry(place.uid, place.port, self.dice.choice(("leaving", "left"))),
-                entry(new.uid, new.port),
-                rev=self.rev,
+                entry(upstream.uid, upstream.port, self.random.choice(("leaving", "left"))),
+                entry(replacement.uid, replacement.port),
+                rev=self.revision,
                 full=False,
             )
         )
 
-    # What comes, and what must hold
+    # Received data and invariants
 
-    def look(self) -> None:
-        for place in self.places:
+    def poll_sockets(self) -> None:
+        """Accept the new connections of all upstreams, and read what has arrived at upstreams and clients."""
+        for upstream in self.upstreams:
             with contextlib.suppress(BlockingIOError):
                 while True:
-                    sock, _ = place.listener.accept()
+                    sock, _ = upstream.listener.accept()
                     sock.setblocking(False)
-                    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what a step sends is there at once
-                    place.lines.append(Line(sock))
-            for line in place.lines:
-                if line.open:
-                    self.look_at(place, line)
-        for call in self.calls:
-            if not call.over and not call.ended and call.sock.fileno() >= 0:
-                self.look_to(call)
-
-    def look_to(self, call: Caller) -> None:
+                    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # bytes sent in a step arrive at once
+                    upstream.connections.append(Connection(sock))
+            for connection in upstream.connections:
+                if connection.open:
+                    self.read_requests(upstream, connection)
+        for client_request in self.client_requests:
+            if (
+                not client_request.superseded
+                and not client_request.closed_by_sidecar
+                and client_request.sock.fileno() >= 0
+            ):
+                self.read_response(client_request)
+
+    def read_response(self, client_request: ClientRequest) -> None:
+        """Read what has arrived at a client; check that it is at most one response, with the body for this request."""
         try:
-            data = call.sock.recv(1_000_000)
+            data = client_request.sock.recv(1_000_000)
         except BlockingIOError:
             return
         except ConnectionError:
             data = b""
-        call.data, call.ended = call.data + data, not data
-        if data and (answer := whole_message(call.data)) is not None:
-            head, body, more = answer
-            self.need(not more, f"{call.ident} has a second answer: {more[:90]!r}")
-            self.need(
-                b" 200 " not in head[:16] or body in (body_of(call.ident, False), body_of(call.ident, True)),
-                f"{call.ident} was given {body[:90]!r}",
+        client_request.received, client_request.closed_by_sidecar = client_request.received + data, not data
+        if data and (message := split_message(client_request.received)) is not None:
+            head, body, extra = message
+            self.check(not extra, f"{client_request.request_id} has a second response: {extra[:90]!r}")
+            self.check(
+                b" 200 " not in head[:16]
+                or body in (make_body(client_request.request_id, False), make_body(client_request.request_id, True)),
+                f"{client_request.request_id} has the wrong response body {body[:90]!r}",
             )
 
-    def look_at(self, place: Place, line: Line) -> None:
+    def read_requests(self, upstream: StandInUpstream, connection: Connection) -> None:
+        """Read what has arrived on a connection to an upstream, and check each complete request."""
         try:
-            data = line.sock.recv(1_000_000)
+            data = connection.sock.recv(1_000_000)
         except BlockingIOError:
             return
         except ConnectionError:
             data = b""
         if not data:
-            line.open = False
-            line.sock.close()
+            connection.open = False
+            connection.sock.close()
             return
-        line.data += data
-        while (message := whole_message(line.data)) is not None:
-            head, body, line.data = message
-            came = Came(head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0].decode(), line, self.round)
-            place.came.append(came)
-            self.note(f"{came.ident} is at {place.uid}")
-            self.check_came(place, came, body)
-
-    def check_came(self, place: Place, came: Came, body: bytes) -> None:
-        call = next(call for call in self.calls if call.ident == came.ident)
-        self.need(
-            call.kind == "read" or body in (body_of(call.ident, False), body_of(call.ident, True)),
-            f"{came.ident} came with {body[:90]!r}",
+        connection.buffer += data
+        while (message := split_message(connection.buffer)) is not None:
+            head, body, connection.buffer = message
+            received = ReceivedRequest(
+                head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0].decode(), connection, self.round
+            )
+            upstream.requests.append(received)
+            self.log_step(f"{received.request_id} is at {upstream.uid}")
+            self.check_received(upstream, received, body)
+
+    def check_received(self, upstream: StandInUpstream, received: ReceivedRequest, body: bytes) -> None:
+        """Check that a request may be at this upstream now, has the right body, and does not run twice."""
+        client_request = next(each for each in self.client_requests if each.request_id == received.request_id)
+        self.check(
+            client_request.class_name == "read"
+            or body in (make_body(client_request.request_id, False), make_body(client_request.request_id, True)),
+            f"{received.request_id} arrived with the wrong body {body[:90]!r}",
+        )
+        is_long = len(body) > LONG_BODY_SIZE // 2  # the first byte of a long request may have arrived much earlier
+        self.check(
+            is_long or upstream.drained_round < 0 or received.round <= upstream.drained_round + SETTLE_ROUNDS,
+            f"{received.request_id} arrived at {upstream.uid}, which drains",
         )
-        long = len(body) > LONG // 2  # its first byte may have come before
-        self.need(
-            long or place.drained_round < 0 or came.round <= place.drained_round + SETTLED_ROUNDS,
-            f"{came.ident} came to {place.uid}, which drains",
+        self.check(
+            client_request.left_round < 0 or received.round <= client_request.left_round + SETTLE_ROUNDS,
+            f"{received.request_id} was forwarded after its client had left",
         )
-        self.need(
-            call.left_round < 0 or came.round <= call.left_round + SETTLED_ROUNDS,
-            f"{came.ident} was sent on though its client had left",
+        possible_runs = [copy.state for copy in self.received_copies(received.request_id) if copy.state != NOT_RUN]
+        self.check(
+            client_request.class_name != "pay" or len(possible_runs) == 1,
+            f"{received.request_id} has run twice: {possible_runs}",
         )
-        ran = [each.state for each in self.came(came.ident) if each.state != NOT_RUN]
-        self.need(call.kind != "pay" or len(ran) == 1, f"{came.ident} has run twice: {ran}")
--- a/tests/test_interleaving_random.py
+++ b/tests/test_interleaving_random.py
@@ -1,10 +1,10 @@
-"""Crossings that nobody thought of: seeds play clients, upstreams and discovery against the real sidecar."""
+"""Randomly generated interleavings of the steps of clients, upstreams and discovery, run against the real sidecar."""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.interleaving_driver import Play
+from tests.interleaving_driver import InterleavingDriver
 from tests.runner import run
 
 SEEDS = range(24)
@@ -12,5 +12,5 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_whatever_crosses_each_request_has_its_one_answer_and_runs_where_it_may(seed: int) -> None:
-    run(lambda: Play(seed).play(STEPS))
+def test_each_request_gets_one_response_and_runs_only_where_permitted_in_any_interleaving(seed: int) -> None:
+    run(lambda: InterleavingDriver(seed).run(STEPS))
--- a/tests/test_interleaving_retries.py
+++ b/tests/test_interleaving_retries.py
@@ -1,4 +1,4 @@
-"""Attempts while the endpoint list, the time or the connection changes between choice, write and response."""
+"""Attempts during which the endpoint list, the time or the connection changes before the write or the response."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from tests.world import World, settings, upstreams
 
 
-def test_attempt_waiting_for_its_connection_goes_elsewhere_when_the_upstream_drains() -> None:
+def test_attempt_waiting_for_a_connection_is_sent_to_another_upstream_when_its_upstream_drains() -> None:
     async def test() -> None:
         other, discovery = Upstream(answering(OK)), Discovery()
         await other.start()
@@ -55,8 +55,8 @@
     run(test)
 
 
-def test_attempt_waiting_for_its_connection_goes_elsewhere_when_the_upstream_restarts() -> None:
-    """It was chosen as warmed up; the connection would come up to a process that is warming up."""
+def test_attempt_waiting_for_a_connection_is_sent_to_another_upstream_when_its_upstream_restarts() -> None:
+    """The policy chose a warm upstream, but the connection would be to a new process that is warming up."""
 
     async def test() -> None:
         other, discovery = Upstream(answering(OK)), Discovery()
@@ -72,8 +72,8 @@
                 reader, writer = await running.connect()
                 writer.write(request("pay", body=b"b"))
                 await asyncio.sleep(0.1)
-                anew = entry("u0", port, boot_ms=int(time.time() * 1000))
-                discovery.line(listing(anew, entry("u1", other.port), rev=2, full=False))
+                restarted = entry("u0", port, boot_ms=int(time.time() * 1000))
+                discovery.line(listing(restarted, entry("u1", other.port), rev=2, full=False))
                 assert status(await read_message(reader)) == 200
                 writer.close()
         assert len(other.requests) == 1
@@ -92,13 +92,14 @@
             await discovery.watched()
             reader, writer = await running.connect()
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert status(await read_message(reader)) == 200  # it is set up, and so is the watch
-            # no round of the loop between: the request is read, then the list, and then the connection is begun
+            assert status(await read_message(reader)) == 200  # the client connection and the watch are established
+            # Both arrive in one round of the loop: the sidecar reads the request, then the list, and then connects.
             writer.write(request("pay", body=b"b"))
-            told = entry("u0", new.port) if moved else entry("u0", old.port, "leaving")
-            discovery.line(listing(told, entry("u1", new.port), rev=3, full=False))
+            updated = entry("u0", new.port) if moved else entry("u0", old.port, "leaving")
+            discovery.line(listing(updated, entry("u1", new.port), rev=3, full=False))
             assert status(await read_message(reader)) == 200
-            await running.ask(request("pay", "2", b"b"))  # what was begun would have come up by now
+            # When this response arrives, a connection for the withdrawn attempt would have been established.
+            await running.ask(request("pay", "2", b"b"))
             writer.close()
         assert (len(old.requests), len(new.requests)) == (0, 2)
         old.stop()
@@ -119,7 +120,7 @@
                 writer.write(request("pay", body=b"b", deadline_ms=60_000))
                 await asyncio.sleep(0.1)
                 discovery.line(listing(rev=2))
-                async with asyncio.timeout(10):  # its own time is up after 20 s
+                async with asyncio.timeout(10):  # the class sets a deadline of 20 s
                     assert status(await read_message(reader)) == 503
                 writer.close()
 
@@ -130,7 +131,7 @@
 def test_retry_waiting_for_a_connection_is_not_sent_when_the_deduplication_window_has_ended(
     scope: str, expected: int
 ) -> None:
-    """The answer comes then, and not at the request's own deadline after 15 s."""
+    """The response is sent when the window ends, and not at the deadline of the request after 15 s."""
     request_class = RequestClass(
         "mark",
         latency_objective_us=20_000_000,
@@ -141,12 +142,12 @@
     )
 
     async def test() -> None:
-        go, discovery = asyncio.Event(), Discovery()
+        release_response, discovery = asyncio.Event(), Discovery()
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await go.wait()
+            await release_response.wait()
             writer.write(ERROR)
 
         first = Upstream(script)
@@ -159,16 +160,16 @@
                 connect_timeout_us=60_000_000,
             ) as running:
                 await discovery.watched()
-                asked = asyncio.create_task(running.ask(request("mark", body=b"b")))
+                response = asyncio.create_task(running.ask(request("mark", body=b"b")))
                 await until(lambda: len(first.requests) == 1)
                 discovery.line(listing(entry("u1", port), rev=2, full=False))
                 reader, writer = await running.connect()
                 writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-                await read_message(reader)  # the list is taken by then
+                await read_message(reader)  # the sidecar has applied the list by then
                 writer.close()
-                go.set()
+                release_response.set()
                 async with asyncio.timeout(10):
-                    assert status(await asked) == expected
+                    assert status(await response) == expected
         assert len(first.requests) == 1
         first.stop()
 
@@ -181,9 +182,9 @@
         world.tell_list(upstreams(2))
         ident = world.arrive(class_index=1)
         first = world.owed[ident].tries[0].upstream
-        gone = next(each for each in upstreams(2) if each.id == first)
-        gone.status = EndpointStatus.REMOVED
-        world.tell_list([gone], UpdateKind.DELTA)
+        removed = next(each for each in upstreams(2) if each.id == first)
+        removed.status = EndpointStatus.REMOVED
+        world.tell_list([removed], UpdateKind.DELTA)
         world.end(ident, 0, Outcome.NOT_WRITTEN)
         tries = world.owed[ident].tries
         assert len(tries) == expected
@@ -191,46 +192,46 @@
 
 
 @pytest.mark.parametrize("strays", [True, False])
-def test_connection_does_not_take_a_stray_second_response_for_the_next_one_when_it_is_late(
+def test_connection_does_not_use_a_late_stray_response_for_the_next_request(
     monkeypatch: pytest.MonkeyPatch, strays: bool
 ) -> None:
-    monkeypatch.setattr(idle_reuse, "RESPONSE_GRACE_US", 3_000_000)  # no busy machine is slower than that
+    monkeypatch.setattr(idle_reuse, "RESPONSE_GRACE_US", 3_000_000)  # long enough for a busy machine
 
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
-        late = asyncio.Event()
+        release_response = asyncio.Event()
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writers.append(writer)
             if number:
-                await late.wait()
+                await release_response.wait()
             writer.write(OK)
 
         upstream = Upstream(script)
         async with sidecar(upstream) as running:
             assert await running.ask(request("pay", "1", b"b")) == (ANY, b"done")
             second = asyncio.create_task(running.ask(request("pay", "2", b"b")))
-            await asyncio.sleep(0.3)  # it is written by then, unless it waits for the response grace
+            await asyncio.sleep(0.3)  # the request is written by then, unless it waits for the response grace
             if strays:
                 writers[0].write(OK.replace(b"done", b"late"))
-            late.set()
+            release_response.set()
             assert await second == (ANY, b"done")
         assert upstream.connections == (2 if strays else 1)
 
     run(test)
 
 
-def test_pool_keeps_the_connection_when_its_attempt_is_abandoned_in_the_response_grace() -> None:
+def test_pool_keeps_the_connection_when_its_attempt_is_abandoned_during_the_response_grace() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweep_timer.cancel()
         for abandoned in (True, False):
-            here, there = socket.socketpair()
-            with here, there:
-                here.setblocking(False)
-                connection, wire = UpstreamConnection(pool, address, here), Wire()
+            sidecar_end, upstream_end = socket.socketpair()
+            with sidecar_end, upstream_end:
+                sidecar_end.setblocking(False)
+                connection, wire = UpstreamConnection(pool, address, sidecar_end), Wire()
                 connection.connection_made(wire)
                 pool.remove(connection)
                 attempt = attempt_at(pool, address, lambda result: None)
@@ -244,40 +245,40 @@
     run(test)
 
 
-def test_connection_ends_at_the_upstream_at_once_when_its_attempt_is_abandoned() -> None:
+def test_upstream_sees_its_connection_close_at_once_when_the_attempt_is_abandoned() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweep_timer.cancel()
-        here, there = socket.socketpair()
-        with here, there:
-            here.setblocking(False)
-            connection = UpstreamConnection(pool, address, here)
-            await asyncio.get_running_loop().create_connection(lambda: connection, sock=here)
+        sidecar_end, upstream_end = socket.socketpair()
+        with sidecar_end, upstream_end:
+            sidecar_end.setblocking(False)
+            connection = UpstreamConnection(pool, address, sidecar_end)
+            await asyncio.get_running_loop().create_connection(lambda: connection, sock=sidecar_end)
             attempt = attempt_at(pool, address, lambda result: None)
             pool.remove(connection)
             connection.send(attempt)
-            attempt.abandon()  # no round of the loop after it
-            assert there.recv(1000).startswith(b"POST /pay")
-            assert there.recv(100, socket.MSG_DONTWAIT) == b""
+            attempt.abandon()  # no round of the loop follows before the checks
+            assert upstream_end.recv(1000).startswith(b"POST /pay")
+            assert upstream_end.recv(100, socket.MSG_DONTWAIT) == b""
 
     run(test)
 
 
-def test_response_counts_once_when_it_comes_together_with_its_timeout() -> None:
+def test_client_gets_one_response_when_response_and_timeout_arrive_together() -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(OK)
             if number == 0:
-                time.sleep(0.5)  # noqa: ASYNC251 - the loop stands still: answer and time-out are both there in its next round
+                time.sleep(0.5)  # noqa: ASYNC251 - the next round of the blocked loop has both the response and the timeout
 
         upstream = Upstream(script)
         async with sidecar(upstream) as running:
             reader, writer = await running.connect()
             writer.write(request("pay", "1", b"b", deadline_ms=300))
             assert status(await read_message(reader)) == 200
-            writer.write(request("pay", "2", b"b"))  # what follows is the next answer, and not a second one
+            writer.write(request("pay", "2", b"b"))  # the next response belongs to this request
             head, body = await read_message(reader)
             assert status((head, body)) == 200
             assert b"close" not in head
@@ -287,25 +288,25 @@
     run(test)
 
 
-def test_connection_becomes_idle_unused_when_it_comes_up_after_its_attempt_was_abandoned() -> None:
+def test_unused_connection_becomes_idle_when_it_is_established_after_its_attempt_was_abandoned() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 1_000_000), ("127.0.0.1", 1)
         pool.sweep_timer.cancel()
         with socket.socket() as sock:
-            ends: list[object] = []
-            attempt = attempt_at(pool, address, ends.append)
+            results: list[object] = []
+            attempt = attempt_at(pool, address, results.append)
             connection, wire = UpstreamConnection(pool, address, sock), Wire()
             connection.attempt, attempt.connection = attempt, connection
             attempt.abandon()
             connection.connection_made(wire)
             assert wire.sent == b""
-            assert not ends
+            assert not results
             assert pool.idle == {address: [connection]}
 
     run(test)
 
 
-def test_connection_is_not_reused_when_unrequested_bytes_have_come() -> None:
+def test_connection_is_not_reused_when_unrequested_bytes_have_arrived() -> None:
     async def test() -> None:
         closed = asyncio.Event()
 
@@ -314,7 +315,7 @@
         ) -> None:
             writer.write(OK)
             if number == 0:
-                await asyncio.sleep(0.1)  # the answer is taken, and the connection is idle
+                await asyncio.sleep(0.1)  # the sidecar has read the response, and the connection is idle
                 writer.write(b"HTTP/1.1 408 Request Timeout\r\n")
                 await reader.read()
                 closed.set()
@@ -330,13 +331,13 @@
 
 
 @pytest.mark.parametrize("class_name", ["pay", "read"])
-def test_request_fails_only_if_not_idempotent_when_the_upstream_closes_while_it_is_written(class_name: str) -> None:
+def test_request_fails_only_if_not_idempotent_when_the_upstream_closes_during_the_write(class_name: str) -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             if total() == 2:
-                writer.transport.abort()  # the connection was used again, and had just been closed over there
+                writer.transport.abort()  # the upstream closes the connection while the sidecar reuses it
                 raise ConnectionResetError
             writer.write(OK)
 
@@ -347,8 +348,8 @@
 
         async with sidecar(*upstreams) as running:
             body = b"b" if class_name == "pay" else b""
-            answers = [status(await running.ask(request(class_name, str(number), body))) for number in range(3)]
-            assert answers == ([200, 500, 200] if class_name == "pay" else [200, 200, 200])
+            statuses = [status(await running.ask(request(class_name, str(number), body))) for number in range(3)]
+            assert statuses == ([200, 500, 200] if class_name == "pay" else [200, 200, 200])
             assert total() == (3 if class_name == "pay" else 4)
 
     run(test)
--- a/tests/test_ready_endpoints.py
+++ b/tests/test_ready_endpoints.py
@@ -1,4 +1,4 @@
-"""The table of ready endpoints: what updates of the endpoint list add, change and release."""
+"""The table of ready endpoints: what an update of the endpoint list adds, changes and releases."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def update(endpoints: ReadyEndpoints, kind: UpdateKind, *listed: Endpoint) -> list[Address]:
-    """Apply an update in which each endpoint has its usual address."""
+    """Apply an update with the address from `address_of` for each endpoint; return the released addresses."""
     return endpoints.update(EndpointsUpdated(kind, list(listed)), {entry.id: address_of(entry.id) for entry in listed})
 
 
 @pytest.fixture
 def endpoints() -> ReadyEndpoints:
-    """Two ready endpoints, 0 and 1."""
+    """Return a table with two ready endpoints, 0 and 1."""
     ready = ReadyEndpoints()
     assert update(ready, UpdateKind.SNAPSHOT, Endpoint(0), Endpoint(1)) == []
     return ready
@@ -40,7 +40,7 @@
     assert endpoints.get(1) is not None
 
 
-def test_ready_endpoints_keeps_the_others_when_an_update_is_a_delta(endpoints: ReadyEndpoints) -> None:
+def test_ready_endpoints_keeps_unlisted_endpoints_when_an_update_is_a_delta(endpoints: ReadyEndpoints) -> None:
     assert update(endpoints, UpdateKind.DELTA, Endpoint(1, started_us=5)) == []
     assert endpoints.get(0) is not None
     assert endpoints.get(1) == ReadyEndpoint(Endpoint(1, started_us=5), address_of(1))
@@ -60,12 +60,12 @@
     assert endpoints.get(0) == ReadyEndpoint(Endpoint(0), moved)
 
 
-def test_ready_endpoints_keeps_all_when_a_poll_has_failed(endpoints: ReadyEndpoints) -> None:
+def test_ready_endpoints_keeps_all_endpoints_when_a_poll_has_failed(endpoints: ReadyEndpoints) -> None:
     assert endpoints.update(EndpointsUpdated(UpdateKind.FAILED), {}) == []
     assert endpoints.get(0) is not None
     assert endpoints.get(1) is not None
 
 
-def test_ready_endpoints_has_none_when_all_have_left(endpoints: ReadyEndpoints) -> None:
+def test_ready_endpoints_is_empty_when_a_snapshot_is_empty(endpoints: ReadyEndpoints) -> None:
     assert update(endpoints, UpdateKind.SNAPSHOT) == [address_of(0), address_of(1)]
     assert not endpoints.any_ready
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -1,4 +1,4 @@
-"""Requests through the real sidecar over loopback sockets: what is forwarded, retried and responded."""
+"""Requests through the real sidecar over loopback sockets: what it forwards, retries and responds."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
         upstream = Upstream(
             answering(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
         )
-        async with sidecar(upstream) as it:
-            head, body = await it.ask(request("mark", "77", b"\x00body\r\n"))
+        async with sidecar(upstream) as running:
+            head, body = await running.ask(request("mark", "77", b"\x00body\r\n"))
         assert status((head, body)) == 200
         assert body == b"\x00\xff\r\n\r\n"
         assert b"Content-Type: a/b" in head
-        seen, sent = upstream.requests[0]
-        assert seen.startswith(b"POST /mark/it?x=1 HTTP/1.1\r\n")
-        assert sent == b"\x00body\r\n"
-        assert b"X-Request-Id: 77\r\n" in seen
-        assert b"Idempotency-Key: k\r\n" in seen
-        deadline_ms = int(seen.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0])
+        received_head, received_body = upstream.requests[0]
+        assert received_head.startswith(b"POST /mark/it?x=1 HTTP/1.1\r\n")
+        assert received_body == b"\x00body\r\n"
+        assert b"X-Request-Id: 77\r\n" in received_head
+        assert b"Idempotency-Key: k\r\n" in received_head
+        deadline_ms = int(received_head.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0])
         assert 0 < deadline_ms <= 15_000
 
     run(test)
@@ -39,9 +39,9 @@
 @pytest.mark.parametrize(
     ("first", "expected", "attempts"),
     [
-        (NOT_RUN, 200, 2),  # never ran: an unsafe request may go again
+        (NOT_RUN, 200, 2),  # the request never ran, so it may be retried although it is not idempotent
         (ERROR, 500, 1),
-        (BARE_503, 500, 1),  # it may have run; passing it on would be a refusal
+        (BARE_503, 500, 1),  # the request may have run, but a 503 would tell the client that it did not
         (b"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", 200, 2),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 500, 1),
         (b"", 500, 1),
@@ -52,7 +52,9 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200, 1),
     ],
 )
-def test_sidecar_retries_unsafe_request_only_when_it_never_ran(first: bytes, expected: int, attempts: int) -> None:
+def test_sidecar_retries_non_idempotent_request_only_when_it_never_ran(
+    first: bytes, expected: int, attempts: int
+) -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -71,9 +73,9 @@
         def total() -> int:
             return sum(len(upstream.requests) for upstream in upstreams)
 
-        async with sidecar(*upstreams) as it:
-            answer = await it.ask(request("pay", body=b"b"))
-        assert (status(answer), total()) == (expected, attempts)
+        async with sidecar(*upstreams) as running:
+            response = await running.ask(request("pay", body=b"b"))
+        assert (status(response), total()) == (expected, attempts)
 
     run(test)
 
@@ -82,8 +84,8 @@
     async def test() -> None:
         rejected = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
         upstreams = [Upstream(answering(rejected)) for _ in range(3)]
-        async with sidecar(*upstreams) as it:
-            assert status(await it.ask(request())) == 500
+        async with sidecar(*upstreams) as running:
+            assert status(await running.ask(request())) == 500
         assert sum(len(upstream.requests) for upstream in upstreams) == 1
 
     run(test)
@@ -91,74 +93,76 @@
 
 def test_sidecar_sheds_with_retry_after_when_connecting_fails() -> None:
     async def test() -> None:
-        gone = Upstream(silent)
-        await gone.start()
-        gone.stop()
-        known = listing(entry("u0", gone.port))
-        async with sidecar(known=known) as it:
-            answer = await it.ask(request("pay"))
-        assert status(answer) == 503
-        assert 0.0 < float(answer[0].split(b"Retry-After: ")[1].split(b"\r\n")[0]) <= 1.0
+        stopped = Upstream(silent)
+        await stopped.start()
+        stopped.stop()
+        endpoint_list = listing(entry("u0", stopped.port))
+        async with sidecar(known=endpoint_list) as running:
+            response = await running.ask(request("pay"))
+        assert status(response) == 503
+        assert 0.0 < float(response[0].split(b"Retry-After: ")[1].split(b"\r\n")[0]) <= 1.0
 
     run(test)
 
 
 def test_sidecar_responds_before_deadline_when_upstream_is_silent() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(silent)) as it:
+        async with sidecar(Upstream(silent)) as running:
             started = asyncio.get_running_loop().time()
-            answer = await it.ask(request("pay", deadline_ms=400))
-            took = asyncio.get_running_loop().time() - started
-        assert status(answer) == 500
-        assert took >= 0.3
+            response = await running.ask(request("pay", deadline_ms=400))
+            elapsed_s = asyncio.get_running_loop().time() - started
+        assert status(response) == 500
+        assert elapsed_s >= 0.3
 
     run(test)
 
 
-def test_dispatcher_responds_to_all_when_policy_fails_or_forgets(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_dispatcher_responds_to_all_requests_when_policy_raises_or_ignores_an_event(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     handle = Balancer.handle
 
-    def stumbling(self: Balancer, now_us: int, event: Event) -> list[Any]:
+    def faulty_handle(self: Balancer, now_us: int, event: Event) -> list[Any]:
         if getattr(event, "affinity_key", 0):
-            raise RuntimeError("stumbled")
+            raise RuntimeError("injected policy error")
         if getattr(event, "client_retry", False):
             return []
         return handle(self, now_us, event)
 
-    monkeypatch.setattr(Balancer, "handle", stumbling)
+    monkeypatch.setattr(Balancer, "handle", faulty_handle)
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            assert status(await it.ask(request(extra="X-Key: 5\r\n"))) == 500
-            assert status(await it.ask(request(deadline_ms=300, extra="X-Retry: 1\r\n"))) == 500
-            assert status(await it.ask(request())) == 200
+        async with sidecar(Upstream(answering(OK))) as running:
+            assert status(await running.ask(request(extra="X-Key: 5\r\n"))) == 500
+            assert status(await running.ask(request(deadline_ms=300, extra="X-Retry: 1\r\n"))) == 500
+            assert status(await running.ask(request())) == 200
 
     run(test)
 
 
 def test_sidecar_does_not_retry_when_client_has_disconnected() -> None:
     async def test() -> None:
-        held = asyncio.Event()
+        release_response = asyncio.Event()
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             if number == 0:
-                await held.wait()
+                await release_response.wait()
                 writer.write(NOT_RUN)
             else:
                 writer.write(OK)
 
         upstream = Upstream(script)
-        async with sidecar(upstream) as it:
-            _, writer = await it.connect()
+        async with sidecar(upstream) as running:
+            _, writer = await running.connect()
             writer.write(request())
             await until(lambda: len(upstream.requests) == 1)
             writer.close()
             await writer.wait_closed()
             await asyncio.sleep(0.05)
-            held.set()
-            assert status(await it.ask(request(ident="2"))) == 200
+            release_response.set()
+            assert status(await running.ask(request(ident="2"))) == 200
         assert [b"X-Request-Id: 2" in head for head, _ in upstream.requests] == [False, True]
 
     run(test)
--- a/tests/test_write_gate.py
+++ b/tests/test_write_gate.py
@@ -1,4 +1,4 @@
-"""The write gate, each rule alone: what may be written, shed and closed at one moment; and the trace."""
+"""Each rule of the write gate on its own: what it lets the sidecar write, shed and close; and the trace."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ResponseState,
     WritePermit,
 )
-from garnetusher.sidecar.requests.trace import LAST_EVENTS, EventName, Trace
+from garnetusher.sidecar.requests.trace import TRACE_CAPACITY, EventName, Trace
 from garnetusher.sidecar.requests.write_gate import LATE_RESPONSE_US, WriteGate
 from garnetusher.sidecar.streaming import Head, Source
 
@@ -39,7 +39,7 @@
 
 
 class Client:
-    """A downstream connection that is open, or has closed."""
+    """A downstream connection that is open or closed."""
 
     closed = False
     body_complete_at_us = NOW_US
@@ -57,7 +57,7 @@
 
 
 class Case:
-    """A request with one attempt that is to be written now, at an endpoint that is ready."""
+    """A request with one attempt that is about to be written to a ready endpoint."""
 
     def __init__(self, effect: str = "idempotent") -> None:
         self.endpoints = ReadyEndpoints()
@@ -70,7 +70,7 @@
         self.add_attempt(0)
 
     def update(self, endpoint: Endpoint, address: tuple[str, int] = ADDRESS) -> None:
-        """Let the endpoint list say this of an endpoint."""
+        """Apply an update of one endpoint to the endpoint list."""
         self.endpoints.update(EndpointsUpdated(UpdateKind.DELTA, [endpoint]), {endpoint.id: address})
 
     def add_attempt(self, endpoint_id: int, **changes: object) -> Attempt:
@@ -82,23 +82,23 @@
     def add_earlier_attempt(
         self, endpoint_id: int, outcome: Outcome | None, written_us: int = NOW_US - 100_000
     ) -> None:
-        """Add an attempt before the one that is to be written."""
+        """Add an attempt before the one that is about to be written."""
         self.add_attempt(endpoint_id, outcome=outcome, written_us=written_us)
         self.request.attempts.insert(0, self.request.attempts.pop())
 
-    def may_write(self) -> WritePermit | Denial:
-        """Ask the gate for the last attempt."""
-        return self.gate.may_write(self.request, len(self.request.attempts) - 1, NOW_US)
+    def authorize_write(self) -> WritePermit | Denial:
+        """Return the decision of the gate on the last attempt."""
+        return self.gate.authorize_write(self.request, len(self.request.attempts) - 1, NOW_US)
 
 
-def test_write_gate_permits_the_remaining_time_when_nothing_forbids_it() -> None:
+def test_write_gate_permits_a_write_with_the_remaining_time_when_no_rule_forbids_it() -> None:
     case = Case()
-    assert case.may_write() == WritePermit(800_000)
+    assert case.authorize_write() == WritePermit(800_000)
     case.request.attempts[0].timeout_us = 300_000
-    assert case.may_write() == WritePermit(300_000)
+    assert case.authorize_write() == WritePermit(300_000)
     case.request.body_complete, case.client.body_complete_at_us = False, NOW_US - 400_000
     case.request.attempts[0].timeout_us = 0
-    assert case.may_write() == WritePermit(1_000_000 - 400_000 - 10_000)
+    assert case.authorize_write() == WritePermit(1_000_000 - 400_000 - 10_000)
     assert not case.gate.trace.counts
 
 
@@ -115,7 +115,7 @@
         Denial.STILL_OUT,
     ],
 )
-def test_write_gate_denies_and_counts_when_something_has_changed_since_the_choice(denial: Denial) -> None:
+def test_write_gate_denies_and_counts_a_write_when_the_state_has_changed_since_the_selection(denial: Denial) -> None:
     case = Case()
     attempt = case.request.attempts[0]
     if denial is Denial.REQUEST_OVER:
@@ -136,19 +136,19 @@
     else:
         case.gate.settings = Settings(list(CLASSES.values()), max_attempts=3, hedging=False)
         case.add_earlier_attempt(1, None)
-    assert case.may_write() is denial
+    assert case.authorize_write() is denial
     assert case.gate.trace.counts == {f"denied: {denial.name}": 1}
-    assert [event.name for event in case.gate.trace.of_request(1)] == [EventName.DENIED]
+    assert [event.name for event in case.gate.trace.events_of_request(1)] == [EventName.DENIED]
 
 
 @pytest.mark.parametrize("change", ["drained", "moved"])
-def test_write_gate_denies_when_the_chosen_endpoint_has_changed(change: str) -> None:
+def test_write_gate_denies_a_write_when_the_selected_endpoint_has_changed(change: str) -> None:
     case = Case()
     if change == "drained":
         case.update(Endpoint(0, status=EndpointStatus.DRAINING))
     else:
         case.update(Endpoint(0), ("127.0.0.1", 2))
-    assert case.may_write() is Denial.ENDPOINT_CHANGED
+    assert case.authorize_write() is Denial.ENDPOINT_CHANGED
 
 
 @pytest.mark.parametrize(
@@ -164,7 +164,7 @@
 def test_write_gate_permits_a_retry_when_the_class_allows_it(effect: str, upstream: int, outcome: Outcome) -> None:
     case = Case(effect)
     case.add_earlier_attempt(upstream, outcome)
-    assert isinstance(case.may_write(), WritePermit)
+    assert isinstance(case.authorize_write(), WritePermit)
 
 
 @pytest.mark.violates
@@ -183,35 +183,35 @@
 ) -> None:
     case = Case(effect)
     case.add_earlier_attempt(upstream, outcome)
-    assert case.may_write() is Denial.MAY_HAVE_RUN
+    assert case.authorize_write() is Denial.MAY_HAVE_RUN
     assert case.gate.trace.counts[f"violation: {Denial.MAY_HAVE_RUN.value}"] == 1
 
 
-def test_write_gate_denies_a_retry_when_the_deduplication_window_is_over() -> None:
+def test_write_gate_denies_a_retry_when_the_deduplication_window_has_ended() -> None:
     case = Case("deduplicated")
     case.add_earlier_attempt(1, Outcome.RESET, written_us=NOW_US - 400_000)
-    assert case.may_write() is Denial.WINDOW_OVER
+    assert case.authorize_write() is Denial.WINDOW_OVER
 
 
 @pytest.mark.violates
 def test_write_gate_fails_a_request_when_it_is_shed_but_may_have_run() -> None:
     case = Case("at_most_once")
     case.add_earlier_attempt(1, Outcome.ERROR)
-    answer = case.gate.final_response(case.request, FinalResponse(Disposition.SHED, retry_after_us=5), NOW_US)
-    assert answer == FinalResponse(Disposition.FAILED)
+    response = case.gate.final_response(case.request, FinalResponse(Disposition.SHED, retry_after_us=5), NOW_US)
+    assert response == FinalResponse(Disposition.FAILED)
 
 
 def test_write_gate_sheds_and_counts_late_responses_when_nothing_ran() -> None:
     case = Case("at_most_once")
     case.add_earlier_attempt(1, Outcome.OVERLOADED)
-    refused = FinalResponse(Disposition.SHED, retry_after_us=5)
+    shed = FinalResponse(Disposition.SHED, retry_after_us=5)
     late_us = case.request.deadline_us + LATE_RESPONSE_US + 1
-    assert case.gate.final_response(case.request, refused, late_us) is refused
+    assert case.gate.final_response(case.request, shed, late_us) is shed
     assert case.gate.trace.counts == {"answered: refused": 1, "answered late": 1}
 
 
 @pytest.mark.violates
-def test_write_gate_forbids_closing_when_a_request_is_unanswered() -> None:
+def test_write_gate_forbids_closing_a_connection_when_its_request_has_no_response() -> None:
     case = Case()
     assert case.gate.may_close(1, unanswered=False)
     assert not case.gate.may_close(1, unanswered=True)
@@ -219,17 +219,17 @@
 
 def test_trace_keeps_the_last_events_and_finds_a_request_by_its_client_request_id() -> None:
     trace = Trace()
-    for number in range(1, LAST_EVENTS):
-        trace.note(EventName.RECEIVED, number, reason=f"r{number}")
-        trace.note(EventName.ENDED, number, 0, 3, "ok")
-    assert len(trace.events) == LAST_EVENTS
+    for number in range(1, TRACE_CAPACITY):
+        trace.record_event(EventName.RECEIVED, number, reason=f"r{number}")
+        trace.record_event(EventName.ENDED, number, 0, 3, "ok")
+    assert len(trace.events) == TRACE_CAPACITY
     assert trace.find("r1") == []
-    last = trace.find(f"r{LAST_EVENTS - 1}")
-    assert [event.name for event in last] == [EventName.RECEIVED, EventName.ENDED]
-    assert last[1].shown() == {
-        "at_us": last[1].at_us,
+    found = trace.find(f"r{TRACE_CAPACITY - 1}")
+    assert [event.name for event in found] == [EventName.RECEIVED, EventName.ENDED]
+    assert found[1].to_dict() == {
+        "at_us": found[1].at_us,
         "what": "ended",
-        "request": LAST_EVENTS - 1,
+        "request": TRACE_CAPACITY - 1,
         "attempt": 0,
         "upstream": 3,
         "reason": "ok",
