--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -313,7 +313,7 @@
             actions = self.balancer.handle(monotonic_us(), event)
         except Exception:
             log.exception("the policy raised an error on the event %s", type(event).__name__)
-            self._fail_request_of(event)
+            self._fail_affected_request(event)
             return
         for action in actions:
             try:
@@ -321,7 +321,7 @@
             except Exception:
                 log.exception("executing the action %s failed", type(action).__name__)
 
-    def _fail_request_of(self, event: Event) -> None:
+    def _fail_affected_request(self, event: Event) -> None:
         """Fail only the request of an event on which the policy raised an error; other requests continue."""
         request = self._requests.get(getattr(event, "request_id", 0))
         if request is not None and not request.completed:
--- a/tests/interleaving_driver.py
+++ b/tests/interleaving_driver.py
@@ -87,7 +87,7 @@
         class_name: the request class.
         sock: the connection of the client, which carries one request at a time.
         unsent: the part of the request that has not been sent.
-        received: the bytes of the response.
+        response_data: the bytes of the response that have arrived.
         closed_by_sidecar: whether the sidecar has closed the connection.
         left_round: the loop round in which the client closed the connection or its sending side; -1 = it did not.
         reuses_connection: whether the connection carried a request before; if the sidecar closes such a connection
@@ -99,7 +99,7 @@
     class_name: str
     sock: socket.socket
     unsent: bytes
-    received: bytes = b""
+    response_data: bytes = b""
     closed_by_sidecar: bool = False
     left_round: int = -1
     reuses_connection: bool = False
@@ -123,7 +123,7 @@
     """Takes the random steps of one seed, and checks the invariants after each of them and at the end."""
 
     def __init__(self, seed: int) -> None:
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.round = 0
         self.revision = 1
         self.client_requests: list[ClientRequest] = []
@@ -131,7 +131,7 @@
         self.discovery = Discovery()
         self.step_log: list[str] = []
         self.stopped = False
-        self.stop_step = self.random.randrange(300)  # most runs end before this step
+        self.stop_step = self.rng.randrange(300)  # most runs end before this step
 
     def create_upstream(self, uid: str) -> StandInUpstream:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -145,18 +145,18 @@
         if not holds:
             raise AssertionError(f"{message}; the last steps: {self.step_log[-25:]}")
 
-    async def run(self, steps: int) -> None:
+    async def run_steps(self, steps: int) -> None:
         endpoint_list = listing(*(entry(upstream.uid, upstream.port) for upstream in self.upstreams))
         async with sidecar(
-            known=endpoint_list, discovery=self.discovery, cancel_attempts=True, hedging=self.random.random() < 0.5
+            known=endpoint_list, discovery=self.discovery, cancel_attempts=True, hedging=self.rng.random() < 0.5
         ) as running:
             await self.discovery.watched()
             try:
                 for number in range(steps):
                     self.take_step(running, number)
-                    for _ in range(self.random.choice((0, 0, 0, 1, 1, 2, 3, SETTLE_ROUNDS))):
+                    for _ in range(self.rng.choice((0, 0, 0, 1, 1, 2, 3, SETTLE_ROUNDS))):
                         await self.run_loop_round()
-                    if self.random.random() < 0.05:
+                    if self.rng.random() < 0.05:
                         await asyncio.sleep(0.015)  # pending connections are established
                         self.poll_sockets()
                 await self.finish()
@@ -191,7 +191,7 @@
         for client_request in self.client_requests:
             self.check(
                 self.is_done(client_request),
-                f"{client_request.request_id} has no response: {client_request.received[:90]!r}, "
+                f"{client_request.request_id} has no response: {client_request.response_data[:90]!r}, "
                 f"closed by the sidecar: {client_request.closed_by_sidecar}",
             )
 
@@ -209,18 +209,18 @@
         if (
             client_request.superseded
             or client_request.left_round >= 0
-            or split_message(client_request.received) is not None
+            or split_message(client_request.response_data) is not None
         ):
             return True
         if not client_request.closed_by_sidecar:
             return False
         unread = (
             client_request.reuses_connection
-            and not client_request.received
+            and not client_request.response_data
             and not self.received_copies(client_request.request_id)
         )
         return unread or (
-            b" 200 " in client_request.received[:16]
+            b" 200 " in client_request.response_data[:16]
             and any(copy.state == BROKEN for copy in self.received_copies(client_request.request_id))
         )
 
@@ -232,7 +232,7 @@
             running.stop.set()
             self.stopped = True
             return
-        step = self.random.choices(
+        step = self.rng.choices(
             (
                 self.request_on_new_connection,
                 self.request_on_idle_connection,
@@ -261,23 +261,23 @@
             if client_request.left_round < 0
             and not client_request.superseded
             and not client_request.closed_by_sidecar
-            and split_message(client_request.received) is not None
+            and split_message(client_request.response_data) is not None
         ]
         if idle:
-            client_request = self.random.choice(idle)
+            client_request = self.rng.choice(idle)
             client_request.superseded = True
             self.start_request(client_request.sock, reuses_connection=True)
 
     def start_request(self, sock: socket.socket, reuses_connection: bool) -> None:
         """Send all of a new request, or only its first bytes."""
-        class_name = self.random.choice(("pay", "pay", "read", "mark"))
+        class_name = self.rng.choice(("pay", "pay", "read", "mark"))
         request_id = f"{class_name}{len(self.client_requests)}"
         data = request(
-            class_name, request_id, b"" if class_name == "read" else make_body(request_id, self.random.random() < 0.1)
+            class_name, request_id, b"" if class_name == "read" else make_body(request_id, self.rng.random() < 0.1)
         )
         client_request = ClientRequest(request_id, class_name, sock, data, reuses_connection=reuses_connection)
         self.client_requests.append(client_request)
-        self.send_bytes(client_request, self.random.choice((len(data), len(data), len(data) - 1, len(data) // 2, 30)))
+        self.send_bytes(client_request, self.rng.choice((len(data), len(data), len(data) - 1, len(data) // 2, 30)))
 
     def send_bytes(self, client_request: ClientRequest, size: int) -> None:
         """Send the next bytes of a request."""
@@ -290,14 +290,14 @@
     def send_rest_of_request(self, running: Sidecar) -> None:
         incomplete = [client_request for client_request in self.client_requests if client_request.unsent]
         if incomplete:
-            client_request = self.random.choice(incomplete)
+            client_request = self.rng.choice(incomplete)
             self.send_bytes(client_request, len(client_request.unsent))
 
     def disconnect_client(self, running: Sidecar) -> None:
         """Close or reset the connection of a waiting client, or close only its sending side."""
         waiting = [client_request for client_request in self.client_requests if not self.is_done(client_request)]
         if waiting:
-            client_request, action = self.random.choice(waiting), self.random.choice(("ends", "resets", "closes"))
+            client_request, action = self.rng.choice(waiting), self.rng.choice(("ends", "resets", "closes"))
             client_request.left_round = self.round
             self.log_step(f"{client_request.request_id} {action}")
             if action == "ends":
@@ -318,37 +318,37 @@
         ]
 
     def respond_to_one(self, running: Sidecar) -> None:
-        if open_requests := self.open_requests():
-            upstream, received = self.random.choice(open_requests)
+        if candidates := self.open_requests():
+            upstream, received = self.rng.choice(candidates)
             next_states = (
                 (SERVED, BROKEN)
                 if received.state == STARTED
                 else (SERVED, SERVED, STARTED, FAILED, NOT_RUN, BROKEN)
             )
-            self.respond(upstream, received, self.random.choice(next_states))
+            self.respond(upstream, received, self.rng.choice(next_states))
 
-    def respond(self, upstream: StandInUpstream, received: ReceivedRequest, state: str) -> None:
+    def respond(self, upstream: StandInUpstream, received: ReceivedRequest, new_state: str) -> None:
         """Bring the response to a request into a state: send all of it, send a part of it, or reset the connection."""
-        self.log_step(f"{upstream.uid}: {received.request_id} is {state}")
-        was_started, received.state = received.state == STARTED, state
-        if state == BROKEN:
+        self.log_step(f"{upstream.uid}: {received.request_id} is {new_state}")
+        was_started, received.state = received.state == STARTED, new_state
+        if new_state == BROKEN:
             received.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             received.connection.sock.close()
             received.connection.open = False
         elif received.connection.open:
             data = received.unsent_response
             if not was_started:
-                body = make_body(received.request_id, state == STARTED) if state in (SERVED, STARTED) else b""
-                data = RESPONSE_PREFIXES[state] + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
-            if state == STARTED:
+                body = make_body(received.request_id, new_state == STARTED) if new_state in (SERVED, STARTED) else b""
+                data = RESPONSE_PREFIXES[new_state] + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+            if new_state == STARTED:
                 data, received.unsent_response = data[:-1000], data[-1000:]
             with contextlib.suppress(OSError):
                 received.connection.sock.send(data)
 
     def send_stray_response(self, running: Sidecar) -> None:
         """Respond to a request, and send a second response immediately after the first."""
-        if open_requests := self.open_requests():
-            upstream, received = self.random.choice(open_requests)
+        if candidates := self.open_requests():
+            upstream, received = self.rng.choice(candidates)
             self.respond(upstream, received, SERVED)
             with contextlib.suppress(OSError):
                 received.connection.sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
@@ -356,14 +356,14 @@
     def replace_upstream(self, running: Sidecar) -> None:
         """Report one upstream as draining or removed, and a new one as ready."""
         ready = [upstream for upstream in self.upstreams if upstream.drained_round < 0]
-        upstream, replacement = self.random.choice(ready), self.create_upstream(f"u{len(self.upstreams)}")
+        upstream, replacement = self.rng.choice(ready), self.create_upstream(f"u{len(self.upstreams)}")
         self.upstreams.append(replacement)
         upstream.drained_round = self.round
         self.revision += 1
         self.log_step(f"{upstream.uid} drains, {replacement.uid} is ready")
         self.discovery.line(
             listing(
-                entry(upstream.uid, upstream.port, self.random.choice(("leaving", "left"))),
+                entry(upstream.uid, upstream.port, self.rng.choice(("leaving", "left"))),
                 entry(replacement.uid, replacement.port),
                 rev=self.revision,
                 full=False,
@@ -400,8 +400,8 @@
             return
         except ConnectionError:
             data = b""
-        client_request.received, client_request.closed_by_sidecar = client_request.received + data, not data
-        if data and (message := split_message(client_request.received)) is not None:
+        client_request.response_data, client_request.closed_by_sidecar = client_request.response_data + data, not data
+        if data and (message := split_message(client_request.response_data)) is not None:
             head, body, extra = message
             self.check(not extra, f"{client_request.request_id} has a second response: {extra[:90]!r}")
             self.check(
--- a/tests/test_interleaving_random.py
+++ b/tests/test_interleaving_random.py
@@ -13,4 +13,4 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_each_request_gets_one_response_and_runs_only_where_permitted_in_any_interleaving(seed: int) -> None:
-    run(lambda: InterleavingDriver(seed).run(STEPS))
+    run(lambda: InterleavingDriver(seed).run_steps(STEPS))
--- a/tests/test_write_gate.py
+++ b/tests/test_write_gate.py
@@ -56,7 +56,7 @@
     def write_chunk(self, data: bytes) -> None: ...
 
 
-class Case:
+class WriteGateCase:
     """A request with one attempt that is about to be written to a ready endpoint."""
 
     def __init__(self, effect: str = "idempotent") -> None:
@@ -92,7 +92,7 @@
 
 
 def test_write_gate_permits_a_write_with_the_remaining_time_when_no_rule_forbids_it() -> None:
-    case = Case()
+    case = WriteGateCase()
     assert case.authorize_write() == WritePermit(800_000)
     case.request.attempts[0].timeout_us = 300_000
     assert case.authorize_write() == WritePermit(300_000)
@@ -116,7 +116,7 @@
     ],
 )
 def test_write_gate_denies_and_counts_a_write_when_the_state_has_changed_since_the_selection(denial: Denial) -> None:
-    case = Case()
+    case = WriteGateCase()
     attempt = case.request.attempts[0]
     if denial is Denial.REQUEST_OVER:
         case.request.response_state = ResponseState.COMPLETED
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("change", ["drained", "moved"])
 def test_write_gate_denies_a_write_when_the_selected_endpoint_has_changed(change: str) -> None:
-    case = Case()
+    case = WriteGateCase()
     if change == "drained":
         case.update(Endpoint(0, status=EndpointStatus.DRAINING))
     else:
@@ -162,7 +162,7 @@
     ],
 )
 def test_write_gate_permits_a_retry_when_the_class_allows_it(effect: str, upstream: int, outcome: Outcome) -> None:
-    case = Case(effect)
+    case = WriteGateCase(effect)
     case.add_earlier_attempt(upstream, outcome)
     assert isinstance(case.authorize_write(), WritePermit)
 
@@ -181,28 +181,28 @@
 def test_write_gate_records_a_violation_when_a_retry_may_run_twice(
     effect: str, upstream: int, outcome: Outcome | None
 ) -> None:
-    case = Case(effect)
+    case = WriteGateCase(effect)
     case.add_earlier_attempt(upstream, outcome)
     assert case.authorize_write() is Denial.MAY_HAVE_RUN
     assert case.gate.trace.counts[f"violation: {Denial.MAY_HAVE_RUN.value}"] == 1
 
 
 def test_write_gate_denies_a_retry_when_the_deduplication_window_has_ended() -> None:
-    case = Case("deduplicated")
+    case = WriteGateCase("deduplicated")
     case.add_earlier_attempt(1, Outcome.RESET, written_us=NOW_US - 400_000)
     assert case.authorize_write() is Denial.WINDOW_OVER
 
 
 @pytest.mark.violates
 def test_write_gate_fails_a_request_when_it_is_shed_but_may_have_run() -> None:
-    case = Case("at_most_once")
+    case = WriteGateCase("at_most_once")
     case.add_earlier_attempt(1, Outcome.ERROR)
     response = case.gate.final_response(case.request, FinalResponse(Disposition.SHED, retry_after_us=5), NOW_US)
     assert response == FinalResponse(Disposition.FAILED)
 
 
 def test_write_gate_sheds_and_counts_late_responses_when_nothing_ran() -> None:
-    case = Case("at_most_once")
+    case = WriteGateCase("at_most_once")
     case.add_earlier_attempt(1, Outcome.OVERLOADED)
     shed = FinalResponse(Disposition.SHED, retry_after_us=5)
     late_us = case.request.deadline_us + LATE_RESPONSE_US + 1
@@ -212,7 +212,7 @@
 
 @pytest.mark.violates
 def test_write_gate_forbids_closing_a_connection_when_its_request_has_no_response() -> None:
-    case = Case()
+    case = WriteGateCase()
     assert case.gate.may_close(1, unanswered=False)
     assert not case.gate.may_close(1, unanswered=True)
 
