--- a/tests/interleaving_driver.py
+++ b/tests/interleaving_driver.py
@@ -321,9 +321,7 @@
         if candidates := self.open_requests():
             upstream, received = self.rng.choice(candidates)
             next_states = (
-                (SERVED, BROKEN)
-                if received.state == STARTED
-                else (SERVED, SERVED, STARTED, FAILED, NOT_RUN, BROKEN)
+                (SERVED, BROKEN) if received.state == STARTED else (SERVED, SERVED, STARTED, FAILED, NOT_RUN, BROKEN)
             )
             self.respond(upstream, received, self.rng.choice(next_states))
 
