--- a/garnetusher/cli/runs.py
+++ b/garnetusher/cli/runs.py
@@ -9,7 +9,7 @@
 
 from garnetusher.model import plan as plans
 from garnetusher.model import result
-from garnetusher.model.ablations import without
+from garnetusher.model.ablations import ablate
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.simulation import Simulation
 
@@ -50,7 +50,7 @@
     """
     started_s = time.perf_counter()
     plan = plans.make(experiment, seed)
-    with without(list(disabled)):
+    with ablate(list(disabled)):
         simulation = Simulation(experiment, plan, time.thread_time_ns)
         records = simulation.run()
     not_asked = sum(sidecar.clients.skipped_requests for sidecar in simulation.sidecars.values())
--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -1,4 +1,4 @@
-"""Parts of the decisions switched off by name, to see what each is worth. Only virtual time plays them."""
+"""Ablations: switch off parts of the policy by name to measure their effect. Available only in virtual time."""
 
 from __future__ import annotations
 
@@ -14,58 +14,58 @@
     from garnetusher.policy.zones import Zones
 
     HAS_ZONES = True
-except ImportError:  # the module of an earlier tree, which lacks some of these parts
+except ImportError:  # the policy of an earlier source tree, which lacks some of these parts
     HAS_ZONES = False
 
 
 def _leaving() -> None:
-    """No zone is ever left by evidence."""
+    """Never evacuate a zone by evidence."""
     Zones.evaluate = lambda self, zone: None  # type: ignore[method-assign]
 
 
 def _lateness() -> None:
-    """An attempt that is out for long tells nothing until its time is out."""
+    """Do not count overdue attempts against their zones before they time out."""
     Zones.record_overdue = lambda self, number, endpoint_id, sent_us, now_us, *, repeated: None  # type: ignore[method-assign]
 
 
 def _slowness() -> None:
-    """A zone that answers slowly is not left for it."""
+    """Do not evacuate a zone because it answers slowly."""
     zones.SLOW_FACTOR = float("inf")
 
 
 def _doubt() -> None:
-    """A doubted zone is used as ever, also by what must not be repeated."""
+    """Do not avoid suspected zones for requests that must not be retried."""
     Zones.suspected = lambda self: set()  # type: ignore[method-assign]
 
 
 def _steps() -> None:
-    """A zone that has answered a try is used in full at once."""
+    """Restore a zone at once instead of in steps after it has answered a health check."""
     zone_module.RECOVERY_STEPS = (1.0,)
 
 
 def _coldness() -> None:
-    """What refused connections is taken for what the list says of it."""
-    move: Callable[[Zones, Zone, ZoneState, str], None] = Zones.change_state
+    """Do not treat endpoints of a zone that refused connections as restarted; rely on the endpoint list alone."""
+    change_state: Callable[[Zones, Zone, ZoneState, str], None] = Zones.change_state
 
-    def warm(self: Zones, zone: Zone, state: ZoneState, reason: str) -> None:
+    def change_state_without_refusal(self: Zones, zone: Zone, state: ZoneState, reason: str) -> None:
         zone.refused_when_evacuated = False
-        move(self, zone, state, reason)
+        change_state(self, zone, state, reason)
 
-    Zones.change_state = warm  # type: ignore[method-assign]
+    Zones.change_state = change_state_without_refusal  # type: ignore[method-assign]
 
 
 def _waits() -> None:
-    """Flaps do not make the next wait longer."""
+    """Do not double the backoff when a zone flaps."""
     zones.MAX_BACKOFF_US = zone_module.INITIAL_BACKOFF_US
 
 
 def _elsewhere() -> None:
-    """What was missed in a zone that is quiet is tried again there as anywhere."""
+    """Do not avoid a silent zone when retrying a request that has an attempt there."""
     Zones.is_silent = lambda self, number, now_us: False  # type: ignore[method-assign]
 
 
 def _near() -> None:
-    """A near tier that lacks slots for a request opens some only if no tier has any, and copies go anywhere."""
+    """Raise slot limits in near tiers only if no tier has a free slot, and let hedges go to any tier."""
     outlier.SPARE_CAPACITY_LOAD = 0.0
     EndpointSelector.hedge_stays_in_tier = lambda self, request: False  # type: ignore[method-assign]
 
@@ -75,23 +75,27 @@
 
 
 @contextmanager
-def without(names: list[str]) -> Iterator[None]:
-    """Play without these parts; raises KeyError on a name that is none."""
+def ablate(names: list[str]) -> Iterator[None]:
+    """Switch the named parts off for the duration of the context.
+
+    Raises:
+        KeyError: a name is not in `ABLATIONS`.
+    """
     if not names:
         yield
         return
-    touched: list[tuple[Any, tuple[str, ...]]] = [
+    patched: list[tuple[Any, tuple[str, ...]]] = [
         (zones, ("SLOW_FACTOR", "MAX_BACKOFF_US")),
         (zone_module, ("RECOVERY_STEPS",)),
         (outlier, ("SPARE_CAPACITY_LOAD",)),
         (EndpointSelector, ("hedge_stays_in_tier",)),
         (Zones, ("evaluate", "record_overdue", "suspected", "change_state", "is_silent")),
     ]
-    kept = [(where, name, getattr(where, name)) for where, names in touched for name in names]
+    saved = [(owner, name, getattr(owner, name)) for owner, names in patched for name in names]
     try:
         for name in names:
             ABLATIONS[name]()
         yield
     finally:
-        for where, name, value in kept:
-            setattr(where, name, value)
+        for owner, name, value in saved:
+            setattr(owner, name, value)
--- a/garnetusher/policy/endpoint_state.py
+++ b/garnetusher/policy/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What this sidecar knows of one endpoint."""
+"""State that this sidecar keeps for one endpoint."""
 
 from __future__ import annotations
 
@@ -10,34 +10,36 @@
     from garnetusher.policy.slots import Pool
     from garnetusher.policy.slow_start import SlowStartCohort
 
-INITIAL_SLOTS = 3.0  # a busy sidecar would fill one each in its first moment, and shed until more open
+# With one slot for each endpoint, a busy sidecar would fill all slots right after its start and shed until more open.
+INITIAL_SLOTS = 3.0
 
 BucketKey = tuple[int, bool, bool, int]  # zone, in use, warming up, exponent of the weight
 
 
 class EndpointState:
-    """One ready endpoint, with its slots, its health and its place in the pool's buckets.
+    """One ready endpoint: its slots, its health and its position in the pool's buckets.
 
     Attributes:
-        endpoint: its entry in the endpoint list.
-        pool: the pool of its tier.
-        started_us: its start as listed, or as the return of its zone shows.
-        slots_used: slots taken by this sidecar's attempts.
-        slot_limit: slots open while it is well; below 1 its one slot is closed for a time between attempts.
-        ejected_until_us: its slots are closed till then.
-        consecutive_failures: attempts that failed immediately since the last that did not.
-        latency_ratio: the time of its responses beside the usual one, smoothed.
-        logged_as_ejected: what the log says of it.
-        listed: otherwise it has been removed, and only ends of attempts are still to come.
-        in_use: its slots are open; those of others stay closed till they are needed.
-        cohort: its cohort while it is warming up.
-        send_due: while it is warming up, whether a send is due.
-        due_at_accrual: otherwise the accrual of its cohort at which one will be.
-        open_fraction: the part of its slots that is open, by its warm-up when that send came due.
-        weight: of its free slots, in draws.
-        bucket: the bucket it lies in; None while it has no free slot.
-        bucket_index: its index there.
-        bucket_key: the key of that bucket.
+        endpoint: the endpoint's entry in the endpoint list.
+        pool: the pool of the endpoint's tier.
+        started_us: start time from the endpoint list, or the time at which the endpoint's zone was restored if the zone
+            had refused connections.
+        slots_used: number of slots taken by this sidecar's attempts.
+        slot_limit: number of slots; below 1, the endpoint has one slot and is ejected for a time after each attempt.
+        ejected_until_us: time at which the ejection ends; no slot is open before.
+        consecutive_failures: number of immediate failures since the last attempt that did not fail immediately.
+        latency_ratio: smoothed ratio of the endpoint's response times to the mean response time of the request class.
+        logged_as_ejected: whether the last log line about the endpoint reported an ejection.
+        listed: whether the endpoint list contains the endpoint; after its removal, outstanding attempts still end.
+        in_use: whether the endpoint belongs to the subset that this sidecar's traffic needs.
+        cohort: the endpoint's slow-start cohort; None once it has warmed up.
+        send_due: whether a send is due while the endpoint is warming up.
+        due_at_accrual: value of the cohort's `accrued` at which the next send comes due.
+        open_fraction: fraction of the slots that was open, according to the warm-up, when the send came due.
+        weight: weight of the free slots in draws.
+        bucket: bucket that contains the endpoint; None while it has no free slot.
+        bucket_index: index of the endpoint in the bucket.
+        bucket_key: key of the bucket.
     """
 
     __slots__ = (
--- a/garnetusher/policy/endpoints.py
+++ b/garnetusher/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of the list that are ready, and what updates of the list and changes of a zone's state do to them."""
+"""Registry of the ready endpoints; applies updates of the endpoint list and changes of zone states to them."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from garnetusher.policy.zone import Zone, ZoneState
 from garnetusher.policy.zones import Zones
 
-TIERS = 3  # this zone, this region's other zones, other regions
+TIERS = 3  # this zone, the region's other zones, other regions
 
 
 class EndpointRegistry:
     """The ready endpoints, each in the pool of its tier.
 
     Attributes:
-        endpoints: by id, in the order listed.
-        pools: one per tier, the nearest first; a pool may be empty.
-        zones: the zones' states, which this registry carries out on the slots of their endpoints.
-        zones_to_evacuate: zones whose state this event has changed to evacuated.
+        endpoints: the endpoints by id, in the order in which the list named them.
+        pools: one pool per tier, the nearest tier first; a pool may be empty.
+        zones: the states of the zones; this registry applies their changes to the endpoints of the zone.
+        zones_to_evacuate: zones that the current event has evacuated and whose endpoints are still in use.
     """
 
     def __init__(self, context: PolicyContext, seed: int) -> None:
@@ -31,23 +31,23 @@
         self.zones_to_evacuate: list[Zone] = []
 
     def apply_settings(self) -> None:
-        """Hand the new settings on; endpoints stay in their pools."""
+        """Pass the new settings on; endpoints stay in their pools."""
         self.zones.settings = self._context.settings
         for pool in self.pools:
             pool.slow_start.settings = self._context.settings
 
     def readmit(self) -> None:
-        """Open the slots of endpoints whose ejection is over."""
+        """Open the slots of the endpoints whose ejection has ended."""
         for pool in self.pools:
             if pool.ejections:
                 pool.readmit(self._context.now_us)
 
     def readmissions_us(self) -> list[int]:
-        """Return when the next ejection of each pool ends."""
+        """Return the time at which the next ejection of each pool ends, for pools with ejected endpoints."""
         return [at_us for pool in self.pools if (at_us := pool.next_readmission_us())]
 
     def on_update(self, event: EndpointsUpdated) -> None:
-        """Take over an update of the list."""
+        """Apply an update of the endpoint list."""
         if event.update_kind is UpdateKind.FAILED:
             return
         if event.update_kind is not UpdateKind.DELTA:
@@ -64,13 +64,13 @@
         return [state for pool in self.pools for state in pool.zones.get(zone.number, {}).values()]
 
     def evacuate_next_zone(self) -> Zone:
-        """Close the slots of one of the zones to evacuate and return the zone."""
+        """Stop using the endpoints of one of the zones to evacuate and return the zone."""
         zone = self.zones_to_evacuate.pop()
         for state in self.members(zone):
             if state.in_use:
                 state.pool.set_in_use(state, self._context.now_us, in_use=False)
                 self._context.actions.append(CloseIdleConnections(state.endpoint.id))
-            # otherwise the timeouts of the lost endpoints would reduce what is admitted to the others
+            # otherwise the timeouts of the lost endpoints would lower the fraction admitted to the other endpoints
             state.pool.admitted_fraction, state.pool.load = 1.0, 0.0
         return zone
 
@@ -83,23 +83,23 @@
         state.pool.remove(state)
 
     def _update_endpoint(self, endpoint: Endpoint) -> bool:
-        """Add, restart or remove one endpoint; return whether it is a new one or has started anew."""
+        """Add, restart or remove one endpoint; return whether it is new or has restarted."""
         state: EndpointState | None = self.endpoints.get(endpoint.id)
         is_ready = endpoint.status is EndpointStatus.READY
         if state is not None and (not is_ready or endpoint.zone != state.endpoint.zone):
-            self._remove(state)  # rule 3: from this moment on it gets nothing new
+            self._remove(state)  # rule 3: from now on, no new attempts go to this entry
             state = None
         if not is_ready:
             return False
-        starts = state is None or state.endpoint.started_us != endpoint.started_us
-        if starts:
+        has_started = state is None or state.endpoint.started_us != endpoint.started_us
+        if has_started:
             state = self._start(endpoint, state)
         if state is not None:
             state.endpoint = endpoint
-        return starts
+        return has_started
 
     def _start(self, endpoint: Endpoint, state: EndpointState | None) -> EndpointState:
-        # all sidecars hear of it within moments, and without a random offset their first sends would come in a burst
+        # all sidecars learn of a start almost simultaneously; without a random offset, their first sends are a burst
         first_send_accrued = self._context.random.random()
         if state is not None:
             state.started_us = endpoint.started_us
@@ -110,21 +110,22 @@
         pool.add(state, self._context.now_us, first_send_accrued)
         return state
 
-    def _on_zone_changed(self, zone: Zone, before: ZoneState) -> None:
-        text = f"zone {zone.number}: {before.value} -> {zone.state.value}: {zone.reason}"
+    def _on_zone_changed(self, zone: Zone, previous_state: ZoneState) -> None:
+        text = f"zone {zone.number}: {previous_state.value} -> {zone.state.value}: {zone.reason}"
         self._context.actions.append(LogMessage(text))
         if zone.state is ZoneState.EVACUATED:
             self.zones_to_evacuate.append(zone)
-        elif before is ZoneState.EVACUATED:
+        elif previous_state is ZoneState.EVACUATED:
             for state in self.members(zone):
                 self._restore(state, zone)
 
     def _restore(self, state: EndpointState, zone: Zone) -> None:
-        """Reset what was learned of an endpoint before its zone was evacuated."""
+        """Reset what was learned about an endpoint before its zone was evacuated."""
         state.slot_limit, state.latency_ratio = INITIAL_SLOTS, 1.0
         state.consecutive_failures = state.ejected_until_us = 0
         if zone.refused_when_evacuated and state.started_us < zone.evacuated_us:
-            # rule 4: what refused connections has ended, and the list may report its new start later
+            # a process that refused connections has ended, and the list may report the restart later; until then, the
+            # endpoint counts as started now, so that it is not overloaded while it warms up (rule 4)
             state.started_us = self._context.now_us
             state.pool.slow_start.begin(state, self._context.now_us, self._context.random.random())
         else:
--- a/garnetusher/policy/outlier.py
+++ b/garnetusher/policy/outlier.py
@@ -1,4 +1,4 @@
-"""Outlier detection: how the outcome of an attempt opens or closes its endpoint's slots, up to ejection."""
+"""Outlier detection: adjusts the slot limit of an endpoint to the outcomes of its attempts and ejects failing ones."""
 
 from __future__ import annotations
 
@@ -12,31 +12,35 @@
 from garnetusher.policy.zone import FailedAttempt
 from garnetusher.policy.zones import Zones
 
-CONSECUTIVE_FAILURES = 2  # tell a failing endpoint from one broken connection or response among good ones
-SLOT_GROWTH = 0.4  # slots a round of responses moves, by the distance from the target load; 0.8 is too rash
-SPARE_CAPACITY_LOAD = TARGET_LOAD / 2  # below it a tier has capacity: requests that it lacked slots for open some
-MAX_LOAD = 2.0  # a response that takes longer, or does not come, counts as this
-MAX_LATENCY_RATIO = 4.0  # a response that takes longer beside the usual one counts as this
-MIN_LATENCY_RATIO = 0.1
-LATENCY_RATIO_WINDOW = 4  # responses that make up an endpoint's latency ratio
-POOL_WINDOW = 8  # responses that make up a pool's load and latency ratio
-ADMISSION_GAIN = 2.4  # a second of slow responses cuts what is admitted to a tenth; slower, queues fill first
-MIN_SLOW_ANSWERS = 8.0  # slow responses that cut what is admitted to a tenth
-MIN_ADMISSION_STEP = 0.3  # what one response leaves of the admitted fraction at least
-MIN_ADMITTED = 0.1  # where service itself has slowed, admitting less mends nothing
-SHORTAGE_FACTOR = 4  # half-objectives after a shortage, in which responses go on opening slots
-EJECTION_LOG_LIMIT = 0.25  # slot limit below which an endpoint is logged as ejected
+# This many immediate failures in a row distinguish a failing endpoint from a single broken connection or response.
+CONSECUTIVE_FAILURES = 2
+# Change of the slot limit over one round of responses, per unit of distance from the target load; 0.8 overreacts.
+SLOT_GROWTH = 0.4
+# A pool below this load has spare capacity: requests that find no free slot in it raise its slot limits.
+SPARE_CAPACITY_LOAD = TARGET_LOAD / 2
+MAX_LOAD = 2.0  # load of a response that takes longer or never arrives
+MAX_LATENCY_RATIO = 4.0  # upper bound of one response's latency ratio; an immediate failure counts as this
+MIN_LATENCY_RATIO = 0.1  # lower bound of one response's latency ratio
+LATENCY_RATIO_WINDOW = 4  # number of responses over which an endpoint's latency ratio is smoothed
+POOL_WINDOW = 8  # number of responses over which a pool's load and latency ratio are smoothed
+# One second of slow responses cuts the admitted fraction to a tenth; with a slower cut, queues fill up first.
+ADMISSION_GAIN = 2.4
+MIN_SLOW_ANSWERS = 8.0  # it takes at least this many slow responses to cut the admitted fraction to a tenth
+MIN_ADMISSION_STEP = 0.3  # one response leaves at least this fraction of the admitted fraction
+MIN_ADMITTED = 0.1  # admitting less does not help if requests themselves have become slower to process
+SHORTAGE_FACTOR = 4  # responses raise slot limits for this many half-objectives after slots were exhausted
+EJECTION_LOG_LIMIT = 0.25  # an endpoint is logged as ejected if its slot limit is below this
 
 
 class OutlierDetector:
-    """Judges endpoints, and the pools they are in, by the outcomes of attempts."""
+    """Adjusts the state of endpoints, their pools and their zones to the outcomes of attempts."""
 
     def __init__(self, context: PolicyContext, zones: Zones) -> None:
         self._context = context
         self._zones = zones
 
     def record_outcome(self, attempt: AttemptState, outcome: Outcome, elapsed_us: int, class_state: ClassState) -> None:
-        """Judge an endpoint, its pool and its zone by how an attempt ended."""
+        """Update an endpoint, its pool and its zone with the outcome of an attempt."""
         state, pool = attempt.endpoint_state, attempt.endpoint_state.pool
         responded = outcome in (Outcome.OK, Outcome.CANCELLED)
         load = min(MAX_LOAD, elapsed_us / class_state.half_objective_us) if responded else MAX_LOAD
@@ -54,7 +58,7 @@
         self._log_ejection(state)
 
     def record_overdue(self, attempt: AttemptState, *, repeated: bool) -> None:
-        """Count an attempt that is out for long against its zone; `repeated`: an earlier one of its request was."""
+        """Count an overdue attempt against its zone; `repeated`: an earlier attempt of the request was overdue too."""
         attempt.overdue = True
         endpoint = attempt.endpoint
         self._zones.record_overdue(endpoint.zone, endpoint.id, attempt.sent_us, self._context.now_us, repeated=repeated)
@@ -69,19 +73,20 @@
         elif outcome is not Outcome.CANCELLED:
             connect_timeout_us = self._context.settings.connect_timeout_us
             refused = outcome is Outcome.CONNECT_FAILED and 2 * elapsed_us < connect_timeout_us
-            known = attempt.overdue and outcome is Outcome.TIMEOUT
-            failed = FailedAttempt(zone, endpoint_id, attempt.sent_us, ratio, refused, known)
+            already_overdue = attempt.overdue and outcome is Outcome.TIMEOUT
+            failed = FailedAttempt(zone, endpoint_id, attempt.sent_us, ratio, refused, already_overdue)
             self._zones.record_failure(failed, now_us)
 
     def _update_admission(self, pool: Pool, load: float) -> None:
-        """Admit less to a pool whose responses are slow.
+        """Lower the admitted fraction of a pool while its responses are slow, and raise it again afterwards.
 
-        A sidecar with little traffic never fills its slots, so that they hold nothing back when all endpoints are slow.
-        Draws are reduced instead, quickly, as queues stay for seconds, but not for one slow response among quick ones.
+        A sidecar with little traffic never fills its slots, so slot limits do not reduce its load when all endpoints
+        are slow. The admitted fraction does. It falls quickly, because queues last for seconds, but a single slow
+        response among fast ones does not lower it.
         """
         pool.load += (load - pool.load) / POOL_WINDOW
         is_slow = load >= TARGET_LOAD
-        # a sidecar with a response every second or two must not be cut off by a single slow one
+        # a sidecar that gets a response only every second or two must not stop sending after a single slow one
         responses = MIN_SLOW_ANSWERS if is_slow else 1.0
         gain = ADMISSION_GAIN / max(responses, pool.send_rate_per_s) if not is_slow or pool.load > 0.5 else 0.0
         pool.admitted_fraction *= max(MIN_ADMISSION_STEP, 1.0 + gain * (TARGET_LOAD - load))
@@ -89,27 +94,28 @@
 
     def _update_slot_limit(self, attempt: AttemptState, outcome: Outcome, load: float, class_state: ClassState) -> None:
         state = attempt.endpoint_state
-        # one request may be slow by itself, so that each response moves the limit by a little
+        # a single request may be expensive, so each response changes the limit only a little
         step = SLOT_GROWTH * (TARGET_LOAD - load) / max(state.slot_limit, 1.0)
         failed_immediately = outcome in IMMEDIATE_FAILURES
         state.consecutive_failures = state.consecutive_failures + 1 if failed_immediately else 0
         if outcome is Outcome.OVERLOADED or state.consecutive_failures >= CONSECUTIVE_FAILURES:
-            # what fails at once frees its slot at once and would attract ever more requests
+            # an immediate failure frees its slot immediately, so the endpoint would attract more and more requests
             state.slot_limit /= 2
         elif failed_immediately:
-            pass  # a single broken connection: counted, such would close the slots of every endpoint
+            pass  # if single broken connections counted, they would close the slots of all endpoints
         elif step < 0.0:
-            # slow responses leave one slot: otherwise all endpoints would be ejected after an outage
+            # slow responses leave at least one slot: otherwise an outage would end with all endpoints ejected
             state.slot_limit = max(state.slot_limit * (1.0 + step), min(state.slot_limit, 1.0))
         elif state.slot_limit < 1.0 or self._follows_shortage(attempt, class_state):
             state.slot_limit += min(state.slot_limit, step)
         state.slot_limit = min(max(state.slot_limit, MIN_SLOT_LIMIT), float(MAX_SLOTS))
 
     def _follows_shortage(self, attempt: AttemptState, class_state: ClassState) -> bool:
-        """Return whether slots ran out shortly before the attempt.
+        """Return whether slots were exhausted shortly before the attempt.
 
-        Slots opened without need, by many sidecars above all, choke endpoints in bursts. A tier with spare capacity
-        counts requests that found a slot in a farther tier: judged by requests without any slot it would only close.
+        Slots that are opened without need lead to bursts that overload endpoints, especially with many sidecars. A
+        pool with spare capacity also counts requests that found a slot in a farther tier: if it counted only requests
+        without any free slot, its slot limits would only fall.
         """
         pool, exhausted_us = attempt.endpoint_state.pool, self._context.slots_exhausted_us
         if pool.load < SPARE_CAPACITY_LOAD:
@@ -118,13 +124,13 @@
 
     def _eject_if_below_one_slot(self, state: EndpointState, elapsed_us: int, class_state: ClassState) -> None:
         if state.slot_limit < 1.0:
-            # beside responses that take seconds, a short ejection would leave a choked endpoint crowded
+            # if responses take seconds, a short ejection would not relieve an overloaded endpoint
             slow_us = class_state.half_objective_us
             busy_us = max(min(class_state.mean_response_us, slow_us), min(elapsed_us, 2 * slow_us))
             ejected_us = busy_us * (1.0 / state.slot_limit - 1.0) * (0.5 + self._context.random.random())
             state.pool.eject(state, self._context.now_us + int(ejected_us))
         if state.slot_limit < 0.5 and state.in_use:
-            # another endpoint takes its place; it may come back after the ejection
+            # another endpoint replaces it in the subset in use; it may be used again after the ejection
             state.pool.set_in_use(state, self._context.now_us, in_use=False)
             self._context.actions.append(CloseIdleConnections(state.endpoint.id))
 
--- a/garnetusher/policy/slots.py
+++ b/garnetusher/policy/slots.py
@@ -1,8 +1,9 @@
-"""Which endpoints have a slot free, kept so that a draw costs the same among ten and ten thousand.
+"""Weighted random choice among the endpoints with a free slot, at a cost that does not grow with their number.
 
-Nothing here walks the list. An endpoint lies in a bucket with those of about its weight and is moved when the weight
-changes; a draw picks a bucket, then an endpoint of it, and takes that by its weight or picks again (after Matias,
-Vitter and Ni, "Dynamic generation of discrete random variates", 2003).
+No operation here iterates over all endpoints. Each bucket contains endpoints of similar weight; an endpoint moves to
+another bucket when its weight changes. A draw picks a bucket and then an endpoint in it, which it accepts with a
+probability proportional to the endpoint's weight; otherwise it draws again (after Matias, Vitter and Ni, "Dynamic
+generation of discrete random variates", 2003).
 """
 
 from __future__ import annotations
@@ -16,29 +17,32 @@
 from garnetusher.policy.settings import Settings
 from garnetusher.policy.slow_start import SlowStart
 
-MAX_SLOTS = 8  # no endpoint gets more from one sidecar, however quick its responses
-MIN_SLOT_LIMIT = 1 / 64  # a failing endpoint is tried about once in 64 usual response times
-TARGET_LOAD = 0.85  # of the slow response time, where slots settle: more chokes endpoints, less sheds too early
+MAX_SLOTS = 8  # maximum number of slots that one sidecar opens at an endpoint, however fast the endpoint responds
+MIN_SLOT_LIMIT = 1 / 64  # a failing endpoint receives about one attempt in 64 mean response times
+# Slot limits settle where responses take this fraction of half the latency objective. A higher target overloads the
+# endpoints; a lower one sheds too early.
+TARGET_LOAD = 0.85
 
 
 class Pool:
-    """The endpoints of one tier: this zone, this region's other zones, or other regions; one, where crossing is free.
+    """The endpoints of one tier: this zone, the region's other zones or other regions; one tier if crossing is free.
 
     Attributes:
-        admitted_fraction: part of the draws that may take a slot; it falls while responses are slow in the whole pool.
-        admission_credit: draws admitted and not yet used.
-        load: the time of its recent responses; 1 = half the latency objective.
-        unserved: of the requests that find no slot, how much may still count for warming endpoints.
-        send_rate_per_s: attempts a second, of late.
-        send_rate_updated_us: when that was computed.
-        last_arrival_us: when the last request arrived.
-        latency_ratio: the time of its responses beside the usual one, smoothed: far away they take longer.
-        exhausted_us: when a request last found no free slot here.
-        zones: its endpoints by zone and id.
-        in_use: the endpoints whose slots are open.
-        slow_start: its warming endpoints.
+        admitted_fraction: fraction of the draws that may take a slot; it falls while the whole pool responds slowly.
+        admission_credit: number of admitted draws that are not used yet.
+        load: smoothed response time; 1 = half the latency objective.
+        unserved: credit left for counting requests without a free slot towards the sends to warming endpoints.
+        send_rate_per_s: recent rate of attempts per second.
+        send_rate_updated_us: time at which the rate was last computed.
+        last_arrival_us: time at which the last request arrived.
+        latency_ratio: smoothed ratio of response times to the mean response time of the request class; distant pools
+            have a higher ratio.
+        exhausted_us: time at which a request last found no free slot in this pool.
+        zones: the pool's endpoints by zone and id.
+        in_use: the subset of endpoints that this sidecar's traffic needs, by id.
+        slow_start: the warming endpoints.
         buckets: the endpoints with a free slot; see `update_weight`.
-        ejections: a heap of (end, endpoint id, endpoint), some of them outdated.
+        ejections: heap of (end of the ejection, endpoint id, endpoint); some entries may be outdated.
     """
 
     def __init__(self, settings: Settings, now_us: int) -> None:
@@ -60,13 +64,13 @@
     # Members
 
     def add(self, state: EndpointState, now_us: int, first_send_accrued: float) -> None:
-        """Add an endpoint; `first_send_accrued` as in `SlowStart.begin`."""
+        """Add an endpoint; `SlowStart.begin` describes `first_send_accrued`."""
         self.slow_start.change_size(1)
         self.zones.setdefault(state.endpoint.zone, {})[state.endpoint.id] = state
         self.slow_start.begin(state, now_us, first_send_accrued)
 
     def remove(self, state: EndpointState) -> None:
-        """Remove an endpoint; attempts that are outstanding there still end."""
+        """Remove an endpoint; its outstanding attempts still end later."""
         self.slow_start.change_size(-1)
         state.listed = False
         self.set_in_use(state, 0, in_use=False)
@@ -78,7 +82,7 @@
             del self.zones[state.endpoint.zone]
 
     def set_in_use(self, state: EndpointState, now_us: int, *, in_use: bool) -> None:
-        """Open the slots of an endpoint, or close them till they are needed."""
+        """Add an endpoint to the subset in use, or remove it."""
         if in_use == state.in_use:
             return
         state.in_use = in_use
@@ -91,20 +95,21 @@
     # Slots
 
     def open_slots(self, state: EndpointState, now_us: int) -> int:
-        """Return how many attempts of this sidecar an endpoint may have now, by its health and warm-up."""
+        """Return how many attempts of this sidecar an endpoint may have now, given its health and its warm-up."""
         if now_us < state.ejected_until_us or (state.cohort is not None and not state.send_due):
             return 0
-        # with one slot until it has warmed up, an endpoint would be left idle beside requests that find none
+        # slots open with the warm-up: with a single slot until the warm-up ends, an endpoint would be partly idle while
+        # requests find no free slot
         return max(1, int(state.slot_limit * state.open_fraction))
 
     def update_weight(self, state: EndpointState, now_us: int) -> None:
-        """Weigh an endpoint by its free slots and its latency ratio; to be called when any of that has changed."""
+        """Update an endpoint's weight and bucket. Call this after its free slots or latency ratio have changed."""
         free = self.open_slots(state, now_us) - state.slots_used
         if free <= 0 or not state.listed:
             self._remove_from_bucket(state)
             return
         state.weight = free / state.latency_ratio**2
-        # the weights in a bucket lie between half of its size, which is a power of two, and all of it
+        # each bucket has a power of two as its maximum weight, and its members' weights are at least half of that
         key = (state.endpoint.zone, state.in_use, state.cohort is not None, math.frexp(state.weight)[1])
         if state.bucket is None or state.bucket_key != key:
             self._remove_from_bucket(state)
@@ -125,18 +130,18 @@
     # Ejection
 
     def eject(self, state: EndpointState, until_us: int) -> None:
-        """Close the slots of an endpoint till then."""
+        """Close an endpoint's slots until the given time."""
         state.ejected_until_us = until_us
         heapq.heappush(self.ejections, (until_us, state.endpoint.id, state))
 
     def next_readmission_us(self) -> int:
-        """Return when the next ejection ends; 0 = no endpoint is ejected."""
+        """Return the time at which the next ejection ends; 0 = no endpoint is ejected."""
         while self.ejections and self.ejections[0][2].ejected_until_us != self.ejections[0][0]:
             heapq.heappop(self.ejections)
         return self.ejections[0][0] if self.ejections else 0
 
     def readmit(self, now_us: int) -> None:
-        """Open the slots of endpoints whose ejection is over."""
+        """Open the slots of the endpoints whose ejection has ended."""
         while 0 < self.next_readmission_us() <= now_us:
             self.update_weight(heapq.heappop(self.ejections)[2], now_us)
 
@@ -145,12 +150,12 @@
     def free_buckets(
         self, excluded: Container[int], *, in_use: bool | None = None, warming: bool | None = None
     ) -> list[tuple[float, list[EndpointState]]]:
-        """Return the buckets of endpoints with a free slot, each with its size.
+        """Return (maximum weight, bucket) for the endpoints with a free slot.
 
         Args:
-            excluded: zones that are left out.
-            in_use: only endpoints whose slots are open, or only others; None = all.
-            warming: only endpoints that are warming up, or only others; None = all.
+            excluded: numbers of the zones to leave out.
+            in_use: True = only endpoints in use, False = only endpoints not in use, None = both.
+            warming: True = only warming endpoints, False = only warmed-up endpoints, None = both.
         """
         return [
             (math.ldexp(1.0, exponent), bucket)
@@ -163,22 +168,22 @@
     def draw(
         self, rng: random.Random, excluded: Container[int], *, in_use: bool | None = None, warming: bool | None = None
     ) -> EndpointState | None:
-        """Draw an endpoint with a free slot by weight; None if there is none. Arguments as in `free_buckets`."""
+        """Draw an endpoint with a free slot by weight; None if there is none. Takes the arguments of `free_buckets`."""
         buckets = self.free_buckets(excluded, in_use=in_use, warming=warming)
-        total = sum(size * len(bucket) for size, bucket in buckets)
+        total = sum(max_weight * len(bucket) for max_weight, bucket in buckets)
         while buckets:
             point = rng.random() * total
-            for size, bucket in buckets:
-                if point < size * len(bucket):
-                    index = int(point / size)
-                    if point - index * size < bucket[index].weight:
+            for max_weight, bucket in buckets:
+                if point < max_weight * len(bucket):
+                    index = int(point / max_weight)
+                    if point - index * max_weight < bucket[index].weight:
                         return bucket[index]
-                    break  # draw again: at most every other time
-                point -= size * len(bucket)
+                    break  # rejected, with a probability of at most 1/2: draw again
+                point -= max_weight * len(bucket)
         return None
 
     def withdraw(self, states: Iterable[EndpointState]) -> list[EndpointState]:
-        """Take endpoints out of the next draws and return them; the caller updates their weights afterwards."""
+        """Remove endpoints from their buckets and return them; `update_weight` puts them back."""
         withdrawn = [state for state in states if state.bucket is not None and state.pool is self]
         for state in withdrawn:
             self._remove_from_bucket(state)
--- a/garnetusher/policy/slow_start.py
+++ b/garnetusher/policy/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: endpoints that have just started get a share of the traffic that grows while they warm up.
+"""Slow start: limits endpoints that have just started to a share of the traffic that grows while they warm up.
 
-Endpoints of a pool that started at about the same time form a cohort, for which sends are accrued by one figure, so
-that the cost of a request does not grow with the number of endpoints.
+Endpoints of a pool that started at about the same time form a cohort. One accrual counter per cohort determines when
+sends come due, so the cost of a request does not grow with the number of endpoints.
 """
 
 from __future__ import annotations
@@ -13,23 +13,24 @@
 from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.settings import Settings
 
-WARMING_SHARE = 0.45  # of the multiple that overloads a warming endpoint: its work comes in lumps
-COHORTS_PER_WARM_UP = 64  # an endpoint counts as started at the end of its cohort's interval
-RECOUNT_INTERVAL_US = 10_000  # between recounts: in a warm-up of seconds a share moves by less than a hundredth
-MAX_WARMED_UP_PER_EVENT = 256  # endpoints that an event takes for warmed up at the most, so that none is held up
+# A warming endpoint is loaded up to this fraction of its overload factor, because its work arrives unevenly.
+WARMING_SHARE = 0.45
+COHORTS_PER_WARM_UP = 64  # an endpoint's warm-up is counted from the end of its cohort's interval
+SHARE_UPDATE_INTERVAL_US = 10_000  # during a warm-up of seconds, a share changes by less than 1% between updates
+MAX_WARMED_UP_PER_EVENT = 256  # one event releases at most this many endpoints, so that it does not take too long
 
 
 class SlowStartCohort:
     """Endpoints that started at about the same time.
 
-    They count as warmed up only when they surely are. Sooner, all sidecars would open their slots at one moment and
-    overload them together (rule 4).
+    Endpoints count as warmed up only when all members of the cohort have warmed up for certain. Earlier, all sidecars
+    would open their slots at the same time and overload the endpoints, which rule 4 forbids.
 
     Attributes:
-        started_us: the latest start that a member can have.
-        members: the endpoints, by id.
-        share: how much one of them gets beside a warmed up endpoint, at the last recount.
-        accrued: sends that have come due to each since the first.
+        started_us: latest possible start time of a member.
+        members: the endpoints by id.
+        share: share of one member relative to a warmed-up endpoint, as of the last update of the shares.
+        accrued: number of sends that each member has accrued since the cohort was created.
     """
 
     def __init__(self, started_us: int) -> None:
@@ -37,15 +38,16 @@
         self.members: dict[int, EndpointState] = {}
         self.share = 0.0
         self.accrued = 0.0
-        self._pending: list[tuple[float, int, EndpointState]] = []  # (due at, endpoint id, ...); a heap, some outdated
+        # heap of (accrual at which a send is due, endpoint id, endpoint); some entries may be outdated
+        self._pending: list[tuple[float, int, EndpointState]] = []
 
     def schedule_send(self, state: EndpointState, after: float) -> None:
-        """Let one send come due to an endpoint when the cohort has accrued so much more."""
+        """Schedule an endpoint's next send for when the cohort has accrued `after` more sends."""
         state.send_due, state.due_at_accrual = False, self.accrued + after
         heapq.heappush(self._pending, (state.due_at_accrual, state.endpoint.id, state))
 
     def accrue(self, amount: float) -> list[EndpointState]:
-        """Accrue sends and return the endpoints to which one has come due."""
+        """Add to the accrued sends and return the endpoints with a send that has come due."""
         self.accrued += amount
         due: list[EndpointState] = []
         while self._pending and self._pending[0][0] <= self.accrued:
@@ -61,9 +63,9 @@
 
     Attributes:
         settings: the operator's settings.
-        size: how many endpoints the pool has.
-        cohorts: by the start that they are counted from.
-        served: responses so far, and what arrivals count for beside them.
+        size: number of endpoints in the pool, warming or not.
+        cohorts: the cohorts by their `started_us`.
+        served: number of responses so far, plus the credit that admission adds for arrivals.
     """
 
     def __init__(self, settings: Settings, update_weight: Callable[[EndpointState, int], None]) -> None:
@@ -72,38 +74,38 @@
         self.cohorts: dict[int, SlowStartCohort] = {}
         self.served = 0.0
         self._update_weight = update_weight
-        self._distributed = 0.0  # the part of `served` of which the cohorts have had their shares
-        self._total_share = 1.0  # of all endpoints, a warmed up one counting 1, at the last recount
-        self._next_recount_us = 0
+        self._distributed = 0.0  # part of `served` that has been distributed to the cohorts
+        self._total_share = 1.0  # sum over all endpoints; a warmed-up one has a share of 1
+        self._next_share_update_us = 0
 
-    def change_size(self, by: int) -> None:
-        """Note that the pool has got more or fewer endpoints."""
-        self.size += by
-        self._next_recount_us = 0
+    def change_size(self, delta: int) -> None:
+        """Add to the number of endpoints in the pool; `delta` may be negative."""
+        self.size += delta
+        self._next_share_update_us = 0
 
     def begin(self, state: EndpointState, now_us: int, first_send_accrued: float) -> None:
-        """Put an endpoint that is new, or has started anew, into its cohort.
+        """Put an endpoint that is new or has restarted into its cohort.
 
         Args:
-            state: the endpoint; one that has warmed up long ago joins no cohort.
-            now_us: the time.
-            first_send_accrued: how much of the first send to it has accrued, from 0 to 1.
+            state: the endpoint; it joins no cohort if it has already warmed up.
+            now_us: current time.
+            first_send_accrued: fraction of the endpoint's first send that has already accrued, from 0 to 1.
         """
         self.end(state)
-        self._next_recount_us = 0
+        self._next_share_update_us = 0
         warm_up_us = self.settings.warm_up_us
         if state.started_us > 0 and now_us - state.started_us < warm_up_us:
             if self.served > self._distributed:
-                self.accrue(now_us)  # what was served before it came is not for it
+                self.accrue(now_us)  # responses before the endpoint joined do not count for it
             interval_us = max(1, warm_up_us // COHORTS_PER_WARM_UP)
-            counted_us = -(-state.started_us // interval_us) * interval_us
-            state.cohort = self.cohorts.setdefault(counted_us, SlowStartCohort(counted_us))
+            cohort_start_us = -(-state.started_us // interval_us) * interval_us
+            state.cohort = self.cohorts.setdefault(cohort_start_us, SlowStartCohort(cohort_start_us))
             state.cohort.members[state.endpoint.id] = state
             state.cohort.schedule_send(state, 1.0 - first_send_accrued)
         self._update_weight(state, now_us)
 
     def end(self, state: EndpointState) -> None:
-        """Take an endpoint out of its cohort, if it is in one."""
+        """Remove an endpoint from its cohort, if it is in one."""
         cohort, state.cohort = state.cohort, None
         state.send_due, state.open_fraction = False, 1.0
         if cohort is not None:
@@ -112,30 +114,31 @@
                 del self.cohorts[cohort.started_us]
 
     def all_warming(self) -> bool:
-        """Return whether every endpoint of the pool is warming up, so that none sets the pace."""
+        """Return whether every endpoint of the pool is warming up, so that none determines the rate of sends."""
         return 0 < self.size == sum(len(cohort.members) for cohort in self.cohorts.values())
 
     def accrue(self, now_us: int) -> None:
-        """Let sends come due to warming endpoints, by their share of what the pool has served meanwhile.
+        """Accrue sends to warming endpoints by their share of what the pool has served since the last call.
 
-        Rule 4: the fleet serves no more than it can, however much is asked of it. By initial shares alone successors
-        would idle while the old endpoints are crowded; and beside many others a light sidecar takes seconds for a
-        share, in which the endpoint warms up: so it is counted by the warm-up of now.
+        Responses are counted, not requests, because the fleet serves no more than it can, however many requests arrive;
+        this prevents the overload of warming endpoints that rule 4 forbids. Shares follow the current warm-up: with the
+        initial shares, new endpoints would idle while the old ones are overloaded. In a large pool, a sidecar with
+        little traffic takes seconds to accrue one send, and the endpoint warms up in that time.
         """
         served, self._distributed = self.served - self._distributed, self.served
         if not self.cohorts:
             return
-        if now_us >= self._next_recount_us:
-            self._recount(now_us)
-        served_each = served / self._total_share
+        if now_us >= self._next_share_update_us:
+            self._update_shares(now_us)
+        served_per_share = served / self._total_share
         for cohort in self.cohorts.values():
-            for state in cohort.accrue(cohort.share * served_each):
+            for state in cohort.accrue(cohort.share * served_per_share):
                 self._update_weight(state, now_us)
 
-    def _recount(self, now_us: int) -> None:
-        """Compute the shares of now and release endpoints that have warmed up."""
+    def _update_shares(self, now_us: int) -> None:
+        """Compute the current shares and release endpoints that have warmed up."""
         settings = self.settings
-        self._total_share, self._next_recount_us = float(self.size), now_us + RECOUNT_INTERVAL_US
+        self._total_share, self._next_share_update_us = float(self.size), now_us + SHARE_UPDATE_INTERVAL_US
         growth_per_us = (1.0 - settings.warm_up_initial_fraction) / max(1, settings.warm_up_us)
         warmed_up = []
         for cohort in self.cohorts.values():
--- a/garnetusher/policy/zone.py
+++ b/garnetusher/policy/zone.py
@@ -1,4 +1,4 @@
-"""One zone: its state, and the evidence that attempts have given on it. `zones.py` decides on changes of the state."""
+"""State of one zone and the evidence that attempts provide about it. `zones.py` decides when the state changes."""
 
 from __future__ import annotations
 
@@ -6,36 +6,41 @@
 import math
 from dataclasses import dataclass
 
-LOST_FRACTION = 0.75  # of a zone's endpoints have to fail in a row: half of them lost is no lost zone
-MAX_SUSPECTS_NEEDED = 8  # so many different ones are enough, however many there are: 0.75 ** 8 is one in ten
-MISS_EXPIRY_US = 5_000_000  # between two misses, after which the first says nothing of now
-REPEATED_MISS_EVIDENCE = 0.5  # of a miss at an endpoint, or of a request, that has missed just now: one in three
-OUTCOME_WINDOW = 20  # outcomes that make up a zone's latency ratio
-INITIAL_BACKOFF_US = 500_000  # from the evacuation to the first health check
-RECOVERY_STEPS: tuple[float, ...] = (0.1, 0.25, 0.5, 1.0)  # of the draws that may go to a zone being restored
+# This fraction of a zone's endpoints must fail without an answer in between; a zone that lost half of them is not lost.
+LOST_FRACTION = 0.75
+# Failures of this many different endpoints are enough in a zone of any size: if 75% of the endpoints fail, eight
+# different ones fail in a row with a probability of one in ten (0.75 ** 8).
+MAX_SUSPECTS_NEEDED = 8
+MISS_EXPIRY_US = 5_000_000  # after a gap this long between two misses, the earlier ones no longer count
+# Evidence of a miss that follows another miss at the same endpoint or of the same request: probability one in three.
+REPEATED_MISS_EVIDENCE = 0.5
+OUTCOME_WINDOW = 20  # number of outcomes over which a zone's latency ratio is smoothed
+INITIAL_BACKOFF_US = 500_000  # delay from the evacuation to the first health check
+# Fraction of the draws in which a zone that is being restored takes part, step by step.
+RECOVERY_STEPS: tuple[float, ...] = (0.1, 0.25, 0.5, 1.0)
 MICROSECONDS_PER_S = 1_000_000
 
 
 class ZoneState(enum.Enum):
-    """How a zone is used."""
+    """How much traffic a zone receives."""
 
-    ACTIVE = "near"  # in full
-    SUSPECTED = "doubted"  # in full, but part of the evidence for evacuating it is there
-    EVACUATED = "left"  # only health-checked
-    RESTORING = "returning"  # by a part of the draws
+    ACTIVE = "near"  # takes part in all draws
+    SUSPECTED = "doubted"  # takes part in all draws, although there is some evidence for its evacuation
+    EVACUATED = "left"  # receives only health checks
+    RESTORING = "returning"  # takes part in a fraction of the draws, which grows step by step
 
 
 @dataclass(slots=True)
 class FailedAttempt:
-    """An attempt that was refused, broke, was answered with an error, or was not answered in time.
+    """An attempt that could not connect, lost its connection, returned an error or timed out.
 
     Attributes:
-        zone: the zone of its endpoint.
-        endpoint_id: its endpoint.
-        sent_us: when it was sent.
-        latency_ratio: its time beside the usual one.
-        connection_refused: it found no connection, and was told so at once.
-        already_overdue: it has counted as a miss before.
+        zone: number of the endpoint's zone.
+        endpoint_id: id of the endpoint.
+        sent_us: time at which the attempt was sent.
+        latency_ratio: elapsed time divided by the mean response time of the request class.
+        connection_refused: whether the connection failed immediately, without a timeout.
+        already_overdue: whether the attempt has already counted as a miss because it was overdue.
     """
 
     zone: int
@@ -47,31 +52,32 @@
 
 
 class Zone:
-    """What this sidecar knows of one zone.
+    """What this sidecar knows about one zone.
 
     Attributes:
-        number: its index in the settings.
-        state: how it is used.
-        overridden: evacuated by an operator, so that evidence changes nothing.
-        endpoint_count: endpoints listed as ready.
-        suspects: endpoints that failed, or are overdue, since its last answer.
-        misses: attempts that did.
-        evidence: what they weigh together, as a power of ten.
-        refused_connections: how many of them were connections refused at once.
-        first_miss_us: when the first of these attempts was sent.
-        last_miss_us: and the last.
-        last_answer_us: the time of its last answer.
-        latency_ratio: of its outcomes, smoothed.
-        outcome_count: how many outcomes there were.
-        slow_since_us: since when it has been slow beside the others; 0 = it is not.
-        backoff_us: from its evacuation to the first health check.
-        evacuated_us: when evidence last evacuated it; 0 = never.
-        state_changed_us: when its state, or recovery step, last changed.
-        next_health_check_us: when it may be health-checked next.
-        refused_when_evacuated: connections were refused, so that its endpoints will have just started when it is back.
-        recovery_step: index in `RECOVERY_STEPS` while it is being restored.
-        consecutive_failures: failures in a row while it is being restored.
-        reason: why it is in its state.
+        number: index of the zone in the settings.
+        state: how much traffic the zone receives.
+        overridden: whether an operator evacuated the zone; evidence then changes nothing.
+        endpoint_count: number of endpoints listed as ready.
+        suspects: ids of the endpoints with a miss (a failed or overdue attempt) since the zone's last answer.
+        misses: number of misses since the zone's last answer.
+        evidence: negative decimal logarithm of the probability that a healthy zone has all these misses by chance.
+        refused_connections: number of misses that were immediate connection failures.
+        first_miss_us: time at which the earliest missed attempt was sent; 0 = no miss.
+        last_miss_us: time at which the latest missed attempt was sent.
+        last_answer_us: time of the zone's last answer.
+        latency_ratio: smoothed latency ratio of the zone's outcomes.
+        outcome_count: number of outcomes in the latency ratio.
+        slow_since_us: time since which the zone has been slow compared with other zones; 0 = the zone is not slow.
+        backoff_us: delay from the zone's evacuation to its first health check.
+        evacuated_us: time of the last evacuation by evidence; 0 = never.
+        state_changed_us: time of the last change of the state or of the recovery step.
+        next_health_check_us: earliest time of the next health check.
+        refused_when_evacuated: whether the zone was evacuated because connections were refused; its endpoints have then
+            restarted by the time the zone answers again.
+        recovery_step: index in `RECOVERY_STEPS` while the zone is being restored.
+        consecutive_failures: number of failures in a row while the zone is being restored.
+        reason: why the zone is in its state, as text for logs and for the admin address.
     """
 
     def __init__(self, number: int, now_us: int) -> None:
@@ -100,35 +106,35 @@
 
     @property
     def in_use(self) -> bool:
-        """Whether it takes its full part in draws."""
+        """Whether the zone takes part in all draws."""
         return self.state in (ZoneState.ACTIVE, ZoneState.SUSPECTED)
 
     @property
-    def is_judged(self) -> bool:
-        """Whether there are outcomes enough to compare its latency ratio."""
+    def has_enough_outcomes(self) -> bool:
+        """Whether the latency ratio covers enough outcomes to be compared with other zones."""
         return self.outcome_count >= OUTCOME_WINDOW
 
     def suspects_needed(self) -> int:
-        """Return how many different endpoints have to fail with no answer between."""
+        """Return how many different endpoints must fail, without an answer in between, for the zone to be lost."""
         return min(self.endpoint_count, max(2, math.ceil(LOST_FRACTION * self.endpoint_count)), MAX_SUSPECTS_NEEDED)
 
     def report(self, now_us: int) -> dict[str, object]:
-        """Return its state, since when, and the figures behind it, with the keys of the admin address."""
-        share = RECOVERY_STEPS[self.recovery_step] if self.state is ZoneState.RESTORING else float(self.in_use)
+        """Return the zone's state, its duration and the evidence for it, under the keys of the admin address."""
+        draw_fraction = RECOVERY_STEPS[self.recovery_step] if self.state is ZoneState.RESTORING else float(self.in_use)
         return {
             "state": self.state.value,
             "by": "operator" if self.overridden else "evidence",
             "why": self.reason,
             "for_s": round((now_us - self.state_changed_us) / MICROSECONDS_PER_S, 1),
             "upstreams": self.endpoint_count,
-            "part": share,
+            "part": draw_fraction,
             "misses": self.misses,
             "evidence": round(self.evidence, 1),
             "pace": round(self.latency_ratio, 2),
         }
 
     def add_miss(self, endpoint_id: int, sent_us: int, evidence: float) -> None:
-        """Add a miss to the evidence (after the accrual detector of Hayashibara et al., 2004)."""
+        """Add a miss to the evidence, as the accrual failure detector of Hayashibara et al. (2004) does."""
         if sent_us - self.last_miss_us > MISS_EXPIRY_US:
             self.clear_evidence()
         self.last_miss_us = max(self.last_miss_us, sent_us)
@@ -140,12 +146,12 @@
         self.evidence += evidence
 
     def update_latency_ratio(self, latency_ratio: float) -> None:
-        """Add an outcome to the smoothed ratio."""
+        """Add the latency ratio of one outcome to the smoothed ratio."""
         self.latency_ratio += (latency_ratio - self.latency_ratio) / OUTCOME_WINDOW
         self.outcome_count += 1
 
     def clear_evidence(self) -> None:
-        """Forget the misses so far."""
+        """Discard all misses and their evidence."""
         self.suspects.clear()
         self.misses = self.refused_connections = self.first_miss_us = 0
         self.evidence = 0.0
--- a/garnetusher/policy/zones.py
+++ b/garnetusher/policy/zones.py
@@ -1,9 +1,10 @@
-"""Which zones are used: evidence from attempts, and the state of each zone.
+"""Zone health: collects evidence from attempts and decides which zones receive traffic.
 
-A zone is evacuated when it looks lost beside the others, health-checked while it is evacuated, and restored by steps.
-Endpoints are still judged one by one (`outlier.py`); here is only what they have in common. No zone is evacuated unless
-another one has answered meanwhile: when all look bad, the fault is here or everywhere, and evacuating would mend
-nothing. Texts of reasons and values of states are told at the admin address and logged; they stay.
+A zone is evacuated when its endpoints fail together while other zones answer. An evacuated zone receives only health
+checks; once it answers one, it is restored in steps. `outlier.py` judges each endpoint on its own; this module detects
+failures that the endpoints of a zone share. No zone is evacuated unless another zone has answered in the meantime: if
+all zones fail, the fault is at this sidecar or affects all zones, and an evacuation would not help. The texts of
+reasons and the values of states are logged and reported at the admin address, so they must not change.
 """
 
 from __future__ import annotations
@@ -23,33 +24,36 @@
     ZoneState,
 )
 
-EVACUATION_EVIDENCE = 6.0  # the odds, as a power of ten, against so many misses in a row in a zone that is well
-SUSPICION_EVIDENCE = 4.0  # the same, for suspecting it
-SILENCE_US = 300_000  # without an answer, for a zone to be silent: a crowded one still answers some
-FAILURE_EVIDENCE = 1.5  # of one refused or broken attempt: one in thirty, as on days of broken connections
-MIN_LATE_FRACTION = 0.05  # of the answers that are late in a zone that is well, at the least; the true part is learned
-MAX_LATE_FRACTION = 0.5
-LATE_WINDOW = 64  # answers that make it up
-SLOW_FACTOR = 2.5  # the latency ratio of a zone beside the quickest other one's, for SLOW_DURATION_US
+EVACUATION_EVIDENCE = 6.0  # a zone is evacuated if a healthy one has such misses with a probability of 10 ** -6
+SUSPICION_EVIDENCE = 4.0  # evidence from which a zone is suspected, on the same scale
+SILENCE_US = 300_000  # a zone is silent after this long without an answer; an overloaded zone still answers some
+# Evidence of one refused or broken attempt: one attempt in thirty fails like this while connections break often.
+FAILURE_EVIDENCE = 1.5
+MIN_LATE_FRACTION = 0.05  # lower bound of the learned fraction of answers that are late in a healthy zone
+MAX_LATE_FRACTION = 0.5  # upper bound of the same fraction
+LATE_FRACTION_WINDOW = 64  # number of answers over which that fraction is smoothed
+# A zone is slow if its latency ratio is this multiple of the fastest other zone's; it is evacuated after being slow for
+# SLOW_DURATION_US.
+SLOW_FACTOR = 2.5
 SLOW_DURATION_US = 2_000_000
-MIN_COMPARED_RATIO = 0.5  # of another zone, for that comparison
-MAX_BACKOFF_US = 16_000_000  # after flaps, each of which doubles it
-FLAP_WINDOW_US = 60_000_000  # a zone that held for so long starts again with the initial backoff
-HEALTH_CHECKS_PER_S_PER_ENDPOINT = 2.0  # at an evacuated zone, by the whole fleet
-MIN_HEALTH_CHECK_GAP_US = 250_000  # between this sidecar's health checks of a zone
-RECOVERY_STEP_US = 600_000  # that each of them lasts, at least
-RECOVERY_FAILURES = 2  # in a row, which evacuate a zone again
+MIN_COMPARED_RATIO = 0.5  # a smaller latency ratio of another zone counts as this in the comparison
+MAX_BACKOFF_US = 16_000_000  # upper limit of the backoff, which doubles each time the zone flaps
+FLAP_WINDOW_US = 60_000_000  # the backoff is reset if the last evacuation is at least this long ago
+HEALTH_CHECKS_PER_S_PER_ENDPOINT = 2.0  # limit for the health checks of the whole fleet at an evacuated zone
+MIN_HEALTH_CHECK_GAP_US = 250_000  # minimum gap between this sidecar's health checks of a zone
+RECOVERY_STEP_US = 600_000  # minimum duration of each step in RECOVERY_STEPS
+RECOVERY_FAILURES = 2  # a zone that is being restored is evacuated again after this many failures in a row
 
 
 class Zones:
-    """All zones, and the only place where their state changes.
+    """All zones. Only this class changes their states.
 
     Attributes:
         settings: the operator's settings.
-        member_count: the size of the fleet by membership; 0 = as the settings say.
-        random: a source of its own: what is drawn here must not change other draws.
-        zones: by number.
-        all_in_use: whether no zone is evacuated or being restored.
+        member_count: size of the fleet according to membership; 0 = the settings' `fleet_size` applies.
+        random: separate random source, so that the numbers drawn here do not change draws elsewhere.
+        zones: the zones by number.
+        all_in_use: whether all zones take part in all draws: none is evacuated or being restored.
     """
 
     def __init__(
@@ -60,24 +64,24 @@
         self.random = random.Random(seed)
         self.zones: dict[int, Zone] = {}
         self.all_in_use = True
-        self._on_change = on_change  # called with the zone and its earlier state
+        self._on_change = on_change  # called with the zone and its previous state
         self._now_us = now_us
         self._any_suspected = False
         self._late_fraction = MIN_LATE_FRACTION
 
     @property
     def fleet_size(self) -> int:
-        """How many sidecars share what the fleet may do."""
+        """Number of sidecars that share the fleet-wide rate of health checks."""
         return self.member_count or self.settings.fleet_size
 
     def get(self, number: int) -> Zone:
-        """Return a zone; one that was not known is added."""
+        """Return a zone, adding it if it is unknown."""
         if number not in self.zones:
             self.zones[number] = Zone(number, self._now_us)
         return self.zones[number]
 
     def tier(self, number: int) -> int:
-        """Return 0 for this zone, 1 for this region's others and 2 for other regions'; 0 where crossing is free."""
+        """Return 0 for this sidecar's zone, 1 for others in its region, 2 for other regions; 0 if crossing is free."""
         settings = self.settings
         if number == settings.zone or settings.cross_zone_cost <= 0:
             return 0
@@ -90,7 +94,7 @@
     # Evidence
 
     def record_answer(self, number: int, sent_us: int, latency_ratio: float, now_us: int) -> None:
-        """Record that an endpoint has answered, or rejected an attempt as overloaded: the zone is there."""
+        """Record an answer or an overload rejection; either proves that the zone is reachable."""
         zone = self.get(number)
         self._now_us, zone.last_answer_us, zone.consecutive_failures = now_us, now_us, 0
         zone.clear_evidence()
@@ -108,11 +112,11 @@
             self.evaluate(zone)
 
     def record_lateness(self, *, late: bool) -> None:
-        """Learn from an answer, or an attempt overtaken by a hedged one, how often attempts are late by chance."""
-        self._late_fraction += (float(late) - self._late_fraction) / LATE_WINDOW
+        """Update the fraction of attempts that are late by chance, after an answer or a race lost to a hedge."""
+        self._late_fraction += (float(late) - self._late_fraction) / LATE_FRACTION_WINDOW
 
     def record_failure(self, attempt: FailedAttempt, now_us: int) -> None:
-        """Record an attempt that failed."""
+        """Record a failed attempt as evidence against its zone."""
         zone, self._now_us = self.get(attempt.zone), now_us
         zone.update_latency_ratio(attempt.latency_ratio)
         if not attempt.already_overdue:
@@ -129,14 +133,15 @@
             self.evaluate(zone)
 
     def record_overdue(self, number: int, endpoint_id: int, sent_us: int, now_us: int, *, repeated: bool) -> None:
-        """Record an attempt that is out for longer than answers take; it may still be answered.
+        """Record an outstanding attempt that takes longer than expected; it may still be answered.
 
         Args:
-            number: the zone.
-            endpoint_id: where the attempt went.
-            sent_us: when it was sent.
-            now_us: the time.
-            repeated: it is not the first of its request: what is heavy at one endpoint is heavy at the next.
+            number: number of the zone.
+            endpoint_id: endpoint that the attempt was sent to.
+            sent_us: time at which the attempt was sent.
+            now_us: current time.
+            repeated: whether an earlier attempt of the same request was overdue too. Such a miss is weaker evidence,
+                because an expensive request is slow at every endpoint.
         """
         zone, self._now_us = self.get(number), now_us
         late_fraction = min(max(self._late_fraction, MIN_LATE_FRACTION), MAX_LATE_FRACTION)
@@ -144,7 +149,7 @@
         self.evaluate(zone)
 
     def evaluate(self, zone: Zone) -> None:
-        """Compare a zone with those that have answered since its first miss; suspect or evacuate it by that."""
+        """Suspect or evacuate a zone if it fails or is slow compared with zones that answered since its first miss."""
         if not zone.in_use or zone.overridden or not zone.endpoint_count:
             return
         others = [other for other in self.zones.values() if other is not zone and other.in_use and other.endpoint_count]
@@ -152,18 +157,18 @@
         if self._is_lost(zone) and answering:
             self._evacuate(zone, self._describe_misses(zone))
             return
-        compared = [other.latency_ratio for other in answering if other.is_judged]
-        is_slow = zone.is_judged and any(
-            zone.latency_ratio > SLOW_FACTOR * max(ratio, MIN_COMPARED_RATIO) for ratio in compared
+        compared_ratios = [other.latency_ratio for other in answering if other.has_enough_outcomes]
+        is_slow = zone.has_enough_outcomes and any(
+            zone.latency_ratio > SLOW_FACTOR * max(ratio, MIN_COMPARED_RATIO) for ratio in compared_ratios
         )
         zone.slow_since_us = (zone.slow_since_us or self._now_us) if is_slow else 0
         if is_slow and self._now_us - zone.slow_since_us >= SLOW_DURATION_US:
-            self._evacuate(zone, f"its pace is {zone.latency_ratio:.1f}, the others' {min(compared):.1f}")
+            self._evacuate(zone, f"its pace is {zone.latency_ratio:.1f}, the others' {min(compared_ratios):.1f}")
         elif self._is_suspicious(zone) and answering:
             self.change_state(zone, ZoneState.SUSPECTED, self._describe_misses(zone))
 
     def is_silent(self, number: int, now_us: int) -> bool:
-        """Return whether attempts in a zone have been missed and none was answered for a while."""
+        """Return whether a zone has misses and has not answered for `SILENCE_US`."""
         zone = self.get(number)
         return bool(zone.suspects) and now_us - zone.last_answer_us >= SILENCE_US
 
@@ -178,7 +183,7 @@
     def _is_lost(self, zone: Zone) -> bool:
         if len(zone.suspects) < zone.suspects_needed() or zone.evidence < EVACUATION_EVIDENCE:
             return False
-        # in a crowd many attempts are late together, though not by chance; but answers go on coming
+        # under overload many attempts are late for one common reason, but the zone still answers some
         return 2 * zone.refused_connections >= zone.misses or self._now_us - zone.last_answer_us >= SILENCE_US
 
     def _is_suspicious(self, zone: Zone) -> bool:
@@ -197,15 +202,15 @@
     # Evacuating and restoring
 
     def change_state(self, zone: Zone, state: ZoneState, reason: str) -> None:
-        """Move a zone to another state and report it."""
-        before, zone.state, zone.reason, zone.state_changed_us = zone.state, state, reason, self._now_us
+        """Move a zone to another state and report the change."""
+        previous_state, zone.state, zone.reason, zone.state_changed_us = zone.state, state, reason, self._now_us
         zone.consecutive_failures = 0
         if state is not ZoneState.SUSPECTED:
             zone.clear_evidence()
             zone.latency_ratio, zone.outcome_count = 1.0, 0
         self.all_in_use = all(other.in_use for other in self.zones.values())
         self._any_suspected = any(other.state is ZoneState.SUSPECTED for other in self.zones.values())
-        self._on_change(zone, before)
+        self._on_change(zone, previous_state)
 
     def _evacuate(self, zone: Zone, reason: str) -> None:
         has_flapped = zone.evacuated_us > 0 and self._now_us - zone.evacuated_us < FLAP_WINDOW_US
@@ -219,7 +224,7 @@
         self.change_state(zone, ZoneState.EVACUATED, reason)
 
     def take_due_health_check(self, now_us: int) -> Zone | None:
-        """Return an evacuated zone that may be health-checked now; the next check of it waits for a gap."""
+        """Return an evacuated zone whose health check is due and schedule its next one; None if no check is due."""
         for zone in self.zones.values():
             if zone.state is not ZoneState.EVACUATED or zone.overridden or not zone.endpoint_count:
                 continue
@@ -233,7 +238,7 @@
         zone.next_health_check_us = self._now_us + self._jittered(wait_us)
 
     def health_check_gap_us(self, zone: Zone) -> int:
-        """Return the gap with which all sidecars together check each endpoint a few times a second."""
+        """Return the gap between this sidecar's health checks that keeps the fleet at its rate for each endpoint."""
         checks_per_s = max(1, zone.endpoint_count) * HEALTH_CHECKS_PER_S_PER_ENDPOINT
         return max(MIN_HEALTH_CHECK_GAP_US, int(MICROSECONDS_PER_S * self.fleet_size / checks_per_s))
 
@@ -243,7 +248,7 @@
     # Draws
 
     def excluded(self) -> set[int]:
-        """Return the zones that take no part in one draw."""
+        """Return the zones that one draw leaves out."""
         if self.all_in_use:
             return set()
         excluded = {
@@ -252,12 +257,12 @@
             if not zone.in_use and zone.endpoint_count and self._is_excluded_from_draw(zone)
         }
         if excluded and not any(z.endpoint_count and z.number not in excluded for z in self.zones.values()):
-            # there must be an endpoint to send to: only an operator's word holds
+            # one zone with endpoints must remain: only zones that an operator evacuated are left out
             return {zone.number for zone in self.zones.values() if zone.overridden}
         return excluded
 
     def suspected(self) -> set[int]:
-        """Return the zones that requests which must not be retried had better avoid."""
+        """Return the suspected zones, which requests that must not be retried avoid if possible."""
         if not self._any_suspected:
             return set()
         return {zone.number for zone in self.zones.values() if zone.state is ZoneState.SUSPECTED}
@@ -270,25 +275,25 @@
     # The endpoint list and the operator
 
     def update_endpoint_counts(self, counts: dict[int, int], zones_with_starts: set[int], now_us: int) -> None:
-        """Take over how many ready endpoints each zone has, and which zones have some that have just started."""
+        """Update the number of ready endpoints in each zone; `zones_with_starts` have endpoints that just started."""
         self._now_us = now_us
         for number in counts.keys() | self.zones.keys():
             zone = self.get(number)
             zone.endpoint_count = counts.get(number, 0)
             has_starts = number in zones_with_starts
             if not zone.endpoint_count or has_starts:
-                zone.clear_evidence()  # what failed is not there any more
+                zone.clear_evidence()  # the endpoints that failed are gone or have restarted
             if has_starts and zone.state is ZoneState.EVACUATED and not zone.overridden:
-                zone.recovery_step = 0  # what has just started is warming up by the list itself
+                zone.recovery_step = 0  # slow start already limits these endpoints, as the list reports their start
                 self.change_state(zone, ZoneState.RESTORING, "the list tells of upstreams that have started")
 
     def objection(self, number: int) -> str:
-        """Return why an operator can't evacuate a zone; "" if nothing speaks against it."""
+        """Return the reason why an operator can't evacuate a zone; "" if they can."""
         others = [z for z in self.zones.values() if z.number != number and z.endpoint_count and not z.overridden]
         return "" if others else "it is the last zone in use"
 
     def override(self, number: int, now_us: int, *, evacuate: bool) -> None:
-        """Evacuate or restore a zone by an operator's order, which evidence does not undo."""
+        """Evacuate or restore a zone by an operator's order; evidence does not undo an ordered evacuation."""
         zone, self._now_us = self.get(number), now_us
         if evacuate and not self.objection(number):
             zone.overridden = True
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -1,4 +1,4 @@
-"""Draws that don't walk the list: the same choices as the plain way, kept here, and the same work in any fleet."""
+"""Weighted draws from buckets have the probabilities of a scan of all endpoints, at a cost that does not grow."""
 
 from __future__ import annotations
 
@@ -18,52 +18,56 @@
 from garnetusher.policy.slow_start import COHORTS_PER_WARM_UP
 from tests.world import START_US, World, settings, upstreams
 
-Weights = dict[int, float]
+Weights = dict[int, float]  # by endpoint id
 
 
-def plain(balancer: Balancer, pool: Pool, shut: set[int], used: bool | None, cold: bool | None) -> Weights:
-    """What the module did before: walk all upstreams; each counts by its free slots, and less where it is slow."""
-    found = {}
-    for server in balancer.endpoints.values():
-        free = pool.open_slots(server, balancer.context.now_us) - server.slots_used
+def scan_weights(
+    balancer: Balancer, pool: Pool, excluded: set[int], in_use: bool | None, warming: bool | None
+) -> Weights:
+    """Return the weights that a scan of all endpoints finds: the free slots, reduced by the latency ratio."""
+    weights = {}
+    for state in balancer.endpoints.values():
+        free_slots = pool.open_slots(state, balancer.context.now_us) - state.slots_used
         if (
-            server.pool is pool
-            and free > 0
-            and server.endpoint.zone not in shut
-            and used in (None, server.in_use)
-            and cold in (None, server.cohort is not None)
+            state.pool is pool
+            and free_slots > 0
+            and state.endpoint.zone not in excluded
+            and in_use in (None, state.in_use)
+            and warming in (None, state.cohort is not None)
         ):
-            found[server.endpoint.id] = free / server.latency_ratio**2
-    return found
+            weights[state.endpoint.id] = free_slots / state.latency_ratio**2
+    return weights
 
 
-def audit(balancer: Balancer) -> None:
-    """Every upstream lies where the plain way would find it, with its weight of now."""
+def check_buckets(balancer: Balancer) -> None:
+    """Check that the buckets contain the endpoints that a scan finds, with their current weights."""
     assert sum(pool.slow_start.size for pool in balancer.pools) == len(balancer.endpoints)
     for pool in balancer.pools:
         if pool.slow_start.cohorts:
             pool.slow_start.accrue(balancer.context.now_us)
-        held = {s.endpoint.id: s.weight for _, bucket in pool.free_buckets(set()) for s in bucket}
-        assert held == pytest.approx(plain(balancer, pool, set(), None, None))
+        bucket_weights = {s.endpoint.id: s.weight for _, bucket in pool.free_buckets(set()) for s in bucket}
+        assert bucket_weights == pytest.approx(scan_weights(balancer, pool, set(), None, None))
         assert set(pool.in_use) == {i for i, s in balancer.endpoints.items() if s.in_use and s.pool is pool}
         assert len(pool.slow_start.cohorts) <= COHORTS_PER_WARM_UP + 1
 
 
-def storm(seed: int, steps: int = 400, after: Any = audit) -> World:
-    """Arrivals, ends of all kinds, lists, restarts, orders and time, in a random order."""
+def run_random_events(seed: int, steps: int = 400, after_event: Any = check_buckets) -> World:
+    """Apply arrivals, outcomes, list updates, restarts, operator orders and time steps in a random order."""
     rng = random.Random(seed)
     world = World(settings(cross_zone_cost=rng.choice([0.0, 0.02]), fleet_size=rng.choice([1, 30])), seed=seed)
     entries = {e.id: e for e in upstreams(12)}
     world.tell_list(list(entries.values()))
     for _ in range(steps):
-        what = rng.random()
-        out = [(ident, n) for ident, owed in world.owed.items() if not owed.stream for n in owed.out()]
-        if what < 0.45:
+        event_draw = rng.random()
+        outstanding = [
+            (request_id, n) for request_id, owed in world.owed.items() if not owed.stream for n in owed.out()
+        ]
+        if event_draw < 0.45:
             world.arrive(rng.randrange(3))
-        elif what < 0.8 and out:
-            ident, number = rng.choice(out)
+        elif event_draw < 0.8 and outstanding:
+            request_id, number = rng.choice(outstanding)
             world.end(
-                ident,
+                request_id,
                 number,
                 rng.choice(
                     [Outcome.OK] * 6
@@ -77,78 +81,85 @@
                     ]
                 ),
             )
-        elif what < 0.88:
-            ident = rng.choice(list(entries))
-            state = rng.choice([EndpointStatus.READY] * 3 + [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-            started = rng.choice([entries[ident].started_us, world.now_us - rng.randrange(25_000_000)])
-            entries[ident] = Endpoint(ident, state, entries[ident].zone, cell=entries[ident].cell, started_us=started)
-            world.tell_list([entries[ident]], UpdateKind.DELTA)
-        elif what < 0.9:
+        elif event_draw < 0.88:
+            endpoint_id = rng.choice(list(entries))
+            status = rng.choice([EndpointStatus.READY] * 3 + [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+            started_us = rng.choice([entries[endpoint_id].started_us, world.now_us - rng.randrange(25_000_000)])
+            entries[endpoint_id] = Endpoint(
+                endpoint_id,
+                status,
+                entries[endpoint_id].zone,
+                cell=entries[endpoint_id].cell,
+                started_us=started_us,
+            )
+            world.tell_list([entries[endpoint_id]], UpdateKind.DELTA)
+        elif event_draw < 0.9:
             world.tell_list([e for e in entries.values() if e.status is EndpointStatus.READY])
-        elif what < 0.92:
+        elif event_draw < 0.92:
             world.tell(ZoneOverridden(rng.randrange(6), rng.random() < 0.5))
         else:
             world.advance(rng.choice([3_000, 60_000, 400_000, 3_000_000]))
-        after(world.balancer)
+        after_event(world.balancer)
     return world
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_buckets_hold_what_a_walk_would_find_when_anything_happens(seed: int) -> None:
-    storm(seed)
+def test_buckets_match_a_scan_when_events_are_random(seed: int) -> None:
+    run_random_events(seed)
 
 
-def test_draw_is_as_likely_as_by_a_walk_when_weights_differ() -> None:
+def test_draw_has_the_probabilities_of_a_scan_when_weights_differ() -> None:
     draws, compared = 3000, 0
     for seed in range(16):
-        balancer = storm(seed, 150, lambda balancer: None).balancer
+        balancer = run_random_events(seed, 150, lambda balancer: None).balancer
         for pool in balancer.pools:
-            for used, cold in ((None, None), (True, None), (None, True)):
-                shut = {seed % 6}
-                weights = plain(balancer, pool, shut, used, cold)
+            for in_use, warming in ((None, None), (True, None), (None, True)):
+                excluded = {seed % 6}
+                weights = scan_weights(balancer, pool, excluded, in_use, warming)
                 if not weights:
-                    assert pool.draw(balancer.context.random, shut, in_use=used, warming=cold) is None
+                    assert pool.draw(balancer.context.random, excluded, in_use=in_use, warming=warming) is None
                     continue
-                seen: Counter[int] = Counter()
+                drawn: Counter[int] = Counter()
                 for _ in range(draws):
-                    server = pool.draw(balancer.context.random, shut, in_use=used, warming=cold)
-                    assert server is not None
-                    seen[server.endpoint.id] += 1
-                whole = sum(weights.values())
-                for ident in weights.keys() | seen.keys():
-                    part = weights.get(ident, 0.0) / whole
-                    spread = (part * (1 - part) / draws) ** 0.5
-                    assert abs(seen[ident] / draws - part) <= 4.5 * spread + 1e-9, (seed, ident)
+                    state = pool.draw(balancer.context.random, excluded, in_use=in_use, warming=warming)
+                    assert state is not None
+                    drawn[state.endpoint.id] += 1
+                total = sum(weights.values())
+                for endpoint_id in weights.keys() | drawn.keys():
+                    probability = weights.get(endpoint_id, 0.0) / total
+                    deviation = (probability * (1 - probability) / draws) ** 0.5
+                    assert abs(drawn[endpoint_id] / draws - probability) <= 4.5 * deviation + 1e-9, (seed, endpoint_id)
                 compared += len(weights) > 1
     assert compared >= 20
 
 
-def test_cohorts_accrue_as_a_walk_would_when_endpoints_warm_up() -> None:
+def test_cohorts_accrue_like_single_endpoints_when_endpoints_warm_up() -> None:
     pool = Pool(settings(warm_up_us=20_000_000), START_US)
-    dues: dict[int, float] = {}
+    accrued: dict[int, float] = {}
     for number in range(60):
-        server = EndpointState(Endpoint(number + 1, started_us=START_US - number * 300_000), pool)
-        pool.add(server, START_US, 0.0)
-        dues[number + 1] = 0.0
+        state = EndpointState(Endpoint(number + 1, started_us=START_US - number * 300_000), pool)
+        pool.add(state, START_US, 0.0)
+        accrued[number + 1] = 0.0
     members = list(pool.zones[0].values())
     for step in range(1, 200):
         now_us = START_US + step * 10_000
         pool.slow_start.served += 0.5
         pool.slow_start.accrue(now_us)
-        parts = {s.endpoint.id: min(1.0, 0.2 + 0.8 * (now_us - s.started_us) / 20_000_000) for s in members}
-        parts = {i: 1.0 if p >= 1.0 else p * 0.45 * 2.5 for i, p in parts.items()}
-        for ident, part in parts.items():
-            dues[ident] += 0.5 * part / sum(parts.values())
-    for server in members:
-        cohort = server.cohort
-        grown = 1.0 if cohort is None or server.send_due else 1.0 - (server.due_at_accrual - cohort.accrued)
-        assert grown == pytest.approx(min(1.0, dues[server.endpoint.id]), rel=0.13)  # as cohorts go
-
-
-def lines_a_request(count: int, cold: bool) -> float:
-    """Lines of the module that one request runs, once the stream is steady."""
+        shares = {s.endpoint.id: min(1.0, 0.2 + 0.8 * (now_us - s.started_us) / 20_000_000) for s in members}
+        shares = {i: 1.0 if fraction >= 1.0 else fraction * 0.45 * 2.5 for i, fraction in shares.items()}
+        for endpoint_id, share in shares.items():
+            accrued[endpoint_id] += 0.5 * share / sum(shares.values())
+    for state in members:
+        cohort = state.cohort
+        cohort_accrued = 1.0 if cohort is None or state.send_due else 1.0 - (state.due_at_accrual - cohort.accrued)
+        # members of a cohort share one start time, which limits the precision
+        assert cohort_accrued == pytest.approx(min(1.0, accrued[state.endpoint.id]), rel=0.13)
+
+
+def lines_per_request(count: int, warming: bool) -> float:
+    """Return the number of source lines that one request executes, after 100 requests to reach a steady state."""
     steady = Steady(1)
-    steady.tell(listing(count, cold))
+    steady.tell(listing(count, warming))
     for _ in range(100):
         steady.ask()
     lines = 0
@@ -158,16 +169,16 @@
         lines += event == "line"
         return trace
 
-    before = sys.gettrace()
+    previous_trace = sys.gettrace()
     sys.settrace(trace)
     try:
         for _ in range(200):
             steady.ask()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous_trace)
     return lines / 200
 
 
-@pytest.mark.parametrize("cold", [False, True])
-def test_request_costs_the_same_when_the_fleet_is_large(cold: bool) -> None:
-    assert lines_a_request(5000, cold) <= 2 * lines_a_request(10, cold)
+@pytest.mark.parametrize("warming", [False, True])
+def test_request_costs_the_same_when_the_fleet_is_large(warming: bool) -> None:
+    assert lines_per_request(5000, warming) <= 2 * lines_per_request(10, warming)
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -1,4 +1,4 @@
-"""Outlier detection: slots close on failures, and the log tells ejections."""
+"""Outlier detection: failures close slots, and the log reports ejections."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 def test_outlier_loses_slots_when_its_attempts_lose_to_hedges() -> None:
     world = ready_world()
     request = hedged_request(world)
-    slow = world.sends(request)[0].endpoint_id
-    before = world.balancer.endpoints[slow].slot_limit
+    slow_endpoint_id = world.sends(request)[0].endpoint_id
+    before = world.balancer.endpoints[slow_endpoint_id].slot_limit
     world.end(request, 0, Outcome.CANCELLED)
-    assert world.balancer.endpoints[slow].slot_limit < before
-    assert world.balancer.endpoints[slow].latency_ratio > 1
+    assert world.balancer.endpoints[slow_endpoint_id].slot_limit < before
+    assert world.balancer.endpoints[slow_endpoint_id].latency_ratio > 1
 
 
 def test_outlier_detection_keeps_other_slots_when_one_error_occurs() -> None:
@@ -57,12 +57,12 @@
 def test_outlier_detection_closes_no_slot_when_failures_are_single(outcome: Outcome) -> None:
     world = busy_world()
     before = available_slots(world)
-    churn(world, 1)  # what was left waiting
+    churn(world, 1)  # ends the attempts that are still outstanding
     for _ in range(20):
         request = world.arrive(PAY)
         world.end(request, 0, outcome)
         world.advance(20_000)
-        if world.owed[request].out():  # what never ran goes out again
+        if world.owed[request].out():  # an attempt that never ran is retried
             world.end(request, 1, Outcome.OK)
         for _ in range(4):
             world.end(world.arrive(PAY), 0, Outcome.OK)
@@ -74,7 +74,7 @@
 def test_outlier_detection_ignores_an_endpoint_when_it_rejects_requests(class_index: int) -> None:
     world = busy_world()
     before = available_slots(world)
-    churn(world, 1)  # what was left waiting
+    churn(world, 1)  # ends the attempts that are still outstanding
     for _ in range(20):
         request = world.arrive(class_index)
         world.end(request, 0, Outcome.REJECTED)
@@ -87,11 +87,11 @@
 def test_outlier_detection_closes_no_slot_when_one_request_is_heavy() -> None:
     world = busy_world()
     before = available_slots(world)
-    churn(world, 1, took_us=170_000)  # over half the aim
+    churn(world, 1, took_us=170_000)  # longer than half the latency objective
     assert available_slots(world) >= before - 1
 
 
-def test_log_tells_an_outlier_when_it_is_ejected_and_readmitted() -> None:
+def test_log_reports_an_outlier_when_it_is_ejected_and_readmitted() -> None:
     world = ready_world(2)
     churn(world, 200, 100)
     assert log_lines(world) == ["endpoint 100 ejected"]
@@ -102,7 +102,7 @@
 def test_log_lines_are_few_when_all_endpoints_fail_and_recover() -> None:
     world = ready_world(50)
     begin_us = world.now_us
-    for fault in (Outcome.OVERLOADED, Outcome.OK, Outcome.OVERLOADED, Outcome.OK):
+    for outcome in (Outcome.OVERLOADED, Outcome.OK, Outcome.OVERLOADED, Outcome.OK):
         for _ in range(30):
-            churn_all(world, fault)
+            churn_all(world, outcome)
     assert 1 <= len(log_lines(world)) <= 1 + (world.now_us - begin_us) / 1_000_000
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones are left, tried and returned to by evidence alone, or by an operator; seen in virtual time and by unit."""
+"""Zone evacuation and restoration, by evidence or by an operator, in unit tests and in fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from garnetusher.model import checker, experiment, figures, plan
-from garnetusher.model.ablations import without
+from garnetusher.model.ablations import ablate
 from garnetusher.model.records import Believed
 from garnetusher.model.simulation import Simulation
 from garnetusher.policy.events import Outcome, ZoneOverridden
@@ -18,146 +18,147 @@
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
 from tests.runner import run
-from tests.world import World as Stand
-from tests.world import settings, upstreams
+from tests.world import World, settings, upstreams
 
 SECOND = 1_000_000
 
 
-def zones(count: int = 3, upstreams: int = 4, **changes: Any) -> tuple[Zones, list[str]]:
-    """Zones of which all have answered just now, and the story of their changes."""
-    story: list[str] = []
-    made = Zones(settings(**changes), 1, 0, lambda zone, before: story.append(f"{zone.number} {zone.state.value}"))
-    made.update_endpoint_counts(dict.fromkeys(range(count), upstreams), set(), 0)
-    return made, story
+def make_zones(count: int = 3, endpoint_count: int = 4, **setting_changes: Any) -> tuple[Zones, list[str]]:
+    """Return zones that have all just answered and a list to which their state changes are appended."""
+    changes: list[str] = []
+    zones = Zones(
+        settings(**setting_changes), 1, 0, lambda zone, _previous: changes.append(f"{zone.number} {zone.state.value}")
+    )
+    zones.update_endpoint_counts(dict.fromkeys(range(count), endpoint_count), set(), 0)
+    return zones, changes
 
 
-def fail(made: Zones, zone: int, count: int, at_us: int, refused: bool = True, distinct: int = 9) -> None:
+def fail(zones: Zones, zone: int, count: int, at_us: int, refused: bool = True, endpoint_count: int = 9) -> None:
     for number in range(count):
-        attempt = FailedAttempt(zone, number % distinct, at_us + number, connection_refused=refused)
-        made.record_failure(attempt, at_us + number + 100)
+        attempt = FailedAttempt(zone, number % endpoint_count, at_us + number, connection_refused=refused)
+        zones.record_failure(attempt, at_us + number + 100)
 
 
-def answer(made: Zones, zone: int, at_us: int, sent_us: int | None = None) -> None:
-    made.record_answer(zone, at_us - 50 if sent_us is None else sent_us, 1.0, at_us)
+def answer(zones: Zones, zone: int, at_us: int, sent_us: int | None = None) -> None:
+    zones.record_answer(zone, at_us - 50 if sent_us is None else sent_us, 1.0, at_us)
 
 
 def test_zone_is_evacuated_when_different_endpoints_fail_in_a_row_and_others_answer() -> None:
-    made, story = zones()
-    fail(made, 0, 4, SECOND)
-    assert story == []  # nobody else has answered meanwhile: the fault may be here
-    answer(made, 1, SECOND + 200)
-    fail(made, 0, 1, SECOND + 300)
-    assert story == ["0 left"]
-    assert made.excluded() == {0}
-    assert made.get(0).refused_when_evacuated
+    zones, changes = make_zones()
+    fail(zones, 0, 4, SECOND)
+    assert changes == []  # no other zone has answered in the meantime: the fault may be at this sidecar
+    answer(zones, 1, SECOND + 200)
+    fail(zones, 0, 1, SECOND + 300)
+    assert changes == ["0 left"]
+    assert zones.excluded() == {0}
+    assert zones.get(0).refused_when_evacuated
 
 
 def test_zone_is_kept_when_half_of_it_fails_and_cleared_when_it_answers() -> None:
-    made, story = zones()
-    for at in range(1, 60):
-        answer(made, 1, at * SECOND)
-        fail(made, 0, 12, at * SECOND, distinct=2)  # two of four, again and again
-    assert "0 left" not in story
-    answer(made, 0, 61 * SECOND)
-    assert made.get(0).suspects == set()
-    assert made.get(0).state is ZoneState.ACTIVE
+    zones, changes = make_zones()
+    for at_s in range(1, 60):
+        answer(zones, 1, at_s * SECOND)
+        fail(zones, 0, 12, at_s * SECOND, endpoint_count=2)  # repeated failures of two of the four endpoints
+    assert "0 left" not in changes
+    answer(zones, 0, 61 * SECOND)
+    assert zones.get(0).suspects == set()
+    assert zones.get(0).state is ZoneState.ACTIVE
 
 
 def test_zone_is_kept_when_it_is_the_last() -> None:
-    made, _ = zones()
+    zones, _ = make_zones()
     for number in (0, 1, 2):
         for other in range(3):
             if other != number:
-                answer(made, other, SECOND * (number + 1))
-        fail(made, number, 6, SECOND * (number + 1) - 10)
-        answer(made, 2, SECOND * (number + 1) + 200)
-        fail(made, number, 6, SECOND * (number + 1) + 10)
-    assert made.get(2).in_use
-    assert made.excluded() == {0, 1}
+                answer(zones, other, SECOND * (number + 1))
+        fail(zones, number, 6, SECOND * (number + 1) - 10)
+        answer(zones, 2, SECOND * (number + 1) + 200)
+        fail(zones, number, 6, SECOND * (number + 1) + 10)
+    assert zones.get(2).in_use
+    assert zones.excluded() == {0, 1}
 
 
-def lost() -> tuple[Zones, list[str], Zone]:
-    made, story = zones()
-    fail(made, 0, 6, SECOND)
-    answer(made, 1, SECOND + 200)
-    fail(made, 0, 6, SECOND + 300)
-    story.clear()
-    return made, story, made.get(0)
+def zones_with_one_lost() -> tuple[Zones, list[str], Zone]:
+    zones, changes = make_zones()
+    fail(zones, 0, 6, SECOND)
+    answer(zones, 1, SECOND + 200)
+    fail(zones, 0, 6, SECOND + 300)
+    changes.clear()
+    return zones, changes, zones.get(0)
 
 
 def test_zone_is_restored_by_steps_and_its_backoff_doubles_when_it_flaps() -> None:
-    made, story, zone = lost()
-    at, waits = SECOND + 300, []
+    zones, changes, zone = zones_with_one_lost()
+    at_us, backoffs = SECOND + 300, []
     for _ in range(7):
-        waits.append(zone.backoff_us)
-        at = zone.next_health_check_us
-        assert made.take_due_health_check(at - 1) is None
-        assert made.take_due_health_check(at) is zone
-        assert made.take_due_health_check(at) is None
-        answer(made, 0, at + 100, sent_us=at)
+        backoffs.append(zone.backoff_us)
+        at_us = zone.next_health_check_us
+        assert zones.take_due_health_check(at_us - 1) is None
+        assert zones.take_due_health_check(at_us) is zone
+        assert zones.take_due_health_check(at_us) is None
+        answer(zones, 0, at_us + 100, sent_us=at_us)
         assert (zone.state.value, zone.recovery_step) == ("returning", 0)
-        share = sum(0 not in made.excluded() for _ in range(1000)) / 1000
+        share = sum(0 not in zones.excluded() for _ in range(1000)) / 1000
         assert 0.05 < share < 0.16
-        answer(made, 1, at + 200)
-        fail(made, 0, 3, at + 300)
+        answer(zones, 1, at_us + 200)
+        fail(zones, 0, 3, at_us + 300)
         assert zone.state.value == "left"
-    assert waits == sorted(waits)
-    assert waits[-1] == 16 * SECOND
-    assert waits[1] == 2 * waits[0]
-    at = zone.next_health_check_us
-    made.take_due_health_check(at)
+    assert backoffs == sorted(backoffs)
+    assert backoffs[-1] == 16 * SECOND
+    assert backoffs[1] == 2 * backoffs[0]
+    at_us = zone.next_health_check_us
+    zones.take_due_health_check(at_us)
     for step in range(20):
-        answer(made, 0, at + 100 + step * 300_000, sent_us=at + step * 300_000)
+        answer(zones, 0, at_us + 100 + step * 300_000, sent_us=at_us + step * 300_000)
     assert zone.state.value == "near"
-    assert story.count("0 near") == 1
-    assert made.excluded() == set()
+    assert changes.count("0 near") == 1
+    assert zones.excluded() == set()
 
 
 def test_zone_health_checks_stay_bounded_when_the_fleet_is_large() -> None:
-    made, _, zone = lost()
-    made.settings = settings(fleet_size=200)
-    tries, at = 0, zone.next_health_check_us
+    zones, _, zone = zones_with_one_lost()
+    zones.settings = settings(fleet_size=200)
+    checks, at_us = 0, zone.next_health_check_us
     for _ in range(600):
-        at += 100_000
-        tries += made.take_due_health_check(at) is not None
-    assert 200 * tries / 60 / zone.endpoint_count < 2.5  # of the whole fleet, for each upstream and second
+        at_us += 100_000
+        checks += zones.take_due_health_check(at_us) is not None
+    assert 200 * checks / 60 / zone.endpoint_count < 2.5  # checks of the whole fleet per endpoint and second
 
 
 def test_zone_follows_the_operator_when_overridden_unless_it_is_the_last() -> None:
-    made, story = zones(2)
-    made.override(0, SECOND, evacuate=True)
-    assert made.excluded() == {0}
-    assert made.get(0).report(SECOND)["by"] == "operator"
-    answer(made, 0, 2 * SECOND)
-    made.update_endpoint_counts({0: 4, 1: 4}, {0}, 3 * SECOND)
-    assert made.excluded() == {0}
-    assert made.take_due_health_check(99 * SECOND) is None
-    assert made.objection(1)
-    assert not made.objection(0)
-    made.override(1, 4 * SECOND, evacuate=True)
-    made.override(0, 5 * SECOND, evacuate=False)
-    assert story == ["0 left", "0 returning"]
+    zones, changes = make_zones(2)
+    zones.override(0, SECOND, evacuate=True)
+    assert zones.excluded() == {0}
+    assert zones.get(0).report(SECOND)["by"] == "operator"
+    answer(zones, 0, 2 * SECOND)
+    zones.update_endpoint_counts({0: 4, 1: 4}, {0}, 3 * SECOND)
+    assert zones.excluded() == {0}
+    assert zones.take_due_health_check(99 * SECOND) is None
+    assert zones.objection(1)
+    assert not zones.objection(0)
+    zones.override(1, 4 * SECOND, evacuate=True)
+    zones.override(0, 5 * SECOND, evacuate=False)
+    assert changes == ["0 left", "0 returning"]
 
 
 def test_zone_is_in_the_third_tier_when_it_is_in_another_region() -> None:
-    made, _ = zones(4, cross_zone_cost=0.02, zone=1, zone_regions=[0, 0, 1, 1])
-    assert [made.tier(z) for z in range(4)] == [1, 0, 2, 2]
-    without, _ = zones(4, cross_zone_cost=0.02, zone=1)
-    assert [without.tier(z) for z in range(4)] == [1, 0, 1, 1]
+    zones, _ = make_zones(4, cross_zone_cost=0.02, zone=1, zone_regions=[0, 0, 1, 1])
+    assert [zones.tier(z) for z in range(4)] == [1, 0, 2, 2]
+    without_regions, _ = make_zones(4, cross_zone_cost=0.02, zone=1)
+    assert [without_regions.tier(z) for z in range(4)] == [1, 0, 1, 1]
 
 
-# Whole fleets in virtual time: which zones each sidecar has left, and that the rules hold
+# Whole fleets in virtual time: which zones the sidecars evacuate, and whether the run satisfies the rules
 
 
-def left(name: str, seed: int = 1) -> tuple[Counter[str], dict[str, float]]:
-    it = experiment.load(ROOT / "experiments" / f"{name}.toml")
-    made = plan.make(it, seed)
-    lines = Simulation(it, made).run()
-    moves = Counter(r.zone for r in lines if isinstance(r, Believed) and r.state == "left")
-    assert checker.check(it, made, lines) == []
-    requests = figures.requests_of(it, lines)
-    return moves, figures.figures(it, made, lines, requests, figures.RunCounts())
+def run_fleet(name: str, seed: int = 1) -> tuple[Counter[str], dict[str, float]]:
+    spec = experiment.load(ROOT / "experiments" / f"{name}.toml")
+    run_plan = plan.make(spec, seed)
+    records = Simulation(spec, run_plan).run()
+    evacuations = Counter(r.zone for r in records if isinstance(r, Believed) and r.state == "left")
+    assert checker.check(spec, run_plan, records) == []
+    requests = figures.requests_of(spec, records)
+    return evacuations, figures.figures(spec, run_plan, records, requests, figures.RunCounts())
 
 
 @pytest.mark.parametrize(
@@ -173,10 +174,10 @@
     ],
 )
 def test_fleet_evacuates_only_the_lost_zone_when_one_is_lost(name: str) -> None:
-    moves, found = left(name)
-    assert moves["pacheco"] >= 2
-    assert set(moves) == {"pacheco"}
-    assert found["served_worth.after"] > 0.97
+    evacuations, results = run_fleet(name)
+    assert evacuations["pacheco"] >= 2
+    assert set(evacuations) == {"pacheco"}
+    assert results["served_worth.after"] > 0.97
 
 
 @pytest.mark.parametrize(
@@ -193,89 +194,91 @@
     ],
 )
 def test_fleet_evacuates_no_zone_when_none_is_lost(name: str) -> None:
-    assert left(name)[0] == Counter()
+    assert run_fleet(name)[0] == Counter()
 
 
 def test_fleet_stays_in_the_near_zone_when_it_has_capacity() -> None:
-    assert left("calm")[1]["crossings"] < 0.03  # 0.32 where near slots open only if no slot is free anywhere
+    assert run_fleet("calm")[1]["crossings"] < 0.03  # 0.32 if near slots open only when no slot is free anywhere
 
 
 def test_hedge_stays_in_its_tier_when_nothing_is_wrong_there() -> None:
-    for suspect in (False, True):
-        stand = Stand(settings(cross_zone_cost=0.02, cancel_attempts=False))
-        stand.tell_list(upstreams(4))  # two here, two in the next zone
-        balancer = stand.balancer
-        for ident in (100, 101):
-            balancer.endpoints[ident].slot_limit = 1.0
-        first, second = stand.arrive(0), stand.arrive(0)  # all slots here are taken
-        if suspect:
-            balancer.zones.record_failure(FailedAttempt(0, 101, stand.now_us), stand.now_us)
-        stand.advance(150_000)
-        crossed = [send for ident in (first, second) for send in stand.sends(ident)[1:]]
-        assert bool(crossed) == suspect
+    for has_miss in (False, True):
+        world = World(settings(cross_zone_cost=0.02, cancel_attempts=False))
+        world.tell_list(upstreams(4))  # two endpoints in this zone, two in the next
+        balancer = world.balancer
+        for endpoint_id in (100, 101):
+            balancer.endpoints[endpoint_id].slot_limit = 1.0
+        first, second = world.arrive(0), world.arrive(0)  # these take all slots in this zone
+        if has_miss:
+            balancer.zones.record_failure(FailedAttempt(0, 101, world.now_us), world.now_us)
+        world.advance(150_000)
+        crossed = [send for request_id in (first, second) for send in world.sends(request_id)[1:]]
+        assert bool(crossed) == has_miss
         assert all(send.endpoint_id in (102, 103) for send in crossed)
 
 
-@pytest.mark.parametrize("answers", [False, True])
-def test_retry_goes_to_another_zone_when_its_zone_is_silent(answers: bool) -> None:
-    stand = Stand(settings(cross_zone_cost=0.02, max_attempts=3))
-    stand.tell_list(upstreams(6))
-    stand.advance(SILENCE_US)
-    ident, ended = stand.arrive(0), 0
-    while len(stand.sends(ident)) > ended:  # all that is tried here is refused
-        if answers:
-            stand.balancer.zones.record_answer(0, stand.now_us, 1.0, stand.now_us)
-        near = stand.sends(ident)[ended].endpoint_id < 102
-        stand.end(ident, ended, Outcome.CONNECT_FAILED if near else Outcome.OK)
+@pytest.mark.parametrize("zone_answers", [False, True])
+def test_retry_goes_to_another_zone_when_its_zone_is_silent(zone_answers: bool) -> None:
+    world = World(settings(cross_zone_cost=0.02, max_attempts=3))
+    world.tell_list(upstreams(6))
+    world.advance(SILENCE_US)
+    request_id, ended = world.arrive(0), 0
+    while len(world.sends(request_id)) > ended:  # every attempt in this zone fails to connect
+        if zone_answers:
+            world.balancer.zones.record_answer(0, world.now_us, 1.0, world.now_us)
+        is_near = world.sends(request_id)[ended].endpoint_id < 102
+        world.end(request_id, ended, Outcome.CONNECT_FAILED if is_near else Outcome.OK)
         ended += 1
-    assert ended == (3 if answers else 2)
-    assert (stand.sends(ident)[-1].endpoint_id < 102) == answers
+    assert ended == (3 if zone_answers else 2)
+    assert (world.sends(request_id)[-1].endpoint_id < 102) == zone_answers
 
 
 def test_fleet_keeps_the_third_zone_when_two_are_lost() -> None:
-    moves, found = left("two-zones")
-    assert set(moves) == {"pacheco", "ezeiza"}
-    assert found["false_leaves"] == 0
+    evacuations, results = run_fleet("two-zones")
+    assert set(evacuations) == {"pacheco", "ezeiza"}
+    assert results["false_leaves"] == 0
 
 
 def test_fleet_serves_from_other_regions_when_a_region_is_lost() -> None:
-    moves, found = left("region-lost")
-    assert set(moves) == {"ezeiza", "quilmes"}
-    assert found["served_worth.zone.ezeiza"] > 0.6
+    evacuations, results = run_fleet("region-lost")
+    assert set(evacuations) == {"ezeiza", "quilmes"}
+    assert results["served_worth.zone.ezeiza"] > 0.6
 
 
 def test_ablation_removes_evacuations_only_when_it_is_active() -> None:
-    with without(["leaving"]):
-        assert left("zone-silent")[0] == Counter()
-    assert left("zone-silent")[0]["pacheco"] >= 4
+    with ablate(["leaving"]):
+        assert run_fleet("zone-silent")[0] == Counter()
+    assert run_fleet("zone-silent")[0]["pacheco"] >= 4
 
 
-# The operator's calls
+# Overrides by an operator
 
 
 def test_admin_address_reports_and_overrides_zones_when_asked() -> None:
     async def test() -> None:
         upstream = Upstream(answering(OK))
-        async with sidecar(upstream) as it:
-            await it.ask(request())
-            _, body = await it.ask(b"GET /_zones HTTP/1.1\r\nHost: x\r\n\r\n", it.admin_port)
+        async with sidecar(upstream) as balancer:
+            await balancer.ask(request())
+            _, body = await balancer.ask(b"GET /_zones HTTP/1.1\r\nHost: x\r\n\r\n", balancer.admin_port)
             assert [(z["zone"], z["state"], z["upstreams"]) for z in json.loads(body)] == [("a", "near", 1)]
-            for path, status, words in (
+            for path, status, text in (
                 ("leave?zone=a", 503, b"last zone"),
                 ("leave?zone=x", 503, b"one of a"),
                 ("return?zone=a", 200, b"returned to"),
             ):
-                head, body = await it.ask(f"POST /_zone/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), it.admin_port)
+                head, body = await balancer.ask(
+                    f"POST /_zone/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), balancer.admin_port
+                )
                 assert int(head.split()[1]) == status
-                assert words in body
+                assert text in body
 
     run(test)
 
 
 def test_policy_sends_nothing_to_a_zone_when_an_operator_evacuates_it() -> None:
-    stand = Stand(settings(cross_zone_cost=0.02))
-    stand.tell_list(upstreams(6))
-    stand.tell(ZoneOverridden(0, True))
+    world = World(settings(cross_zone_cost=0.02))
+    world.tell_list(upstreams(6))
+    world.tell(ZoneOverridden(0, True))
     for _ in range(30):
-        ident = stand.arrive(0)
-        assert all(send.endpoint_id not in (100, 101) for send in stand.sends(ident))
+        request_id = world.arrive(0)
+        assert all(send.endpoint_id not in (100, 101) for send in world.sends(request_id))
