--- a/garnetusher/model/digest_text.py
+++ b/garnetusher/model/digest_text.py
@@ -1,7 +1,7 @@
-"""The text by which an action enters a run's digest.
+"""The text of policy actions in the digest of a run.
 
-Digests of earlier runs stay comparable, so each action is written with the names that it had when the first digests
-were recorded, whatever it is called now.
+Digests must stay comparable with those of earlier runs. Therefore this module writes each action with the names that
+it had when the first digests were recorded, even if the action has been renamed since.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 )
 
 _EJECTION_LINE = re.compile(r"endpoint (\d+) (ejected|readmitted)")
-_FIRST_EJECTION_WORDS = {"ejected": "rests", "readmitted": "is back"}
+_ORIGINAL_EJECTION_WORDS = {"ejected": "rests", "readmitted": "is back"}
 
 
 def _log_text(text: str) -> str:
-    """Return a log line as the first digests had it (docs/logs.md)."""
-    found = _EJECTION_LINE.fullmatch(text)
-    if found is None:
+    """Return a log line in the wording of the first digests (docs/logs.md)."""
+    match = _EJECTION_LINE.fullmatch(text)
+    if match is None:
         return text
-    endpoint_id, change = found.groups()
-    return f"upstream {endpoint_id} {_FIRST_EJECTION_WORDS[change]}"
+    endpoint_id, change = match.groups()
+    return f"upstream {endpoint_id} {_ORIGINAL_EJECTION_WORDS[change]}"
 
 
 _WRITERS: dict[type[Any], Callable[[Any], str]] = {
@@ -57,5 +57,5 @@
 
 
 def digest_text(action: Action) -> str:
-    """Return the text of an action as the first digests had it."""
+    """Return the text of an action in the wording of the first digests."""
     return _WRITERS[type(action)](action)
--- a/garnetusher/policy/__init__.py
+++ b/garnetusher/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a sidecar balancer for service-to-service calls."""
+"""The balancing policy of the sidecar for service-to-service calls."""
--- a/garnetusher/policy/actions.py
+++ b/garnetusher/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the policy asks for. The sidecar carries them out in the order given."""
+"""The actions that the policy returns. The sidecar performs them in order."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 
 @dataclass(slots=True)
 class Forward:
-    """Start an attempt; a request's attempts are numbered 0, 1, 2 ... in the order of these actions.
+    """Start an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of these actions.
 
     Attributes:
-        request_id: the request.
-        endpoint_id: where it goes.
-        timeout_us: counted from now, or from the last byte of a body that is still coming; 0 = until the client quits.
-        latest_start_us: on a connection that comes up later it is not written any more; 0 = on any.
+        request_id: The id of the request.
+        endpoint_id: The id of the endpoint to send it to.
+        timeout_us: The timeout, counted from this action or from the last byte of an incomplete request body; 0 = until
+            the client stops waiting.
+        latest_start_us: The latest time at which the request may be written; 0 = no limit. A connection can take
+            longer to open.
     """
 
     request_id: int
@@ -24,11 +26,11 @@
 
 @dataclass(slots=True)
 class Shed:
-    """Final answer: not done, and a retry is harmless.
+    """Give the final answer that the request was not served and that a retry by the client is safe.
 
     Attributes:
-        request_id: the request.
-        retry_after_us: how long the client is to wait before it retries; 0 = it is told nothing.
+        request_id: The id of the request.
+        retry_after_us: How long the client should wait before a retry; 0 = send no Retry-After.
     """
 
     request_id: int
@@ -37,14 +39,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, with no promise about what it did."""
+    """Give the final answer that the request failed and may have been executed."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Abandon an attempt whose answer nobody needs."""
+    """Cancel an attempt whose response is not needed."""
 
     request_id: int
     attempt_index: int
@@ -52,14 +54,14 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Send a health check."""
+    """Send a health check to an endpoint."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send a `TimerFired` at that time."""
+    """Send a `TimerFired` event with the token at the given time."""
 
     at_us: int
     token: int = 0
@@ -67,14 +69,14 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list from now on, in place of an earlier watch; or stop."""
+    """Start a watch of the endpoint list that replaces any earlier watch, or stop the watch."""
 
     active: bool = True
 
 
 @dataclass(slots=True)
 class PollEndpoints:
-    """Ask for the endpoint list once."""
+    """Request the endpoint list once."""
 
 
 @dataclass(slots=True)
@@ -86,7 +88,7 @@
 
 @dataclass(slots=True)
 class SendToPeer:
-    """Send something to another sidecar; `recipient_id` None = to every one."""
+    """Send a message to another sidecar, or to all others if `recipient_id` is None."""
 
     payload: bytes
     recipient_id: int | None = None
--- a/garnetusher/policy/admission.py
+++ b/garnetusher/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: a request is forwarded through a free slot, waits in the one-request buffer, or is shed."""
+"""Admission control: forward a request through a free slot, keep it in the one-request buffer, or shed it."""
 
 from __future__ import annotations
 
@@ -13,21 +13,24 @@
 from garnetusher.policy.state import RequestState
 from garnetusher.policy.timers import TimerKind, TimerQueue
 
-ARRIVAL_WINDOW = 200  # arrivals: enough to tell a tenant at twice its quota from chance, soon forgotten
-OVERLOAD_BEGINS = 0.2  # fraction of arrivals without a free slot, from which an overload is logged
-OVERLOAD_ENDS = 0.02  # and below which its end is
-MAX_ADMISSION_CREDIT = 2.0
-ARRIVAL_CREDIT = 0.1  # of an arrival, counted beside the responses that open slots of warming endpoints
-WARMING_ARRIVAL_CREDIT = 0.3  # the same in a pool that is all warming: it gets a third of its load to begin with
-WARMING_QUOTA_SHARE = 0.2  # of this sidecar's quota: with the responses within thrice the initial warm-up fraction
+# The averaging window, in arrivals: long enough to tell a tenant at twice its quota from chance, short enough to adapt
+ARRIVAL_WINDOW = 200
+OVERLOAD_START = 0.2  # an overload is logged once more than this fraction of arrivals finds no free slot
+OVERLOAD_END = 0.02  # the end of an overload is logged once the fraction falls to this value
+MAX_ADMISSION_CREDIT = 2.0  # the most attempts that a pool's credit can accumulate
+ARRIVAL_CREDIT = 0.1  # the number of responses that one arrival counts as when slots of warming endpoints open
+WARMING_ARRIVAL_CREDIT = 0.3  # the same if all endpoints of the pool are warming: it starts with a third of its load
+# In such a pool arrivals count for at most this share of the sidecar's quota. Together with the responses, the load
+# then stays within three times the initial warm-up fraction.
+WARMING_QUOTA_SHARE = 0.2
 MICROSECONDS_PER_S = 1_000_000
 
 
 class AdmissionController:
-    """Decides what is admitted, what waits and what is shed, and gives the final answers that the policy owes.
+    """Decides which requests to forward, buffer or shed, and gives requests their final answers.
 
     Attributes:
-        buffer: the one request that waits for a slot.
+        buffer: The one request that waits for a slot, or None.
     """
 
     def __init__(
@@ -47,18 +50,18 @@
         self._selector = selector
         self._forwarder = forwarder
         self.buffer: RequestState | None = None
-        self._unsent_fraction = 0.0  # of arrivals, those that found no free slot; old ones fade
-        self._is_overloaded = False  # as last logged
+        self._unsent_fraction = 0.0  # moving average: the fraction of arrivals that found no free slot
+        self._is_overloaded = False  # the state that was last logged
 
     def admit(self, request: RequestState) -> None:
-        """Place a request that has just arrived."""
+        """Forward, buffer or finish a request that has just arrived."""
         self._record_tenant_arrival(request)
         self.place(request)
         self._unsent_fraction += (float(not request.attempts) - self._unsent_fraction) / ARRIVAL_WINDOW
         self._log_overload()
 
     def place(self, request: RequestState) -> None:
-        """Forward a request through a free slot, else buffer it, else give it its final answer."""
+        """Forward a request through a free slot; buffer it if there is none; otherwise give it its final answer."""
         now_us = self._context.now_us
         if now_us >= self._retry_policy.latest_start_us(request):
             self.finish(request)
@@ -71,13 +74,13 @@
             self._forwarder.forward(request, state)
             return
         self._context.slots_exhausted_us = now_us
-        if self._retry_policy.may_forward(request) and self._takes_buffer(request):
+        if self._retry_policy.may_forward(request) and self._may_take_buffer(request):
             self._set_buffer(request)
         else:
             self.finish(request)
 
     def fill_from_buffer(self) -> None:
-        """Forward the buffered request if a slot is free for it."""
+        """Forward the buffered request if an endpoint that it may use has a free slot."""
         request = self.buffer
         if request is None:
             return
@@ -87,9 +90,10 @@
             self._forwarder.forward(request, state)
 
     def hedge(self, request: RequestState) -> None:
-        """Start a hedged attempt beside the outstanding one, on another endpoint.
+        """Start a hedged attempt on another endpoint while the first attempt is outstanding.
 
-        Not while a request waits: in a shortage hedged attempts would take the slots of requests that have none.
+        Nothing is hedged while a request is buffered: when slots are short, hedged attempts would take the slots of
+        requests that have no attempt yet.
         """
         if request.outstanding() != 1 or self.buffer is not None:
             return
@@ -98,28 +102,31 @@
             self._forwarder.forward(request, state)
 
     def on_buffer_timeout(self, request_id: int) -> None:
-        """Shed the buffered request, if it is still this one."""
+        """Give the buffered request its final answer if it is still the one that the timer was set for."""
         if self.buffer is not None and self.buffer.event.request_id == request_id:
             self.finish(self.buffer)
 
     def reschedule_buffer_timeout(self, request: RequestState) -> None:
-        """Follow a change of a buffered request's deadline."""
+        """Schedule another buffer timeout after the deadline of a buffered request has changed."""
         if request is self.buffer:
             latest_start_us = self._retry_policy.latest_start_us(request)
             self._timers.schedule(latest_start_us, TimerKind.BUFFER, request.event.request_id)
 
     def finish(self, request: RequestState) -> None:
-        """Give a request its final answer; rules 1 and 2: one each, and shed only if nothing may have run."""
-        is_harmless = self._retry_policy.is_harmless(request)
+        """Give a request its final answer.
+
+        Rule 1: a request gets one final answer. Rule 2: it is shed only if a retry by the client has no second effect.
+        """
+        is_safe_to_retry = self._retry_policy.is_safe_to_retry(request)
         self.close(request)
         settings, request_id = self._context.settings, request.event.request_id
-        # about one response time, spread so that shed clients don't return together
+        # About one response time, with random jitter so that shed clients do not retry at the same time
         delay_us = request.class_state.mean_response_us * (0.5 + self._context.random.random())
         retry_after_us = int(min(delay_us, settings.max_retry_after_us)) if settings.send_retry_after else 0
-        self._context.actions.append(Shed(request_id, retry_after_us) if is_harmless else Fail(request_id))
+        self._context.actions.append(Shed(request_id, retry_after_us) if is_safe_to_retry else Fail(request_id))
 
     def close(self, request: RequestState) -> None:
-        """Note that a request is completed; forget it once no attempt is outstanding."""
+        """Mark a request as completed and remove it if no attempt is outstanding."""
         request.completed = True
         if self.buffer is request:
             self.buffer = None
@@ -127,9 +134,10 @@
             self._context.requests.pop(request.event.request_id, None)
 
     def expected_weight(self, request: RequestState) -> float:
-        """Return the weight that a slot's time earns with this request; beyond its tenant's quota it counts less.
+        """Return the weight earned by using a slot for this request; it is lower if its tenant exceeds its quota.
 
-        The quota is judged among the tenants seen here: a sidecar does not know the rates of the whole fleet.
+        A tenant's arrivals are compared with those of the other tenants at this sidecar, because a sidecar does not
+        know the rates of the whole fleet.
         """
         settings, weight = self._context.settings, request.class_state.rules.priority_weight
         if not settings.weight_by_work:
@@ -138,12 +146,12 @@
             tenants = self._context.tenant_states
             quota_fraction = request.tenant.quota_per_s / self._context.total_quota_per_s
             all_arrivals = sum(tenant.recent_arrivals for tenant in tenants)
-            # none have arrived since the settings changed: nobody is beyond its quota
+            # If nothing has arrived since the settings changed, no tenant is over its quota
             arrival_fraction = request.tenant.recent_arrivals / all_arrivals if all_arrivals > 0.0 else 0.0
-            within_quota = min(1.0, quota_fraction / arrival_fraction) if arrival_fraction > 0.0 else 1.0
-            weight *= settings.over_quota_weight + (1.0 - settings.over_quota_weight) * within_quota
+            share_within_quota = min(1.0, quota_fraction / arrival_fraction) if arrival_fraction > 0.0 else 1.0
+            weight *= settings.over_quota_weight + (1.0 - settings.over_quota_weight) * share_within_quota
         elif self._context.tenant_states:
-            weight *= settings.over_quota_weight  # it is of no tenant with a quota
+            weight *= settings.over_quota_weight  # the request belongs to no tenant that has a quota
         return weight
 
     def _record_tenant_arrival(self, request: RequestState) -> None:
@@ -154,7 +162,7 @@
         request.tenant.recent_arrivals += 1.0
 
     def _log_overload(self) -> None:
-        is_overloaded = self._unsent_fraction > (OVERLOAD_ENDS if self._is_overloaded else OVERLOAD_BEGINS)
+        is_overloaded = self._unsent_fraction > (OVERLOAD_END if self._is_overloaded else OVERLOAD_START)
         if is_overloaded == self._is_overloaded:
             return
         if self._context.log("overload begins" if is_overloaded else "overload ends"):
@@ -166,10 +174,11 @@
         pool.last_arrival_us = self._context.now_us
 
     def _warm_up_credit(self, pool: Pool) -> float:
-        """Return what an arrival counts for among the responses that open slots of warming endpoints.
+        """Return how many responses an arrival counts as when slots of warming endpoints open.
 
-        That is little, except in a pool that is all warming, as a restored zone, where no endpoint sets the pace. In an
-        overload arrivals alone would push it over, so they count for no more than a part of this sidecar's quota.
+        The credit is small unless all endpoints of the pool are warming, as in a restored zone, where no warm endpoint
+        shows how fast load may grow. During an overload, arrivals alone would overload such a pool, so they count for
+        at most a share of this sidecar's quota.
         """
         credit = ARRIVAL_CREDIT * pool.admitted_fraction
         if pool.slow_start.cohorts and pool.slow_start.all_warming():
@@ -179,28 +188,29 @@
         return credit
 
     def _record_exhausted_pools(self, state: EndpointState | None) -> None:
-        """Note which pools had no free slot, and let the request count for their warming endpoints.
+        """Record the pools that had no free slot and credit the request to their warming endpoints.
 
-        By what is served alone warming endpoints idle while the others are full and requests are shed; but an overload,
-        of which half finds no slot, would push them over.
+        If only responses counted, warming endpoints would idle while the other endpoints are full and requests are
+        shed. The credit falls to 0 when half of the arrivals find no slot, because in such an overload it would
+        overload the warming endpoints.
         """
         exhausted = self._pools[: self._pools.index(state.pool)] if state is not None else self._pools
         for pool in exhausted:
             pool.exhausted_us = self._context.now_us
             if pool.slow_start.cohorts and not pool.slow_start.all_warming():
-                counted = pool.admitted_fraction * max(0.0, 1.0 - 2.0 * self._unsent_fraction)
-                counted = min(counted, pool.unserved)
-                pool.unserved -= counted
-                pool.slow_start.served += counted
+                credit = pool.admitted_fraction * max(0.0, 1.0 - 2.0 * self._unsent_fraction)
+                credit = min(credit, pool.unserved)
+                pool.unserved -= credit
+                pool.slow_start.served += credit
 
-    def _takes_buffer(self, request: RequestState) -> bool:
-        # otherwise, in a shortage, many requests of low weight would keep those of high weight out of every slot
+    def _may_take_buffer(self, request: RequestState) -> bool:
+        # Otherwise, when slots are short, many low-weight requests would keep high-weight requests out of every slot
         return self.buffer is None or self.expected_weight(request) > self.expected_weight(self.buffer)
 
     def _set_buffer(self, request: RequestState) -> None:
         if self.buffer is not None:
             self.finish(self.buffer)
         self.buffer = request
-        longest_us = self._context.now_us + request.class_state.half_objective_us
-        until_us = min(longest_us, self._retry_policy.latest_start_us(request))
-        self._timers.schedule(until_us, TimerKind.BUFFER, request.event.request_id)
+        queue_limit_us = self._context.now_us + request.class_state.half_objective_us
+        buffer_until_us = min(queue_limit_us, self._retry_policy.latest_start_us(request))
+        self._timers.schedule(buffer_until_us, TimerKind.BUFFER, request.event.request_id)
--- a/garnetusher/policy/attempts.py
+++ b/garnetusher/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Starting attempts, the slots that they hold, and the outstanding ones that are hedged or cancelled."""
+"""Starting and cancelling attempts, and the slots that they hold."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from garnetusher.policy.timers import TimerKind, TimerQueue
 from garnetusher.policy.zones import Zones
 
-RATE_WINDOW_US = 5_000_000  # in which a pool's send rate fades
+RATE_WINDOW_US = 5_000_000  # the time constant of the moving average of a pool's send rate
 MICROSECONDS_PER_S = 1_000_000
 
 
 class AttemptForwarder:
-    """Starts attempts and keeps the endpoints' slots."""
+    """Starts and cancels attempts, and takes and frees the slots of endpoints."""
 
     def __init__(self, context: PolicyContext, timers: TimerQueue, retry_policy: RetryPolicy, zones: Zones) -> None:
         self._context = context
@@ -27,9 +27,9 @@
         self._zones = zones
 
     def forward(self, request: RequestState, state: EndpointState) -> None:
-        """Start an attempt at an endpoint."""
+        """Start an attempt of a request at an endpoint."""
         now_us, pool, cohort = self._context.now_us, state.pool, state.cohort
-        if cohort is not None:  # a zone's health check goes to an endpoint at which no send is due
+        if cohort is not None:  # a health check of a zone may use an endpoint at which no send is due
             cohort.schedule_send(state, 1.0 if state.send_due else 1.0 + state.due_at_accrual - cohort.accrued)
         self._record_send(pool)
         pool.set_in_use(state, now_us, in_use=True)
@@ -37,7 +37,7 @@
         latest_forward_us = self._retry_policy.latest_forward_us(request)
         attempt = AttemptState(state, now_us)
         request.attempts.append(attempt)
-        if request.body_complete:  # bodies that take seconds to come would hold the slots of all others
+        if request.body_complete:  # otherwise slow uploads would hold all slots for seconds
             self.take_slot(attempt)
         elif cohort is not None:
             pool.update_weight(state, now_us)
@@ -48,7 +48,7 @@
         self._schedule_timers(request)
 
     def take_slot(self, attempt: AttemptState) -> None:
-        """Let an attempt hold a slot of its endpoint."""
+        """Let an attempt hold a slot of its endpoint, unless it already holds one."""
         state = attempt.endpoint_state
         state.slots_used += int(not attempt.holds_slot)
         attempt.holds_slot = True
@@ -62,7 +62,10 @@
         state.pool.update_weight(state, self._context.now_us)
 
     def cancel_outstanding(self, request: RequestState, winner_index: int | None = None) -> None:
-        """Cancel the attempts that lost: nobody needs their responses, and they hold slots that others wait for."""
+        """Cancel the outstanding attempts of a request except the winner.
+
+        Their responses are not needed, and they hold slots that other requests wait for.
+        """
         if not self._context.settings.cancel_attempts or request.completed:
             return
         for attempt_index, attempt in enumerate(request.attempts):
@@ -72,8 +75,8 @@
     def _record_send(self, pool: Pool) -> None:
         now_us = self._context.now_us
         pool.admission_credit = max(0.0, pool.admission_credit - 1.0)
-        faded = math.exp((pool.send_rate_updated_us - now_us) / RATE_WINDOW_US)
-        pool.send_rate_per_s = pool.send_rate_per_s * faded + MICROSECONDS_PER_S / RATE_WINDOW_US
+        decay = math.exp((pool.send_rate_updated_us - now_us) / RATE_WINDOW_US)
+        pool.send_rate_per_s = pool.send_rate_per_s * decay + MICROSECONDS_PER_S / RATE_WINDOW_US
         pool.send_rate_updated_us = now_us
 
     def _schedule_timers(self, request: RequestState) -> None:
--- a/garnetusher/policy/balancer.py
+++ b/garnetusher/policy/balancer.py
@@ -1,8 +1,9 @@
-"""The policy's entry point: takes events in their order and returns the actions that follow.
+"""The entry point of the policy: handles events in order and returns the resulting actions.
 
-A request takes a free slot of a random endpoint, waits in the one-request buffer if no slot is free, is shed if the
-buffer is taken, and is retried through a slot (docs/design.md). Events: `garnetusher/policy/events.py`; actions:
-`garnetusher/policy/actions.py`. This module only hands events to the components that decide.
+A request takes a free slot of a random endpoint. If no slot is free, it waits in the one-request buffer; if the buffer
+is taken, it is shed. A retry takes a slot in the same way (docs/design.md). `garnetusher/policy/events.py` defines the
+events and `garnetusher/policy/actions.py` the actions. This module only dispatches events to the components that make
+the decisions.
 """
 
 from __future__ import annotations
@@ -38,15 +39,17 @@
 
 
 class Balancer:
-    """All decisions of one sidecar. It does no I/O: time comes with each event, and draws are seeded.
+    """Makes all decisions of one sidecar.
+
+    It does no I/O: each event carries its time, and random draws are seeded.
 
     Attributes:
-        context: the state that the components share.
-        endpoints: the ready endpoints, by id.
-        pools: the endpoints' pools, the nearest tier first.
-        zones: the states of the zones.
-        requests: requests without a final answer or with outstanding attempts.
-        admission: the component that admits, buffers and sheds requests.
+        context: The state that the components share.
+        endpoints: The ready endpoints, by id.
+        pools: The pools of endpoints, with the nearest tier first.
+        zones: The states of the zones.
+        requests: The requests without a final answer or with outstanding attempts, by id.
+        admission: The component that admits, buffers and sheds requests.
     """
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
@@ -71,11 +74,11 @@
         return self.context.settings
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take an event and return the actions that follow from it, in order.
+        """Handle an event and return the resulting actions in order.
 
         Args:
-            now_us: the time of the event on the monotonic clock.
-            event: the event; what is unknown or outdated is ignored.
+            now_us: The time of the event on the monotonic clock.
+            event: The event. It is ignored if it refers to something unknown or outdated.
         """
         self.context.now_us = now_us
         self._registry.readmit()
@@ -93,7 +96,7 @@
             self._lifecycle.hedge_requests_in(self._registry.evacuate_next_zone())
         if self.admission.buffer is not None:
             self.admission.fill_from_buffer()
-        # an ejected endpoint's slot opens by time and not by an event
+        # The end of an ejection frees slots at a point in time, without an event
         self._timers.arm(self._registry.readmissions_us() if self.admission.buffer is not None else None)
         return self.context.take_actions()
 
--- a/garnetusher/policy/context.py
+++ b/garnetusher/policy/context.py
@@ -1,4 +1,4 @@
-"""State that the policy's components share: settings, clock, random source, requests and the actions of one event."""
+"""The state shared by the components of the policy: settings, clock, random numbers, requests and pending actions."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from garnetusher.policy.settings import Settings
 from garnetusher.policy.state import ClassState, RequestState, TenantState
 
-LOG_INTERVAL_US = 1_000_000  # at most one line in this time, however many endpoints change
+LOG_INTERVAL_US = 1_000_000  # the minimum interval between two log lines, however many endpoints change
 
 
 class PolicyContext:
-    """What every component reads, and the list of actions that it appends to.
+    """The state that all components read, and the list to which they append actions.
 
     Attributes:
-        settings: the operator's settings.
-        random: the source of all draws but those of zones.
-        now_us: the time of the event being handled.
-        actions: the actions that follow from it so far.
-        requests: requests without a final answer or with outstanding attempts.
-        class_states: by the index of the class in the settings.
-        tenant_states: by the index of the tenant in the settings.
-        total_quota_per_s: the sum of all tenants' quotas.
-        slots_exhausted_us: when a request last found no free slot in any pool.
+        settings: The operator's settings.
+        random: The random number generator for all draws except those about zones.
+        now_us: The time of the event that is being handled.
+        actions: The actions collected for that event so far.
+        requests: The requests without a final answer or with outstanding attempts, by id.
+        class_states: The state of each request class, in the order of the settings.
+        tenant_states: The state of each tenant, in the order of the settings.
+        total_quota_per_s: The sum of the quotas of all tenants, at least 1.
+        slots_exhausted_us: The last time at which a request found no free slot in any pool.
     """
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
@@ -40,20 +40,20 @@
         self._next_log_us = now_us
 
     def log(self, text: str) -> bool:
-        """Write a line unless one was written just now; return whether it was written."""
+        """Write a line unless one was written within `LOG_INTERVAL_US`; return whether it was written."""
         if self.now_us < self._next_log_us:
-            return False  # the caller reports the change later, if it lasts
+            return False  # the caller logs the change later if it persists
         self._next_log_us = self.now_us + LOG_INTERVAL_US
         self.actions.append(LogMessage(text))
         return True
 
     def take_actions(self) -> list[Action]:
-        """Return the actions of the event that has been handled and start a new list."""
+        """Return the actions of the event that has just been handled, and start a new list."""
         actions, self.actions = self.actions, []
         return actions
 
     def apply_settings(self, event: SettingsChanged) -> None:
-        """Replace the settings; estimates of a class or tenant move to the new index of its name."""
+        """Replace the settings; a class or tenant that keeps its name keeps its estimates at its new index."""
         self.settings = event.settings
         class_states, tenant_states = self.class_states, self.tenant_states
         self.class_states = [
--- a/garnetusher/policy/events.py
+++ b/garnetusher/policy/events.py
@@ -1,7 +1,7 @@
-"""Events that the policy is told: requests, ends of attempts, the endpoint list, settings and timers.
+"""The events that the policy handles: requests, attempt outcomes, endpoint list updates, new settings and timers.
 
-Times are whole microseconds (`_us`) on the sidecar's monotonic clock. Hand events to `Balancer.handle` in their order
-of arrival.
+Times are whole microseconds (`_us`) on the monotonic clock of the sidecar. The sidecar passes events to
+`Balancer.handle` in the order in which they occur.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     """How one attempt or health check ended."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    REJECTED = "rejected"  # the endpoint found fault with the request itself; may have run
-    OVERLOADED = "full"  # rejected unseen; never ran
-    TIMEOUT = "timeout"  # no answer in time; may have run or be running
-    CONNECT_FAILED = "connect_failed"  # no connection; never ran
-    RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # cancelled by us; may have run
-    NOT_WRITTEN = "not_sent"  # the sidecar could not write it; never ran
+    ERROR = "error"  # the endpoint answered with an error; it may have executed the request
+    REJECTED = "rejected"  # the endpoint found the request itself invalid; it may have executed it
+    OVERLOADED = "full"  # the endpoint rejected the request without reading it; it was not executed
+    TIMEOUT = "timeout"  # no response arrived in time; the request may have been executed or may still be running
+    CONNECT_FAILED = "connect_failed"  # no connection was established; the request was not executed
+    RESET = "reset"  # the connection broke; the request may have been executed
+    CANCELLED = "cancelled"  # the sidecar cancelled the attempt; the request may have been executed
+    NOT_WRITTEN = "not_sent"  # the sidecar could not write the request; it was not executed
 
 
-# outcomes that prove that an attempt was never begun with
+# Outcomes that prove that no endpoint started to execute the request
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN)
 
 
 class EndpointStatus(enum.Enum):
-    """What the endpoint list says of one endpoint."""
+    """The status of an endpoint in the endpoint list."""
 
     REMOVED = "gone"
     READY = "ready"
@@ -39,12 +39,12 @@
 
 
 class UpdateKind(enum.Enum):
-    """What an `EndpointsUpdated` event carries."""
+    """The kind of data in an `EndpointsUpdated` event."""
 
-    DELTA = "delta"  # changed entries only
+    DELTA = "delta"  # only the changed entries
     SNAPSHOT = "full"  # the complete list
-    CACHED = "cached"  # the complete list as last known, possibly outdated
-    FAILED = "failed"  # a poll failed or the watch broke; the list stays as it was
+    CACHED = "cached"  # the complete list from the cache, possibly outdated
+    FAILED = "failed"  # a poll failed or the watch broke; the list does not change
 
 
 @dataclass(slots=True)
@@ -52,13 +52,13 @@
     """One entry of the endpoint list: an upstream process.
 
     Attributes:
-        id: the sidecar's number for it.
-        status: whether it may be sent to.
-        zone: the index of its zone.
-        machine_type: the index of its type.
-        cell: its group of replicas.
-        weight: its relative size.
-        started_us: its most recent start; 0 = long ago.
+        id: The number that the sidecar gave it.
+        status: Whether requests may be sent to it.
+        zone: The index of its zone.
+        machine_type: The index of its machine type.
+        cell: The number of the replica group that it belongs to.
+        weight: Its relative size.
+        started_us: The time of its most recent start; 0 = long ago.
     """
 
     id: int
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """The endpoint list, a change of it, or the failure to get it."""
+    """The endpoint list or a change to it has arrived, or the sidecar has failed to get it."""
 
     update_kind: UpdateKind
     endpoints: list[Endpoint] = field(default_factory=list)
@@ -81,18 +81,18 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request has been read.
+    """The sidecar has read a request of a client.
 
     Attributes:
-        request_id: the sidecar's number for it.
-        deadline_us: when the client stops waiting.
-        class_index: its class in the settings.
-        tenant_index: its tenant in the settings; beyond their tenants it is none of them.
-        affinity_key: 0 = none.
-        expected_work_us: on a standard core; 0 = not known.
-        client_retry: the client sends it again.
-        writes: it changes something.
-        body_complete: else its body is still coming, and its time begins with `RequestBodyComplete`.
+        request_id: The number that the sidecar gave it.
+        deadline_us: The time when the client stops waiting.
+        class_index: The index of its class in the settings.
+        tenant_index: The index of its tenant in the settings; an index past the last tenant means no tenant.
+        affinity_key: The affinity key of the request; 0 = none.
+        expected_work_us: The expected CPU time on a standard core; 0 = not known.
+        client_retry: Whether it is a retry by the client.
+        writes: Whether it changes data.
+        body_complete: Whether the whole body has arrived. If not, the deadline is set by `RequestBodyComplete`.
     """
 
     request_id: int
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class RequestBodyComplete:
-    """The last byte of a long body has come; timeouts of its outstanding attempts count from here."""
+    """The last byte of a long request body has arrived; timeouts of outstanding attempts count from this event."""
 
     request_id: int
     deadline_us: int
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True)
 class DeadlineChanged:
-    """A request whose body is complete has to be answered by another time; its attempts' timeouts follow."""
+    """The deadline of a request with a complete body has changed; the timeouts of its attempts change with it."""
 
     request_id: int
     deadline_us: int
@@ -124,37 +124,40 @@
 
 @dataclass(slots=True)
 class RequestNotReplayable:
-    """More of a long body has gone to an endpoint than is buffered: the request can't be retried."""
+    """More of a long request body has been sent to an endpoint than is buffered, so the request cannot be retried."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has gone; no answer is owed any more."""
+    """The client has disconnected; the request needs no final answer."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class ClientHalfClosed:
-    """The client sends nothing more and may have gone: nothing is forwarded for it now, but an answer is still owed."""
+    """The client sends nothing more and may have disconnected.
+
+    The request is not forwarded any more, but it still needs a final answer.
+    """
 
     request_id: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has its outcome.
+    """An attempt has ended.
 
     Attributes:
-        request_id: the request.
-        attempt_index: which of its attempts.
-        endpoint_id: where it went.
-        outcome: how it ended.
-        elapsed_us: since it was chosen, or since the body was complete.
-        request_completed: the request has had its answer; otherwise one is still owed.
-        load_report: values in the order of `Settings.load_report_names`.
+        request_id: The id of the request.
+        attempt_index: The index of the attempt among those of the request.
+        endpoint_id: The id of the endpoint that the attempt was sent to.
+        outcome: How the attempt ended.
+        elapsed_us: The time since the endpoint was chosen or, if that was later, since the body was complete.
+        request_completed: Whether the request has its final answer; otherwise it still needs one.
+        load_report: The values that the endpoint reported, in the order of `Settings.load_report_names`.
     """
 
     request_id: int
@@ -168,7 +171,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The first bytes of a long response have gone to the client, which is bound to this attempt."""
+    """The first bytes of a long response have been sent to the client; no other attempt can answer the request now."""
 
     request_id: int
     attempt_index: int
@@ -178,7 +181,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A health check has its outcome."""
+    """A health check has ended."""
 
     endpoint_id: int
     outcome: Outcome
@@ -190,12 +193,12 @@
 class SettingsChanged:
     """The operator has replaced the settings.
 
-    New requests name classes and tenants by their new indexes; those in flight keep the class that they came with.
+    New requests refer to classes and tenants by their new indexes; requests in flight keep their class and tenant.
 
     Attributes:
-        settings: the new settings.
-        previous_class_indexes: the index that each class had till now; None for a new one.
-        previous_tenant_indexes: likewise of each tenant.
+        settings: The new settings.
+        previous_class_indexes: For each class, its index in the previous settings; None for a new class.
+        previous_tenant_indexes: For each tenant, its index in the previous settings; None for a new tenant.
     """
 
     settings: Settings
@@ -205,7 +208,7 @@
 
 @dataclass(slots=True)
 class ZoneOverridden:
-    """An operator evacuates a zone or restores it; no evidence changes an evacuation by an operator."""
+    """An operator has evacuated or restored a zone; evidence does not change an evacuation by an operator."""
 
     zone: int
     evacuate: bool
@@ -213,21 +216,24 @@
 
 @dataclass(slots=True)
 class FleetSizeChanged:
-    """How many sidecars there are by membership, which overrides the settings' number; 0: as the settings say."""
+    """The number of sidecars according to membership has changed.
+
+    It overrides `Settings.fleet_size`; 0 = use the number in the settings.
+    """
 
     fleet_size: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """The time of a `SetTimer` has come."""
+    """A timer requested by `SetTimer` has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Another sidecar has sent something."""
+    """Another sidecar has sent a message."""
 
     sender_id: int
     payload: bytes
--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -1,4 +1,4 @@
-"""The course of a request, from its arrival to the end of its last attempt."""
+"""The lifecycle of a request, from its arrival to the end of its last attempt."""
 
 from __future__ import annotations
 
@@ -21,14 +21,16 @@
 from garnetusher.policy.state import AttemptState, RequestState
 from garnetusher.policy.zone import Zone
 
-NOT_EVIDENCE = (Outcome.REJECTED, Outcome.NOT_WRITTEN)  # say nothing of an endpoint; rejections would close all slots
-RESPONSE_WINDOW = 8  # responses that make up a class's mean response time
-UNSERVED_SHARE = 0.5  # of what is served: so much of what finds no slot counts beside it for warming endpoints
-MAX_UNSERVED = 2.0
+# These outcomes say nothing about the endpoint: if rejections counted, bad requests would close all slots
+OUTCOMES_WITHOUT_EVIDENCE = (Outcome.REJECTED, Outcome.NOT_WRITTEN)
+RESPONSE_WINDOW = 8  # the averaging window of a class's mean response time, in responses
+# Requests without a free slot count towards opening slots of warming endpoints, limited to this share of the responses
+UNSERVED_SHARE = 0.5
+MAX_UNSERVED = 2.0  # the most such requests that can accumulate
 
 
 class RequestLifecycle:
-    """Takes requests and what happens to them, and hands each step to the component that decides on it."""
+    """Tracks requests and attempts through their events and delegates the decisions to the other components."""
 
     def __init__(
         self,
@@ -45,7 +47,7 @@
         self._outlier_detector = outlier_detector
 
     def on_arrived(self, event: RequestArrived) -> None:
-        """Take a request; an id that is already known is ignored."""
+        """Start to track a request and admit it; an id that is already known is ignored."""
         context = self._context
         if event.request_id in context.requests:
             return
@@ -57,7 +59,7 @@
         self._admission.admit(request)
 
     def on_body_complete(self, event: RequestBodyComplete) -> None:
-        """Start the request's clock; only now does it load the endpoint that it goes to."""
+        """Start the request's deadline and let its attempts hold slots: only a complete request loads its endpoint."""
         request = self._context.requests.get(event.request_id)
         if request is None:
             return
@@ -70,26 +72,26 @@
                 self._forwarder.take_slot(attempt)
 
     def on_not_replayable(self, event: RequestNotReplayable) -> None:
-        """Note that the body can't be sent again."""
+        """Record that the body cannot be sent again."""
         request = self._context.requests.get(event.request_id)
         if request is not None:
             request.not_replayable = True
 
     def on_deadline_changed(self, event: DeadlineChanged) -> None:
-        """Follow a new deadline."""
+        """Update the deadline of a request."""
         request = self._context.requests.get(event.request_id)
         if request is not None:
             request.client_timeout_us = event.deadline_us - request.arrived_us
             self._admission.reschedule_buffer_timeout(request)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Drop a request whose client has gone."""
+        """Close a request whose client has disconnected."""
         request = self._context.requests.get(event.request_id)
         if request is not None:
             self._admission.close(request)
 
     def on_client_half_closed(self, event: ClientHalfClosed) -> None:
-        """Finish a request at once unless an outstanding attempt may still answer it."""
+        """Finish a request whose client has half-closed, unless an outstanding attempt may still answer it."""
         request = self._context.requests.get(event.request_id)
         if request is None:
             return
@@ -98,9 +100,10 @@
             self._admission.finish(request)
 
     def on_response_started(self, event: ResponseStarted) -> None:
-        """Learn from the first bytes of a response and cancel the other attempts.
+        """Update the estimates at the first bytes of a response and cancel the other attempts.
 
-        What follows takes as long as the client reads, and would hold a slot and count as slow.
+        The rest of the response takes as long as the client needs to read it. If the attempt were counted at its end,
+        it would hold a slot for that time and its endpoint would appear slow.
         """
         request = self._context.requests.get(event.request_id)
         if request is None or event.attempt_index >= len(request.attempts) or request.response_started:
@@ -112,7 +115,7 @@
             self._forwarder.cancel_outstanding(request, event.attempt_index)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from an outcome; retry or finish the request if that was its last outstanding attempt."""
+        """Update the estimates; retry or finish the request if no other attempt is outstanding."""
         request = self._context.requests.get(event.request_id)
         if request is None or event.attempt_index >= len(request.attempts):
             return
@@ -120,7 +123,7 @@
         if attempt.outcome is not None:
             return
         attempt.outcome = event.outcome
-        if not request.response_started or attempt.holds_slot:  # otherwise its first bytes have been learned from
+        if not request.response_started or attempt.holds_slot:  # otherwise on_response_started did it
             self._update_estimates(request, attempt, event.outcome, event.elapsed_us)
         if event.request_completed or request.completed:
             self._forwarder.cancel_outstanding(request)
@@ -129,7 +132,7 @@
             self._retry_or_finish(request, event.outcome)
 
     def on_overdue_timer(self, request_id: int) -> None:
-        """Count the attempts that have become overdue against their zones."""
+        """Record the attempts of a request that have become overdue as evidence against their zones."""
         request = self._context.requests.get(request_id)
         if request is None:
             return
@@ -145,7 +148,7 @@
             self._admission.hedge(request)
 
     def hedge_requests_in(self, zone: Zone) -> None:
-        """Hedge the idempotent requests that wait for a zone that has been evacuated."""
+        """Hedge the idempotent requests whose last attempt is outstanding in a zone that has been evacuated."""
         for request in list(self._context.requests.values()):
             last = request.attempts[-1] if request.attempts else None
             if last is None or last.outcome is not None or last.endpoint.zone != zone.number:
@@ -163,16 +166,16 @@
     def _update_estimates(
         self, request: RequestState, attempt: AttemptState, outcome: Outcome, elapsed_us: int
     ) -> None:
-        """Free the attempt's slot and learn from its outcome."""
+        """Free the attempt's slot and update the estimates from its outcome."""
         self._forwarder.free_slot(attempt)
         class_state = request.class_state
-        if outcome not in NOT_EVIDENCE:
+        if outcome not in OUTCOMES_WITHOUT_EVIDENCE:
             self._outlier_detector.record_outcome(attempt, outcome, elapsed_us, class_state)
         if outcome is Outcome.OK:
             pool = attempt.endpoint_state.pool
             pool.slow_start.served += 1.0
             pool.unserved = min(pool.unserved + UNSERVED_SHARE, MAX_UNSERVED)
         if outcome in (Outcome.OK, Outcome.TIMEOUT):
-            # timeouts count too: otherwise a slow fleet would be judged by its few quick responses
+            # Timeouts count too: otherwise the mean of a slow fleet would include only its few quick responses
             mean_us = class_state.mean_response_us
             class_state.mean_response_us = max(1.0, mean_us + (elapsed_us - mean_us) / RESPONSE_WINDOW)
--- a/garnetusher/policy/polling.py
+++ b/garnetusher/policy/polling.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is polled, with backoff after failures."""
+"""Polling of the endpoint list, with backoff after failures."""
 
 from __future__ import annotations
 
@@ -8,26 +8,27 @@
 from garnetusher.policy.timers import TimerKind, TimerQueue
 from garnetusher.policy.zones import Zones
 
-POLL_GAP_US = 250_000  # between the fleet's calls to discovery, at first: one costs it up to 0.2 s
-FIRST_POLL_FRACTION = 0.8  # of the poll interval, in which a call is made
-# an update must arrive within 6 s after discovery could be reached; a call takes up to 2.5 s of that, stalls the rest
+# The mean time between two calls of the fleet to discovery before any failure: one call costs discovery up to 0.2 s
+POLL_GAP_US = 250_000
+FIRST_POLL_FRACTION = 0.8  # a poll starts within this fraction of the poll interval
+# An update must arrive within 6 s of discovery being reachable; a call takes up to 2.5 s of that, and stalls the rest
 MAX_POLL_GAP_US = 3_000_000
 MAX_BACKOFF_EXPONENT = 20
 
 
 class EndpointPoller:
-    """Polls the endpoint list until a watch delivers it, and again whenever a poll has failed."""
+    """Polls the endpoint list until a watch delivers it, and again after each failure."""
 
     def __init__(self, context: PolicyContext, timers: TimerQueue, zones: Zones) -> None:
         self._context = context
         self._timers = timers
         self._zones = zones
         self._consecutive_failures = 0
-        self._next_poll_us = 0  # 0 = no poll is scheduled, as the list is being watched
+        self._next_poll_us = 0  # 0 = no poll is scheduled because a watch delivers the list
         self._schedule_after_backoff()
 
     def on_update(self, update_kind: UpdateKind) -> None:
-        """Note an update of the list, or the failure to get one."""
+        """Handle an update of the list or a failure to get one."""
         if update_kind is UpdateKind.FAILED:
             self._consecutive_failures += 1
             self._schedule_after_backoff()
@@ -36,13 +37,13 @@
             self._next_poll_us = 0
 
     def on_settings_changed(self, *, was_polling: bool) -> None:
-        """Start or stop polling if the new settings say so."""
+        """Start or stop polling if the new settings change whether the list is polled."""
         if self._context.settings.poll_endpoints != was_polling:
             self._next_poll_us = 0
             self._schedule_after_backoff()
 
     def on_timer(self) -> None:
-        """Poll if it is time, and schedule the next poll in case no answer comes: a call may be lost."""
+        """Poll if a poll is due, and schedule the next one in case the call is lost and no answer comes."""
         now_us = self._context.now_us
         if self._next_poll_us != 0 and now_us >= self._next_poll_us:
             self._context.actions.append(WatchEndpoints(active=True))
@@ -57,14 +58,15 @@
             self._timers.schedule(at_us, TimerKind.POLL)
 
     def _backoff_us(self) -> int:
-        """Draw the time until discovery is called.
+        """Draw the random delay before discovery is called.
 
-        One service serves a few calls a second for the whole fleet, and those that have waited too long fail. Calls
-        that all sidecars make at once, as when they restart or all watches break, let none through. So they are spread
-        with full jitter over a time that grows with the fleet and doubles with each failure. Rule 3: the list must be
-        current soon after discovery can be reached, however many calls have failed; so that time has a bound.
+        One discovery service handles a few calls per second for the whole fleet, and calls that wait too long in its
+        queue fail. If all sidecars call at once, as after a restart or when all watches break, every call fails.
+        Therefore the calls are spread with full jitter over an interval that grows with the fleet and doubles with each
+        failure. The interval has an upper bound because of rule 3: the list must be current soon after discovery can be
+        reached, however many calls have failed.
         """
         exponent = min(max(0, self._consecutive_failures - 1), MAX_BACKOFF_EXPONENT)
         spread_us = POLL_GAP_US * self._zones.fleet_size * 2**exponent
-        longest_us = min(MAX_POLL_GAP_US, int(self._context.settings.poll_interval_us * FIRST_POLL_FRACTION))
-        return int(min(spread_us, longest_us) * self._context.random.random())
+        max_spread_us = min(MAX_POLL_GAP_US, int(self._context.settings.poll_interval_us * FIRST_POLL_FRACTION))
+        return int(min(spread_us, max_spread_us) * self._context.random.random())
--- a/garnetusher/policy/retry.py
+++ b/garnetusher/policy/retry.py
@@ -1,4 +1,4 @@
-"""What may be retried or hedged, how often, and how long an attempt may take."""
+"""Which requests may be retried or hedged, the retry budget, and the timeouts of attempts."""
 
 from __future__ import annotations
 
@@ -9,32 +9,38 @@
 from garnetusher.policy.state import AttemptState, RequestState
 
 IMMEDIATE_FAILURES = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
-# retrying these too: otherwise an endpoint that fails a share of its requests, or has gone, would lose them all
+# Without retries, all requests that fail at a partly failing or removed endpoint would be lost
 RETRIED_OUTCOMES = (*IMMEDIATE_FAILURES, Outcome.TIMEOUT, Outcome.NOT_WRITTEN)
-RETRY_BUDGET_RATIO = 0.2  # retries a first attempt earns: enough for a fifth of the fleet to fail every attempt
-MAX_RETRY_BUDGET = 5.0  # retries in hand after a calm spell
-OVERDUE_FACTOR = 3.0  # times the usual response time, at most half the objective: then an attempt counts as overdue
-TIMEOUT_FACTOR = 4  # times the usual response time, where a retry may follow
-HEDGE_FACTOR = 2  # times the usual response time: soon enough to be back in time, late enough to be rare
+# Retries earned by each first attempt: enough for a fifth of the endpoints to fail every attempt
+RETRY_BUDGET_RATIO = 0.2
+MAX_RETRY_BUDGET = 5.0  # retries that can accumulate while few attempts fail
+# An attempt is overdue after this multiple of the mean response time, or after half the latency objective if sooner
+OVERDUE_FACTOR = 3.0
+TIMEOUT_FACTOR = 4  # multiple of the mean response time after which an attempt that may be retried times out
+# A hedge starts after this multiple of the mean response time: early enough to meet the objective, but rare
+HEDGE_FACTOR = 2
 
 
 class RetryPolicy:
-    """The retry budget and the rules on repeating a request."""
+    """Keeps the retry budget and applies the rules for repeating a request."""
 
     def __init__(self, context: PolicyContext) -> None:
         self._context = context
         self._budget = MAX_RETRY_BUDGET
 
     def has_budget(self) -> bool:
-        """Return whether a retry may be made. When all endpoints are slow, retries would double what slows them."""
+        """Return whether the budget allows a retry.
+
+        When all endpoints are slow, unlimited retries would double the load that slows them.
+        """
         return self._budget >= 1.0
 
     def record_attempt(self, *, first: bool) -> None:
-        """Let a first attempt earn a part of a retry, and a retry use one up."""
+        """Update the budget: a first attempt earns a fraction of a retry, and a later attempt spends one."""
         self._budget = min(MAX_RETRY_BUDGET, self._budget + (RETRY_BUDGET_RATIO if first else -1.0))
 
     def may_forward(self, request: RequestState) -> bool:
-        """Return whether rules 1 and 2 allow another attempt, as far as that does not depend on the endpoint."""
+        """Return whether rules 1 and 2 allow another attempt; which endpoints they allow is checked separately."""
         if request.completed or request.response_started or request.client_half_closed:
             return False
         if self._context.now_us >= self._clock_start_us(request) + request.client_timeout_us:
@@ -42,7 +48,7 @@
         if request.not_replayable and request.attempts:
             return False
         if len(request.attempts) >= min(request.max_attempts, self._context.settings.max_attempts):
-            return False  # a limit that falls holds for requests in flight too
+            return False  # a lowered limit also applies to requests in flight
         return not request.attempts or self._may_repeat(request)
 
     def _may_repeat(self, request: RequestState) -> bool:
@@ -54,9 +60,10 @@
         return rules.effect == "deduplicated" and self._context.now_us - first.sent_us < rules.deduplication_window_us
 
     def same_deduplication_scope(self, request: RequestState) -> Callable[[Endpoint], bool] | None:
-        """Return a test for endpoints that drop repeats of this request; None if all may be sent to.
+        """Return a predicate for the endpoints that drop repeats of this request; None if every endpoint is allowed.
 
-        Rule 2: after an attempt with an idempotency key that may have run, only such endpoints may have the next one.
+        Rule 2: once an attempt of a deduplicated request may have run, the next one may go only to endpoints in the
+        same deduplication scope.
         """
         first, rules = request.first_possibly_executed(), request.class_state.rules
         if first is None or rules.effect != "deduplicated" or rules.deduplication_scope == "all":
@@ -66,8 +73,8 @@
             return lambda other: other.zone == endpoint.zone
         return lambda other: other.cell == endpoint.cell
 
-    def is_harmless(self, request: RequestState) -> bool:
-        """Return whether the client may repeat the request without a second effect, so that it may be shed."""
+    def is_safe_to_retry(self, request: RequestState) -> bool:
+        """Return whether a retry by the client has no second effect, so that the request may be shed."""
         if any(attempt.outcome is Outcome.REJECTED for attempt in request.attempts):
             return False
         rules = request.class_state.rules
@@ -78,9 +85,9 @@
         )
 
     def latest_forward_us(self, request: RequestState) -> int:
-        """Return the time until which a repeat may be written; 0 = no limit.
+        """Return the latest time at which a repeat may be written to an endpoint; 0 = no limit.
 
-        Endpoints may have forgotten what ran by the time a new connection comes up.
+        A new connection can take so long to open that endpoints no longer remember the earlier attempt.
         """
         first, rules = request.first_possibly_executed(), request.class_state.rules
         if first is None or rules.effect != "deduplicated":
@@ -88,36 +95,40 @@
         return first.sent_us + rules.deduplication_window_us
 
     def useful_until_us(self, request: RequestState) -> int:
-        """Return when a response stops being of any use."""
+        """Return the time after which a response earns no weight."""
         rules = request.class_state.rules
         useful_us = rules.deadline_us if rules.late_weight > 0 else rules.latency_objective_us
         return self._clock_start_us(request) + min(request.client_timeout_us, useful_us)
 
     def latest_start_us(self, request: RequestState) -> int:
-        """Return when an attempt must start to be back in time.
+        """Return the latest time at which an attempt can start and still be expected to respond in time.
 
-        At most half the objective is reserved for it: after an outage that every response outlasted, the estimate would
-        otherwise leave time for no attempt at all.
+        At most half the latency objective is reserved for the response: after an outage in which no response came in
+        time, the estimated response time would otherwise leave no time for any attempt.
         """
         class_state = request.class_state
         response_us = min(class_state.mean_response_us, class_state.half_objective_us)
         return self.useful_until_us(request) - int(response_us)
 
     def timeout_us(self, request: RequestState) -> int:
-        """Return an attempt's timeout: while a response is of use, or the usual time where a retry may follow."""
+        """Return the timeout of an attempt.
+
+        An attempt that may be retried times out after a multiple of its usual response time, but not before half the
+        latency objective. Any other attempt runs for as long as its response earns weight.
+        """
         remaining_us = max(1, self.useful_until_us(request) - self._context.now_us)
         class_state = request.class_state
         if self._context.settings.hedging or class_state.rules.effect == "at_most_once" or not self.has_budget():
             return remaining_us
-        usual_us = max(
+        retryable_timeout_us = max(
             int(TIMEOUT_FACTOR * class_state.mean_response_us),
             class_state.half_objective_us,
             TIMEOUT_FACTOR * request.event.expected_work_us,
         )
-        return min(remaining_us, usual_us)
+        return min(remaining_us, retryable_timeout_us)
 
     def hedge_delay_us(self, request: RequestState) -> int | None:
-        """Return after how long a slow attempt is hedged; None if the request may not be hedged."""
+        """Return the time from the start of an attempt to its hedge; None if the request may not be hedged."""
         class_state = request.class_state
         if (
             not self._context.settings.hedging
@@ -128,12 +139,12 @@
         return min(int(HEDGE_FACTOR * class_state.mean_response_us), class_state.half_objective_us)
 
     def overdue_after_us(self, request: RequestState) -> int:
-        """Return after how long an attempt counts as evidence against its zone."""
+        """Return the time after which an outstanding attempt counts as evidence against its zone."""
         class_state = request.class_state
         return min(int(OVERDUE_FACTOR * class_state.mean_response_us), class_state.half_objective_us)
 
     def is_overdue(self, request: RequestState, attempt: AttemptState) -> bool:
-        """Return whether an outstanding attempt has just become overdue."""
+        """Return whether an outstanding attempt is overdue and has not been counted as such yet."""
         return (
             attempt.outcome is None
             and not attempt.overdue
@@ -141,5 +152,5 @@
         )
 
     def _clock_start_us(self, request: RequestState) -> int:
-        """Return what the request's times count from: its last byte, which may be still to come."""
+        """Return the start of the request's deadline: the time of its last byte, or now if that has not arrived."""
         return request.arrived_us if request.body_complete else self._context.now_us
--- a/garnetusher/policy/settings.py
+++ b/garnetusher/policy/settings.py
@@ -1,6 +1,6 @@
-"""The operator's settings, as the policy takes them.
+"""The settings of the policy, which the operator chooses.
 
-Durations and times are whole microseconds (`_us`). Every class checks itself and raises `SettingsError`.
+Durations and times are whole microseconds (`_us`). Each class validates its values and raises `SettingsError`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
 DEDUPLICATION_SCOPES = ("all", "zone", "cell")
-NOT_NEGATIVE = (
+NON_NEGATIVE_SETTINGS = (
     "zone",
     "batch_interval_us",
     "max_retry_after_us",
@@ -25,7 +25,7 @@
 
 
 class SettingsError(GarnetusherError, ValueError):
-    """A setting is out of its range; the message says what was expected and what was found."""
+    """A setting is out of range; the message gives the expected range and the value found."""
 
     def __init__(self, expected: str, got: object) -> None:
         super().__init__(f"expected {expected}, got {got!r}")
@@ -38,19 +38,19 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests: its latency objective, its weight and what a repeated attempt may do.
+    """A request class: its latency objective, its weight and the effect of a repeated attempt.
 
     Attributes:
-        name: the first segment of the request's path.
-        latency_objective_us: an answer within this earns the full weight.
-        deadline_us: the default time, from arrival, in which an answer is due.
-        priority_weight: what an answer within the objective is worth beside other classes.
-        late_weight: share of the weight left for an answer after the objective.
-        latency_objective_stretch: the objective grows by this multiple of the request's own work.
-        effect: one of `EFFECTS`.
-        deduplication_scope: which endpoints drop each other's repeats; one of `DEDUPLICATION_SCOPES`.
-        deduplication_window_us: how long endpoints remember a request.
-        streaming: whether answers may be long and come in pieces.
+        name: The first segment of the request path.
+        latency_objective_us: The response time up to which a response earns the full weight.
+        deadline_us: The time from arrival to deadline of a request without a deadline of its own.
+        priority_weight: The weight of a response within the objective, relative to other classes.
+        late_weight: The share of the weight that a response after the objective still earns.
+        latency_objective_stretch: The multiple of the work of a request by which its objective grows.
+        effect: What a repeated attempt may do; one of `EFFECTS`.
+        deduplication_scope: Which endpoints drop repeats of each other's requests; one of `DEDUPLICATION_SCOPES`.
+        deduplication_window_us: How long endpoints remember a request.
+        streaming: Whether responses may be long and arrive in pieces.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """One tenant and its quota: the request rate, over all sidecars together, that is served at full weight."""
+    """A tenant and its quota: the request rate, summed over all sidecars, that is served at full weight."""
 
     name: str
     quota_per_s: float
@@ -98,34 +98,34 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What the operator allows and wants; the same for all sidecars but for `instance_index` and `zone`.
+    """The settings of one sidecar; only `instance_index` and `zone` differ between sidecars.
 
     Attributes:
-        classes: the request classes; events name them by their index.
-        tenants: the tenants; events name them by their index.
-        over_quota_weight: share of the weight left for requests beyond their tenant's quota.
-        weight_by_work: whether weights are given per unit of work and not per request.
-        fleet_size: how many sidecars share the quotas.
-        instance_index: the place of this sidecar among them.
-        zone: the zone of this sidecar.
-        batch_interval_us: the shortest gap between the simulator's batches.
-        max_attempts: attempts that a request may have.
-        max_retry_after_us: the longest Retry-After.
-        connect_timeout_us: how long a connection may take to come up.
-        send_retry_after: whether clients are told a Retry-After.
-        cancel_attempts: whether attempts may be cancelled.
-        health_checks: whether health checks may be sent.
-        hedging: whether two attempts of a request may be out together.
-        poll_endpoints: changes of the endpoint list come only after `WatchEndpoints` or `PollEndpoints`.
-        poll_interval_us: without a watch, the list must be polled this often.
-        warm_up_initial_fraction: the share of its capacity that an endpoint has at least when it starts.
-        warm_up_us: how long after its start an endpoint is warmed up.
-        overload_factor: a warming endpoint falls over at this multiple of its capacity,
-        overload_window_us: sustained for this long.
-        cross_zone_cost: what an attempt in another zone costs, as a share of the weight.
-        load_report_names: the names of the values in load reports, in their order.
-        endpoint_weights: whether the list's weights tell the endpoints' sizes.
-        zone_regions: the region of each zone; a zone that is not in it is in region 0.
+        classes: The request classes; events refer to them by index.
+        tenants: The tenants; events refer to them by index.
+        over_quota_weight: The share of the weight that requests over the quota of their tenant still earn.
+        weight_by_work: Whether weights are per unit of work; otherwise they are per request.
+        fleet_size: The number of sidecars that share the quotas.
+        instance_index: The index of this sidecar in the fleet.
+        zone: The zone of this sidecar.
+        batch_interval_us: The shortest interval between two batches of the simulator.
+        max_attempts: The maximum number of attempts of a request.
+        max_retry_after_us: The longest Retry-After.
+        connect_timeout_us: The longest time in which a connection may be established.
+        send_retry_after: Whether clients get a Retry-After.
+        cancel_attempts: Whether attempts may be cancelled.
+        health_checks: Whether health checks may be sent.
+        hedging: Whether a request may have two outstanding attempts.
+        poll_endpoints: Whether updates of the endpoint list arrive only after `WatchEndpoints` or `PollEndpoints`.
+        poll_interval_us: The longest interval between two polls of the list while it is not watched.
+        warm_up_initial_fraction: The minimum share of its capacity that an endpoint has when it starts.
+        warm_up_us: The time from the start of an endpoint until it is warm.
+        overload_factor: The multiple of its current capacity at which a warming endpoint fails.
+        overload_window_us: The time for which that load must last to make a warming endpoint fail.
+        cross_zone_cost: The cost of an attempt in another zone, as a share of the weight.
+        load_report_names: The names of the values in load reports, in their order.
+        endpoint_weights: Whether the weights in the endpoint list are the sizes of the endpoints.
+        zone_regions: The region of each zone, by zone index; a zone past the end of the list is in region 0.
     """
 
     classes: list[RequestClass]
@@ -168,7 +168,7 @@
             self.warm_up_initial_fraction,
         )
         _require(self.overload_factor > 0, "an overload_factor above 0", self.overload_factor)
-        for name in NOT_NEGATIVE:
+        for name in NON_NEGATIVE_SETTINGS:
             _require(getattr(self, name) >= 0, f"a {name} of 0 or more", getattr(self, name))
 
 
--- a/garnetusher/policy/settings_text.py
+++ b/garnetusher/policy/settings_text.py
@@ -1,6 +1,6 @@
-"""Settings from text: the path=value pairs in which the simulator sends them and the configuration file is flattened.
+"""Parser for settings in path=value form, as the simulator sends them and as the configuration file is flattened.
 
-Setting keys are the operators' own and stay as they are; this module is where they become the policy's names.
+The keys are part of the configuration format and do not change; this module maps them to the names in `Settings`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from garnetusher.errors import GarnetusherError
 from garnetusher.policy.settings import DEDUPLICATION_SCOPES, EFFECTS, RequestClass, Settings, Tenant
 
-# Load report values: the wire's names and ours; a name not known here is kept as it is.
+# Maps the names of load report values in the settings to the names in the policy; other names stay unchanged
 _REPORT_NAMES = {
     "rif": "in_flight",
     "q": "queued",
@@ -22,11 +22,11 @@
 
 
 class SettingsTextError(GarnetusherError):
-    """A setting that is missing or cannot be read; the message names its path."""
+    """A setting is missing or invalid; the message contains its path."""
 
 
 class _SettingsReader:
-    """The start-up settings' path=value pairs, read with checks."""
+    """Reads and validates values from path=value pairs."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self.pairs = pairs
@@ -67,68 +67,76 @@
         return self.choice(path, ("true", "false"), default) == "true"
 
 
-def _class(options: _SettingsReader, at: str) -> RequestClass:
+def _read_class(reader: _SettingsReader, prefix: str) -> RequestClass:
     return RequestClass(
-        name=options.text(at + "name"),
-        latency_objective_us=options.integer(at + "aim"),
-        deadline_us=options.integer(at + "deadline"),
-        priority_weight=options.number(at + "worth"),
-        late_weight=options.number(at + "late-worth", "0"),
-        latency_objective_stretch=options.number(at + "aim-stretch", "0"),
-        effect=options.choice(at + "effect", EFFECTS),
-        deduplication_scope=options.choice(at + "group", DEDUPLICATION_SCOPES, "all"),
-        deduplication_window_us=options.integer(at + "memory-span", "0"),
-        streaming=options.flag(at + "stream", "false"),
+        name=reader.text(prefix + "name"),
+        latency_objective_us=reader.integer(prefix + "aim"),
+        deadline_us=reader.integer(prefix + "deadline"),
+        priority_weight=reader.number(prefix + "worth"),
+        late_weight=reader.number(prefix + "late-worth", "0"),
+        latency_objective_stretch=reader.number(prefix + "aim-stretch", "0"),
+        effect=reader.choice(prefix + "effect", EFFECTS),
+        deduplication_scope=reader.choice(prefix + "group", DEDUPLICATION_SCOPES, "all"),
+        deduplication_window_us=reader.integer(prefix + "memory-span", "0"),
+        streaming=reader.flag(prefix + "stream", "false"),
     )
 
 
-def _tenant(options: _SettingsReader, at: str) -> Tenant:
-    return Tenant(options.text(at + "name"), options.number(at + "allowance-per-s"), options.number(at + "share", "0"))
+def _read_tenant(reader: _SettingsReader, prefix: str) -> Tenant:
+    return Tenant(reader.text(prefix + "name"), reader.number(prefix + "allowance-per-s"), reader.number(prefix + "share", "0"))
 
 
 def parse_settings(text: str) -> Settings:
-    """The settings of one instance; keys that are not known are skipped."""
+    """Parse the settings of one sidecar from lines of path=value; unknown keys are ignored.
+
+    Raises:
+        SettingsTextError: A line is malformed, or a setting is missing or invalid.
+    """
     pairs: dict[str, str] = {}
-    for number, line in enumerate(text.splitlines(), 1):
+    for line_number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         path, equals, value = line.partition("=")
         if not equals or not path:
-            message = f"settings line {number}: expected path=value, got {line!r}"
+            message = f"settings line {line_number}: expected path=value, got {line!r}"
             raise SettingsTextError(message)
         pairs[path] = value
     return settings_from_pairs(pairs)
 
 
 def settings_from_pairs(pairs: dict[str, str]) -> Settings:
-    """The settings from their paths and values; keys that are not known are skipped."""
-    o = _SettingsReader(pairs)
+    """Build the settings of one sidecar from paths and values; unknown keys are ignored.
+
+    Raises:
+        SettingsTextError: A setting is missing or invalid.
+    """
+    reader = _SettingsReader(pairs)
     try:
         return Settings(
-            classes=[_class(o, f"request-classes.{i}.") for i in range(o.integer("request-classes.count"))],
-            tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.integer("accounts.count", "0"))],
-            over_quota_weight=o.number("over-share-worth", "1"),
-            weight_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
-            fleet_size=o.integer("instances"),
-            instance_index=o.integer("self-index", "0"),
-            zone=o.integer("locality", "0"),
-            batch_interval_us=o.integer("granularity"),
-            max_attempts=o.integer("bounds.most-tries"),
-            max_retry_after_us=o.integer("bounds.max-retry-after", "0"),
-            connect_timeout_us=o.integer("bounds.dial-timeout", "0"),
-            send_retry_after=o.flag("bounds.retry-after"),
-            cancel_attempts=o.flag("bounds.cancel"),
-            health_checks=o.flag("bounds.probes"),
-            hedging=o.flag("bounds.second-copies"),
-            poll_endpoints=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            poll_interval_us=o.integer("invariants.ask-within", "0"),
-            warm_up_initial_fraction=o.number("invariants.cold-share"),
-            warm_up_us=o.integer("invariants.warm-up"),
-            overload_factor=o.number("invariants.overload-factor"),
-            overload_window_us=o.integer("invariants.fall"),
-            cross_zone_cost=o.number("fees.cross-zone", "0"),
-            load_report_names=[_REPORT_NAMES.get(name, name) for name in o.text("report.names", "").split(",") if name],
-            endpoint_weights=o.text("weights", "none") != "none",
+            classes=[_read_class(reader, f"request-classes.{i}.") for i in range(reader.integer("request-classes.count"))],
+            tenants=[_read_tenant(reader, f"accounts.{i}.") for i in range(reader.integer("accounts.count", "0"))],
+            over_quota_weight=reader.number("over-share-worth", "1"),
+            weight_by_work=reader.choice("value-by", ("request", "work"), "request") == "work",
+            fleet_size=reader.integer("instances"),
+            instance_index=reader.integer("self-index", "0"),
+            zone=reader.integer("locality", "0"),
+            batch_interval_us=reader.integer("granularity"),
+            max_attempts=reader.integer("bounds.most-tries"),
+            max_retry_after_us=reader.integer("bounds.max-retry-after", "0"),
+            connect_timeout_us=reader.integer("bounds.dial-timeout", "0"),
+            send_retry_after=reader.flag("bounds.retry-after"),
+            cancel_attempts=reader.flag("bounds.cancel"),
+            health_checks=reader.flag("bounds.probes"),
+            hedging=reader.flag("bounds.second-copies"),
+            poll_endpoints=reader.choice("registry-mode", ("pushed", "on_request")) == "on_request",
+            poll_interval_us=reader.integer("invariants.ask-within", "0"),
+            warm_up_initial_fraction=reader.number("invariants.cold-share"),
+            warm_up_us=reader.integer("invariants.warm-up"),
+            overload_factor=reader.number("invariants.overload-factor"),
+            overload_window_us=reader.integer("invariants.fall"),
+            cross_zone_cost=reader.number("fees.cross-zone", "0"),
+            load_report_names=[_REPORT_NAMES.get(name, name) for name in reader.text("report.names", "").split(",") if name],
+            endpoint_weights=reader.text("weights", "none") != "none",
         )
     except ValueError as error:
         message = f"settings: {error}"
--- a/garnetusher/policy/state.py
+++ b/garnetusher/policy/state.py
@@ -1,4 +1,4 @@
-"""What the policy knows of classes, tenants, requests and attempts. State only: decisions are in the other modules."""
+"""The state of request classes, tenants, requests and attempts. The decisions are made in the other modules."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 
 class ClassState:
-    """A request class as the operator set it, with the estimates learned from its responses.
+    """The settings of a request class and the estimates from its responses.
 
     Attributes:
-        rules: the class's settings.
-        mean_response_us: smoothed response time; a guess until responses have come.
-        half_objective_us: half the latency objective: the limit on queueing, and the time of a slow response. The other
-            half is left for a retry.
+        rules: The settings of the class.
+        mean_response_us: The moving average of response times; a quarter of the latency objective before the first
+            response.
+        half_objective_us: Half the latency objective. It limits the time in the buffer, and a response that takes
+            longer is slow. The other half is left for a retry.
     """
 
     def __init__(self, rules: RequestClass, mean_response_us: float | None = None) -> None:
@@ -24,7 +25,7 @@
 
 
 class TenantState:
-    """A tenant as the operator set it, with its recent arrivals, of which old ones fade."""
+    """The quota of a tenant and a decaying count of its recent arrivals."""
 
     def __init__(self, tenant: Tenant, recent_arrivals: float = 0.0) -> None:
         self.quota_per_s = tenant.quota_per_s
@@ -35,12 +36,12 @@
     """One attempt of a request.
 
     Attributes:
-        endpoint_state: where it went.
-        endpoint: the entry of the endpoint list at that time.
-        sent_us: when it was forwarded, or when its body was complete.
-        outcome: None while it is outstanding.
-        holds_slot: whether it takes a slot of its endpoint.
-        overdue: whether it is out for longer than responses usually take.
+        endpoint_state: The state of the endpoint that it was forwarded to.
+        endpoint: The entry of that endpoint in the endpoint list when the attempt started.
+        sent_us: The time when it was forwarded or, if that was later, when the request body was complete.
+        outcome: How it ended; None while it is outstanding.
+        holds_slot: Whether it holds a slot of its endpoint.
+        overdue: Whether it has been outstanding for longer than responses usually take.
     """
 
     def __init__(self, endpoint_state: EndpointState, now_us: int) -> None:
@@ -53,21 +54,21 @@
 
 
 class RequestState:
-    """One request that has been taken and has no final answer yet, or still has attempts outstanding.
+    """A request that has no final answer yet or still has outstanding attempts.
 
     Attributes:
-        event: the arrival.
-        class_state: its class, by reference: an index would change its meaning with new settings.
-        tenant: its tenant, if it has one with a quota.
-        max_attempts: the limit when it arrived.
-        arrived_us: when its clock started: at its arrival, or when its body was complete.
-        client_timeout_us: how long its client waits from then on.
-        body_complete: otherwise its clock has not started.
-        not_replayable: its body is not buffered any more and can't be sent again.
-        attempts: all attempts, by index.
-        completed: it has had its final answer.
-        response_started: the client has had the first bytes of a response.
-        client_half_closed: the client sends nothing more.
+        event: The event of its arrival.
+        class_state: The state of its class. This is a reference because new settings can change the index of a class.
+        tenant: The state of its tenant; None if it has no tenant with a quota.
+        max_attempts: The limit on attempts when it arrived.
+        arrived_us: The time when it arrived or, if that was later, when its body was complete.
+        client_timeout_us: How long the client waits, counted from `arrived_us`.
+        body_complete: Whether the whole body has arrived; the deadline counts from then.
+        not_replayable: Whether part of the body is no longer buffered, so that it cannot be sent again.
+        attempts: All attempts, by index.
+        completed: Whether it has its final answer.
+        response_started: Whether the client has received the first bytes of a response.
+        client_half_closed: Whether the client sends nothing more.
     """
 
     def __init__(
--- a/garnetusher/policy/timers.py
+++ b/garnetusher/policy/timers.py
@@ -1,4 +1,4 @@
-"""The policy's own timers, multiplexed on the one timer that the sidecar keeps for it."""
+"""The timers of the policy, multiplexed on the one timer that the sidecar keeps for it."""
 
 from __future__ import annotations
 
@@ -10,46 +10,54 @@
 
 
 class TimerKind(enum.IntEnum):
-    """What a timer is for; timers of one instant fire in this order."""
+    """The purpose of a timer. Timers that are due at the same time fire in the order of these members."""
 
-    BUFFER = enum.auto()  # the buffered request has waited long enough
-    HEDGE = enum.auto()  # a request's attempt is slow enough for a hedged request
-    OVERDUE = enum.auto()  # an attempt is out for longer than responses usually take
-    POLL = enum.auto()  # the endpoint list is polled
+    BUFFER = enum.auto()  # the time limit of the buffered request is over
+    HEDGE = enum.auto()  # an attempt is slow enough to be hedged
+    OVERDUE = enum.auto()  # an attempt has been outstanding for longer than responses usually take
+    POLL = enum.auto()  # a poll of the endpoint list is due
 
 
 class TimerQueue:
-    """Pending timers, and the earliest one that the sidecar has been asked for."""
+    """The pending timers of the policy.
+
+    Attributes:
+        armed_us: The time of the earliest timer that the sidecar has been asked for; 0 = none.
+    """
 
     def __init__(self, context: PolicyContext) -> None:
         self._context = context
-        self._pending: list[tuple[int, TimerKind, int]] = []  # (when, kind, request id); a heap
-        self.armed_us = 0  # the next timer already asked for; 0 = none
+        self._pending: list[tuple[int, TimerKind, int]] = []  # a heap of (time, kind, request id)
+        self.armed_us = 0
 
     def schedule(self, at_us: int, kind: TimerKind, request_id: int = 0) -> None:
-        """Add a timer; it fires after now at the earliest."""
+        """Add a timer. If its time is not in the future, it fires 1 microsecond from now."""
         heapq.heappush(self._pending, (max(at_us, self._context.now_us + 1), kind, request_id))
 
     def on_fired(self) -> None:
-        """Note that the sidecar's timer has fired. An outdated one is ignored: otherwise each would arm another."""
+        """Record that the sidecar's timer has fired.
+
+        A timer that fires before the armed time was replaced by another one. It is ignored: otherwise each such timer
+        would arm a further one.
+        """
         if self.armed_us <= self._context.now_us:
             self.armed_us = 0
 
     def pop_expired(self) -> tuple[TimerKind, int] | None:
-        """Remove the next timer whose time has come and return its kind and request; None if there is none."""
+        """Remove the next expired timer and return its kind and request id; None if none has expired."""
         if not self._pending or self._pending[0][0] > self._context.now_us:
             return None
         _, kind, request_id = heapq.heappop(self._pending)
         return kind, request_id
 
     def arm(self, readmissions_us: list[int] | None) -> None:
-        """Ask the sidecar for the next timer, if it is sooner than the one already asked for.
+        """Ask the sidecar for a timer at the earliest pending time, unless an earlier one is armed.
 
         Args:
-            readmissions_us: when ejected endpoints are readmitted, if a request waits for that.
+            readmissions_us: The times at which ejected endpoints are readmitted; None if no request waits for a slot.
         """
         pending, requests = self._pending, self._context.requests
-        # most requests are answered before their timers; each timer for nothing costs as much as a request
+        # Most requests are answered before their timers expire, and each needless timer costs as much as a request
         while pending and pending[0][2] not in requests and pending[0][1] is not TimerKind.POLL:
             heapq.heappop(pending)
         times = [pending[0][0]] if pending else []
