--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -1,7 +1,8 @@
-"""The host's side of the contract with a `Balancer`: carries out its actions, ends attempts, and checks every action.
+"""A host for a `Balancer` that performs its actions, ends its attempts and checks every action against the contract.
 
-It is no simulator: whoever drives it says what happens and when. The four rules are checked as the protocol page words
-them, from records kept here and none of the module's; `audit` checks the module's bookkeeping against them.
+The host is not a simulator: its caller decides what happens and when. The four rules are checked as the protocol
+specification states them, using only the records of the host. `check_slots` compares the state of the balancer with
+these records.
 """
 
 from __future__ import annotations
@@ -40,278 +41,295 @@
 from garnetusher.policy.settings import Settings
 
 NEVER_RAN = {Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN}
-START_US = 1_000_000_000  # a start at 0 would mean long ago
-MOST_TIMERS_AT_ONCE = 50  # fired at one instant: beyond it each arms the next for now, for ever
+START_US = 1_000_000_000  # not 0, because a start time of 0 means long ago
+# If more timers than this fire at the same time, each of them arms the next one without delay, in an endless loop
+MAX_TIMERS_AT_ONCE = 50
 
 
-class Breach(AssertionError):
-    """A rule of the contract is broken; `rule` names it in a word, the text says how."""
+class ContractViolation(AssertionError):
+    """The balancer has violated a rule of the contract.
+
+    Attributes:
+        rule: The name of the rule.
+    """
 
     def __init__(self, rule: str, text: str) -> None:
         super().__init__(f"{rule}: {text}")
         self.rule = rule
 
 
-def need(holds: bool, rule: str, text: str) -> None:
-    if not holds:
-        raise Breach(rule, text)
+def require(condition: bool, rule: str, text: str) -> None:
+    if not condition:
+        raise ContractViolation(rule, text)
 
 
 @dataclass
-class Try:
-    """One attempt, as the host knows it."""
+class AttemptRecord:
+    """The host's record of one attempt."""
 
     upstream: int
     zone: int
     cell: int
     sent_us: int
     ends_us: int
-    listing: int  # how often its upstream had been listed anew by then
-    timeout_us: int = 0  # from when the request is whole; 0: none
+    listing: int  # how often the upstream had been added to the list when the attempt started
+    timeout_us: int = 0  # counted from the last byte of the request body; 0 = no timeout
     outcome: Outcome | None = None
 
 
 @dataclass
-class Owed:
-    """A request that has been taken."""
+class RequestRecord:
+    """The host's record of one request."""
 
     event: RequestArrived
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
     answers: int = 0
-    closed: bool = False
-    stream: bool = False
-    coming: bool = False  # its body is: no time has begun, and no slot is held
-    left: bool = False  # its client sends nothing more
+    completed: bool = False  # it has its final answer, or its client has disconnected
+    response_started: bool = False
+    body_incomplete: bool = False  # until the last byte arrives, no timeout runs and no slot is held
+    half_closed: bool = False  # its client sends nothing more
 
-    def may_have_run(self) -> list[Try]:
-        return [t for t in self.tries if t.outcome not in NEVER_RAN]
+    def possibly_executed(self) -> list[AttemptRecord]:
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
-    def out(self) -> list[int]:
-        return [n for n, t in enumerate(self.tries) if t.outcome is None]
+    def outstanding_indexes(self) -> list[int]:
+        return [index for index, attempt in enumerate(self.attempts) if attempt.outcome is None]
 
 
 class Host:
-    """One module and all that it is owed and owes. Its methods raise `Breach`."""
+    """A balancer, and the records of its requests, attempts and timers. Methods raise `ContractViolation`."""
 
     def __init__(self, settings: Settings, seed: int = 7) -> None:
         self.settings = settings
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
-        self.owed: dict[int, Owed] = {}
-        self.known: dict[int, Endpoint] = {}
-        self.listings: dict[int, int] = {}
-        self.refused_us: dict[int, int] = {}  # upstreams told draining or gone: since when
-        self.timers: list[tuple[int, int]] = []
-        self.log: list[Action] = []
+        self.requests: dict[int, RequestRecord] = {}
+        self.known: dict[int, Endpoint] = {}  # the last entry of each upstream in the endpoint list
+        self.listings: dict[int, int] = {}  # how often each upstream has been added to the list
+        self.unavailable_since_us: dict[int, int] = {}  # when each draining or removed upstream became so
+        self.timers: list[tuple[int, int]] = []  # (time, token)
+        self.actions: list[Action] = []
         self.next_id = 1
 
     # Events
 
-    def tell(self, event: Event) -> list[Action]:
+    def deliver(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
-        self.log.extend(actions)
+        self.actions.extend(actions)
         return actions
 
-    def tell_list(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.SNAPSHOT) -> list[Action]:
+    def update_endpoints(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.SNAPSHOT) -> list[Action]:
         for entry in entries:
-            before = self.known.get(entry.id)
-            if entry.id in self.refused_us or before is None or before.zone != entry.zone:
+            previous = self.known.get(entry.id)
+            if entry.id in self.unavailable_since_us or previous is None or previous.zone != entry.zone:
                 self.listings[entry.id] = self.listings.get(entry.id, 0) + 1
             self.known[entry.id] = entry
             if entry.status is EndpointStatus.READY:
-                self.refused_us.pop(entry.id, None)
+                self.unavailable_since_us.pop(entry.id, None)
             else:
-                self.refused_us.setdefault(entry.id, self.now_us)
+                self.unavailable_since_us.setdefault(entry.id, self.now_us)
         if kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
-            for ident in self.known.keys() - {e.id for e in entries}:
-                self.refused_us.setdefault(ident, self.now_us)
-        return self.tell(EndpointsUpdated(kind, entries))
+            for upstream in self.known.keys() - {entry.id for entry in entries}:
+                self.unavailable_since_us.setdefault(upstream, self.now_us)
+        return self.deliver(EndpointsUpdated(kind, entries))
 
-    def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
-        ident = self.next_id
+    def arrive(self, class_index: int = 0, client_timeout_us: int | None = None, **fields: Any) -> int:
+        request_id = self.next_id
         self.next_id += 1
-        patience = patience_us or self.settings.classes[class_index].deadline_us
-        event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.owed[ident] = Owed(event, coming=not event.body_complete)
-        self.tell(event)
-        return ident
-
-    def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        owed = self.owed[request]
-        this = owed.tries[attempt]
-        assert this.outcome is None
-        this.outcome = outcome
-        if (outcome is Outcome.OK or owed.stream) and not owed.closed:
-            owed.closed = True
-            owed.answers += 1
-        return self.tell(
-            AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us, owed.closed, **fields)
+        timeout_us = client_timeout_us or self.settings.classes[class_index].deadline_us
+        event = RequestArrived(request_id, self.now_us + timeout_us, class_index, **fields)
+        self.requests[request_id] = RequestRecord(event, body_incomplete=not event.body_complete)
+        self.deliver(event)
+        return request_id
+
+    def end(self, request_id: int, attempt_index: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
+        record = self.requests[request_id]
+        attempt = record.attempts[attempt_index]
+        assert attempt.outcome is None
+        attempt.outcome = outcome
+        if (outcome is Outcome.OK or record.response_started) and not record.completed:
+            record.completed = True
+            record.answers += 1
+        return self.deliver(
+            AttemptEnded(
+                request_id, attempt_index, attempt.upstream, outcome, self.now_us - attempt.sent_us, record.completed, **fields
+            )
         )
 
-    def whole(self, request: int) -> None:
-        """The last byte of a long body has come: its time begins."""
-        owed = self.owed[request]
-        owed.coming = False
-        owed.event.deadline_us = self.now_us + self.settings.classes[owed.event.class_index].deadline_us
-        for number in owed.out():
-            this = owed.tries[number]
-            this.sent_us = self.now_us  # an attempt counts once its last byte has arrived (the protocol page)
-            this.ends_us = min(owed.event.deadline_us, self.now_us + (this.timeout_us or owed.event.deadline_us))
-        self.tell(RequestBodyComplete(request, owed.event.deadline_us))
-
-    def begin_stream(self, request: int, attempt: int) -> None:
-        self.owed[request].stream = True
-        self.tell(ResponseStarted(request, attempt, self.owed[request].tries[attempt].upstream))
-
-    def quit(self, request: int) -> None:
-        self.owed[request].closed = True
-        self.owed[request].answers = 1
-        self.tell(ClientDisconnected(request))
-
-    def leave(self, request: int) -> None:
-        """Its client sends nothing more; what waits for a connection ends unsent, what is out goes on."""
-        self.owed[request].left = True
-        self.tell(ClientHalfClosed(request))
-
-    def hasten(self, request: int, due_us: int) -> None:
-        """Its client has to be answered sooner, and attempts end sooner with that."""
-        owed = self.owed[request]
-        owed.event.deadline_us = due_us
-        for number in owed.out():
-            owed.tries[number].ends_us = min(due_us, owed.tries[number].ends_us)
-        self.tell(DeadlineChanged(request, due_us))
-
-    def advance(self, by_us: int, held_us: int = 0) -> None:
-        """Move the clock, with the timers and the attempts' time-outs that fall due on the way. With `held_us` the
-        process does not run for so long at first, and what fell due meanwhile comes late, all at once."""
+    def complete_body(self, request_id: int) -> None:
+        """Deliver the last byte of a long request body, which starts the deadline and the timeouts of attempts."""
+        record = self.requests[request_id]
+        record.body_incomplete = False
+        record.event.deadline_us = self.now_us + self.settings.classes[record.event.class_index].deadline_us
+        for index in record.outstanding_indexes():
+            attempt = record.attempts[index]
+            attempt.sent_us = self.now_us  # by the protocol, an attempt counts from the arrival of its last byte
+            attempt.ends_us = min(record.event.deadline_us, self.now_us + (attempt.timeout_us or record.event.deadline_us))
+        self.deliver(RequestBodyComplete(request_id, record.event.deadline_us))
+
+    def start_response(self, request_id: int, attempt_index: int) -> None:
+        self.requests[request_id].response_started = True
+        self.deliver(ResponseStarted(request_id, attempt_index, self.requests[request_id].attempts[attempt_index].upstream))
+
+    def disconnect_client(self, request_id: int) -> None:
+        self.requests[request_id].completed = True
+        self.requests[request_id].answers = 1
+        self.deliver(ClientDisconnected(request_id))
+
+    def half_close_client(self, request_id: int) -> None:
+        """Report that the client of a request sends nothing more.
+
+        In the sidecar, an attempt that waits for a connection then ends without being written; other attempts continue.
+        """
+        self.requests[request_id].half_closed = True
+        self.deliver(ClientHalfClosed(request_id))
+
+    def change_deadline(self, request_id: int, deadline_us: int) -> None:
+        """Move the deadline of a request to an earlier time; its attempts end by then."""
+        record = self.requests[request_id]
+        record.event.deadline_us = deadline_us
+        for index in record.outstanding_indexes():
+            record.attempts[index].ends_us = min(deadline_us, record.attempts[index].ends_us)
+        self.deliver(DeadlineChanged(request_id, deadline_us))
+
+    def advance(self, by_us: int, pause_us: int = 0) -> None:
+        """Advance the clock, and fire the timers and the attempt timeouts that expire meanwhile.
+
+        Args:
+            by_us: How far to advance the clock.
+            pause_us: How long the process does not run at first; everything that expires meanwhile fires late, at the
+                end of the pause.
+        """
         end_us = self.now_us + by_us
-        self.now_us += min(held_us, by_us)
-        at_once = 0
+        self.now_us += min(pause_us, by_us)
+        timers_at_once = 0
         while True:
-            due = [(at, 1, token, 0) for at, token in self.timers]
+            due = [(at_us, 1, token, 0) for at_us, token in self.timers]
             due += [
-                (t.ends_us, 0, ident, n)
-                for ident, owed in self.owed.items()
-                if not owed.stream and not owed.coming
-                for n, t in enumerate(owed.tries)
-                if t.outcome is None
+                (attempt.ends_us, 0, request_id, index)
+                for request_id, record in self.requests.items()
+                if not record.response_started and not record.body_incomplete
+                for index, attempt in enumerate(record.attempts)
+                if attempt.outcome is None
             ]
-            due = [d for d in due if d[0] <= end_us]
+            due = [entry for entry in due if entry[0] <= end_us]
             if not due:
                 break
-            at, kind, first, second = min(due)
-            at_once = 0 if at > self.now_us else at_once + kind
-            need(at_once <= MOST_TIMERS_AT_ONCE, "timers", f"{at_once} timers fired at one instant")
-            self.now_us = max(self.now_us, at)
+            at_us, kind, request_or_token, attempt_index = min(due)
+            timers_at_once = 0 if at_us > self.now_us else timers_at_once + kind
+            require(timers_at_once <= MAX_TIMERS_AT_ONCE, "timers", f"{timers_at_once} timers fired at the same time")
+            self.now_us = max(self.now_us, at_us)
             if kind == 0:
-                self.end(first, second, Outcome.TIMEOUT)
+                self.end(request_or_token, attempt_index, Outcome.TIMEOUT)
             else:
-                self.timers.remove((at, first))
-                self.tell(TimerFired(first))
+                self.timers.remove((at_us, request_or_token))
+                self.deliver(TimerFired(request_or_token))
         self.now_us = end_us
-        slack_us = 4 * self.settings.batch_interval_us + held_us
-        for ident, owed in self.owed.items():
-            overdue = self.now_us > owed.event.deadline_us + slack_us and not owed.stream and not owed.coming
-            need(not overdue or owed.answers == 1, "rule 1", f"request {ident} is unanswered past due")
+        slack_us = 4 * self.settings.batch_interval_us + pause_us
+        for request_id, record in self.requests.items():
+            overdue = self.now_us > record.event.deadline_us + slack_us and not record.response_started and not record.body_incomplete
+            require(not overdue or record.answers == 1, "rule 1", f"request {request_id} has no final answer after its deadline")
 
     # Checks
 
     def check(self, action: Action) -> None:
         if isinstance(action, Forward):
-            self.check_send(action)
+            self.check_forward(action)
         elif isinstance(action, Shed | Fail):
             self.check_answer(action)
         elif isinstance(action, CancelAttempt):
-            need(self.settings.cancel_attempts, "contract", "a cancel where none is allowed")
-            need(action.attempt_index < len(self.owed[action.request_id].tries), "contract", "a cancel of no attempt")
+            require(self.settings.cancel_attempts, "contract", "cancelled an attempt although this is not allowed")
+            require(action.attempt_index < len(self.requests[action.request_id].attempts), "contract", "cancelled an attempt that does not exist")
         elif isinstance(action, SetTimer):
-            need(action.at_us >= self.now_us, "contract", "a timer in the past")
+            require(action.at_us >= self.now_us, "contract", "requested a timer in the past")
             self.timers.append((action.at_us, action.token))
         elif isinstance(action, CheckHealth):
-            need(self.settings.health_checks, "contract", "a probe where none is allowed")
+            require(self.settings.health_checks, "contract", "requested a health check although this is not allowed")
         else:
-            need(
+            require(
                 not isinstance(action, WatchEndpoints | PollEndpoints) or self.settings.poll_endpoints,
                 "contract",
-                "a call for a list that is pushed",
+                "requested the endpoint list although it is pushed",
             )
 
-    def check_send(self, send: Forward) -> None:
-        owed = self.owed[send.request_id]
-        entry = self.known[send.endpoint_id]
-        kind = self.settings.classes[owed.event.class_index]
-        need(not owed.closed, "rule 1", "a send after the end")
-        need(not owed.left, "left", "a send for a client that has left")
-        need(len(owed.tries) < self.settings.max_attempts, "contract", "more attempts than allowed")
-        need(send.endpoint_id not in self.refused_us, "rule 3", "a send to a draining or gone upstream")
-        need(self.settings.hedging or not owed.out(), "rule 2", "two attempts out together")
-        for earlier in owed.may_have_run():
-            need(kind.effect != "at_most_once", "rule 2", "an unsafe request sent again")
-            if kind.effect == "deduplicated":
-                need(self.now_us - earlier.sent_us <= kind.deduplication_window_us, "rule 2", "past the memory")
-                need(
-                    0 < send.latest_start_us <= earlier.sent_us + kind.deduplication_window_us,
+    def check_forward(self, forward: Forward) -> None:
+        record = self.requests[forward.request_id]
+        entry = self.known[forward.endpoint_id]
+        rules = self.settings.classes[record.event.class_index]
+        require(not record.completed, "rule 1", "forwarded a request after its final answer")
+        require(not record.half_closed, "left", "forwarded a request of a client that has half-closed")
+        require(len(record.attempts) < self.settings.max_attempts, "contract", "forwarded a request more often than allowed")
+        require(forward.endpoint_id not in self.unavailable_since_us, "rule 3", "forwarded a request to a draining or removed upstream")
+        require(self.settings.hedging or not record.outstanding_indexes(), "rule 2", "two attempts are outstanding although hedging is not allowed")
+        for earlier in record.possibly_executed():
+            require(rules.effect != "at_most_once", "rule 2", "repeated an at_most_once request that may have run")
+            if rules.effect == "deduplicated":
+                require(self.now_us - earlier.sent_us <= rules.deduplication_window_us, "rule 2", "repeated a request after the deduplication window")
+                require(
+                    0 < forward.latest_start_us <= earlier.sent_us + rules.deduplication_window_us,
                     "rule 2",
-                    "may begin past the memory",
+                    "the repeat may start after the deduplication window",
                 )
-                need(kind.deduplication_scope != "cell" or entry.cell == earlier.cell, "rule 2", "outside the cell")
-                need(kind.deduplication_scope != "zone" or entry.zone == earlier.zone, "rule 2", "outside the zone")
-        ends_us = owed.event.deadline_us
-        if send.timeout_us:
-            ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(
-            Try(
-                send.endpoint_id,
+                require(rules.deduplication_scope != "cell" or entry.cell == earlier.cell, "rule 2", "repeated a request outside the cell")
+                require(rules.deduplication_scope != "zone" or entry.zone == earlier.zone, "rule 2", "repeated a request outside the zone")
+        ends_us = record.event.deadline_us
+        if forward.timeout_us:
+            ends_us = min(ends_us, self.now_us + forward.timeout_us)
+        record.attempts.append(
+            AttemptRecord(
+                forward.endpoint_id,
                 entry.zone,
                 entry.cell,
                 self.now_us,
                 ends_us,
-                self.listings[send.endpoint_id],
-                send.timeout_us,
+                self.listings[forward.endpoint_id],
+                forward.timeout_us,
             )
         )
 
     def check_answer(self, answer: Shed | Fail) -> None:
-        owed = self.owed[answer.request_id]
-        kind = self.settings.classes[owed.event.class_index]
-        need(not owed.closed, "rule 1", "a second answer")
-        owed.closed = True
-        owed.answers += 1
+        record = self.requests[answer.request_id]
+        rules = self.settings.classes[record.event.class_index]
+        require(not record.completed, "rule 1", "a second final answer")
+        record.completed = True
+        record.answers += 1
         if isinstance(answer, Shed):
-            need(answer.retry_after_us <= self.settings.max_retry_after_us, "contract", "too long a retry-after")
-            harmless = kind.effect == "idempotent" or (
-                kind.effect == "deduplicated" and kind.deduplication_scope == "all"
+            require(answer.retry_after_us <= self.settings.max_retry_after_us, "contract", "the retry-after is too long")
+            is_safe_to_retry = rules.effect == "idempotent" or (
+                rules.effect == "deduplicated" and rules.deduplication_scope == "all"
             )
-            need(harmless or not owed.may_have_run(), "rule 2", "a refusal of what may have run")
-
-    def audit(self) -> None:
-        """No slot is lost or given twice: what the module holds of each upstream is what is out there."""
-        out: dict[int, int] = {}
-        for owed in self.owed.values():
-            for number in owed.out():
-                this = owed.tries[number]
-                if not owed.stream and not owed.coming and this.listing == self.listings[this.upstream]:
-                    out[this.upstream] = out.get(this.upstream, 0) + 1
-        for ident, server in self.balancer.endpoints.items():
-            streams = sum(
-                1 for owed in self.owed.values() if owed.stream for n in owed.out() if owed.tries[n].upstream == ident
+            require(is_safe_to_retry or not record.possibly_executed(), "rule 2", "shed a request that may have run")
+
+    def check_slots(self) -> None:
+        """Check that the slots in use at each upstream match its outstanding attempts."""
+        outstanding: dict[int, int] = {}
+        for record in self.requests.values():
+            for index in record.outstanding_indexes():
+                attempt = record.attempts[index]
+                if not record.response_started and not record.body_incomplete and attempt.listing == self.listings[attempt.upstream]:
+                    outstanding[attempt.upstream] = outstanding.get(attempt.upstream, 0) + 1
+        for upstream, state in self.balancer.endpoints.items():
+            started_responses = sum(
+                1 for record in self.requests.values() if record.response_started for index in record.outstanding_indexes() if record.attempts[index].upstream == upstream
             )
-            held = out.get(ident, 0)
-            need(
-                held <= server.slots_used <= held + streams,
+            count = outstanding.get(upstream, 0)
+            require(
+                count <= state.slots_used <= count + started_responses,
                 "slots",
-                f"upstream {ident} has {server.slots_used} slots taken, and {held} attempts out",
+                f"upstream {upstream} has {state.slots_used} slots in use and {count} outstanding attempts",
             )
 
-    # What tests look at
+    # Results
 
-    def sends(self, request: int | None = None) -> list[Forward]:
-        return [a for a in self.log if isinstance(a, Forward) and request in (None, a.request_id)]
+    def forward_actions(self, request_id: int | None = None) -> list[Forward]:
+        return [
+            action for action in self.actions if isinstance(action, Forward) and request_id in (None, action.request_id)
+        ]
 
-    def answer(self, request: int) -> Action | None:
-        for action in self.log:
-            if isinstance(action, Shed | Fail) and action.request_id == request:
+    def answer(self, request_id: int) -> Action | None:
+        for action in self.actions:
+            if isinstance(action, Shed | Fail) and action.request_id == request_id:
                 return action
         return None
--- a/garnetusher/model/explore/module.py
+++ b/garnetusher/model/explore/module.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Iterator
 
-from garnetusher.model.contract import Breach, Host
+from garnetusher.model.contract import ContractViolation, Host
 from garnetusher.model.explore import Broken, Schedule, Step
 from garnetusher.policy.events import (
     Endpoint,
@@ -110,11 +110,11 @@
             run.begin()
             for step in schedule.steps:
                 run.step(step)
-                run.host.audit()
+                run.host.check_slots()
                 done += 1
             run.host.advance(LAST_US)
-            run.host.audit()
-        except Breach as breach:
+            run.host.check_slots()
+        except ContractViolation as breach:
             return Broken(breach.rule, str(breach), done)
         except Exception as error:  # whatever it raises: the process would be gone
             return Broken(f"crash: {type(error).__name__}", repr(error), done)
@@ -127,13 +127,13 @@
         try:
             run.begin()
             for step in [*schedule.steps, Step("advance", LAST_US)]:
-                said, at_us = len(run.host.log), run.host.now_us
+                said, at_us = len(run.host.actions), run.host.now_us
                 lines.append(f"{at_us / 1e6:.6f} s  {step.what} {step.a} {step.b}")
                 try:
                     run.step(step)
                 finally:
-                    lines += [f"    {action}" for action in run.host.log[said:]]
-                run.host.audit()
+                    lines += [f"    {action}" for action in run.host.actions[said:]]
+                run.host.check_slots()
         except Exception as error:  # the breach, or the crash, that the story is about
             lines.append(f"    {type(error).__name__}: {error}")
         return lines
@@ -176,7 +176,7 @@
 
     def begin(self) -> None:
         started_us = self.host.now_us - 1_000_000 if self.setup["cold"] else 0
-        self.host.tell_list(
+        self.host.update_endpoints(
             [self.entry(n, started_us=started_us) for n in range(self.setup["upstreams"])], UpdateKind.CACHED
         )
 
@@ -191,7 +191,7 @@
         )
 
     def _out(self) -> list[tuple[int, int]]:
-        return [(ident, n) for ident, owed in self.host.owed.items() for n in owed.out()]
+        return [(ident, n) for ident, owed in self.host.requests.items() for n in owed.outstanding_indexes()]
 
     def end(self, which: int, how: int) -> None:
         """Two in three are well."""
@@ -209,67 +209,67 @@
         self.host.advance(by_us)
 
     def sleep(self, by_us: int, _: int) -> None:
-        self.host.advance(by_us, held_us=by_us)
+        self.host.advance(by_us, pause_us=by_us)
 
     def list(self, number: int, state: int) -> None:
-        self.host.tell_list([self.entry(number, STATES[state % len(STATES)])], UpdateKind.DELTA)
+        self.host.update_endpoints([self.entry(number, STATES[state % len(STATES)])], UpdateKind.DELTA)
 
     def restart(self, number: int, age_us: int) -> None:
-        self.host.tell_list([self.entry(number, started_us=self.host.now_us - age_us)], UpdateKind.DELTA)
+        self.host.update_endpoints([self.entry(number, started_us=self.host.now_us - age_us)], UpdateKind.DELTA)
 
     def full(self, count: int, _: int) -> None:
-        self.host.tell_list([self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))])
+        self.host.update_endpoints([self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))])
 
     def cached(self, count: int, _: int) -> None:
-        self.host.tell_list([self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))], UpdateKind.CACHED)
+        self.host.update_endpoints([self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))], UpdateKind.CACHED)
 
     def fail(self, _: int, __: int) -> None:
         if self.host.settings.poll_endpoints:
-            self.host.tell(EndpointsUpdated(UpdateKind.FAILED))
+            self.host.deliver(EndpointsUpdated(UpdateKind.FAILED))
 
     def quit(self, which: int, _: int) -> None:
-        open_ = [ident for ident, owed in self.host.owed.items() if not owed.closed]
+        open_ = [ident for ident, owed in self.host.requests.items() if not owed.completed]
         if open_:
-            self.host.quit(open_[which % len(open_)])
+            self.host.disconnect_client(open_[which % len(open_)])
 
     def _open(self, which: int) -> int | None:
         """A request that has come whole and has no answer, nor the beginning of one."""
-        open_ = [i for i, owed in self.host.owed.items() if not (owed.closed or owed.coming or owed.stream)]
+        open_ = [i for i, owed in self.host.requests.items() if not (owed.completed or owed.body_incomplete or owed.response_started)]
         return open_[which % len(open_)] if open_ else None
 
     def leave(self, which: int, _: int) -> None:
         ident = self._open(which)
         if ident is not None:
-            self.host.leave(ident)
+            self.host.half_close_client(ident)
 
     def hasten(self, which: int, by: int) -> None:
         """As at the end of the process: to half of the time that is left, or to none."""
         ident = self._open(which)
         if ident is not None:
-            now_us, due_us = self.host.now_us, self.host.owed[ident].event.deadline_us
-            self.host.hasten(ident, now_us + (max(0, due_us - now_us) // 2 if which % 3 else 0))
+            now_us, due_us = self.host.now_us, self.host.requests[ident].event.deadline_us
+            self.host.change_deadline(ident, now_us + (max(0, due_us - now_us) // 2 if which % 3 else 0))
 
     def stream(self, which: int, _: int) -> None:
-        owed = self.host.owed
+        owed = self.host.requests
         out = [
             (i, n)
             for i, n in self._out()
-            if CLASSES[owed[i].event.class_index].streaming and not owed[i].stream and not owed[i].closed
+            if CLASSES[owed[i].event.class_index].streaming and not owed[i].response_started and not owed[i].completed
         ]
         if out:
-            self.host.begin_stream(*out[which % len(out)])
+            self.host.start_response(*out[which % len(out)])
 
     def order(self, zone: int, leave: int) -> None:
-        self.host.tell(ZoneOverridden(zone % self.setup["zones"], bool(leave)))
+        self.host.deliver(ZoneOverridden(zone % self.setup["zones"], bool(leave)))
 
     def fleet(self, count: int, _: int) -> None:
-        self.host.tell(FleetSizeChanged(count % 50))
+        self.host.deliver(FleetSizeChanged(count % 50))
 
     def retune(self, most: int, _: int) -> None:
         """New settings, classes as they are, with another limit on attempts."""
         settings = self.settings(1 + most % 5)
         self.host.settings = settings
-        self.host.tell(
+        self.host.deliver(
             SettingsChanged(
                 settings,
                 previous_indexes(settings.classes, settings.classes),
@@ -283,10 +283,10 @@
 
     def passed(self, which: int, _: int) -> None:
         """More of a body has gone on than is held, or its last byte has come."""
-        coming = [i for i, owed in self.host.owed.items() if owed.coming and not owed.closed]
+        coming = [i for i, owed in self.host.requests.items() if owed.body_incomplete and not owed.completed]
         if coming:
             ident = coming[which % len(coming)]
             if which % 2:
-                self.host.tell(RequestNotReplayable(ident))
+                self.host.deliver(RequestNotReplayable(ident))
             else:
-                self.host.whole(ident)
+                self.host.complete_body(ident)
--- a/garnetusher/policy/admission.py
+++ b/garnetusher/policy/admission.py
@@ -56,11 +56,11 @@
     def admit(self, request: RequestState) -> None:
         """Forward, buffer or finish a request that has just arrived."""
         self._record_tenant_arrival(request)
-        self.place(request)
+        self.forward_or_buffer(request)
         self._unsent_fraction += (float(not request.attempts) - self._unsent_fraction) / ARRIVAL_WINDOW
         self._log_overload()
 
-    def place(self, request: RequestState) -> None:
+    def forward_or_buffer(self, request: RequestState) -> None:
         """Forward a request through a free slot; buffer it if there is none; otherwise give it its final answer."""
         now_us = self._context.now_us
         if now_us >= self._retry_policy.latest_start_us(request):
@@ -79,7 +79,7 @@
         else:
             self.finish(request)
 
-    def fill_from_buffer(self) -> None:
+    def forward_buffered(self) -> None:
         """Forward the buffered request if an endpoint that it may use has a free slot."""
         request = self.buffer
         if request is None:
--- a/garnetusher/policy/balancer.py
+++ b/garnetusher/policy/balancer.py
@@ -95,7 +95,7 @@
         while self._registry.zones_to_evacuate:
             self._lifecycle.hedge_requests_in(self._registry.evacuate_next_zone())
         if self.admission.buffer is not None:
-            self.admission.fill_from_buffer()
+            self.admission.forward_buffered()
         # The end of an ejection frees slots at a point in time, without an event
         self._timers.arm(self._registry.readmissions_us() if self.admission.buffer is not None else None)
         return self.context.take_actions()
--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -159,7 +159,7 @@
     def _retry_or_finish(self, request: RequestState, outcome: Outcome) -> None:
         may_retry = outcome in RETRIED_OUTCOMES and self._retry_policy.may_forward(request)
         if may_retry and self._retry_policy.has_budget():
-            self._admission.place(request)
+            self._admission.forward_or_buffer(request)
         else:
             self._admission.finish(request)
 
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -1,4 +1,4 @@
-"""Steps that tests of the policy share: taking all slots, steady traffic and what can be outstanding."""
+"""Shared steps for tests of the policy: taking all slots, steady traffic and counting the available slots."""
 
 from __future__ import annotations
 
@@ -7,82 +7,85 @@
 from garnetusher.policy.events import (
     Outcome,
 )
-from tests.world import World, settings, upstreams
+from tests.policy_host import PolicyHost, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
-FIRST = int(INITIAL_SLOTS)
+INITIAL_SLOT_LIMIT = int(INITIAL_SLOTS)
 
 
-def ready_world(count: int = 4, **changes: object) -> World:
-    world = World(settings(**changes))
-    world.tell_list(upstreams(count))
-    return world
+def ready_host(count: int = 4, **changes: object) -> PolicyHost:
+    host = PolicyHost(settings(**changes))
+    host.update_endpoints(upstreams(count))
+    return host
 
 
-def fill(world: World) -> list[int]:
-    """Take every slot; the last request is the one that waits in the buffer."""
-    taken = []
+def fill_slots(host: PolicyHost) -> list[int]:
+    """Take every slot and return the ids of the requests; the last request waits in the buffer."""
+    requests = []
     for _ in range(1000):
-        taken.append(world.arrive(READ))
-        if not world.sends(taken[-1]):
-            return taken
-    raise AssertionError("the slots never ran out")
+        requests.append(host.arrive(READ))
+        if not host.forward_actions(requests[-1]):
+            return requests
+    raise AssertionError("1000 requests did not take all slots")
 
 
-def churn(
-    world: World,
+def run_traffic(
+    host: PolicyHost,
     steps: int,
-    bad: int | None = None,
-    fault: Outcome = Outcome.OVERLOADED,
+    failing_upstream: int | None = None,
+    failure: Outcome = Outcome.OVERLOADED,
     class_index: int = READ,
-    took_us: int = 10_000,
+    response_time_us: int = 10_000,
 ) -> None:
-    """A request a step; whatever is out ends at the step's end, with `fault` at the upstream `bad`."""
+    """Send one request per step; at the end of the step all outstanding attempts end.
+
+    They end with `failure` at the upstream `failing_upstream`, and with `OK` elsewhere.
+    """
     for _ in range(steps):
-        world.arrive(class_index)
-        world.advance(took_us)
-        for ident in [i for i, owed in world.owed.items() if owed.out()]:
-            for attempt in world.owed[ident].out():
-                at_bad = world.owed[ident].tries[attempt].upstream == bad
-                world.end(ident, attempt, fault if at_bad else Outcome.OK)
+        host.arrive(class_index)
+        host.advance(response_time_us)
+        for request in [ident for ident, record in host.requests.items() if record.outstanding_indexes()]:
+            for index in host.requests[request].outstanding_indexes():
+                fails = host.requests[request].attempts[index].upstream == failing_upstream
+                host.end(request, index, failure if fails else Outcome.OK)
 
 
-def available_slots(world: World) -> int:
-    """How many requests can be outstanding now; they are ended again."""
-    taken = [r for r in fill(world) if world.sends(r)]
-    for request in taken:
-        world.end(request, 0, Outcome.OK)
-    return len(taken)
+def available_slots(host: PolicyHost) -> int:
+    """Return how many requests can be outstanding now, by taking all slots and freeing them again."""
+    forwarded = [request for request in fill_slots(host) if host.forward_actions(request)]
+    for request in forwarded:
+        host.end(request, 0, Outcome.OK)
+    return len(forwarded)
 
 
-def busy_world() -> World:
-    """One upstream whose slots have opened under need."""
-    world = ready_world(1)
+def host_with_grown_slots() -> PolicyHost:
+    """Return a host with one upstream, whose slot limit has grown under load."""
+    host = ready_host(1)
     for _ in range(80):
-        fill(world)
-        churn(world, 1, took_us=20_000)
-    churn(world, 1)
-    return world
+        fill_slots(host)
+        run_traffic(host, 1, response_time_us=20_000)
+    run_traffic(host, 1)
+    return host
 
 
-def log_lines(world: World) -> list[str]:
-    return [action.text for action in world.log if isinstance(action, LogMessage)]
+def log_lines(host: PolicyHost) -> list[str]:
+    return [action.text for action in host.actions if isinstance(action, LogMessage)]
 
 
-def churn_all(world: World, outcome: Outcome) -> None:
-    """A few requests, and one outcome for all that is out."""
+def end_all_attempts(host: PolicyHost, outcome: Outcome) -> None:
+    """Send 20 requests and end all outstanding attempts with one outcome."""
     for _ in range(20):
-        world.arrive(PAY)
-    world.advance(10_000)
-    for ident, owed in list(world.owed.items()):
-        for attempt in owed.out():
-            world.end(ident, attempt, outcome)
-
-
-def hedged_request(world: World) -> int:
-    """A request whose first attempt is late and whose copy has answered."""
-    request = world.arrive(READ)
-    world.advance(200_000)
-    assert len(world.sends(request)) == 2
-    world.end(request, 1, Outcome.OK)
+        host.arrive(PAY)
+    host.advance(10_000)
+    for request, record in list(host.requests.items()):
+        for index in record.outstanding_indexes():
+            host.end(request, index, outcome)
+
+
+def hedged_request(host: PolicyHost) -> int:
+    """Return a request whose first attempt is slow and whose hedged attempt has answered."""
+    request = host.arrive(READ)
+    host.advance(200_000)
+    assert len(host.forward_actions(request)) == 2
+    host.end(request, 1, Outcome.OK)
     return request
--- a/tests/world.py
+++ b/tests/policy_host.py
@@ -1,4 +1,4 @@
-"""Settings and upstreams for tests of the module, and its host from garnetusher/model/contract.py."""
+"""Settings, upstreams and a host for tests of the policy."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from garnetusher.policy.events import Endpoint
 from garnetusher.policy.settings import RequestClass, Settings
 
-__all__ = ["START_US", "World", "classes", "settings", "upstreams"]
+__all__ = ["START_US", "PolicyHost", "classes", "settings", "upstreams"]
 
 
 def classes() -> list[RequestClass]:
@@ -49,12 +49,12 @@
 
 
 def upstreams(count: int, **changes: Any) -> list[Endpoint]:
-    """`count` ready upstreams, two to a cell and to a zone."""
+    """Return `count` ready upstreams, two in each cell and two in each zone."""
     return [Endpoint(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
 
 
-class World(Host):
-    """A host of a module with the settings above."""
+class PolicyHost(Host):
+    """A host that checks the actions of a balancer, with the settings above by default."""
 
-    def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
-        super().__init__(config or settings(), seed)
+    def __init__(self, policy_settings: Settings | None = None, seed: int = 7) -> None:
+        super().__init__(policy_settings or settings(), seed)
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -1,4 +1,4 @@
-"""Odd but legal events are taken calmly; direct misuse is told plainly."""
+"""Unusual but legal events cause no failure, and invalid settings raise errors that name the expected value."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     RequestArrived,
     ResponseStarted,
     TimerFired,
+    UpdateKind,
 )
-from garnetusher.policy.events import UpdateKind as Kind
 from garnetusher.policy.settings import RequestClass, Tenant
-from tests.world import START_US, World, settings, upstreams
+from tests.policy_host import START_US, PolicyHost, settings, upstreams
 
 
 def test_policy_changes_nothing_when_events_are_about_unknown_items() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
+    host = PolicyHost()
+    host.update_endpoints(upstreams(3))
     for event in (
         AttemptEnded(77, 0, 100, Outcome.OK, 5, True),
         ClientDisconnected(77),
@@ -32,56 +32,56 @@
         ResponseStarted(77, 0, 100, 5),
         HealthCheckEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
         PeerMessage(1, b"hi"),
-        EndpointsUpdated(Kind.FAILED),
+        EndpointsUpdated(UpdateKind.FAILED),
     ):
-        assert world.tell(event) == []
-    assert world.sends(world.arrive(0))
+        assert host.deliver(event) == []
+    assert host.forward_actions(host.arrive(0))
 
 
 def test_policy_ignores_events_when_the_request_is_completed() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    world.quit(request)
-    assert world.end(request, 0, Outcome.ERROR) == []
-    assert world.tell(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
-    assert world.tell(ClientDisconnected(request)) == []
-    served = world.arrive(0)
-    world.end(served, 0, Outcome.OK)
-    assert world.tell(ClientDisconnected(served)) == []
+    host = PolicyHost()
+    host.update_endpoints(upstreams(3))
+    request = host.arrive(0)
+    host.disconnect_client(request)
+    assert host.end(request, 0, Outcome.ERROR) == []
+    assert host.deliver(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
+    assert host.deliver(ClientDisconnected(request)) == []
+    served = host.arrive(0)
+    host.end(served, 0, Outcome.OK)
+    assert host.deliver(ClientDisconnected(served)) == []
 
 
 def test_policy_ignores_an_outcome_when_the_attempt_was_never_made() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    assert world.tell(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
+    host = PolicyHost()
+    host.update_endpoints(upstreams(3))
+    request = host.arrive(0)
+    assert host.deliver(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
 def test_policy_does_not_retry_when_a_streamed_response_breaks() -> None:
-    world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, streaming=True)]))
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    world.begin_stream(request, 0)
-    world.advance(3_000_000)
-    world.end(request, 0, Outcome.RESET)
-    assert len(world.sends(request)) == 1
-    assert not isinstance(world.answer(request), Fail)
+    host = PolicyHost(settings(classes=[RequestClass("feed", 100_000, 500_000, streaming=True)]))
+    host.update_endpoints(upstreams(3))
+    request = host.arrive(0)
+    host.start_response(request, 0)
+    host.advance(3_000_000)
+    host.end(request, 0, Outcome.RESET)
+    assert len(host.forward_actions(request)) == 1
+    assert not isinstance(host.answer(request), Fail)
 
 
 def test_policy_repeats_its_actions_when_seed_and_events_are_the_same() -> None:
-    first, second, other = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
-    told = []
-    for balancer in (first, second, other):
-        actions = balancer.handle(START_US, EndpointsUpdated(Kind.SNAPSHOT, upstreams(9)))
-        for n in range(20):
-            actions += balancer.handle(START_US, RequestArrived(n, START_US + 900_000))
-        told.append(actions)
-    assert told[0] == told[1] != told[2]
+    first, second, other_seed = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
+    actions_by_balancer = []
+    for balancer in (first, second, other_seed):
+        actions = balancer.handle(START_US, EndpointsUpdated(UpdateKind.SNAPSHOT, upstreams(9)))
+        for request_id in range(20):
+            actions += balancer.handle(START_US, RequestArrived(request_id, START_US + 900_000))
+        actions_by_balancer.append(actions)
+    assert actions_by_balancer[0] == actions_by_balancer[1] != actions_by_balancer[2]
 
 
 @pytest.mark.parametrize(
-    ("make", "words"),
+    ("construct", "expected_text"),
     [
         (lambda: RequestClass("x", 0, 10), "latency objective above 0"),
         (lambda: RequestClass("x", 10, -1), "deadline above 0"),
@@ -96,7 +96,7 @@
         (lambda: settings(classes=[]), "at least one request class"),
     ],
 )
-def test_settings_say_what_was_expected_when_a_value_is_wrong(make: object, words: str) -> None:
+def test_settings_errors_name_the_expected_value_when_a_value_is_wrong(construct: object, expected_text: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
-        make()  # type: ignore[operator]
-    assert words in str(caught.value)
+        construct()  # type: ignore[operator]
+    assert expected_text in str(caught.value)
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -31,7 +31,7 @@
 from tests.runner import run, status
 from tests.test_crossing_stop import never_up
 from tests.test_crossing_watch import Wire
-from tests.world import World, settings, upstreams
+from tests.policy_host import PolicyHost, settings, upstreams
 
 
 def test_attempt_waiting_for_its_connection_goes_elsewhere_when_the_upstream_drains() -> None:
@@ -177,15 +177,15 @@
 
 def test_request_is_retried_within_max_attempts_when_its_attempt_was_not_written() -> None:
     for max_attempts, expected in ((4, 2), (1, 1)):
-        world = World(settings(max_attempts=max_attempts, hedging=False))
-        world.tell_list(upstreams(2))
-        ident = world.arrive(class_index=1)
-        first = world.owed[ident].tries[0].upstream
+        host = PolicyHost(settings(max_attempts=max_attempts, hedging=False))
+        host.update_endpoints(upstreams(2))
+        ident = host.arrive(class_index=1)
+        first = host.requests[ident].attempts[0].upstream
         gone = next(each for each in upstreams(2) if each.id == first)
         gone.status = EndpointStatus.REMOVED
-        world.tell_list([gone], UpdateKind.DELTA)
-        world.end(ident, 0, Outcome.NOT_WRITTEN)
-        tries = world.owed[ident].tries
+        host.update_endpoints([gone], UpdateKind.DELTA)
+        host.end(ident, 0, Outcome.NOT_WRITTEN)
+        tries = host.requests[ident].attempts
         assert len(tries) == expected
         assert all(each.upstream != first for each in tries[1:])
 
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -11,7 +11,7 @@
 from garnetusher.policy.events import SettingsChanged
 from garnetusher.policy.settings import RequestClass, Settings, Tenant, previous_indexes
 from garnetusher.sidecar.downstream.router import RequestRouter
-from tests.world import World, classes, settings, upstreams
+from tests.policy_host import PolicyHost, classes, settings, upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
 SITES = [tomllib.loads(path.read_text()) for path in sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))]
@@ -31,16 +31,16 @@
         RequestRouter(Settings(classes())).route(b"GET", b"/read/it", headers(None)).tenant_index == 0
     )  # where there are none
 
-    world, plain = World(settings(tenants=TENANTS, over_quota_weight=0.2)), World()
+    host, plain = PolicyHost(settings(tenants=TENANTS, over_quota_weight=0.2)), PolicyHost()
     values = []
-    for each in (world, plain):
-        each.tell_list(upstreams(2))
+    for each in (host, plain):
+        each.update_endpoints(upstreams(2))
         request = each.balancer.requests[each.arrive(class_index=1, tenant_index=2)]
         values.append(each.balancer.admission.expected_weight(request))
     assert values[0] == pytest.approx(0.2 * values[1])  # where there are shares it has none
     for _ in range(50):
-        world.arrive(tenant_index=2)
-    assert [party.recent_arrivals for party in world.balancer.context.tenant_states] == [0.0, 0.0]
+        host.arrive(tenant_index=2)
+    assert [party.recent_arrivals for party in host.balancer.context.tenant_states] == [0.0, 0.0]
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site["name"])
@@ -92,17 +92,17 @@
 
 def test_policy_keeps_estimates_by_name_when_settings_change_the_order() -> None:
     kinds = classes()
-    world = World(settings(tenants=TENANTS))
-    world.tell_list(upstreams(2))
+    host = PolicyHost(settings(tenants=TENANTS))
+    host.update_endpoints(upstreams(2))
     for _ in range(20):
-        world.arrive(tenant_index=1)
-    held = next(iter(world.balancer.requests.values()))
-    seen = world.balancer.context.tenant_states[1].recent_arrivals
+        host.arrive(tenant_index=1)
+    held = next(iter(host.balancer.requests.values()))
+    seen = host.balancer.context.tenant_states[1].recent_arrivals
     after = settings(
         tenants=[TENANTS[1], Tenant("b-", 1.0), TENANTS[0]],
         classes=[kinds[2], RequestClass("read", 200_000, 900_000, effect="at_most_once"), kinds[1]],
     )
-    world.tell(SettingsChanged(after, previous_indexes(after.classes, kinds), previous_indexes(after.tenants, TENANTS)))
-    assert [party.recent_arrivals for party in world.balancer.context.tenant_states] == [seen, 0.0, 0.0]
+    host.deliver(SettingsChanged(after, previous_indexes(after.classes, kinds), previous_indexes(after.tenants, TENANTS)))
+    assert [party.recent_arrivals for party in host.balancer.context.tenant_states] == [seen, 0.0, 0.0]
     assert held.class_state.rules is not after.classes[1]
     assert held.class_state.rules.effect == "idempotent"
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -16,7 +16,7 @@
 from garnetusher.policy.events import Endpoint, EndpointStatus, Outcome, UpdateKind, ZoneOverridden
 from garnetusher.policy.slots import Pool
 from garnetusher.policy.slow_start import COHORTS_PER_WARM_UP
-from tests.world import START_US, World, settings, upstreams
+from tests.policy_host import START_US, PolicyHost, settings, upstreams
 
 Weights = dict[int, float]
 
@@ -49,20 +49,20 @@
         assert len(pool.slow_start.cohorts) <= COHORTS_PER_WARM_UP + 1
 
 
-def storm(seed: int, steps: int = 400, after: Any = audit) -> World:
+def storm(seed: int, steps: int = 400, after: Any = audit) -> PolicyHost:
     """Arrivals, ends of all kinds, lists, restarts, orders and time, in a random order."""
     rng = random.Random(seed)
-    world = World(settings(cross_zone_cost=rng.choice([0.0, 0.02]), fleet_size=rng.choice([1, 30])), seed=seed)
+    host = PolicyHost(settings(cross_zone_cost=rng.choice([0.0, 0.02]), fleet_size=rng.choice([1, 30])), seed=seed)
     entries = {e.id: e for e in upstreams(12)}
-    world.tell_list(list(entries.values()))
+    host.update_endpoints(list(entries.values()))
     for _ in range(steps):
         what = rng.random()
-        out = [(ident, n) for ident, owed in world.owed.items() if not owed.stream for n in owed.out()]
+        out = [(ident, n) for ident, owed in host.requests.items() if not owed.response_started for n in owed.outstanding_indexes()]
         if what < 0.45:
-            world.arrive(rng.randrange(3))
+            host.arrive(rng.randrange(3))
         elif what < 0.8 and out:
             ident, number = rng.choice(out)
-            world.end(
+            host.end(
                 ident,
                 number,
                 rng.choice(
@@ -80,17 +80,17 @@
         elif what < 0.88:
             ident = rng.choice(list(entries))
             state = rng.choice([EndpointStatus.READY] * 3 + [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-            started = rng.choice([entries[ident].started_us, world.now_us - rng.randrange(25_000_000)])
+            started = rng.choice([entries[ident].started_us, host.now_us - rng.randrange(25_000_000)])
             entries[ident] = Endpoint(ident, state, entries[ident].zone, cell=entries[ident].cell, started_us=started)
-            world.tell_list([entries[ident]], UpdateKind.DELTA)
+            host.update_endpoints([entries[ident]], UpdateKind.DELTA)
         elif what < 0.9:
-            world.tell_list([e for e in entries.values() if e.status is EndpointStatus.READY])
+            host.update_endpoints([e for e in entries.values() if e.status is EndpointStatus.READY])
         elif what < 0.92:
-            world.tell(ZoneOverridden(rng.randrange(6), rng.random() < 0.5))
+            host.deliver(ZoneOverridden(rng.randrange(6), rng.random() < 0.5))
         else:
-            world.advance(rng.choice([3_000, 60_000, 400_000, 3_000_000]))
-        after(world.balancer)
-    return world
+            host.advance(rng.choice([3_000, 60_000, 400_000, 3_000_000]))
+        after(host.balancer)
+    return host
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -10,7 +10,7 @@
 from garnetusher.policy.balancer import Balancer
 from tests.experiment import small
 from tests.membership_fleet import SECOND, joined_fleet
-from tests.world import settings
+from tests.policy_host import settings
 
 
 def test_fleet_size_counts_a_member_for_a_moment_when_it_has_left() -> None:
@@ -27,13 +27,13 @@
     experiment = small(seconds=8)
     sidecars = structs.replace(experiment.sidecars, per_zone={"a": 3, "b": 2}, told=50, membership=True)
     experiment = structs.replace(experiment, sidecars=sidecars)
-    world = Simulation(experiment, plan.make(experiment, 1))
+    host = Simulation(experiment, plan.make(experiment, 1))
 
     def instances() -> list[int]:
-        return [s.balancer.zones.fleet_size for s in world.sidecars.values() if isinstance(s.balancer, Balancer)]
+        return [s.balancer.zones.fleet_size for s in host.sidecars.values() if isinstance(s.balancer, Balancer)]
 
     at_start = instances()
-    world.run()
+    host.run()
     assert (at_start, instances()) == ([50] * 5, [5] * 5)
 
 
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -11,48 +11,48 @@
 from garnetusher.sidecar.discovery.endpoint_list import PIECE_SIZE, EndpointList
 from garnetusher.sidecar.discovery.messages import parse_list
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
-from tests.world import START_US, World, settings, upstreams
+from tests.policy_host import START_US, PolicyHost, settings, upstreams
 
 
-def asking_world() -> World:
-    world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000))
-    world.tell_list(upstreams(4), UpdateKind.CACHED)
-    return world
+def asking_world() -> PolicyHost:
+    host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000))
+    host.update_endpoints(upstreams(4), UpdateKind.CACHED)
+    return host
 
 
-def asks(world: World) -> list[int]:
-    """When the world's balancer asked, seen by stepping through time."""
-    return [i for i, action in enumerate(world.log) if isinstance(action, WatchEndpoints)]
+def asks(host: PolicyHost) -> list[int]:
+    """When the host's balancer asked, seen by stepping through time."""
+    return [i for i, action in enumerate(host.actions) if isinstance(action, WatchEndpoints)]
 
 
 def test_a_list_that_must_be_asked_for_is_subscribed_to() -> None:
-    world = asking_world()
-    world.advance(2_000_000)
-    assert len(asks(world)) >= 1
+    host = asking_world()
+    host.advance(2_000_000)
+    assert len(asks(host)) >= 1
 
 
 def test_a_pushed_list_is_never_asked_for() -> None:
-    world = World()
-    world.tell_list(upstreams(4), UpdateKind.CACHED)
-    world.advance(60_000_000)
-    assert not asks(world)
+    host = PolicyHost()
+    host.update_endpoints(upstreams(4), UpdateKind.CACHED)
+    host.advance(60_000_000)
+    assert not asks(host)
 
 
-def wait_for_ask(world: World) -> int:
-    """How long the world's balancer takes to ask again."""
-    before, start_us = len(asks(world)), world.now_us
-    while len(asks(world)) == before:
-        world.advance(10_000)
-    return world.now_us - start_us
+def wait_for_ask(host: PolicyHost) -> int:
+    """How long the host's balancer takes to ask again."""
+    before, start_us = len(asks(host)), host.now_us
+    while len(asks(host)) == before:
+        host.advance(10_000)
+    return host.now_us - start_us
 
 
 def test_a_failed_list_call_is_repeated_with_growing_waits_inside_ask_within() -> None:
-    world = asking_world()
-    world.advance(2_000_000)
+    host = asking_world()
+    host.advance(2_000_000)
     waits = []
     for _ in range(12):
-        world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        waits.append(wait_for_ask(world))
+        host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+        waits.append(wait_for_ask(host))
     assert waits[0] <= 750_000
     assert max(waits) > 2_000_000
     assert max(waits) <= 20_000_000  # after a failed call it may be four times ask-within
@@ -62,13 +62,13 @@
     """When each of forty sidecars calls discovery after they have all started, or lost their watches."""
     waits = []
     for number in range(40):
-        world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=40), number)
-        world.tell_list(upstreams(4), UpdateKind.CACHED)
+        host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=40), number)
+        host.update_endpoints(upstreams(4), UpdateKind.CACHED)
         if failed:
-            wait_for_ask(world)
-            world.tell_list([], UpdateKind.DELTA)
-            world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        waits.append(wait_for_ask(world))
+            wait_for_ask(host)
+            host.update_endpoints([], UpdateKind.DELTA)
+            host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+        waits.append(wait_for_ask(host))
     return sorted(waits)
 
 
@@ -83,15 +83,15 @@
     """How long each of 200 sidecars waits for its next call to discovery once its calls have failed so often."""
     waits = []
     for number in range(200):
-        world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=200), number)
-        world.tell_list(upstreams(4), UpdateKind.CACHED)
-        wait_for_ask(world)
-        world.tell_list([], UpdateKind.DELTA)
+        host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=200), number)
+        host.update_endpoints(upstreams(4), UpdateKind.CACHED)
+        wait_for_ask(host)
+        host.update_endpoints([], UpdateKind.DELTA)
         for _ in range(failures - 1):
-            world.tell(EndpointsUpdated(UpdateKind.FAILED))
-            wait_for_ask(world)
-        world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        waits.append(wait_for_ask(world))
+            host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+            wait_for_ask(host)
+        host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+        waits.append(wait_for_ask(host))
     return sorted(waits)
 
 
@@ -105,65 +105,65 @@
 
 
 def test_a_second_failure_before_the_repeat_does_not_double_the_calls() -> None:
-    world = asking_world()
-    world.advance(2_000_000)
-    before = len(asks(world))
-    world.tell(EndpointsUpdated(UpdateKind.FAILED))
-    world.tell(EndpointsUpdated(UpdateKind.FAILED))
-    world.advance(4_000_000)
-    world.tell_list(upstreams(4), UpdateKind.DELTA)
-    assert len(asks(world)) == before + 1
+    host = asking_world()
+    host.advance(2_000_000)
+    before = len(asks(host))
+    host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+    host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+    host.advance(4_000_000)
+    host.update_endpoints(upstreams(4), UpdateKind.DELTA)
+    assert len(asks(host)) == before + 1
 
 
 def test_a_call_that_is_never_answered_is_made_again_within_ask_within() -> None:
-    world = asking_world()
-    world.advance(10_000_000)
-    assert len(asks(world)) >= 2
+    host = asking_world()
+    host.advance(10_000_000)
+    assert len(asks(host)) >= 2
 
 
 def test_a_delta_changes_only_what_it_names() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list([Endpoint(100, EndpointStatus.DRAINING)], UpdateKind.DELTA)
+    host = PolicyHost()
+    host.update_endpoints(upstreams(2))
+    host.update_endpoints([Endpoint(100, EndpointStatus.DRAINING)], UpdateKind.DELTA)
     for _ in range(10):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {101}
+        host.end(host.arrive(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in host.forward_actions()} == {101}
 
 
 def test_what_a_full_list_leaves_out_is_gone_and_may_come_back() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list(upstreams(1))
+    host = PolicyHost()
+    host.update_endpoints(upstreams(2))
+    host.update_endpoints(upstreams(1))
     for _ in range(10):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {100}
-    world.tell_list(upstreams(2))
+        host.end(host.arrive(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in host.forward_actions()} == {100}
+    host.update_endpoints(upstreams(2))
     for _ in range(30):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {100, 101}
+        host.end(host.arrive(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in host.forward_actions()} == {100, 101}
 
 
 def test_a_restart_under_the_same_id_is_cold_again() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    world.tell_list([Endpoint(100, started_us=START_US)], UpdateKind.DELTA)
+    host = PolicyHost()
+    host.update_endpoints(upstreams(3))
+    host.update_endpoints([Endpoint(100, started_us=START_US)], UpdateKind.DELTA)
     for _ in range(60):
-        request = world.arrive(0)
-        world.advance(5_000)
-        world.end(request, 0, Outcome.OK)
-    assert sum(1 for s in world.sends() if s.endpoint_id == 100) <= 6
+        request = host.arrive(0)
+        host.advance(5_000)
+        host.end(request, 0, Outcome.OK)
+    assert sum(1 for s in host.forward_actions() if s.endpoint_id == 100) <= 6
 
 
 def test_an_empty_list_and_an_empty_delta_are_taken_calmly() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list([], UpdateKind.DELTA)
-    assert world.sends(world.arrive(0))
-    world.tell_list([])
-    request = world.arrive(0)
-    world.advance(2_000_000)
-    assert world.answer(request) is not None
-    assert all(t.at_us > START_US for t in world.log if isinstance(t, SetTimer))
+    host = PolicyHost()
+    host.update_endpoints(upstreams(2))
+    host.update_endpoints([], UpdateKind.DELTA)
+    assert host.forward_actions(host.arrive(0))
+    host.update_endpoints([])
+    request = host.arrive(0)
+    host.advance(2_000_000)
+    assert host.answer(request) is not None
+    assert all(t.at_us > START_US for t in host.actions if isinstance(t, SetTimer))
 
 
 def entry(uid: str, state: str = "active") -> dict[str, object]:
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -12,97 +12,97 @@
     PAY,
     READ,
     available_slots,
-    busy_world,
-    churn,
-    churn_all,
+    host_with_grown_slots,
+    run_traffic,
+    end_all_attempts,
     hedged_request,
     log_lines,
-    ready_world,
+    ready_host,
 )
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
 def test_outlier_draws_no_more_requests_when_it_fails_immediately(outcome: Outcome) -> None:
-    world = ready_world(5)
-    churn(world, 200, 100, outcome)
-    assert sum(1 for s in world.sends() if s.endpoint_id == 100) < 20
+    host = ready_host(5)
+    run_traffic(host, 200, 100, outcome)
+    assert sum(1 for s in host.forward_actions() if s.endpoint_id == 100) < 20
 
 
 def test_outlier_is_readmitted_when_it_answers_again() -> None:
-    world = ready_world(2)
-    churn(world, 40, 100)
-    churn(world, 1000)
-    assert sum(1 for s in world.sends()[-200:] if s.endpoint_id == 100) > 30
+    host = ready_host(2)
+    run_traffic(host, 40, 100)
+    run_traffic(host, 1000)
+    assert sum(1 for s in host.forward_actions()[-200:] if s.endpoint_id == 100) > 30
 
 
 def test_outlier_loses_slots_when_its_attempts_lose_to_hedges() -> None:
-    world = ready_world()
-    request = hedged_request(world)
-    slow = world.sends(request)[0].endpoint_id
-    before = world.balancer.endpoints[slow].slot_limit
-    world.end(request, 0, Outcome.CANCELLED)
-    assert world.balancer.endpoints[slow].slot_limit < before
-    assert world.balancer.endpoints[slow].latency_ratio > 1
+    host = ready_host()
+    request = hedged_request(host)
+    slow = host.forward_actions(request)[0].endpoint_id
+    before = host.balancer.endpoints[slow].slot_limit
+    host.end(request, 0, Outcome.CANCELLED)
+    assert host.balancer.endpoints[slow].slot_limit < before
+    assert host.balancer.endpoints[slow].latency_ratio > 1
 
 
 def test_outlier_detection_keeps_other_slots_when_one_error_occurs() -> None:
-    world = busy_world()
-    before = available_slots(world)
-    world.end(world.arrive(PAY), 0, Outcome.ERROR)
+    host = host_with_grown_slots()
+    before = available_slots(host)
+    host.end(host.arrive(PAY), 0, Outcome.ERROR)
     assert before >= 4
-    assert available_slots(world) >= before / 2 - 1
+    assert available_slots(host) >= before / 2 - 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
 def test_outlier_detection_closes_no_slot_when_failures_are_single(outcome: Outcome) -> None:
-    world = busy_world()
-    before = available_slots(world)
-    churn(world, 1)  # what was left waiting
+    host = host_with_grown_slots()
+    before = available_slots(host)
+    run_traffic(host, 1)  # what was left waiting
     for _ in range(20):
-        request = world.arrive(PAY)
-        world.end(request, 0, outcome)
-        world.advance(20_000)
-        if world.owed[request].out():  # what never ran goes out again
-            world.end(request, 1, Outcome.OK)
+        request = host.arrive(PAY)
+        host.end(request, 0, outcome)
+        host.advance(20_000)
+        if host.requests[request].outstanding_indexes():  # what never ran goes out again
+            host.end(request, 1, Outcome.OK)
         for _ in range(4):
-            world.end(world.arrive(PAY), 0, Outcome.OK)
+            host.end(host.arrive(PAY), 0, Outcome.OK)
     assert before >= 4
-    assert available_slots(world) >= before
+    assert available_slots(host) >= before
 
 
 @pytest.mark.parametrize("class_index", [READ, PAY])
 def test_outlier_detection_ignores_an_endpoint_when_it_rejects_requests(class_index: int) -> None:
-    world = busy_world()
-    before = available_slots(world)
-    churn(world, 1)  # what was left waiting
+    host = host_with_grown_slots()
+    before = available_slots(host)
+    run_traffic(host, 1)  # what was left waiting
     for _ in range(20):
-        request = world.arrive(class_index)
-        world.end(request, 0, Outcome.REJECTED)
-        assert isinstance(world.answer(request), Fail)
-        assert len(world.sends(request)) == 1
+        request = host.arrive(class_index)
+        host.end(request, 0, Outcome.REJECTED)
+        assert isinstance(host.answer(request), Fail)
+        assert len(host.forward_actions(request)) == 1
     assert before >= 4
-    assert available_slots(world) >= before
+    assert available_slots(host) >= before
 
 
 def test_outlier_detection_closes_no_slot_when_one_request_is_heavy() -> None:
-    world = busy_world()
-    before = available_slots(world)
-    churn(world, 1, took_us=170_000)  # over half the aim
-    assert available_slots(world) >= before - 1
+    host = host_with_grown_slots()
+    before = available_slots(host)
+    run_traffic(host, 1, response_time_us=170_000)  # over half the aim
+    assert available_slots(host) >= before - 1
 
 
 def test_log_tells_an_outlier_when_it_is_ejected_and_readmitted() -> None:
-    world = ready_world(2)
-    churn(world, 200, 100)
-    assert log_lines(world) == ["endpoint 100 ejected"]
-    churn(world, 1000)
-    assert log_lines(world) == ["endpoint 100 ejected", "endpoint 100 readmitted"]
+    host = ready_host(2)
+    run_traffic(host, 200, 100)
+    assert log_lines(host) == ["endpoint 100 ejected"]
+    run_traffic(host, 1000)
+    assert log_lines(host) == ["endpoint 100 ejected", "endpoint 100 readmitted"]
 
 
 def test_log_lines_are_few_when_all_endpoints_fail_and_recover() -> None:
-    world = ready_world(50)
-    begin_us = world.now_us
+    host = ready_host(50)
+    begin_us = host.now_us
     for fault in (Outcome.OVERLOADED, Outcome.OK, Outcome.OVERLOADED, Outcome.OK):
         for _ in range(30):
-            churn_all(world, fault)
-    assert 1 <= len(log_lines(world)) <= 1 + (world.now_us - begin_us) / 1_000_000
+            end_all_attempts(host, fault)
+    assert 1 <= len(log_lines(host)) <= 1 + (host.now_us - begin_us) / 1_000_000
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Long bodies and responses: when slots are held and time runs."""
+"""Long request bodies and responses: when attempts hold slots and from when time counts."""
 
 from __future__ import annotations
 
@@ -12,90 +12,90 @@
     TimerFired,
 )
 from tests.policy_driver import (
-    FIRST,
+    INITIAL_SLOT_LIMIT,
     PAY,
     READ,
-    fill,
-    ready_world,
+    fill_slots,
+    ready_host,
 )
-from tests.world import World
+from tests.policy_host import PolicyHost
 
 
-def arrive_with_partial_body(world: World, class_index: int = READ) -> int:
-    """A request whose body is still coming; its client waits for as long as that takes."""
-    request = world.arrive(class_index, body_complete=False)
-    world.owed[request].tries[0].ends_us += 3_600_000_000
+def arrive_with_partial_body(host: PolicyHost, class_index: int = READ) -> int:
+    """Send a request with an incomplete body, whose client waits until the body is complete."""
+    request = host.arrive(class_index, body_complete=False)
+    host.requests[request].attempts[0].ends_us += 3_600_000_000
     return request
 
 
-def test_request_holds_no_slot_and_has_no_timeout_when_its_body_is_coming() -> None:
-    world = ready_world(1)
-    requests = [arrive_with_partial_body(world) for _ in range(2 * FIRST)]
-    assert len(world.sends()) == 2 * FIRST
-    assert world.balancer.endpoints[100].slots_used == 0
-    assert len(fill(world)) == FIRST + 1
-    world.balancer.handle(world.now_us + 3_000_000, TimerFired(0))
-    assert not any(world.answer(request) for request in requests)
+def test_request_holds_no_slot_and_has_no_timeout_when_its_body_is_incomplete() -> None:
+    host = ready_host(1)
+    requests = [arrive_with_partial_body(host) for _ in range(2 * INITIAL_SLOT_LIMIT)]
+    assert len(host.forward_actions()) == 2 * INITIAL_SLOT_LIMIT
+    assert host.balancer.endpoints[100].slots_used == 0
+    assert len(fill_slots(host)) == INITIAL_SLOT_LIMIT + 1
+    host.balancer.handle(host.now_us + 3_000_000, TimerFired(0))
+    assert not any(host.answer(request) for request in requests)
 
 
 def test_request_clock_starts_when_its_body_is_complete() -> None:
-    world = ready_world(1)
-    request = arrive_with_partial_body(world)
-    world.now_us += 5_000_000
-    world.owed[request].event.deadline_us = world.now_us + 1_000_000
-    world.tell(RequestBodyComplete(request, world.now_us + 1_000_000))
-    assert world.balancer.endpoints[100].slots_used == 1
-    pace = world.balancer.endpoints[100].latency_ratio
-    world.owed[request].tries[0].sent_us = world.now_us
-    world.now_us += 10_000
-    world.end(request, 0, Outcome.OK)
-    assert world.balancer.endpoints[100].slots_used == 0
-    assert world.balancer.endpoints[100].latency_ratio <= pace
+    host = ready_host(1)
+    request = arrive_with_partial_body(host)
+    host.now_us += 5_000_000
+    host.requests[request].event.deadline_us = host.now_us + 1_000_000
+    host.deliver(RequestBodyComplete(request, host.now_us + 1_000_000))
+    assert host.balancer.endpoints[100].slots_used == 1
+    latency_ratio = host.balancer.endpoints[100].latency_ratio
+    host.requests[request].attempts[0].sent_us = host.now_us
+    host.now_us += 10_000
+    host.end(request, 0, Outcome.OK)
+    assert host.balancer.endpoints[100].slots_used == 0
+    assert host.balancer.endpoints[100].latency_ratio <= latency_ratio
 
 
 @pytest.mark.parametrize(
-    ("outcome", "answer"), [(Outcome.CONNECT_FAILED, Shed), (Outcome.OVERLOADED, Shed), (Outcome.RESET, Fail)]
+    ("outcome", "answer_type"), [(Outcome.CONNECT_FAILED, Shed), (Outcome.OVERLOADED, Shed), (Outcome.RESET, Fail)]
 )
-def test_request_is_not_retried_when_its_body_is_not_replayable(outcome: Outcome, answer: type) -> None:
-    world = ready_world()
-    request = arrive_with_partial_body(world, PAY)
-    world.tell(RequestNotReplayable(request))
-    world.end(request, 0, outcome)
-    assert len(world.sends(request)) == 1
-    assert isinstance(world.answer(request), answer)
+def test_request_is_not_retried_when_its_body_is_not_replayable(outcome: Outcome, answer_type: type) -> None:
+    host = ready_host()
+    request = arrive_with_partial_body(host, PAY)
+    host.deliver(RequestNotReplayable(request))
+    host.end(request, 0, outcome)
+    assert len(host.forward_actions(request)) == 1
+    assert isinstance(host.answer(request), answer_type)
 
 
 def test_request_is_retried_when_its_body_is_buffered_and_it_never_ran() -> None:
-    world = ready_world()
-    request = arrive_with_partial_body(world, PAY)
-    world.now_us += 2_000_000  # its client is slow; that is no time of ours
-    world.end(request, 0, Outcome.CONNECT_FAILED)
-    assert len(world.sends(request)) == 2
-    assert world.answer(request) is None
+    host = ready_host()
+    request = arrive_with_partial_body(host, PAY)
+    host.now_us += 2_000_000  # a slow upload does not count towards the deadline
+    host.end(request, 0, Outcome.CONNECT_FAILED)
+    assert len(host.forward_actions(request)) == 2
+    assert host.answer(request) is None
 
 
 def test_response_frees_its_slot_and_cancels_the_hedge_when_it_starts() -> None:
-    world = ready_world(cancel_attempts=True, hedging=True)
-    request = world.arrive(READ)
-    world.advance(160_000)
-    first, second = world.owed[request].tries
-    world.begin_stream(request, 1)
-    assert CancelAttempt(request, 0) in world.log
-    assert CancelAttempt(request, 1) not in world.log
-    assert [world.balancer.endpoints[t.upstream].slots_used for t in (first, second)] == [1, 0]
-    pace = world.balancer.endpoints[second.upstream].latency_ratio
-    world.end(request, 0, Outcome.CANCELLED)
-    world.now_us += 20_000_000  # the client reads slowly; that is no fault of the upstream
-    world.end(request, 1, Outcome.OK)
-    assert world.balancer.endpoints[second.upstream].latency_ratio == pace
-    assert all(server.slots_used == 0 for server in world.balancer.endpoints.values())
-    assert request not in world.balancer.requests
+    host = ready_host(cancel_attempts=True, hedging=True)
+    request = host.arrive(READ)
+    host.advance(160_000)
+    first, second = host.requests[request].attempts
+    host.start_response(request, 1)
+    assert CancelAttempt(request, 0) in host.actions
+    assert CancelAttempt(request, 1) not in host.actions
+    assert [host.balancer.endpoints[attempt.upstream].slots_used for attempt in (first, second)] == [1, 0]
+    latency_ratio = host.balancer.endpoints[second.upstream].latency_ratio
+    host.end(request, 0, Outcome.CANCELLED)
+    host.now_us += 20_000_000  # the client reads slowly, which says nothing about the upstream
+    host.end(request, 1, Outcome.OK)
+    assert host.balancer.endpoints[second.upstream].latency_ratio == latency_ratio
+    assert all(state.slots_used == 0 for state in host.balancer.endpoints.values())
+    assert request not in host.balancer.requests
 
 
 def test_request_is_not_retried_when_a_started_response_breaks() -> None:
-    world = ready_world()
-    request = world.arrive(READ)
-    world.begin_stream(request, 0)
-    world.end(request, 0, Outcome.RESET)
-    assert len(world.sends(request)) == 1
-    assert world.answer(request) is None
+    host = ready_host()
+    request = host.arrive(READ)
+    host.start_response(request, 0)
+    host.end(request, 0, Outcome.RESET)
+    assert len(host.forward_actions(request)) == 1
+    assert host.answer(request) is None
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries, hedged requests and timeouts, and the timers behind them."""
+"""Retries, hedged requests, timeouts, and the timers that they use."""
 
 from __future__ import annotations
 
@@ -12,133 +12,133 @@
     MARK,
     PAY,
     READ,
-    churn,
-    fill,
+    run_traffic,
+    fill_slots,
     hedged_request,
-    ready_world,
+    ready_host,
 )
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize("class_index", [READ, PAY, MARK])
-def test_retry_goes_elsewhere_when_an_attempt_never_ran(outcome: Outcome, class_index: int) -> None:
-    world = ready_world()
-    request = world.arrive(class_index)
-    world.end(request, 0, outcome)
-    first, second = world.sends(request)
+def test_retry_goes_to_another_endpoint_when_an_attempt_never_ran(outcome: Outcome, class_index: int) -> None:
+    host = ready_host()
+    request = host.arrive(class_index)
+    host.end(request, 0, outcome)
+    first, second = host.forward_actions(request)
     assert first.endpoint_id != second.endpoint_id
 
 
 def test_retry_is_denied_when_an_unsafe_request_may_have_run() -> None:
-    world = ready_world()
-    request = world.arrive(PAY)
-    world.end(request, 0, Outcome.RESET)
-    assert isinstance(world.answer(request), Fail)
-    assert len(world.sends(request)) == 1
+    host = ready_host()
+    request = host.arrive(PAY)
+    host.end(request, 0, Outcome.RESET)
+    assert isinstance(host.answer(request), Fail)
+    assert len(host.forward_actions(request)) == 1
 
 
-def test_timeout_lasts_while_a_response_is_of_use_when_a_request_is_unsafe() -> None:
-    world = ready_world()
-    request = world.arrive(PAY)  # a late answer to it is worth nothing
-    world.advance(290_000)
-    assert world.answer(request) is None
-    world.advance(20_000)
-    assert isinstance(world.answer(request), Fail)
+def test_timeout_lasts_while_a_response_earns_weight_when_a_request_is_unsafe() -> None:
+    host = ready_host()
+    request = host.arrive(PAY)  # a response after the objective earns no weight in this class
+    host.advance(290_000)
+    assert host.answer(request) is None
+    host.advance(20_000)
+    assert isinstance(host.answer(request), Fail)
 
 
-def test_timeout_lasts_till_the_deadline_when_a_late_response_has_weight() -> None:
-    world = ready_world(max_attempts=1)
-    request = world.arrive(READ)
-    world.advance(1_400_000)
-    assert world.answer(request) is None
+def test_timeout_lasts_until_the_deadline_when_a_late_response_has_weight() -> None:
+    host = ready_host(max_attempts=1)
+    request = host.arrive(READ)
+    host.advance(1_400_000)
+    assert host.answer(request) is None
 
 
-def test_timer_arms_no_other_when_it_is_outdated() -> None:
-    world = ready_world(2)
+def test_timer_arms_no_further_timer_when_it_is_outdated() -> None:
+    host = ready_host(2)
     for _ in range(50):
-        fill(world)
-        world.advance(1_000)
-        for ident, owed in list(world.owed.items()):
-            for attempt in owed.out():
-                world.end(ident, attempt, Outcome.OVERLOADED)
-    world.advance(10_000_000)
-    assert len(world.timers) == 0
-
-
-def test_hedge_goes_elsewhere_when_an_attempt_is_slow_and_the_first_may_still_answer() -> None:
-    world = ready_world()
-    request = world.arrive(READ)
-    world.advance(250_000)
-    first, second = world.sends(request)
+        fill_slots(host)
+        host.advance(1_000)
+        for request, record in list(host.requests.items()):
+            for index in record.outstanding_indexes():
+                host.end(request, index, Outcome.OVERLOADED)
+    host.advance(10_000_000)
+    assert len(host.timers) == 0
+
+
+def test_hedge_goes_to_another_endpoint_when_an_attempt_is_slow_and_the_first_may_still_answer() -> None:
+    host = ready_host()
+    request = host.arrive(READ)
+    host.advance(250_000)
+    first, second = host.forward_actions(request)
     assert first.endpoint_id != second.endpoint_id
-    world.end(request, 0, Outcome.OK)
-    assert world.answer(request) is None
-    assert world.owed[request].answers == 1
+    host.end(request, 0, Outcome.OK)
+    assert host.answer(request) is None
+    assert host.requests[request].answers == 1
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_hedge_cancels_the_losing_attempt_when_that_is_allowed(cancel: bool) -> None:
-    world = ready_world(cancel_attempts=cancel)
-    request = hedged_request(world)
-    cancelled = [a for a in world.log if isinstance(a, CancelAttempt)]
+    host = ready_host(cancel_attempts=cancel)
+    request = hedged_request(host)
+    cancelled = [action for action in host.actions if isinstance(action, CancelAttempt)]
     assert cancelled == ([CancelAttempt(request, 0)] if cancel else [])
 
 
-@pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
-def test_hedge_is_not_sent_when_it_is_not_allowed(class_index: int, second_copies: bool) -> None:
-    world = ready_world(hedging=second_copies)
-    request = world.arrive(class_index)
-    world.advance(250_000)
-    assert len(world.sends(request)) == 1
+@pytest.mark.parametrize(("class_index", "hedging"), [(PAY, True), (READ, False)])
+def test_hedge_is_not_sent_when_it_is_not_allowed(class_index: int, hedging: bool) -> None:
+    host = ready_host(hedging=hedging)
+    request = host.arrive(class_index)
+    host.advance(250_000)
+    assert len(host.forward_actions(request)) == 1
 
 
 def test_hedge_is_not_sent_when_a_request_waits_for_a_slot() -> None:
-    world = ready_world()
-    fill(world)
-    world.advance(140_000)
-    fill(world)
-    world.advance(20_000)
-    assert all(len(owed.tries) <= 1 for owed in world.owed.values())
+    host = ready_host()
+    fill_slots(host)
+    host.advance(140_000)
+    fill_slots(host)
+    host.advance(20_000)
+    assert all(len(record.attempts) <= 1 for record in host.requests.values())
 
 
-@pytest.mark.parametrize(("class_index", "again"), [(READ, True), (MARK, True), (PAY, False)])
-def test_retry_follows_an_error_when_the_class_may_run_again(class_index: int, again: bool) -> None:
-    world = ready_world()
-    request = world.arrive(class_index)
-    world.end(request, 0, Outcome.ERROR)
-    assert (len(world.sends(request)) == 2) is again
+@pytest.mark.parametrize(("class_index", "is_retried"), [(READ, True), (MARK, True), (PAY, False)])
+def test_retry_follows_an_error_when_the_class_may_run_again(class_index: int, is_retried: bool) -> None:
+    host = ready_host()
+    request = host.arrive(class_index)
+    host.end(request, 0, Outcome.ERROR)
+    assert (len(host.forward_actions(request)) == 2) is is_retried
 
 
 def test_retry_budget_limits_retries_when_every_attempt_fails() -> None:
-    world = ready_world(40, hedging=False)
+    host = ready_host(40, hedging=False)
     errors = 0
     for _ in range(60):
-        request = world.arrive(READ)
-        world.advance(200_000)
-        while world.owed[request].out():
-            world.end(request, len(world.owed[request].tries) - 1, Outcome.ERROR)
+        request = host.arrive(READ)
+        host.advance(200_000)
+        while host.requests[request].outstanding_indexes():
+            host.end(request, len(host.requests[request].attempts) - 1, Outcome.ERROR)
             errors += 1
-    first = sum(1 for owed in world.owed.values() if owed.tries)
-    assert 5 <= errors - first <= 5 + first / 5
+    first_attempts = sum(1 for record in host.requests.values() if record.attempts)
+    assert 5 <= errors - first_attempts <= 5 + first_attempts / 5
 
 
 def test_timeout_is_longer_when_a_request_is_known_to_be_heavy() -> None:
-    world = ready_world(hedging=False)
-    churn(world, 50)
-    light, heavy = world.arrive(READ, expected_work_us=10_000), world.arrive(READ, expected_work_us=200_000)
-    assert world.sends(light)[0].timeout_us < 200_000
-    assert world.sends(heavy)[0].timeout_us >= 800_000
+    host = ready_host(hedging=False)
+    run_traffic(host, 50)
+    light, heavy = host.arrive(READ, expected_work_us=10_000), host.arrive(READ, expected_work_us=200_000)
+    assert host.forward_actions(light)[0].timeout_us < 200_000
+    assert host.forward_actions(heavy)[0].timeout_us >= 800_000
 
 
-@pytest.mark.parametrize("second_copies", [True, False])
-def test_requests_are_forwarded_when_an_outage_outlasted_every_response(second_copies: bool) -> None:
-    world = ready_world(2, hedging=second_copies)
+@pytest.mark.parametrize("hedging", [True, False])
+def test_requests_are_forwarded_when_an_outage_outlasted_every_response(hedging: bool) -> None:
+    host = ready_host(2, hedging=hedging)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
-            world.arrive(class_index)
-        world.advance(3_000_000)
+            host.arrive(class_index)
+        host.advance(3_000_000)
     for class_index in (READ, PAY, MARK):
-        churn(world, 20, class_index=class_index)
-        before = len(world.sends())
-        churn(world, 20, class_index=class_index)
-        assert len(world.sends()) - before >= 15
+        run_traffic(host, 20, class_index=class_index)
+        before = len(host.forward_actions())
+        run_traffic(host, 20, class_index=class_index)
+        assert len(host.forward_actions()) - before >= 15
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under arbitrary legal event sequences; tests/world.py checks every action."""
+"""The four rules of the contract under arbitrary legal event sequences; tests/policy_host.py checks every action."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     UpdateKind,
 )
 from garnetusher.policy.settings import RequestClass
-from tests.world import START_US, World, classes, settings, upstreams
+from tests.policy_host import START_US, PolicyHost, classes, settings, upstreams
 
-FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
+OUTCOMES = [outcome for outcome in Outcome if outcome is not Outcome.TIMEOUT]
 
 STEPS = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 4), st.integers(1, 2_000_000)),
-    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(FAULTS)),
+    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(OUTCOMES)),
     st.tuples(st.just("advance"), st.integers(0, 700_000), st.just(0)),
     st.tuples(st.just("list"), st.integers(0, 7), st.sampled_from(list(EndpointStatus))),
     st.tuples(st.just("full"), st.integers(0, 8), st.sampled_from([UpdateKind.SNAPSHOT, UpdateKind.CACHED])),
@@ -38,7 +38,7 @@
     st.tuples(st.just("stream"), st.integers(0, 50), st.just(0)),
 )
 
-CONFIGS = st.fixed_dictionaries(
+SETTINGS = st.fixed_dictionaries(
     {
         "hedging": st.booleans(),
         "poll_endpoints": st.booleans(),
@@ -53,7 +53,7 @@
 )
 
 
-def many_classes() -> list[RequestClass]:
+def all_classes() -> list[RequestClass]:
     return [
         *classes(),
         RequestClass(
@@ -70,159 +70,168 @@
     ]
 
 
-def play(world: World, step: tuple[str, int, object]) -> None:  # noqa: C901 - one branch for each kind of step
+def play(host: PolicyHost, step: tuple[str, int, object]) -> None:  # noqa: C901 - one branch for each kind of step
     what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in world.owed.items() for n in owed.out()]
+    outstanding = [
+        (request, index) for request, record in host.requests.items() for index in record.outstanding_indexes()
+    ]
     if what == "arrive":
         assert isinstance(extra, int)
-        world.arrive(number, patience_us=extra)
+        host.arrive(number, client_timeout_us=extra)
     elif what == "advance":
-        world.advance(number)
+        host.advance(number)
     elif what in ("list", "restart"):
-        started = world.now_us - extra if isinstance(extra, int) else 0
-        state = extra if isinstance(extra, EndpointStatus) else EndpointStatus.READY
-        entry = Endpoint(100 + number, state, number // 2, 0, number // 2, 1.0, started)
-        world.tell_list([entry], UpdateKind.DELTA)
+        started_us = host.now_us - extra if isinstance(extra, int) else 0
+        status = extra if isinstance(extra, EndpointStatus) else EndpointStatus.READY
+        entry = Endpoint(100 + number, status, number // 2, 0, number // 2, 1.0, started_us)
+        host.update_endpoints([entry], UpdateKind.DELTA)
     elif what == "full":
         assert isinstance(extra, UpdateKind)
-        world.tell_list(upstreams(number), extra)
-    elif what == "fail" and world.settings.poll_endpoints:
-        world.tell(EndpointsUpdated(UpdateKind.FAILED))
-    elif what == "quit" and world.owed:
-        ident = list(world.owed)[number % len(world.owed)]
-        if not world.owed[ident].closed:
-            world.quit(ident)
-    elif what == "end" and open_tries:
+        host.update_endpoints(upstreams(number), extra)
+    elif what == "fail" and host.settings.poll_endpoints:
+        host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+    elif what == "quit" and host.requests:
+        request = list(host.requests)[number % len(host.requests)]
+        if not host.requests[request].completed:
+            host.disconnect_client(request)
+    elif what == "end" and outstanding:
         assert isinstance(extra, Outcome)
-        world.end(*open_tries[number % len(open_tries)], extra)
+        host.end(*outstanding[number % len(outstanding)], extra)
     elif what == "stream":
-        streams = [
-            (i, n)
-            for i, n in open_tries
-            if world.settings.classes[world.owed[i].event.class_index].streaming
-            and not world.owed[i].stream
-            and not world.owed[i].closed
+        streamable = [
+            (request, index)
+            for request, index in outstanding
+            if host.settings.classes[host.requests[request].event.class_index].streaming
+            and not host.requests[request].response_started
+            and not host.requests[request].completed
         ]
-        if streams:
-            world.begin_stream(*streams[number % len(streams)])
+        if streamable:
+            host.start_response(*streamable[number % len(streamable)])
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
-@given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
+@given(SETTINGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
 def test_policy_keeps_the_rules_when_events_come_in_any_order(
-    config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
+    changes: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
-    world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), UpdateKind.CACHED)
+    host = PolicyHost(settings(classes=all_classes(), **changes), seed)
+    host.update_endpoints(upstreams(6), UpdateKind.CACHED)
     for step in steps:
-        play(world, step)
-    world.advance(5_000_000)  # everything is answered by its due time
+        play(host, step)
+    host.advance(5_000_000)  # by then every request must have its final answer
 
 
-def busy_day(config: dict[str, object], seed: int) -> list[object]:
-    """Heavy use with every kind of fault, so that slots run out and requests wait and are reissued."""
-    dice = random.Random(seed)
-    world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), UpdateKind.CACHED)
+def actions_under_load(changes: dict[str, object], seed: int) -> list[object]:
+    """Return the actions under heavy load with every kind of fault, so that slots run out and requests are retried."""
+    rng = random.Random(seed)
+    host = PolicyHost(settings(classes=all_classes(), **changes), seed)
+    host.update_endpoints(upstreams(6), UpdateKind.CACHED)
     for _ in range(1500):
-        kind = dice.choices(
+        what = rng.choices(
             ["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"], [50, 40, 10, 1, 1, 1, 1, 1]
         )[0]
         extra: object = 0
-        number = dice.randrange(50)
-        if kind == "arrive":
-            number, extra = dice.randrange(5), dice.randrange(1_000, 2_000_000)
-        elif kind == "end":
-            extra = dice.choices(FAULTS, [20, *[2] * 4, *[1] * (len(FAULTS) - 5)])[0]
-        elif kind == "advance":
-            number = dice.randrange(60_000)
-        elif kind in ("list", "restart"):
-            number = dice.randrange(8)
-            extra = dice.choice(list(EndpointStatus)) if kind == "list" else dice.randrange(30_000_000)
-        play(world, (kind, number, extra))
-    world.advance(5_000_000)
-    return list(world.log)
-
-
-def test_policy_keeps_the_rules_and_repeats_itself_when_days_are_busy() -> None:
+        number = rng.randrange(50)
+        if what == "arrive":
+            number, extra = rng.randrange(5), rng.randrange(1_000, 2_000_000)
+        elif what == "end":
+            extra = rng.choices(OUTCOMES, [20, *[2] * 4, *[1] * (len(OUTCOMES) - 5)])[0]
+        elif what == "advance":
+            number = rng.randrange(60_000)
+        elif what in ("list", "restart"):
+            number = rng.randrange(8)
+            extra = rng.choice(list(EndpointStatus)) if what == "list" else rng.randrange(30_000_000)
+        play(host, (what, number, extra))
+    host.advance(5_000_000)
+    return list(host.actions)
+
+
+def test_policy_keeps_the_rules_and_is_deterministic_when_load_is_heavy() -> None:
     for seed in range(12):
-        config: dict[str, object] = {
+        changes: dict[str, object] = {
             "hedging": seed % 2 == 0,
             "poll_endpoints": seed % 3 == 0,
             "poll_interval_us": 10_000_000,
             "load_report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3],
             "health_checks": seed % 4 == 0,
         }
-        assert busy_day(config, seed) == busy_day(config, seed)
+        assert actions_under_load(changes, seed) == actions_under_load(changes, seed)
 
 
-def pushed_share(  # noqa: C901, PLR0912 - one event loop of a small fleet, kept in one piece
-    skew: list[int], outcome: Outcome, cost_us: int = 0, seed: int = 0
+def peak_load_share(  # noqa: C901, PLR0912 - one event loop of a small fleet, kept in one piece
+    rates: list[int], outcome: Outcome, expected_work_us: int = 0, seed: int = 0
 ) -> float:
-    """The most work that sidecars together send one cold upstream in any `fall_us`, over its budget there.
-
-    The upstream is new among nine of one core, which serve in turn and turn away what would wait over 300 ms;
-    requests take 40 ms of a warm one. Each sidecar gets `skew` requests a tick of 4 ms: up to 26 times what
-    the nine can do."""
-    config = settings(fleet_size=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
-    balancers = [Balancer(config, seed + n, START_US) for n in range(len(skew))]
-    listed = [Endpoint(1, started_us=START_US), *[Endpoint(n) for n in range(2, 11)]]
-
-    def warmth(at_us: int) -> float:
+    """Return the peak load on one warming upstream, as a share of the load at which it would fail.
+
+    The load is the work that all sidecars together send to the upstream within any `overload_window_us`. The upstream
+    has just started; nine others are warm. Each has one core, serves requests in order and rejects those that would
+    wait longer than 300 ms. A request takes 40 ms on a warm upstream. `rates` holds the number of requests that each
+    sidecar gets in a tick of 4 ms; together they are up to 26 times the capacity of the nine warm upstreams.
+    """
+    policy_settings = settings(fleet_size=len(rates), classes=[RequestClass("read", 300_000, 1_500_000)])
+    balancers = [Balancer(policy_settings, seed + number, START_US) for number in range(len(rates))]
+    endpoints = [Endpoint(1, started_us=START_US), *[Endpoint(number) for number in range(2, 11)]]
+
+    def capacity_fraction(at_us: int) -> float:
         return (
-            config.warm_up_initial_fraction
-            + (1 - config.warm_up_initial_fraction) * (at_us - START_US) / config.warm_up_us
+            policy_settings.warm_up_initial_fraction
+            + (1 - policy_settings.warm_up_initial_fraction) * (at_us - START_US) / policy_settings.warm_up_us
         )
 
-    free_us = {entry.id: START_US for entry in listed}
-    sent: list[int] = []
+    free_us = {endpoint.id: START_US for endpoint in endpoints}
+    sent_us: list[int] = []
+    # (time, sidecar, request, endpoint, attempt index, outcome, start time)
     ends: list[tuple[int, int, int, int, int, Outcome, int]] = []
-    tries: dict[int, int] = {}
-    timers: list[tuple[int, int]] = []
+    attempt_counts: dict[int, int] = {}
+    timers: list[tuple[int, int]] = []  # (time, sidecar)
     now_us, request = START_US, 0
     for balancer in balancers:
-        balancer.handle(now_us, EndpointsUpdated(UpdateKind.SNAPSHOT, listed))
+        balancer.handle(now_us, EndpointsUpdated(UpdateKind.SNAPSHOT, endpoints))
     while now_us < START_US + 8_000_000:
         events: list[tuple[int, object]] = []
-        for number, rate in enumerate(skew):
+        for number, rate in enumerate(rates):
             for _ in range(rate):
                 request += 1
-                events.append((number, RequestArrived(request, now_us + 1_500_000, expected_work_us=cost_us)))
-        for end in [e for e in ends if e[0] <= now_us]:
+                events.append((number, RequestArrived(request, now_us + 1_500_000, expected_work_us=expected_work_us)))
+        for end in [end for end in ends if end[0] <= now_us]:
             ends.remove(end)
-            how, took_us = end[5], now_us - end[6]
-            events.append((end[1], AttemptEnded(end[2], end[4], end[3], how, took_us, how is Outcome.OK)))
-        for timer in [t for t in timers if t[0] <= now_us]:
+            ended, elapsed_us = end[5], now_us - end[6]
+            events.append((end[1], AttemptEnded(end[2], end[4], end[3], ended, elapsed_us, ended is Outcome.OK)))
+        for timer in [timer for timer in timers if timer[0] <= now_us]:
             timers.remove(timer)
             events.append((timer[1], TimerFired(0)))
         for number, event in events:
             for action in balancers[number].handle(now_us, event):  # type: ignore[arg-type]
                 if isinstance(action, Forward):
-                    nth = tries.get(action.request_id, 0)
-                    tries[action.request_id] = nth + 1
-                    slower = warmth(now_us) if action.endpoint_id == 1 else 1.0
-                    ready_us = max(free_us[action.endpoint_id], now_us) + int(40_000 / slower)
-                    how = outcome if action.endpoint_id == 1 else Outcome.OK
-                    if how is not Outcome.OK or ready_us > now_us + 300_000:
-                        ready_us, how = now_us + 4_000, Outcome.OVERLOADED if how is Outcome.OK else how
+                    attempt_index = attempt_counts.get(action.request_id, 0)
+                    attempt_counts[action.request_id] = attempt_index + 1
+                    speed = capacity_fraction(now_us) if action.endpoint_id == 1 else 1.0
+                    end_us = max(free_us[action.endpoint_id], now_us) + int(40_000 / speed)
+                    ended = outcome if action.endpoint_id == 1 else Outcome.OK
+                    if ended is not Outcome.OK or end_us > now_us + 300_000:
+                        end_us, ended = now_us + 4_000, Outcome.OVERLOADED if ended is Outcome.OK else ended
                     else:
-                        free_us[action.endpoint_id] = ready_us
-                    ends.append((ready_us, number, action.request_id, action.endpoint_id, nth, how, now_us))
+                        free_us[action.endpoint_id] = end_us
+                    ends.append((end_us, number, action.request_id, action.endpoint_id, attempt_index, ended, now_us))
                     if action.endpoint_id == 1:
-                        sent.append(now_us)
+                        sent_us.append(now_us)
         now_us += 4_000
-    worst = 0.0
-    for start in sent:
-        pushed = 40_000 * sum(1 for at in sent if start <= at < start + config.overload_window_us)
-        worst = max(worst, pushed / (config.overload_factor * warmth(start) * config.overload_window_us))
-    return worst
+    peak = 0.0
+    for start_us in sent_us:
+        work_us = 40_000 * sum(1 for at_us in sent_us if start_us <= at_us < start_us + policy_settings.overload_window_us)
+        peak = max(
+            peak,
+            work_us
+            / (policy_settings.overload_factor * capacity_fraction(start_us) * policy_settings.overload_window_us),
+        )
+    return peak
 
 
 def test_fleet_does_not_overload_a_warming_endpoint_when_all_sidecars_send() -> None:
-    for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [4, 1, 1, 1]):
+    for rates in ([1, 1, 1], [3, 0, 0], [1] * 8, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR, Outcome.CONNECT_FAILED):
-            assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
-    for outcome in (Outcome.OK, Outcome.OVERLOADED):  # the rule leaves slack for chance, and the budget is 12 sends
-        shares = [pushed_share([1] * 24, outcome, seed=seed) for seed in (0, 100, 200)]
+            assert 0 < peak_load_share(rates, outcome) <= 1, (rates, outcome)
+    for outcome in (Outcome.OK, Outcome.OVERLOADED):  # the rule allows for chance, and the limit is 12 attempts
+        shares = [peak_load_share([1] * 24, outcome, seed=seed) for seed in (0, 100, 200)]
         assert 0 < statistics.median(shares) <= 1, (shares, outcome)
         assert max(shares) < 1.2, (shares, outcome)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -9,92 +9,92 @@
     UpdateKind,
 )
 from tests.policy_driver import (
-    FIRST,
+    INITIAL_SLOT_LIMIT,
     PAY,
     READ,
-    churn,
-    ready_world,
+    run_traffic,
+    ready_host,
 )
 
 
 def test_selection_forwards_at_once_when_an_endpoint_is_ready() -> None:
-    world = ready_world()
-    request = world.arrive(READ)
-    assert [s.endpoint_id in world.known for s in world.sends(request)] == [True]
+    host = ready_host()
+    request = host.arrive(READ)
+    assert [s.endpoint_id in host.known for s in host.forward_actions(request)] == [True]
 
 
 def test_selection_spreads_over_all_endpoints_when_all_are_well() -> None:
-    world = ready_world(6)
+    host = ready_host(6)
     for _ in range(60):
-        world.end(world.arrive(READ), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == set(world.known)
+        host.end(host.arrive(READ), 0, Outcome.OK)
+    assert {s.endpoint_id for s in host.forward_actions()} == set(host.known)
 
 
 def test_selection_avoids_endpoints_when_they_drain_or_are_removed() -> None:
-    world = ready_world(2)
-    world.tell_list([Endpoint(100, EndpointStatus.DRAINING), Endpoint(101, EndpointStatus.REMOVED)])
-    request = world.arrive(READ)
-    world.advance(1_000_000)
-    assert not world.sends(request)
+    host = ready_host(2)
+    host.update_endpoints([Endpoint(100, EndpointStatus.DRAINING), Endpoint(101, EndpointStatus.REMOVED)])
+    request = host.arrive(READ)
+    host.advance(1_000_000)
+    assert not host.forward_actions(request)
 
 
 def test_selection_prefers_this_zone_when_crossing_costs() -> None:
-    world = ready_world(8, zone=1, cross_zone_cost=0.03)
-    first = [world.arrive(READ) for _ in range(2 * FIRST)]
-    assert {world.known[world.sends(r)[0].endpoint_id].zone for r in first} == {1}
-    next_one = world.arrive(READ)
-    assert world.known[world.sends(next_one)[0].endpoint_id].zone != 1
+    host = ready_host(8, zone=1, cross_zone_cost=0.03)
+    first = [host.arrive(READ) for _ in range(2 * INITIAL_SLOT_LIMIT)]
+    assert {host.known[host.forward_actions(r)[0].endpoint_id].zone for r in first} == {1}
+    next_one = host.arrive(READ)
+    assert host.known[host.forward_actions(next_one)[0].endpoint_id].zone != 1
 
 
 def test_selection_ignores_zones_when_crossing_is_free() -> None:
-    world = ready_world(8, zone=1)
-    churn(world, 100)
-    assert {world.known[s.endpoint_id].zone for s in world.sends()} == {0, 1, 2, 3}
+    host = ready_host(8, zone=1)
+    run_traffic(host, 100)
+    assert {host.known[s.endpoint_id].zone for s in host.forward_actions()} == {0, 1, 2, 3}
 
 
 def test_selection_crosses_zones_when_this_zone_admits_little() -> None:
-    world = ready_world(8, zone=1, cross_zone_cost=0.2, fleet_size=400)
-    churn(world, 30, class_index=PAY)
-    assert {world.known[s.endpoint_id].zone for s in world.sends()} == {1}
-    before = len(world.sends())
+    host = ready_host(8, zone=1, cross_zone_cost=0.2, fleet_size=400)
+    run_traffic(host, 30, class_index=PAY)
+    assert {host.known[s.endpoint_id].zone for s in host.forward_actions()} == {1}
+    before = len(host.forward_actions())
     for _ in range(30):
-        request = world.arrive(PAY)
-        home = [s for s in world.sends(request) if world.known[s.endpoint_id].zone == 1]
-        world.advance(300_000 if home else 20_000)
-        if not home and world.owed[request].out():
-            world.end(request, 0, Outcome.OK)
-    crossed = [s for s in world.sends()[before:] if world.known[s.endpoint_id].zone != 1]
+        request = host.arrive(PAY)
+        home = [s for s in host.forward_actions(request) if host.known[s.endpoint_id].zone == 1]
+        host.advance(300_000 if home else 20_000)
+        if not home and host.requests[request].outstanding_indexes():
+            host.end(request, 0, Outcome.OK)
+    crossed = [s for s in host.forward_actions()[before:] if host.known[s.endpoint_id].zone != 1]
     assert len(crossed) >= 10
-    assert len(world.sends()) - before >= 25
+    assert len(host.forward_actions()) - before >= 25
 
 
 def test_selection_uses_few_endpoints_when_traffic_is_light() -> None:
-    world = ready_world(60, fleet_size=400)
-    churn(world, 100, took_us=1_000_000)
-    assert len({s.endpoint_id for s in world.sends()}) <= 6
+    host = ready_host(60, fleet_size=400)
+    run_traffic(host, 100, response_time_us=1_000_000)
+    assert len({s.endpoint_id for s in host.forward_actions()}) <= 6
 
 
 def test_selection_uses_more_endpoints_when_traffic_grows() -> None:
-    world = ready_world(60, fleet_size=400)
-    churn(world, 600, took_us=20_000)
-    assert len({s.endpoint_id for s in world.sends()}) >= 30
+    host = ready_host(60, fleet_size=400)
+    run_traffic(host, 600, response_time_us=20_000)
+    assert len({s.endpoint_id for s in host.forward_actions()}) >= 30
 
 
 def test_selection_draws_an_endpoint_less_when_it_is_slower() -> None:
-    world = ready_world(4, hedging=False)
+    host = ready_host(4, hedging=False)
     for _ in range(200):
-        request = world.arrive(READ)
-        slow = world.sends(request)[0].endpoint_id == 100
-        world.advance(120_000 if slow else 30_000)
-        world.end(request, 0, Outcome.OK)
-    assert sum(1 for s in world.sends() if s.endpoint_id == 100) < 25
+        request = host.arrive(READ)
+        slow = host.forward_actions(request)[0].endpoint_id == 100
+        host.advance(120_000 if slow else 30_000)
+        host.end(request, 0, Outcome.OK)
+    assert sum(1 for s in host.forward_actions() if s.endpoint_id == 100) < 25
 
 
 def test_registry_keeps_no_state_when_endpoints_are_removed() -> None:
-    world = ready_world(4)
+    host = ready_host(4)
     for n in range(50):
-        world.tell_list([Endpoint(1000 + n)], UpdateKind.DELTA)
-        churn(world, 5)
-        world.tell_list([Endpoint(1000 + n, EndpointStatus.REMOVED)], UpdateKind.DELTA)
-    assert len(world.balancer.endpoints) == 4
-    assert len(world.balancer.pools[0].in_use) <= 4
+        host.update_endpoints([Endpoint(1000 + n)], UpdateKind.DELTA)
+        run_traffic(host, 5)
+        host.update_endpoints([Endpoint(1000 + n, EndpointStatus.REMOVED)], UpdateKind.DELTA)
+    assert len(host.balancer.endpoints) == 4
+    assert len(host.balancer.pools[0].in_use) <= 4
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -6,76 +6,76 @@
     Outcome,
 )
 from tests.policy_driver import (
-    FIRST,
+    INITIAL_SLOT_LIMIT,
     READ,
     available_slots,
-    churn,
-    fill,
-    ready_world,
+    run_traffic,
+    fill_slots,
+    ready_host,
 )
 
 
 def test_slots_stay_when_requests_find_one_free() -> None:
-    world = ready_world(4)
-    churn(world, 100)
-    assert available_slots(world) == 4 * FIRST
+    host = ready_host(4)
+    run_traffic(host, 100)
+    assert available_slots(host) == 4 * INITIAL_SLOT_LIMIT
 
 
 def test_slots_open_when_needed_and_close_when_responses_are_slow() -> None:
-    world = ready_world(4)
+    host = ready_host(4)
 
     def rounds(count: int, took_us: int) -> None:
         for _ in range(count):
-            fill(world)
-            churn(world, 1, took_us=took_us)
+            fill_slots(host)
+            run_traffic(host, 1, response_time_us=took_us)
 
     rounds(60, 20_000)
-    churn(world, 1)
-    grown = available_slots(world)
+    run_traffic(host, 1)
+    grown = available_slots(host)
     assert 8 <= grown <= 32
     rounds(20, 250_000)
-    churn(world, 3)
-    assert available_slots(world) < grown / 2
+    run_traffic(host, 3)
+    assert available_slots(host) < grown / 2
 
 
 def test_slots_open_when_responses_take_three_quarters_of_the_slow_time() -> None:
-    world = ready_world(1, hedging=False)
-    taken = [request for request in fill(world) if world.sends(request)]
-    world.advance(112_000)  # of half the aim, 150 ms
-    before = world.balancer.endpoints[100].slot_limit
+    host = ready_host(1, hedging=False)
+    taken = [request for request in fill_slots(host) if host.forward_actions(request)]
+    host.advance(112_000)  # of half the aim, 150 ms
+    before = host.balancer.endpoints[100].slot_limit
     for request in taken:
-        world.end(request, 0, Outcome.OK)
-    assert world.balancer.endpoints[100].slot_limit > before
+        host.end(request, 0, Outcome.OK)
+    assert host.balancer.endpoints[100].slot_limit > before
 
 
 def test_slots_are_three_at_first_when_the_fleet_is_large() -> None:
-    few, many = ready_world(4, fleet_size=3), ready_world(4, fleet_size=400)
-    assert len(fill(many)) == len(fill(few)) == 4 * FIRST + 1
+    few, many = ready_host(4, fleet_size=3), ready_host(4, fleet_size=400)
+    assert len(fill_slots(many)) == len(fill_slots(few)) == 4 * INITIAL_SLOT_LIMIT + 1
 
 
 def test_slots_shed_nothing_when_a_sidecar_starts_busy() -> None:
-    world = ready_world(10)
-    assert all(world.sends(world.arrive(READ)) for _ in range(30))
+    host = ready_host(10)
+    assert all(host.forward_actions(host.arrive(READ)) for _ in range(30))
 
 
 def test_slots_stay_when_there_is_no_need() -> None:
-    world = ready_world(40, fleet_size=24)
-    churn(world, 400)
-    assert all(server.slot_limit <= FIRST for server in world.balancer.endpoints.values())
+    host = ready_host(40, fleet_size=24)
+    run_traffic(host, 400)
+    assert all(server.slot_limit <= INITIAL_SLOT_LIMIT for server in host.balancer.endpoints.values())
 
 
 def test_slots_open_for_two_objectives_when_a_shortage_has_ended() -> None:
     windows = []
     for pause_us in (300_000, 900_000):
-        world = ready_world(1)
-        taken = fill(world)
-        world.advance(10_000)
+        host = ready_host(1)
+        taken = fill_slots(host)
+        host.advance(10_000)
         for request in taken:
-            world.end(request, 0, Outcome.OK)
-        world.advance(pause_us)
-        before = world.balancer.endpoints[100].slot_limit
-        churn(world, 3)
-        windows.append(world.balancer.endpoints[100].slot_limit - before)
+            host.end(request, 0, Outcome.OK)
+        host.advance(pause_us)
+        before = host.balancer.endpoints[100].slot_limit
+        run_traffic(host, 3)
+        windows.append(host.balancer.endpoints[100].slot_limit - before)
     assert windows[0] > 0
     assert windows[1] == 0
 
@@ -83,10 +83,10 @@
 def test_slots_open_faster_when_responses_are_quicker() -> None:
     counts = []
     for took_us in (10_000, 120_000):
-        world = ready_world(4)
+        host = ready_host(4)
         for _ in range(6):
-            fill(world)
-            churn(world, 1, took_us=took_us)
-        churn(world, 1, took_us=took_us)
-        counts.append(available_slots(world))
+            fill_slots(host)
+            run_traffic(host, 1, response_time_us=took_us)
+        run_traffic(host, 1, response_time_us=took_us)
+        counts.append(available_slots(host))
     assert counts[0] > counts[1]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -18,8 +18,8 @@
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
 from tests.runner import run
-from tests.world import World as Stand
-from tests.world import settings, upstreams
+from tests.policy_host import PolicyHost as Stand
+from tests.policy_host import settings, upstreams
 
 SECOND = 1_000_000
 
@@ -203,7 +203,7 @@
 def test_hedge_stays_in_its_tier_when_nothing_is_wrong_there() -> None:
     for suspect in (False, True):
         stand = Stand(settings(cross_zone_cost=0.02, cancel_attempts=False))
-        stand.tell_list(upstreams(4))  # two here, two in the next zone
+        stand.update_endpoints(upstreams(4))  # two here, two in the next zone
         balancer = stand.balancer
         for ident in (100, 101):
             balancer.endpoints[ident].slot_limit = 1.0
@@ -211,7 +211,7 @@
         if suspect:
             balancer.zones.record_failure(FailedAttempt(0, 101, stand.now_us), stand.now_us)
         stand.advance(150_000)
-        crossed = [send for ident in (first, second) for send in stand.sends(ident)[1:]]
+        crossed = [send for ident in (first, second) for send in stand.forward_actions(ident)[1:]]
         assert bool(crossed) == suspect
         assert all(send.endpoint_id in (102, 103) for send in crossed)
 
@@ -219,17 +219,17 @@
 @pytest.mark.parametrize("answers", [False, True])
 def test_retry_goes_to_another_zone_when_its_zone_is_silent(answers: bool) -> None:
     stand = Stand(settings(cross_zone_cost=0.02, max_attempts=3))
-    stand.tell_list(upstreams(6))
+    stand.update_endpoints(upstreams(6))
     stand.advance(SILENCE_US)
     ident, ended = stand.arrive(0), 0
-    while len(stand.sends(ident)) > ended:  # all that is tried here is refused
+    while len(stand.forward_actions(ident)) > ended:  # all that is tried here is refused
         if answers:
             stand.balancer.zones.record_answer(0, stand.now_us, 1.0, stand.now_us)
-        near = stand.sends(ident)[ended].endpoint_id < 102
+        near = stand.forward_actions(ident)[ended].endpoint_id < 102
         stand.end(ident, ended, Outcome.CONNECT_FAILED if near else Outcome.OK)
         ended += 1
     assert ended == (3 if answers else 2)
-    assert (stand.sends(ident)[-1].endpoint_id < 102) == answers
+    assert (stand.forward_actions(ident)[-1].endpoint_id < 102) == answers
 
 
 def test_fleet_keeps_the_third_zone_when_two_are_lost() -> None:
@@ -274,8 +274,8 @@
 
 def test_policy_sends_nothing_to_a_zone_when_an_operator_evacuates_it() -> None:
     stand = Stand(settings(cross_zone_cost=0.02))
-    stand.tell_list(upstreams(6))
-    stand.tell(ZoneOverridden(0, True))
+    stand.update_endpoints(upstreams(6))
+    stand.deliver(ZoneOverridden(0, True))
     for _ in range(30):
         ident = stand.arrive(0)
-        assert all(send.endpoint_id not in (100, 101) for send in stand.sends(ident))
+        assert all(send.endpoint_id not in (100, 101) for send in stand.forward_actions(ident))
