--- a/garnetusher/policy/actions.py
+++ b/garnetusher/policy/actions.py
@@ -14,8 +14,8 @@
         endpoint_id: The id of the endpoint to send it to.
         timeout_us: The timeout, counted from this action or from the last byte of an incomplete request body; 0 = until
             the client stops waiting.
-        latest_start_us: The latest time at which the request may be written; 0 = no limit. A connection can take
-            longer to open.
+        latest_start_us: The latest time at which the request may be written, in case its connection opens late; 0 = no
+            limit.
     """
 
     request_id: int
--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -59,7 +59,7 @@
         self._admission.admit(request)
 
     def on_body_complete(self, event: RequestBodyComplete) -> None:
-        """Start the request's deadline and let its attempts hold slots: only a complete request loads its endpoint."""
+        """Start the request's time limits and take slots: only a complete request puts load on its endpoint."""
         request = self._context.requests.get(event.request_id)
         if request is None:
             return
@@ -123,7 +123,7 @@
         if attempt.outcome is not None:
             return
         attempt.outcome = event.outcome
-        if not request.response_started or attempt.holds_slot:  # otherwise on_response_started did it
+        if not request.response_started or attempt.holds_slot:  # otherwise on_response_started has updated them
             self._update_estimates(request, attempt, event.outcome, event.elapsed_us)
         if event.request_completed or request.completed:
             self._forwarder.cancel_outstanding(request)
--- a/garnetusher/policy/polling.py
+++ b/garnetusher/policy/polling.py
@@ -11,7 +11,7 @@
 # The mean time between two calls of the fleet to discovery before any failure: one call costs discovery up to 0.2 s
 POLL_GAP_US = 250_000
 FIRST_POLL_FRACTION = 0.8  # a poll starts within this fraction of the poll interval
-# An update must arrive within 6 s of discovery being reachable; a call takes up to 2.5 s of that, and stalls the rest
+# An update must arrive within 6 s of discovery being reachable; a call can take 2.5 s of that, and stalls the rest
 MAX_POLL_GAP_US = 3_000_000
 MAX_BACKOFF_EXPONENT = 20
 
--- a/garnetusher/policy/retry.py
+++ b/garnetusher/policy/retry.py
@@ -17,7 +17,8 @@
 # An attempt is overdue after this multiple of the mean response time, or after half the latency objective if sooner
 OVERDUE_FACTOR = 3.0
 TIMEOUT_FACTOR = 4  # multiple of the mean response time after which an attempt that may be retried times out
-# A hedge starts after this multiple of the mean response time: early enough to meet the objective, but rare
+# A hedge starts after this multiple of the mean response time: early enough for its response to meet the objective,
+# and late enough for hedges to be rare
 HEDGE_FACTOR = 2
 
 
@@ -152,5 +153,5 @@
         )
 
     def _clock_start_us(self, request: RequestState) -> int:
-        """Return the start of the request's deadline: the time of its last byte, or now if that has not arrived."""
+        """Return the time from which the request's time limits count: its last byte, or now if that has not arrived."""
         return request.arrived_us if request.body_complete else self._context.now_us
