--- a/garnetusher/policy/settings.py
+++ b/garnetusher/policy/settings.py
@@ -111,7 +111,7 @@
         batch_interval_us: The shortest interval between two batches of the simulator.
         max_attempts: The maximum number of attempts of a request.
         max_retry_after_us: The longest Retry-After.
-        connect_timeout_us: The longest time in which a connection may be established.
+        connect_timeout_us: How long it may take to establish a connection.
         send_retry_after: Whether clients get a Retry-After.
         cancel_attempts: Whether attempts may be cancelled.
         health_checks: Whether health checks may be sent.
