--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -103,7 +103,7 @@
         self.settings = settings
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
-        self.requests: dict[int, RequestRecord] = {}
+        self.request_records: dict[int, RequestRecord] = {}
         self.known: dict[int, Endpoint] = {}  # the last entry of each upstream in the endpoint list
         self.listings: dict[int, int] = {}  # how often each upstream has been added to the list
         self.unavailable_since_us: dict[int, int] = {}  # when each draining or removed upstream became so
@@ -131,7 +131,7 @@
             else:
                 self.unavailable_since_us.setdefault(entry.id, self.now_us)
         if kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
-            for upstream in self.known.keys() - {entry.id for entry in entries}:
+            for upstream in self.known.keys() - {listed.id for listed in entries}:
                 self.unavailable_since_us.setdefault(upstream, self.now_us)
         return self.deliver(EndpointsUpdated(kind, entries))
 
@@ -140,12 +140,12 @@
         self.next_id += 1
         timeout_us = client_timeout_us or self.settings.classes[class_index].deadline_us
         event = RequestArrived(request_id, self.now_us + timeout_us, class_index, **fields)
-        self.requests[request_id] = RequestRecord(event, body_incomplete=not event.body_complete)
+        self.request_records[request_id] = RequestRecord(event, body_incomplete=not event.body_complete)
         self.deliver(event)
         return request_id
 
     def end(self, request_id: int, attempt_index: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        record = self.requests[request_id]
+        record = self.request_records[request_id]
         attempt = record.attempts[attempt_index]
         assert attempt.outcome is None
         attempt.outcome = outcome
@@ -154,28 +154,40 @@
             record.answers += 1
         return self.deliver(
             AttemptEnded(
-                request_id, attempt_index, attempt.upstream, outcome, self.now_us - attempt.sent_us, record.completed, **fields
+                request_id,
+                attempt_index,
+                attempt.upstream,
+                outcome,
+                self.now_us - attempt.sent_us,
+                record.completed,
+                **fields,
             )
         )
 
     def complete_body(self, request_id: int) -> None:
         """Deliver the last byte of a long request body, which starts the deadline and the timeouts of attempts."""
-        record = self.requests[request_id]
+        record = self.request_records[request_id]
         record.body_incomplete = False
         record.event.deadline_us = self.now_us + self.settings.classes[record.event.class_index].deadline_us
         for index in record.outstanding_indexes():
             attempt = record.attempts[index]
             attempt.sent_us = self.now_us  # by the protocol, an attempt counts from the arrival of its last byte
-            attempt.ends_us = min(record.event.deadline_us, self.now_us + (attempt.timeout_us or record.event.deadline_us))
+            attempt.ends_us = min(
+                record.event.deadline_us, self.now_us + (attempt.timeout_us or record.event.deadline_us)
+            )
         self.deliver(RequestBodyComplete(request_id, record.event.deadline_us))
 
     def start_response(self, request_id: int, attempt_index: int) -> None:
-        self.requests[request_id].response_started = True
-        self.deliver(ResponseStarted(request_id, attempt_index, self.requests[request_id].attempts[attempt_index].upstream))
+        self.request_records[request_id].response_started = True
+        self.deliver(
+            ResponseStarted(
+                request_id, attempt_index, self.request_records[request_id].attempts[attempt_index].upstream
+            )
+        )
 
     def disconnect_client(self, request_id: int) -> None:
-        self.requests[request_id].completed = True
-        self.requests[request_id].answers = 1
+        self.request_records[request_id].completed = True
+        self.request_records[request_id].answers = 1
         self.deliver(ClientDisconnected(request_id))
 
     def half_close_client(self, request_id: int) -> None:
@@ -183,12 +195,12 @@
 
         In the sidecar, an attempt that waits for a connection then ends without being written; other attempts continue.
         """
-        self.requests[request_id].half_closed = True
+        self.request_records[request_id].half_closed = True
         self.deliver(ClientHalfClosed(request_id))
 
     def change_deadline(self, request_id: int, deadline_us: int) -> None:
         """Move the deadline of a request to an earlier time; its attempts end by then."""
-        record = self.requests[request_id]
+        record = self.request_records[request_id]
         record.event.deadline_us = deadline_us
         for index in record.outstanding_indexes():
             record.attempts[index].ends_us = min(deadline_us, record.attempts[index].ends_us)
@@ -209,7 +221,7 @@
             due = [(at_us, 1, token, 0) for at_us, token in self.timers]
             due += [
                 (attempt.ends_us, 0, request_id, index)
-                for request_id, record in self.requests.items()
+                for request_id, record in self.request_records.items()
                 if not record.response_started and not record.body_incomplete
                 for index, attempt in enumerate(record.attempts)
                 if attempt.outcome is None
@@ -228,9 +240,17 @@
                 self.deliver(TimerFired(request_or_token))
         self.now_us = end_us
         slack_us = 4 * self.settings.batch_interval_us + pause_us
-        for request_id, record in self.requests.items():
-            overdue = self.now_us > record.event.deadline_us + slack_us and not record.response_started and not record.body_incomplete
-            require(not overdue or record.answers == 1, "rule 1", f"request {request_id} has no final answer after its deadline")
+        for request_id, record in self.request_records.items():
+            overdue = (
+                self.now_us > record.event.deadline_us + slack_us
+                and not record.response_started
+                and not record.body_incomplete
+            )
+            require(
+                not overdue or record.answers == 1,
+                "rule 1",
+                f"request {request_id} has no final answer after its deadline",
+            )
 
     # Checks
 
@@ -241,7 +261,11 @@
             self.check_answer(action)
         elif isinstance(action, CancelAttempt):
             require(self.settings.cancel_attempts, "contract", "cancelled an attempt although this is not allowed")
-            require(action.attempt_index < len(self.requests[action.request_id].attempts), "contract", "cancelled an attempt that does not exist")
+            require(
+                action.attempt_index < len(self.request_records[action.request_id].attempts),
+                "contract",
+                "cancelled an attempt that does not exist",
+            )
         elif isinstance(action, SetTimer):
             require(action.at_us >= self.now_us, "contract", "requested a timer in the past")
             self.timers.append((action.at_us, action.token))
@@ -255,25 +279,47 @@
             )
 
     def check_forward(self, forward: Forward) -> None:
-        record = self.requests[forward.request_id]
+        record = self.request_records[forward.request_id]
         entry = self.known[forward.endpoint_id]
         rules = self.settings.classes[record.event.class_index]
         require(not record.completed, "rule 1", "forwarded a request after its final answer")
         require(not record.half_closed, "left", "forwarded a request of a client that has half-closed")
-        require(len(record.attempts) < self.settings.max_attempts, "contract", "forwarded a request more often than allowed")
-        require(forward.endpoint_id not in self.unavailable_since_us, "rule 3", "forwarded a request to a draining or removed upstream")
-        require(self.settings.hedging or not record.outstanding_indexes(), "rule 2", "two attempts are outstanding although hedging is not allowed")
+        require(
+            len(record.attempts) < self.settings.max_attempts, "contract", "forwarded a request more often than allowed"
+        )
+        require(
+            forward.endpoint_id not in self.unavailable_since_us,
+            "rule 3",
+            "forwarded a request to a draining or removed upstream",
+        )
+        require(
+            self.settings.hedging or not record.outstanding_indexes(),
+            "rule 2",
+            "two attempts are outstanding although hedging is not allowed",
+        )
         for earlier in record.possibly_executed():
             require(rules.effect != "at_most_once", "rule 2", "repeated an at_most_once request that may have run")
             if rules.effect == "deduplicated":
-                require(self.now_us - earlier.sent_us <= rules.deduplication_window_us, "rule 2", "repeated a request after the deduplication window")
+                require(
+                    self.now_us - earlier.sent_us <= rules.deduplication_window_us,
+                    "rule 2",
+                    "repeated a request after the deduplication window",
+                )
                 require(
                     0 < forward.latest_start_us <= earlier.sent_us + rules.deduplication_window_us,
                     "rule 2",
                     "the repeat may start after the deduplication window",
                 )
-                require(rules.deduplication_scope != "cell" or entry.cell == earlier.cell, "rule 2", "repeated a request outside the cell")
-                require(rules.deduplication_scope != "zone" or entry.zone == earlier.zone, "rule 2", "repeated a request outside the zone")
+                require(
+                    rules.deduplication_scope != "cell" or entry.cell == earlier.cell,
+                    "rule 2",
+                    "repeated a request outside the cell",
+                )
+                require(
+                    rules.deduplication_scope != "zone" or entry.zone == earlier.zone,
+                    "rule 2",
+                    "repeated a request outside the zone",
+                )
         ends_us = record.event.deadline_us
         if forward.timeout_us:
             ends_us = min(ends_us, self.now_us + forward.timeout_us)
@@ -290,13 +336,15 @@
         )
 
     def check_answer(self, answer: Shed | Fail) -> None:
-        record = self.requests[answer.request_id]
+        record = self.request_records[answer.request_id]
         rules = self.settings.classes[record.event.class_index]
         require(not record.completed, "rule 1", "a second final answer")
         record.completed = True
         record.answers += 1
         if isinstance(answer, Shed):
-            require(answer.retry_after_us <= self.settings.max_retry_after_us, "contract", "the retry-after is too long")
+            require(
+                answer.retry_after_us <= self.settings.max_retry_after_us, "contract", "the retry-after is too long"
+            )
             is_safe_to_retry = rules.effect == "idempotent" or (
                 rules.effect == "deduplicated" and rules.deduplication_scope == "all"
             )
@@ -305,14 +353,22 @@
     def check_slots(self) -> None:
         """Check that the slots in use at each upstream match its outstanding attempts."""
         outstanding: dict[int, int] = {}
-        for record in self.requests.values():
+        for record in self.request_records.values():
             for index in record.outstanding_indexes():
                 attempt = record.attempts[index]
-                if not record.response_started and not record.body_incomplete and attempt.listing == self.listings[attempt.upstream]:
+                if (
+                    not record.response_started
+                    and not record.body_incomplete
+                    and attempt.listing == self.listings[attempt.upstream]
+                ):
                     outstanding[attempt.upstream] = outstanding.get(attempt.upstream, 0) + 1
         for upstream, state in self.balancer.endpoints.items():
             started_responses = sum(
-                1 for record in self.requests.values() if record.response_started for index in record.outstanding_indexes() if record.attempts[index].upstream == upstream
+                1
+                for record in self.request_records.values()
+                if record.response_started
+                for attempt_index in record.outstanding_indexes()
+                if record.attempts[attempt_index].upstream == upstream
             )
             count = outstanding.get(upstream, 0)
             require(
--- a/garnetusher/model/explore/module.py
+++ b/garnetusher/model/explore/module.py
@@ -191,7 +191,7 @@
         )
 
     def _out(self) -> list[tuple[int, int]]:
-        return [(ident, n) for ident, owed in self.host.requests.items() for n in owed.outstanding_indexes()]
+        return [(ident, n) for ident, owed in self.host.request_records.items() for n in owed.outstanding_indexes()]
 
     def end(self, which: int, how: int) -> None:
         """Two in three are well."""
@@ -221,20 +221,26 @@
         self.host.update_endpoints([self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))])
 
     def cached(self, count: int, _: int) -> None:
-        self.host.update_endpoints([self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))], UpdateKind.CACHED)
+        self.host.update_endpoints(
+            [self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))], UpdateKind.CACHED
+        )
 
     def fail(self, _: int, __: int) -> None:
         if self.host.settings.poll_endpoints:
             self.host.deliver(EndpointsUpdated(UpdateKind.FAILED))
 
     def quit(self, which: int, _: int) -> None:
-        open_ = [ident for ident, owed in self.host.requests.items() if not owed.completed]
+        open_ = [ident for ident, owed in self.host.request_records.items() if not owed.completed]
         if open_:
             self.host.disconnect_client(open_[which % len(open_)])
 
     def _open(self, which: int) -> int | None:
         """A request that has come whole and has no answer, nor the beginning of one."""
-        open_ = [i for i, owed in self.host.requests.items() if not (owed.completed or owed.body_incomplete or owed.response_started)]
+        open_ = [
+            i
+            for i, owed in self.host.request_records.items()
+            if not (owed.completed or owed.body_incomplete or owed.response_started)
+        ]
         return open_[which % len(open_)] if open_ else None
 
     def leave(self, which: int, _: int) -> None:
@@ -246,11 +252,11 @@
         """As at the end of the process: to half of the time that is left, or to none."""
         ident = self._open(which)
         if ident is not None:
-            now_us, due_us = self.host.now_us, self.host.requests[ident].event.deadline_us
+            now_us, due_us = self.host.now_us, self.host.request_records[ident].event.deadline_us
             self.host.change_deadline(ident, now_us + (max(0, due_us - now_us) // 2 if which % 3 else 0))
 
     def stream(self, which: int, _: int) -> None:
-        owed = self.host.requests
+        owed = self.host.request_records
         out = [
             (i, n)
             for i, n in self._out()
@@ -283,7 +289,7 @@
 
     def passed(self, which: int, _: int) -> None:
         """More of a body has gone on than is held, or its last byte has come."""
-        coming = [i for i, owed in self.host.requests.items() if owed.body_incomplete and not owed.completed]
+        coming = [i for i, owed in self.host.request_records.items() if owed.body_incomplete and not owed.completed]
         if coming:
             ident = coming[which % len(coming)]
             if which % 2:
--- a/garnetusher/policy/settings_text.py
+++ b/garnetusher/policy/settings_text.py
@@ -83,7 +83,9 @@
 
 
 def _read_tenant(reader: _SettingsReader, prefix: str) -> Tenant:
-    return Tenant(reader.text(prefix + "name"), reader.number(prefix + "allowance-per-s"), reader.number(prefix + "share", "0"))
+    return Tenant(
+        reader.text(prefix + "name"), reader.number(prefix + "allowance-per-s"), reader.number(prefix + "share", "0")
+    )
 
 
 def parse_settings(text: str) -> Settings:
@@ -113,7 +115,9 @@
     reader = _SettingsReader(pairs)
     try:
         return Settings(
-            classes=[_read_class(reader, f"request-classes.{i}.") for i in range(reader.integer("request-classes.count"))],
+            classes=[
+                _read_class(reader, f"request-classes.{i}.") for i in range(reader.integer("request-classes.count"))
+            ],
             tenants=[_read_tenant(reader, f"accounts.{i}.") for i in range(reader.integer("accounts.count", "0"))],
             over_quota_weight=reader.number("over-share-worth", "1"),
             weight_by_work=reader.choice("value-by", ("request", "work"), "request") == "work",
@@ -135,7 +139,9 @@
             overload_factor=reader.number("invariants.overload-factor"),
             overload_window_us=reader.integer("invariants.fall"),
             cross_zone_cost=reader.number("fees.cross-zone", "0"),
-            load_report_names=[_REPORT_NAMES.get(name, name) for name in reader.text("report.names", "").split(",") if name],
+            load_report_names=[
+                _REPORT_NAMES.get(name, name) for name in reader.text("report.names", "").split(",") if name
+            ],
             endpoint_weights=reader.text("weights", "none") != "none",
         )
     except ValueError as error:
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -44,15 +44,15 @@
     for _ in range(steps):
         host.arrive(class_index)
         host.advance(response_time_us)
-        for request in [ident for ident, record in host.requests.items() if record.outstanding_indexes()]:
-            for index in host.requests[request].outstanding_indexes():
-                fails = host.requests[request].attempts[index].upstream == failing_upstream
+        for request in [ident for ident, record in host.request_records.items() if record.outstanding_indexes()]:
+            for index in host.request_records[request].outstanding_indexes():
+                fails = host.request_records[request].attempts[index].upstream == failing_upstream
                 host.end(request, index, failure if fails else Outcome.OK)
 
 
 def available_slots(host: PolicyHost) -> int:
     """Return how many requests can be outstanding now, by taking all slots and freeing them again."""
-    forwarded = [request for request in fill_slots(host) if host.forward_actions(request)]
+    forwarded = [request_id for request_id in fill_slots(host) if host.forward_actions(request_id)]
     for request in forwarded:
         host.end(request, 0, Outcome.OK)
     return len(forwarded)
@@ -77,7 +77,7 @@
     for _ in range(20):
         host.arrive(PAY)
     host.advance(10_000)
-    for request, record in list(host.requests.items()):
+    for request, record in list(host.request_records.items()):
         for index in record.outstanding_indexes():
             host.end(request, index, outcome)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,10 +11,10 @@
 from tests.policy_driver import (
     PAY,
     READ,
-    run_traffic,
     fill_slots,
     log_lines,
     ready_host,
+    run_traffic,
 )
 from tests.policy_host import PolicyHost
 
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -28,10 +28,10 @@
     sidecar,
     until,
 )
+from tests.policy_host import PolicyHost, settings, upstreams
 from tests.runner import run, status
 from tests.test_crossing_stop import never_up
 from tests.test_crossing_watch import Wire
-from tests.policy_host import PolicyHost, settings, upstreams
 
 
 def test_attempt_waiting_for_its_connection_goes_elsewhere_when_the_upstream_drains() -> None:
@@ -180,12 +180,12 @@
         host = PolicyHost(settings(max_attempts=max_attempts, hedging=False))
         host.update_endpoints(upstreams(2))
         ident = host.arrive(class_index=1)
-        first = host.requests[ident].attempts[0].upstream
+        first = host.request_records[ident].attempts[0].upstream
         gone = next(each for each in upstreams(2) if each.id == first)
         gone.status = EndpointStatus.REMOVED
         host.update_endpoints([gone], UpdateKind.DELTA)
         host.end(ident, 0, Outcome.NOT_WRITTEN)
-        tries = host.requests[ident].attempts
+        tries = host.request_records[ident].attempts
         assert len(tries) == expected
         assert all(each.upstream != first for each in tries[1:])
 
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -102,7 +102,9 @@
         tenants=[TENANTS[1], Tenant("b-", 1.0), TENANTS[0]],
         classes=[kinds[2], RequestClass("read", 200_000, 900_000, effect="at_most_once"), kinds[1]],
     )
-    host.deliver(SettingsChanged(after, previous_indexes(after.classes, kinds), previous_indexes(after.tenants, TENANTS)))
+    host.deliver(
+        SettingsChanged(after, previous_indexes(after.classes, kinds), previous_indexes(after.tenants, TENANTS))
+    )
     assert [party.recent_arrivals for party in host.balancer.context.tenant_states] == [seen, 0.0, 0.0]
     assert held.class_state.rules is not after.classes[1]
     assert held.class_state.rules.effect == "idempotent"
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -57,7 +57,12 @@
     host.update_endpoints(list(entries.values()))
     for _ in range(steps):
         what = rng.random()
-        out = [(ident, n) for ident, owed in host.requests.items() if not owed.response_started for n in owed.outstanding_indexes()]
+        out = [
+            (ident, n)
+            for ident, owed in host.request_records.items()
+            if not owed.response_started
+            for n in owed.outstanding_indexes()
+        ]
         if what < 0.45:
             host.arrive(rng.randrange(3))
         elif what < 0.8 and out:
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -12,12 +12,12 @@
     PAY,
     READ,
     available_slots,
-    host_with_grown_slots,
-    run_traffic,
     end_all_attempts,
     hedged_request,
+    host_with_grown_slots,
     log_lines,
     ready_host,
+    run_traffic,
 )
 
 
@@ -62,7 +62,7 @@
         request = host.arrive(PAY)
         host.end(request, 0, outcome)
         host.advance(20_000)
-        if host.requests[request].outstanding_indexes():  # what never ran goes out again
+        if host.request_records[request].outstanding_indexes():  # what never ran goes out again
             host.end(request, 1, Outcome.OK)
         for _ in range(4):
             host.end(host.arrive(PAY), 0, Outcome.OK)
--- a/tests/test_policy_settings_change.py
+++ b/tests/test_policy_settings_change.py
@@ -14,8 +14,8 @@
 from tests.policy_driver import (
     PAY,
     READ,
-    run_traffic,
     ready_host,
+    run_traffic,
 )
 from tests.policy_host import PolicyHost, settings
 
@@ -37,7 +37,8 @@
     change_settings(host, classes=list(reversed(settings().classes)))
     for request in (at_most_once, idempotent):
         host.balancer.handle(
-            host.now_us, AttemptEnded(request, 0, host.requests[request].attempts[0].upstream, Outcome.ERROR, 1000)
+            host.now_us,
+            AttemptEnded(request, 0, host.request_records[request].attempts[0].upstream, Outcome.ERROR, 1000),
         )
     # The idempotent request was retried, and the at_most_once request failed
     assert host.balancer.requests.keys() == {idempotent}
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -24,7 +24,7 @@
 def arrive_with_partial_body(host: PolicyHost, class_index: int = READ) -> int:
     """Send a request with an incomplete body, whose client waits until the body is complete."""
     request = host.arrive(class_index, body_complete=False)
-    host.requests[request].attempts[0].ends_us += 3_600_000_000
+    host.request_records[request].attempts[0].ends_us += 3_600_000_000
     return request
 
 
@@ -42,11 +42,11 @@
     host = ready_host(1)
     request = arrive_with_partial_body(host)
     host.now_us += 5_000_000
-    host.requests[request].event.deadline_us = host.now_us + 1_000_000
+    host.request_records[request].event.deadline_us = host.now_us + 1_000_000
     host.deliver(RequestBodyComplete(request, host.now_us + 1_000_000))
     assert host.balancer.endpoints[100].slots_used == 1
     latency_ratio = host.balancer.endpoints[100].latency_ratio
-    host.requests[request].attempts[0].sent_us = host.now_us
+    host.request_records[request].attempts[0].sent_us = host.now_us
     host.now_us += 10_000
     host.end(request, 0, Outcome.OK)
     assert host.balancer.endpoints[100].slots_used == 0
@@ -78,7 +78,7 @@
     host = ready_host(cancel_attempts=True, hedging=True)
     request = host.arrive(READ)
     host.advance(160_000)
-    first, second = host.requests[request].attempts
+    first, second = host.request_records[request].attempts
     host.start_response(request, 1)
     assert CancelAttempt(request, 0) in host.actions
     assert CancelAttempt(request, 1) not in host.actions
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -12,10 +12,10 @@
     MARK,
     PAY,
     READ,
-    run_traffic,
     fill_slots,
     hedged_request,
     ready_host,
+    run_traffic,
 )
 
 
@@ -58,7 +58,7 @@
     for _ in range(50):
         fill_slots(host)
         host.advance(1_000)
-        for request, record in list(host.requests.items()):
+        for request, record in list(host.request_records.items()):
             for index in record.outstanding_indexes():
                 host.end(request, index, Outcome.OVERLOADED)
     host.advance(10_000_000)
@@ -73,7 +73,7 @@
     assert first.endpoint_id != second.endpoint_id
     host.end(request, 0, Outcome.OK)
     assert host.answer(request) is None
-    assert host.requests[request].answers == 1
+    assert host.request_records[request].answers == 1
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -98,7 +98,7 @@
     host.advance(140_000)
     fill_slots(host)
     host.advance(20_000)
-    assert all(len(record.attempts) <= 1 for record in host.requests.values())
+    assert all(len(record.attempts) <= 1 for record in host.request_records.values())
 
 
 @pytest.mark.parametrize(("class_index", "is_retried"), [(READ, True), (MARK, True), (PAY, False)])
@@ -115,10 +115,10 @@
     for _ in range(60):
         request = host.arrive(READ)
         host.advance(200_000)
-        while host.requests[request].outstanding_indexes():
-            host.end(request, len(host.requests[request].attempts) - 1, Outcome.ERROR)
+        while host.request_records[request].outstanding_indexes():
+            host.end(request, len(host.request_records[request].attempts) - 1, Outcome.ERROR)
             errors += 1
-    first_attempts = sum(1 for record in host.requests.values() if record.attempts)
+    first_attempts = sum(1 for record in host.request_records.values() if record.attempts)
     assert 5 <= errors - first_attempts <= 5 + first_attempts / 5
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -73,7 +73,7 @@
 def play(host: PolicyHost, step: tuple[str, int, object]) -> None:  # noqa: C901 - one branch for each kind of step
     what, number, extra = step
     outstanding = [
-        (request, index) for request, record in host.requests.items() for index in record.outstanding_indexes()
+        (request, index) for request, record in host.request_records.items() for index in record.outstanding_indexes()
     ]
     if what == "arrive":
         assert isinstance(extra, int)
@@ -90,20 +90,20 @@
         host.update_endpoints(upstreams(number), extra)
     elif what == "fail" and host.settings.poll_endpoints:
         host.deliver(EndpointsUpdated(UpdateKind.FAILED))
-    elif what == "quit" and host.requests:
-        request = list(host.requests)[number % len(host.requests)]
-        if not host.requests[request].completed:
+    elif what == "quit" and host.request_records:
+        request = list(host.request_records)[number % len(host.request_records)]
+        if not host.request_records[request].completed:
             host.disconnect_client(request)
     elif what == "end" and outstanding:
         assert isinstance(extra, Outcome)
         host.end(*outstanding[number % len(outstanding)], extra)
     elif what == "stream":
         streamable = [
-            (request, index)
-            for request, index in outstanding
-            if host.settings.classes[host.requests[request].event.class_index].streaming
-            and not host.requests[request].response_started
-            and not host.requests[request].completed
+            (request_id, index)
+            for request_id, index in outstanding
+            if host.settings.classes[host.request_records[request_id].event.class_index].streaming
+            and not host.request_records[request_id].response_started
+            and not host.request_records[request_id].completed
         ]
         if streamable:
             host.start_response(*streamable[number % len(streamable)])
@@ -169,8 +169,8 @@
     sidecar gets in a tick of 4 ms; together they are up to 26 times the capacity of the nine warm upstreams.
     """
     policy_settings = settings(fleet_size=len(rates), classes=[RequestClass("read", 300_000, 1_500_000)])
-    balancers = [Balancer(policy_settings, seed + number, START_US) for number in range(len(rates))]
-    endpoints = [Endpoint(1, started_us=START_US), *[Endpoint(number) for number in range(2, 11)]]
+    balancers = [Balancer(policy_settings, seed + index, START_US) for index in range(len(rates))]
+    endpoints = [Endpoint(1, started_us=START_US), *[Endpoint(index) for index in range(2, 11)]]
 
     def capacity_fraction(at_us: int) -> float:
         return (
@@ -193,11 +193,11 @@
             for _ in range(rate):
                 request += 1
                 events.append((number, RequestArrived(request, now_us + 1_500_000, expected_work_us=expected_work_us)))
-        for end in [end for end in ends if end[0] <= now_us]:
+        for end in [pending for pending in ends if pending[0] <= now_us]:
             ends.remove(end)
             ended, elapsed_us = end[5], now_us - end[6]
             events.append((end[1], AttemptEnded(end[2], end[4], end[3], ended, elapsed_us, ended is Outcome.OK)))
-        for timer in [timer for timer in timers if timer[0] <= now_us]:
+        for timer in [due for due in timers if due[0] <= now_us]:
             timers.remove(timer)
             events.append((timer[1], TimerFired(0)))
         for number, event in events:
@@ -218,7 +218,9 @@
         now_us += 4_000
     peak = 0.0
     for start_us in sent_us:
-        work_us = 40_000 * sum(1 for at_us in sent_us if start_us <= at_us < start_us + policy_settings.overload_window_us)
+        work_us = 40_000 * sum(
+            1 for send_us in sent_us if start_us <= send_us < start_us + policy_settings.overload_window_us
+        )
         peak = max(
             peak,
             work_us
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -12,8 +12,8 @@
     INITIAL_SLOT_LIMIT,
     PAY,
     READ,
-    run_traffic,
     ready_host,
+    run_traffic,
 )
 
 
@@ -61,7 +61,7 @@
         request = host.arrive(PAY)
         home = [s for s in host.forward_actions(request) if host.known[s.endpoint_id].zone == 1]
         host.advance(300_000 if home else 20_000)
-        if not home and host.requests[request].outstanding_indexes():
+        if not home and host.request_records[request].outstanding_indexes():
             host.end(request, 0, Outcome.OK)
     crossed = [s for s in host.forward_actions()[before:] if host.known[s.endpoint_id].zone != 1]
     assert len(crossed) >= 10
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -9,9 +9,9 @@
     INITIAL_SLOT_LIMIT,
     READ,
     available_slots,
-    run_traffic,
     fill_slots,
     ready_host,
+    run_traffic,
 )
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,8 +11,8 @@
 from garnetusher.policy.settings import Tenant
 from tests.policy_driver import (
     READ,
-    run_traffic,
     fill_slots,
+    run_traffic,
 )
 from tests.policy_host import START_US, PolicyHost, settings, upstreams
 
@@ -59,7 +59,7 @@
         host.advance(20_000)
         late = [
             (owed.event.request_id, number)
-            for owed in host.requests.values()
+            for owed in host.request_records.values()
             for number, attempt in enumerate(owed.attempts)
             if attempt.outcome is None and host.now_us >= attempt.sent_us + 280_000
         ]
@@ -87,7 +87,7 @@
         host.advance(every_us)
         late = [
             (ident, number)
-            for ident, owed in host.requests.items()
+            for ident, owed in host.request_records.items()
             for number in owed.outstanding_indexes()
             if host.now_us >= owed.attempts[number].sent_us + 100_000
         ]
@@ -112,13 +112,15 @@
         host.advance(25_000)
         late = [
             (ident, number)
-            for ident, owed in host.requests.items()
+            for ident, owed in host.request_records.items()
             for number in owed.outstanding_indexes()
             if host.now_us >= owed.attempts[number].sent_us + 140_000
         ]
         for ident, number in late:
             host.end(ident, number, Outcome.OK)
-    assert sum(send.endpoint_id < 100 for send in host.forward_actions()) >= 62  # 70; 54 where only what is served counts
+    assert (
+        sum(send.endpoint_id < 100 for send in host.forward_actions()) >= 62
+    )  # 70; 54 where only what is served counts
 
 
 def test_slow_start_opens_slots_by_the_warm_up_when_an_endpoint_is_warming() -> None:
@@ -130,10 +132,12 @@
         for _ in range(100):
             host.arrive(READ)
             host.advance(30_000)
-            out = [(ident, number) for ident, owed in host.requests.items() for number in owed.outstanding_indexes()]
+            out = [
+                (ident, number) for ident, owed in host.request_records.items() for number in owed.outstanding_indexes()
+            ]
             for ident, number in out:
-                if host.now_us >= host.requests[ident].attempts[number].sent_us + 140_000:
+                if host.now_us >= host.request_records[ident].attempts[number].sent_us + 140_000:
                     host.end(ident, number, Outcome.OK)
-            at_once = Counter(host.requests[ident].attempts[number].upstream for ident, number in out)
+            at_once = Counter(host.request_records[ident].attempts[number].upstream for ident, number in out)
             most[age_us] = max(most[age_us], *(at_once[n] for n in range(1, 4)))
     assert most[1_000_000] == 1 < most[16_000_000]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -17,9 +17,9 @@
 from garnetusher.policy.zones import SILENCE_US, Zones
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
-from tests.runner import run
 from tests.policy_host import PolicyHost as Stand
 from tests.policy_host import settings, upstreams
+from tests.runner import run
 
 SECOND = 1_000_000
 
