--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -16,7 +16,7 @@
 from garnetusher.policy.events import Endpoint, EndpointStatus, Outcome, UpdateKind, ZoneOverridden
 from garnetusher.policy.slots import Pool
 from garnetusher.policy.slow_start import COHORTS_PER_WARM_UP
-from tests.world import START_US, World, settings, upstreams
+from tests.policy_host import START_US, PolicyHost, settings, upstreams
 
 Weights = dict[int, float]  # by endpoint id
 
@@ -51,22 +51,25 @@
         assert len(pool.slow_start.cohorts) <= COHORTS_PER_WARM_UP + 1
 
 
-def run_random_events(seed: int, steps: int = 400, after_event: Any = check_buckets) -> World:
+def run_random_events(seed: int, steps: int = 400, after_event: Any = check_buckets) -> PolicyHost:
     """Apply arrivals, outcomes, list updates, restarts, operator orders and time steps in a random order."""
     rng = random.Random(seed)
-    world = World(settings(cross_zone_cost=rng.choice([0.0, 0.02]), fleet_size=rng.choice([1, 30])), seed=seed)
+    host = PolicyHost(settings(cross_zone_cost=rng.choice([0.0, 0.02]), fleet_size=rng.choice([1, 30])), seed=seed)
     entries = {e.id: e for e in upstreams(12)}
-    world.tell_list(list(entries.values()))
+    host.update_endpoints(list(entries.values()))
     for _ in range(steps):
         event_draw = rng.random()
         outstanding = [
-            (request_id, n) for request_id, owed in world.owed.items() if not owed.stream for n in owed.out()
+            (request_id, n)
+            for request_id, owed in host.request_records.items()
+            if not owed.response_started
+            for n in owed.outstanding_indexes()
         ]
         if event_draw < 0.45:
-            world.arrive(rng.randrange(3))
+            host.arrive(rng.randrange(3))
         elif event_draw < 0.8 and outstanding:
             request_id, number = rng.choice(outstanding)
-            world.end(
+            host.end(
                 request_id,
                 number,
                 rng.choice(
@@ -84,7 +87,7 @@
         elif event_draw < 0.88:
             endpoint_id = rng.choice(list(entries))
             status = rng.choice([EndpointStatus.READY] * 3 + [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-            started_us = rng.choice([entries[endpoint_id].started_us, world.now_us - rng.randrange(25_000_000)])
+            started_us = rng.choice([entries[endpoint_id].started_us, host.now_us - rng.randrange(25_000_000)])
             entries[endpoint_id] = Endpoint(
                 endpoint_id,
                 status,
@@ -92,15 +95,15 @@
                 cell=entries[endpoint_id].cell,
                 started_us=started_us,
             )
-            world.tell_list([entries[endpoint_id]], UpdateKind.DELTA)
+            host.update_endpoints([entries[endpoint_id]], UpdateKind.DELTA)
         elif event_draw < 0.9:
-            world.tell_list([e for e in entries.values() if e.status is EndpointStatus.READY])
+            host.update_endpoints([e for e in entries.values() if e.status is EndpointStatus.READY])
         elif event_draw < 0.92:
-            world.tell(ZoneOverridden(rng.randrange(6), rng.random() < 0.5))
+            host.deliver(ZoneOverridden(rng.randrange(6), rng.random() < 0.5))
         else:
-            world.advance(rng.choice([3_000, 60_000, 400_000, 3_000_000]))
-        after_event(world.balancer)
-    return world
+            host.advance(rng.choice([3_000, 60_000, 400_000, 3_000_000]))
+        after_event(host.balancer)
+    return host
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -10,7 +10,7 @@
 from garnetusher.policy.balancer import Balancer
 from tests.experiment import small
 from tests.membership_fleet import SECOND_US, joined_fleet
-from tests.world import settings
+from tests.policy_host import settings
 
 
 def test_fleet_size_counts_a_member_for_the_hold_time_when_it_has_left() -> None:
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -11,48 +11,48 @@
 from garnetusher.sidecar.discovery.endpoint_list import BATCH_SIZE, EndpointList
 from garnetusher.sidecar.discovery.messages import parse_list
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
-from tests.world import START_US, World, settings, upstreams
+from tests.policy_host import START_US, PolicyHost, settings, upstreams
 
 
-def polling_world() -> World:
-    world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000))
-    world.tell_list(upstreams(4), UpdateKind.CACHED)
-    return world
+def polling_world() -> PolicyHost:
+    host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000))
+    host.update_endpoints(upstreams(4), UpdateKind.CACHED)
+    return host
 
 
-def polls(world: World) -> list[int]:
+def polls(host: PolicyHost) -> list[int]:
     """Return the positions in the log of the actions that poll the list."""
-    return [i for i, action in enumerate(world.log) if isinstance(action, WatchEndpoints)]
+    return [i for i, action in enumerate(host.actions) if isinstance(action, WatchEndpoints)]
 
 
 def test_policy_polls_the_list_when_updates_are_not_pushed() -> None:
-    world = polling_world()
-    world.advance(2_000_000)
-    assert len(polls(world)) >= 1
+    host = polling_world()
+    host.advance(2_000_000)
+    assert len(polls(host)) >= 1
 
 
 def test_policy_never_polls_the_list_when_updates_are_pushed() -> None:
-    world = World()
-    world.tell_list(upstreams(4), UpdateKind.CACHED)
-    world.advance(60_000_000)
-    assert not polls(world)
+    host = PolicyHost()
+    host.update_endpoints(upstreams(4), UpdateKind.CACHED)
+    host.advance(60_000_000)
+    assert not polls(host)
 
 
-def wait_for_next_poll(world: World) -> int:
+def wait_for_next_poll(host: PolicyHost) -> int:
     """Advance the time to the next poll and return the duration in microseconds."""
-    earlier_count, start_us = len(polls(world)), world.now_us
-    while len(polls(world)) == earlier_count:
-        world.advance(10_000)
-    return world.now_us - start_us
+    earlier_count, start_us = len(polls(host)), host.now_us
+    while len(polls(host)) == earlier_count:
+        host.advance(10_000)
+    return host.now_us - start_us
 
 
 def test_delays_between_polls_grow_up_to_a_limit_when_polls_fail() -> None:
-    world = polling_world()
-    world.advance(2_000_000)
+    host = polling_world()
+    host.advance(2_000_000)
     delays_us = []
     for _ in range(12):
-        world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        delays_us.append(wait_for_next_poll(world))
+        host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+        delays_us.append(wait_for_next_poll(host))
     assert delays_us[0] <= 750_000
     assert max(delays_us) > 2_000_000
     assert max(delays_us) <= 20_000_000  # after a failed poll, up to four poll intervals are allowed
@@ -62,13 +62,13 @@
     """Return the delays after which 40 sidecars poll, once all have started or, if `failed`, lost their watches."""
     delays_us = []
     for number in range(40):
-        world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=40), number)
-        world.tell_list(upstreams(4), UpdateKind.CACHED)
+        host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=40), number)
+        host.update_endpoints(upstreams(4), UpdateKind.CACHED)
         if failed:
-            wait_for_next_poll(world)
-            world.tell_list([], UpdateKind.DELTA)
-            world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        delays_us.append(wait_for_next_poll(world))
+            wait_for_next_poll(host)
+            host.update_endpoints([], UpdateKind.DELTA)
+            host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+        delays_us.append(wait_for_next_poll(host))
     return sorted(delays_us)
 
 
@@ -85,15 +85,15 @@
     """Return the delays after which 200 sidecars poll again, once this number of calls of each has failed."""
     delays_us = []
     for number in range(200):
-        world = World(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=200), number)
-        world.tell_list(upstreams(4), UpdateKind.CACHED)
-        wait_for_next_poll(world)
-        world.tell_list([], UpdateKind.DELTA)
+        host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=200), number)
+        host.update_endpoints(upstreams(4), UpdateKind.CACHED)
+        wait_for_next_poll(host)
+        host.update_endpoints([], UpdateKind.DELTA)
         for _ in range(failures - 1):
-            world.tell(EndpointsUpdated(UpdateKind.FAILED))
-            wait_for_next_poll(world)
-        world.tell(EndpointsUpdated(UpdateKind.FAILED))
-        delays_us.append(wait_for_next_poll(world))
+            host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+            wait_for_next_poll(host)
+        host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+        delays_us.append(wait_for_next_poll(host))
     return sorted(delays_us)
 
 
@@ -107,65 +107,65 @@
 
 
 def test_second_failure_before_the_next_poll_does_not_add_a_poll() -> None:
-    world = polling_world()
-    world.advance(2_000_000)
-    earlier_count = len(polls(world))
-    world.tell(EndpointsUpdated(UpdateKind.FAILED))
-    world.tell(EndpointsUpdated(UpdateKind.FAILED))
-    world.advance(4_000_000)
-    world.tell_list(upstreams(4), UpdateKind.DELTA)
-    assert len(polls(world)) == earlier_count + 1
+    host = polling_world()
+    host.advance(2_000_000)
+    earlier_count = len(polls(host))
+    host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+    host.deliver(EndpointsUpdated(UpdateKind.FAILED))
+    host.advance(4_000_000)
+    host.update_endpoints(upstreams(4), UpdateKind.DELTA)
+    assert len(polls(host)) == earlier_count + 1
 
 
 def test_policy_polls_again_within_the_poll_interval_when_a_call_gets_no_response() -> None:
-    world = polling_world()
-    world.advance(10_000_000)
-    assert len(polls(world)) >= 2
+    host = polling_world()
+    host.advance(10_000_000)
+    assert len(polls(host)) >= 2
 
 
 def test_delta_changes_only_the_endpoints_that_it_lists() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list([Endpoint(100, EndpointStatus.DRAINING)], UpdateKind.DELTA)
+    host = PolicyHost()
+    host.update_endpoints(upstreams(2))
+    host.update_endpoints([Endpoint(100, EndpointStatus.DRAINING)], UpdateKind.DELTA)
     for _ in range(10):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {101}
+        host.end(host.arrive(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in host.forward_actions()} == {101}
 
 
 def test_endpoint_is_removed_when_a_snapshot_omits_it_and_is_used_again_when_listed_again() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list(upstreams(1))
+    host = PolicyHost()
+    host.update_endpoints(upstreams(2))
+    host.update_endpoints(upstreams(1))
     for _ in range(10):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {100}
-    world.tell_list(upstreams(2))
+        host.end(host.arrive(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in host.forward_actions()} == {100}
+    host.update_endpoints(upstreams(2))
     for _ in range(30):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {100, 101}
+        host.end(host.arrive(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in host.forward_actions()} == {100, 101}
 
 
 def test_endpoint_is_cold_again_when_it_restarts_under_the_same_id() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    world.tell_list([Endpoint(100, started_us=START_US)], UpdateKind.DELTA)
+    host = PolicyHost()
+    host.update_endpoints(upstreams(3))
+    host.update_endpoints([Endpoint(100, started_us=START_US)], UpdateKind.DELTA)
     for _ in range(60):
-        request = world.arrive(0)
-        world.advance(5_000)
-        world.end(request, 0, Outcome.OK)
-    assert sum(1 for s in world.sends() if s.endpoint_id == 100) <= 6
+        request = host.arrive(0)
+        host.advance(5_000)
+        host.end(request, 0, Outcome.OK)
+    assert sum(1 for s in host.forward_actions() if s.endpoint_id == 100) <= 6
 
 
 def test_policy_keeps_working_when_a_delta_or_a_snapshot_is_empty() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list([], UpdateKind.DELTA)
-    assert world.sends(world.arrive(0))
-    world.tell_list([])
-    request = world.arrive(0)
-    world.advance(2_000_000)
-    assert world.answer(request) is not None
-    assert all(t.at_us > START_US for t in world.log if isinstance(t, SetTimer))
+    host = PolicyHost()
+    host.update_endpoints(upstreams(2))
+    host.update_endpoints([], UpdateKind.DELTA)
+    assert host.forward_actions(host.arrive(0))
+    host.update_endpoints([])
+    request = host.arrive(0)
+    host.advance(2_000_000)
+    assert host.answer(request) is not None
+    assert all(t.at_us > START_US for t in host.actions if isinstance(t, SetTimer))
 
 
 def entry(uid: str, state: str = "active") -> dict[str, object]:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -17,8 +17,8 @@
 from garnetusher.policy.zones import SILENCE_US, Zones
 from tests.experiment import ROOT
 from tests.net import OK, Upstream, answering, request, sidecar
+from tests.policy_host import PolicyHost, settings, upstreams
 from tests.runner import run
-from tests.world import World, settings, upstreams
 
 SECOND = 1_000_000
 
@@ -203,34 +203,34 @@
 
 def test_hedge_stays_in_its_tier_when_nothing_is_wrong_there() -> None:
     for has_miss in (False, True):
-        world = World(settings(cross_zone_cost=0.02, cancel_attempts=False))
-        world.tell_list(upstreams(4))  # two endpoints in this zone, two in the next
-        balancer = world.balancer
+        host = PolicyHost(settings(cross_zone_cost=0.02, cancel_attempts=False))
+        host.update_endpoints(upstreams(4))  # two endpoints in this zone, two in the next
+        balancer = host.balancer
         for endpoint_id in (100, 101):
             balancer.endpoints[endpoint_id].slot_limit = 1.0
-        first, second = world.arrive(0), world.arrive(0)  # these take all slots in this zone
+        first, second = host.arrive(0), host.arrive(0)  # these take all slots in this zone
         if has_miss:
-            balancer.zones.record_failure(FailedAttempt(0, 101, world.now_us), world.now_us)
-        world.advance(150_000)
-        crossed = [send for request_id in (first, second) for send in world.sends(request_id)[1:]]
+            balancer.zones.record_failure(FailedAttempt(0, 101, host.now_us), host.now_us)
+        host.advance(150_000)
+        crossed = [send for request_id in (first, second) for send in host.forward_actions(request_id)[1:]]
         assert bool(crossed) == has_miss
         assert all(send.endpoint_id in (102, 103) for send in crossed)
 
 
 @pytest.mark.parametrize("zone_answers", [False, True])
 def test_retry_goes_to_another_zone_when_its_zone_is_silent(zone_answers: bool) -> None:
-    world = World(settings(cross_zone_cost=0.02, max_attempts=3))
-    world.tell_list(upstreams(6))
-    world.advance(SILENCE_US)
-    request_id, ended = world.arrive(0), 0
-    while len(world.sends(request_id)) > ended:  # every attempt in this zone fails to connect
+    host = PolicyHost(settings(cross_zone_cost=0.02, max_attempts=3))
+    host.update_endpoints(upstreams(6))
+    host.advance(SILENCE_US)
+    request_id, ended = host.arrive(0), 0
+    while len(host.forward_actions(request_id)) > ended:  # every attempt in this zone fails to connect
         if zone_answers:
-            world.balancer.zones.record_answer(0, world.now_us, 1.0, world.now_us)
-        is_near = world.sends(request_id)[ended].endpoint_id < 102
-        world.end(request_id, ended, Outcome.CONNECT_FAILED if is_near else Outcome.OK)
+            host.balancer.zones.record_answer(0, host.now_us, 1.0, host.now_us)
+        is_near = host.forward_actions(request_id)[ended].endpoint_id < 102
+        host.end(request_id, ended, Outcome.CONNECT_FAILED if is_near else Outcome.OK)
         ended += 1
     assert ended == (3 if zone_answers else 2)
-    assert (world.sends(request_id)[-1].endpoint_id < 102) == zone_answers
+    assert (host.forward_actions(request_id)[-1].endpoint_id < 102) == zone_answers
 
 
 def test_fleet_keeps_the_third_zone_when_two_are_lost() -> None:
@@ -276,9 +276,9 @@
 
 
 def test_policy_sends_nothing_to_a_zone_when_an_operator_evacuates_it() -> None:
-    world = World(settings(cross_zone_cost=0.02))
-    world.tell_list(upstreams(6))
-    world.tell(ZoneOverridden(0, True))
+    host = PolicyHost(settings(cross_zone_cost=0.02))
+    host.update_endpoints(upstreams(6))
+    host.deliver(ZoneOverridden(0, True))
     for _ in range(30):
-        request_id = world.arrive(0)
-        assert all(send.endpoint_id not in (100, 101) for send in world.sends(request_id))
+        request_id = host.arrive(0)
+        assert all(send.endpoint_id not in (100, 101) for send in host.forward_actions(request_id))
