--- a/garnetusher/membership/__init__.py
+++ b/garnetusher/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet membership: SWIM failure detection with Lifeguard's refinements, as a core without clock or socket.
+"""Fleet membership with SWIM failure detection and Lifeguard's refinements; the protocol code performs no I/O.
 
 `member.Member` implements the protocol for one process: `handle(now_us, event)` returns the actions to carry out.
 `transport.UdpTransport` connects it to a UDP socket and a timer. This package does not depend on request handling.
--- a/garnetusher/membership/actions.py
+++ b/garnetusher/membership/actions.py
@@ -32,7 +32,7 @@
 
 
 class Persist(Struct, frozen=True):
-    """Write both numbers to disk, if there is a disk; neither number may ever decrease."""
+    """Write the generation and the incarnation to disk, if there is a disk; neither may ever decrease."""
 
     generation: int
     incarnation: int
@@ -55,7 +55,7 @@
 
     Attributes:
         reason: The reason for the end of the membership.
-        superseded_by: The address of the process that now has the name, or None.
+        superseded_by: The address of the process that now has this process's member name, or None.
     """
 
     reason: StopReason
--- a/garnetusher/membership/anti_entropy.py
+++ b/garnetusher/membership/anti_entropy.py
@@ -10,14 +10,15 @@
 from garnetusher.membership.messages import Address, BucketDigests, Entries, Entry
 from garnetusher.membership.state import Phase, ProtocolState
 
-EXCHANGE_INTERVAL_US = 1_000_000  # minimum time between exchanges with members whose views differ
+MIN_EXCHANGE_INTERVAL_US = 1_000_000  # minimum time between exchanges with members whose views differ
 UNKNOWN_MEMBER_INTERVAL_US = 250_000  # minimum time between exchanges with members that are not in the view
-MAX_EXCHANGE_INTERVAL_US = 4_000_000  # views that differ are exchanged after this time even if changes keep coming
-CATCH_UP_US = 500_000  # for this time after joining, the other members already know entries from an exchange
-DISPUTE_AFTER_US = 300_000  # views that differ for less time may differ only because gossip is still being delivered
+MAX_EXCHANGE_INTERVAL_US = 4_000_000  # after this time, an exchange begins even if the view keeps changing
+# Entries from an exchange are not broadcast for this time after joining, as the other members already know them.
+CATCH_UP_US = 500_000
+DISPUTE_AFTER_US = 300_000  # a shorter difference between views may only mean that gossip is still in transit
 DIGEST_VALID_US = 2_000_000  # a member's last digest is too old for a comparison after this time
-ENTRIES_HEADER_BYTES = 8  # this many bytes are reserved for the encoding of the list itself
-MAX_DIFFERING_NAMES = 8  # the number of names that are kept for operators
+ENTRIES_HEADER_BYTES = 8  # this many bytes are reserved for the header of the MessagePack list of entries
+MAX_DIFFERING_NAMES = 8  # at most this many names are kept for the admin address
 
 
 class Dispute(Struct):
@@ -25,12 +26,12 @@
 
     Attributes:
         since_us: The time at which the views first differed.
-        heard_us: The time at which the other member's last digest arrived.
+        digest_received_us: The time at which the other member's last digest arrived.
         digest: The other member's last digest.
     """
 
     since_us: int
-    heard_us: int
+    digest_received_us: int
     digest: int
 
 
@@ -56,8 +57,8 @@
     def contact_unknown_member(self, address: Address, known_entry: Entry | None) -> None:
         """Begin an exchange with a member that sent a datagram but is not active in this view.
 
-        Otherwise a member that joined while no broadcast reached this process would stay unknown until its own probes
-        reveal the difference.
+        Without this exchange, a new member whose broadcasts do not reach this process would stay unknown here until one
+        of its own probes reveals that the views differ.
         """
         state = self._state
         if state.now_us - self._last_exchange_us >= UNKNOWN_MEMBER_INTERVAL_US:
@@ -71,7 +72,7 @@
             self._disputes.pop(sender, None)
             return
         dispute = self._disputes.setdefault(sender, Dispute(state.now_us, 0, 0))
-        dispute.heard_us = state.now_us
+        dispute.digest_received_us = state.now_us
         dispute.digest = digest
         entry = state.view.entries.get(sender)
         if entry is not None and state.phase == Phase.PRESENT and self._may_exchange():
@@ -81,11 +82,11 @@
     def _may_exchange(self) -> bool:
         """Return whether to begin an exchange now.
 
-        While the view keeps changing, views differ anyway, and gossip is about to resolve most of the differences.
+        While the view keeps changing, an exchange waits, because gossip resolves most of the differences soon.
         """
         now_us = self._state.now_us
         since_exchange_us = now_us - self._last_exchange_us
-        if since_exchange_us < EXCHANGE_INTERVAL_US:
+        if since_exchange_us < MIN_EXCHANGE_INTERVAL_US:
             return False
         is_quiet = now_us - self._dissemination.last_change_us >= DISPUTE_AFTER_US
         return is_quiet or since_exchange_us >= MAX_EXCHANGE_INTERVAL_US
@@ -137,7 +138,7 @@
         self._disputes = {name: dispute for name, dispute in self._disputes.items() if self._is_recent(dispute)}
 
     def disputes(self) -> dict[str, Dispute]:
-        """Return the disputes with recent digests that have lasted longer than gossip takes.
+        """Return the disputes with recent digests that have lasted longer than gossip takes to spread.
 
         The result is keyed by the name of the other member.
         """
@@ -148,4 +149,4 @@
         return dispute.digest != self._state.view.digest and differs_us >= DISPUTE_AFTER_US and self._is_recent(dispute)
 
     def _is_recent(self, dispute: Dispute) -> bool:
-        return self._state.now_us - dispute.heard_us < DIGEST_VALID_US
+        return self._state.now_us - dispute.digest_received_us < DIGEST_VALID_US
--- a/garnetusher/membership/codec.py
+++ b/garnetusher/membership/codec.py
@@ -1,8 +1,8 @@
 """Encoding of datagrams in MessagePack, with a version, the cluster's name and a sequence number.
 
 A datagram is an authentication tag of 16 bytes (keyed BLAKE2b, or zeros if no key is set) followed by an `Envelope`.
-The body is decoded separately, so that a body type of a later version is counted and ignored, and the gossip beside it
-is still used.
+The body is decoded separately, so that a body type of a later version is counted and ignored, while the gossip in the
+same datagram is still used.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     Welcome,
 )
 
-# The version of envelopes. Versions only append fields, so the known fields of a higher version are still read.
+# The version of envelopes. A new version only appends fields, so the known fields of a higher version are still read.
 VERSION = 1
 MAX_DATAGRAM_BYTES = 1200  # fits into the minimum MTU of IPv6 together with the headers
 AUTH_TAG_BYTES = 16
@@ -58,7 +58,7 @@
 
 
 class DatagramError(GarnetusherError, ValueError):
-    """A datagram is dropped."""
+    """A datagram is not accepted and must be dropped."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -197,7 +197,7 @@
 
 
 def are_valid(entries: list[Entry]) -> bool:
-    """Return whether all entries are valid; an entry that no member sends must not enter a view."""
+    """Return whether all entries have values that a member can send; other entries must not enter the view."""
     return all(
         0 < len(entry.name.encode()) <= MAX_NAME_BYTES
         and len(entry.zone.encode()) <= MAX_NAME_BYTES
--- a/garnetusher/membership/dissemination.py
+++ b/garnetusher/membership/dissemination.py
@@ -13,7 +13,7 @@
 from garnetusher.membership.state import Phase, ProtocolState
 from garnetusher.membership.view import State
 
-GOSSIP_PERIOD_US = 150_000  # each gossip round sends pending broadcasts in messages of their own
+GOSSIP_PERIOD_US = 150_000  # time between gossip rounds, which send pending broadcasts in separate messages
 GOSSIP_FANOUT = 3  # each round sends to this many members
 LEAVE_BROADCAST_ROUNDS = 3
 
@@ -21,7 +21,7 @@
 
 
 class Dissemination:
-    """Applies all entries to the view and broadcasts them.
+    """Applies entries to the view, queues them for broadcast and sends the broadcasts.
 
     Attributes:
         listeners: Functions that are called with each applied entry and the entry that it replaced, or None.
@@ -61,7 +61,7 @@
     def leave(self) -> None:
         """Broadcast in several rounds that this process leaves, and stop after the last round."""
         state = self._state
-        # A present member would refute its own entry that says that it has left.
+        # In the phase PRESENT, this process would refute its own LEFT entry when another member sends it back.
         state.phase = Phase.LEAVING
         self.apply(structs.replace(state.own_entry, state=State.LEFT, reporter=state.name))
         state.timers.clear()
--- a/garnetusher/membership/failure_detector.py
+++ b/garnetusher/membership/failure_detector.py
@@ -73,7 +73,7 @@
             self._state.send(relayed_probe.requester, Ack(relayed_probe.requester_probe_id, self._state.view.digest))
 
     def handle_nack(self, nack: Nack) -> None:
-        """Count a relay that works but has received no answer from the target either."""
+        """Count the nack of a relay, which works but has received no answer from the target."""
         probe = self._probes.get(nack.probe_id)
         if probe is not None:
             probe.nacks += 1
--- a/garnetusher/membership/fleet_size.py
+++ b/garnetusher/membership/fleet_size.py
@@ -1,9 +1,9 @@
-"""Estimates the number of instances by which the fleet's limits are divided, while views may differ.
+"""Estimates the size of the fleet, by which each sidecar divides the fleet's limits.
 
-Each sidecar uses its share of a limit, which is the limit divided by that number. If the number is too small, all
-sidecars together exceed the limit; if it is too large, some capacity stays unused. So a new member counts at once. A
-member that left still counts for a short time, and a failed member counts for as long as a network split may last,
-because it may be serving on the other side of the split.
+The members' views may differ for a time, so the estimate is cautious. If it is too small, all sidecars together exceed
+a limit; if it is too large, some capacity stays unused. Therefore, a new member counts at once, and a member that left
+still counts for a short time. A failed member counts for as long as a network split may last, because it may be serving
+on the other side of the split.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 from garnetusher.membership.member import Member
 from garnetusher.membership.view import State, is_active
 
-HOLD_US = 10_000_000  # a size is held for this time, which is longer than members take to agree on a change
-# A failed member counts for this time, which is twice the split of one minute that the fleet must survive.
+HOLD_US = 10_000_000  # an observed size counts for this time, which is longer than members take to agree on a change
+# A failed member counts for this time. It is twice as long as the network split of one minute that the fleet must
+# survive.
 HOLD_FAILED_US = 120_000_000
 
 
@@ -40,7 +41,7 @@
 
     Attributes:
         present: Names of the active members, sorted.
-        failed_since_us: For the name of each failed member, the time at which it was declared failed.
+        failed_since_us: The time at which each failed member was declared failed, keyed by name.
         own_name: Name of the member that has the view.
         agreed: Whether the other members have the same view.
         welcome_count: For a new member, the size of the fleet according to a seed, as its own view may not be complete
@@ -55,11 +56,11 @@
 
 
 class FleetSizeEstimator:
-    """Keeps the largest recent size.
+    """Estimates the size of the fleet as the largest recently observed size.
 
     Args:
         floor: The smallest size to return, which the operator sets.
-        hold_us: The time for which a size is held.
+        hold_us: The time for which an observed size counts.
         hold_failed_us: The time for which a failed member counts.
     """
 
--- a/garnetusher/membership/join.py
+++ b/garnetusher/membership/join.py
@@ -16,7 +16,7 @@
 
 FIRST_JOIN_BACKOFF_US = 500_000  # the backoff doubles with each attempt to join through seeds
 MAX_JOIN_BACKOFF_US = 4_000_000
-ALONE_AFTER_BACKOFF_US = 2 * FIRST_JOIN_BACKOFF_US  # a seed with a longer backoff considers itself alone
+ALONE_AFTER_BACKOFF_US = 2 * FIRST_JOIN_BACKOFF_US  # a seed whose backoff has grown beyond this considers itself alone
 SEEDS_PER_ATTEMPT = 2
 NAME_CLAIM_TIMEOUT_US = 1_000_000  # the holder of a name has to answer the joining process within this time
 # Members ping failed members at this interval on average, so that the parts of a split find each other when it heals.
@@ -24,7 +24,7 @@
 
 
 class _NameClaim(Struct, frozen=True):
-    """A ping to the process that already has the name of this one."""
+    """A ping that asks the current holder of this process's name whether it is still running."""
 
     probe_id: int
     holder: Entry
@@ -75,7 +75,7 @@
         self._anti_entropy.request(address)
 
     def handle_welcome(self, message: Welcome) -> None:
-        """Become present, or ask the holder of this name first if there seems to be one.
+        """Become present, or first ping another process that holds this name according to the seed.
 
         Only an answer from the holder itself proves that the name is in use, as the holder may have just died.
         """
@@ -125,7 +125,8 @@
     def _become_present(self, known: Entry | None) -> None:
         state = self._state
         if known is not None and known.generation >= state.generation:
-            # If the clock went back, other members would take this process for an earlier one.
+            # If the clock was set back, this process would otherwise have too low a generation, and other members would
+            # take it for an earlier process.
             state.generation = known.generation + 1
         state.phase = Phase.PRESENT
         state.present_since_us = state.now_us
@@ -158,7 +159,8 @@
     def _lost_addresses(self) -> list[Address]:
         """Return the addresses of failed members and inactive seeds.
 
-        Without the inactive seeds, a seed that left and returned alone would find no other member.
+        A seed that restarts and joins alone knows no failed members, so it finds other members only through the other
+        seeds.
         """
         state = self._state
         entries = state.view.entries.values()
--- a/garnetusher/membership/local_health.py
+++ b/garnetusher/membership/local_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # Lifeguard has the same limit; it multiplies periods and timeouts by at most nine
+MAX_SCORE = 8  # the same limit as in Lifeguard; periods and timeouts become at most nine times as long
 
 
 class LocalHealth:
@@ -12,7 +12,7 @@
         self.score = 0
 
     def adjust(self, delta: int) -> None:
-        """Change the score; a positive delta means evidence that this process is slow, a negative one the opposite."""
+        """Add to the score; a positive delta is evidence that this process is slow, a negative delta that it is not."""
         self.score = min(MAX_SCORE, max(0, self.score + delta))
 
     def scale(self, duration_us: int) -> int:
--- a/garnetusher/membership/log_events.py
+++ b/garnetusher/membership/log_events.py
@@ -18,12 +18,12 @@
 
 
 def joined(generation: int, member_count: int) -> LogEvent:
-    """Return the event that this process became present."""
+    """Return the event to log when this process becomes present."""
     return LogEvent("membership.joined", {"boot": generation, "members": member_count})
 
 
 def state_changed(entry: Entry) -> LogEvent:
-    """Return the event that the state or generation of a member changed in the view."""
+    """Return the event to log when a member's state or generation changes in the view."""
     fields: dict[str, object] = {
         "member": entry.name,
         "boot": entry.generation,
@@ -34,7 +34,7 @@
 
 
 def refuted(incarnation: int, accusation: Entry) -> LogEvent:
-    """Return the event that this process refuted an accusation with a higher incarnation."""
+    """Return the event to log when this process refutes an accusation with a higher incarnation."""
     fields: dict[str, object] = {
         "incarnation": incarnation,
         "by": accusation.reporter,
@@ -44,17 +44,17 @@
 
 
 def starved(late_us: int) -> LogEvent:
-    """Return the event that this process did not run for the given time."""
+    """Return the event to log when this process could not run for the given time."""
     return LogEvent("membership.starved", {"late_s": round(late_us / 1e6, 3)})
 
 
 def name_taken(other: Address, generation: int) -> LogEvent:
-    """Return the event that another process claims or uses the name of this one."""
+    """Return the event to log when another process claims or uses the name of this process."""
     return LogEvent("membership.name_taken", {"by": _format_address(other), "boot": generation})
 
 
 def stopped(reason: StopReason, superseded_by: Address | None) -> LogEvent:
-    """Return the event that this process is no longer a member."""
+    """Return the event to log when this process is no longer a member."""
     by = _format_address(superseded_by) if superseded_by else ""
     return LogEvent("membership.stopped", {"why": reason.value, "by": by})
 
--- a/garnetusher/membership/member.py
+++ b/garnetusher/membership/member.py
@@ -133,7 +133,10 @@
         return not self.disputes()
 
     def disputes(self) -> dict[str, Dispute]:
-        """Return the disputes with recent digests that have lasted longer than gossip takes, by member name."""
+        """Return the disputes with recent digests that have lasted longer than gossip takes to spread.
+
+        The result is keyed by the name of the other member.
+        """
         return self._anti_entropy.disputes()
 
     @property
@@ -148,7 +151,7 @@
         """Handle an event, and run the timers that are due.
 
         Args:
-            now_us: The monotonic time. An earlier time than in the last call counts as that time.
+            now_us: The monotonic time. If it is before the time of the last call, the time of the last call is used.
             event: The event.
 
         Returns:
@@ -173,7 +176,7 @@
 
     def _is_fresh(self, received: Received, address: Address) -> bool:
         if isinstance(received.body, Join):
-            return True  # the sender's generation may still change, and a join request changes nothing in this view
+            return True  # a join request does not change this view, and its sender may still raise its generation
         freshness = self._replay_filter.check(received.sender, received.generation, received.sequence)
         if freshness == Freshness.REPLAYED:
             self._state.dropped[DropReason.REPLAYED.value] += 1
@@ -277,7 +280,7 @@
             callback()
 
     def _allow_for_starvation(self, now_us: int) -> None:
-        """Postpone all deadlines by the time for which this process could not run, as it received nothing then."""
+        """Postpone all deadlines by the time in which this process could not run and so received no datagrams."""
         state = self._state
         next_due_us = state.timers.next_due_us
         if next_due_us is None or now_us - next_due_us <= STARVED_AFTER_US:
--- a/garnetusher/membership/messages.py
+++ b/garnetusher/membership/messages.py
@@ -14,7 +14,7 @@
 class Entry(Struct, array_like=True, frozen=True):
     """The information about one member that a view holds and members exchange.
 
-    The entry with the higher (generation, incarnation, state) supersedes another one for the same name.
+    Of two entries for the same name, the one with the higher (generation, incarnation, state) supersedes the other.
 
     Attributes:
         name: The name of the member, which is unique in the cluster.
@@ -23,9 +23,9 @@
         role: The role of the member: sidecar, agent or replica.
         zone: The zone in which the member runs.
         generation: The generation of the process; a later process of the same name has a higher one.
-        incarnation: The incarnation, which only the member itself raises, to refute other members' entries about it.
-        state: The value of `view.State`.
-        replaces: Whether the process replaces an earlier one on purpose.
+        incarnation: A number that only the member itself raises, to refute other members' entries about it.
+        state: The state of the member, as a value of `view.State`.
+        replaces: Whether the process is configured to take the name from a process that may still be running.
         reporter: Name of the member that reports this one as suspected, failed or left. Suspicions by different
             reporters confirm each other.
     """
@@ -80,7 +80,7 @@
 
 
 class Nack(Struct, array_like=True, frozen=True, tag="nack"):
-    """The answer of a working relay that has received no answer from the target either."""
+    """The answer of a relay that works but has received no answer from the target."""
 
     probe_id: int
 
--- a/garnetusher/membership/name_conflicts.py
+++ b/garnetusher/membership/name_conflicts.py
@@ -9,7 +9,7 @@
 from garnetusher.membership.state import Phase, ProtocolState
 from garnetusher.membership.view import State
 
-RECENTLY_JOINED_US = 30_000_000  # a process that joined within this time stops if another has its name
+RECENTLY_JOINED_US = 30_000_000  # a process that joined less than this time ago stops if another process has its name
 
 
 class NameConflicts:
@@ -32,10 +32,10 @@
             self._refute(entry)
 
     def _is_from_earlier_process(self, entry: Entry) -> bool:
-        """Return whether an earlier process, whose clock was ahead, had the generation of this one.
+        """Return whether the entry is from an earlier process that had the same generation because its clock was ahead.
 
-        Other members then attribute the datagrams of this process to the earlier one, or drop them as replays, as they
-        have seen higher sequence numbers.
+        In this case, other members attribute the datagrams of this process to the earlier one. They may also drop them
+        as replays, because the earlier process sent higher sequence numbers.
         """
         state = self._state
         if entry.incarnation > state.incarnation and entry.address == state.own_address:
@@ -67,7 +67,7 @@
             state.send(entry.address, Entries([]), state.own_entry)
 
     def _supersede(self, entry: Entry) -> None:
-        """Take a higher generation than the entry has, because this process is later or has the name already."""
+        """Raise the generation above that of the entry, as this process started later or already has the name."""
         state = self._state
         state.generation = entry.generation + 1
         state.persist()
--- a/garnetusher/membership/replay_filter.py
+++ b/garnetusher/membership/replay_filter.py
@@ -1,4 +1,4 @@
-"""Rejects datagrams that arrived before, or that an earlier process of their sender sent."""
+"""Rejects replayed datagrams, and datagrams from an earlier process with the name of the sender."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         self._windows: dict[str, _Window] = {}
 
     def check(self, sender: str, generation: int, sequence: int) -> Freshness:
-        """Return whether a datagram is fresh, and record it as received."""
+        """Return whether a datagram is fresh, replayed or from an old generation, and record a fresh one."""
         window = self._windows.get(sender)
         if window is None or generation > window.generation:
             self._windows[sender] = _Window(generation, sequence)
--- a/garnetusher/membership/settings.py
+++ b/garnetusher/membership/settings.py
@@ -6,7 +6,7 @@
 
 from garnetusher.membership.messages import Address
 
-# Each member sends one probe per period, so a failed member is first probed after about one period.
+# Each member sends one probe per period, so a failed member is first probed after about one period on average.
 PROBE_PERIOD_US = 400_000
 
 
--- a/garnetusher/membership/state.py
+++ b/garnetusher/membership/state.py
@@ -31,9 +31,10 @@
 
     Attributes:
         generation: The generation of this process; a later process of the same name has a higher one.
-        incarnation: The incarnation, which only this process raises, to refute other members' entries about it.
+        incarnation: A number that only this process raises, to refute other members' entries about it.
         present_since_us: The time at which this process became present.
-        acknowledged: Whether another member has answered this process, and so distinguishes it from an earlier one.
+        acknowledged: Whether another member has answered this process. An answer proves that this process is not taken
+            for an earlier one.
         dropped: The number of datagrams rejected after decoding, by reason; the codec counts those that it rejects.
     """
 
@@ -50,7 +51,7 @@
         self.acknowledged = False
         self.local_health = LocalHealth()
         self.dropped: Counter[str] = Counter()
-        self._unique_numbers = itertools.count(1)  # probe ids and the sequence of timers share these numbers
+        self._unique_numbers = itertools.count(1)  # shared by probe ids and the sequence numbers of timers
         self.timers = TimerQueue(self._unique_numbers)
         self._actions: list[Action] = []
 
--- a/garnetusher/membership/transport.py
+++ b/garnetusher/membership/transport.py
@@ -16,7 +16,7 @@
 
 
 def monotonic_us() -> int:
-    """Return the monotonic time, as the wall clock may jump."""
+    """Return the monotonic time in microseconds; unlike the wall clock, it never jumps."""
     return time.monotonic_ns() // 1000
 
 
@@ -24,7 +24,7 @@
     """Runs one member.
 
     Args:
-        create_member: Creates the member from its own address and the current time.
+        create_member: Creates the member from the bound address and the current monotonic time.
         handle_action: Carries out all actions except `SendDatagram`.
     """
 
--- a/garnetusher/membership/view.py
+++ b/garnetusher/membership/view.py
@@ -13,8 +13,8 @@
 from garnetusher.membership.messages import Entry
 
 BUCKETS = 32  # names are hashed into this many buckets; a full exchange sends only the buckets that differ
-# SWIM's lambda. A change is broadcast until the number of times that it was sent or received again is this factor times
-# log2 of the view's size.
+# A change is broadcast until it has been sent or received again BROADCAST_FACTOR * log2(view size) times. SWIM calls
+# this factor lambda.
 BROADCAST_FACTOR = 4
 # A member that failed or left is removed after this time, which is longer than the network splits that are expected to
 # heal.
@@ -67,7 +67,7 @@
         self.state_since_us: dict[str, int] = {}
         self.active_count = 0
         self._buckets = [0] * BUCKETS
-        self._broadcast_counts: dict[str, int] = {}  # how often each pending broadcast was counted, by name
+        self._broadcast_counts: dict[str, int] = {}  # how often each pending entry was sent or received again
         self._pending_by_count: list[dict[str, None]] = []  # the same names, grouped by count, oldest first
 
     def apply(self, entry: Entry, now_us: int, *, broadcast: bool = True) -> Entry | None:
@@ -153,7 +153,7 @@
         return chosen
 
     def count_broadcast(self, entry: Entry) -> None:
-        """Count one sending of an entry, or one receipt from another member.
+        """Count that an entry was sent, or was received again from another member.
 
         An entry that reaches the limit is no longer broadcast, as most members know it by then.
         """
@@ -185,7 +185,7 @@
         return [entry for entry in others if is_active(entry)]
 
     def sample(self, rng: random.Random, count: int, excluded: set[str]) -> list[Entry]:
-        """Return up to `count` distinct active members, chosen at random."""
+        """Return up to `count` distinct active members, chosen at random; `excluded` holds names to leave out."""
         found: list[Entry] = []
         names = list(self.entries)
         # Most members of a view are active, so this number of draws finds enough of them.
--- a/garnetusher/sidecar/membership.py
+++ b/garnetusher/sidecar/membership.py
@@ -31,11 +31,11 @@
 
 log = logging.getLogger(__name__)
 
-REFRESH_INTERVAL_S = 0.5  # the fleet's size is estimated periodically, as a held size expires without an event
+REFRESH_INTERVAL_S = 0.5  # the fleet's size is estimated periodically, as an observed size expires without an event
 SETTING_KEYS = {"cluster", "listen", "seeds", "floor", "key_file", "replaces", "kind"}
 REQUIRED_TEXT_KEYS = ("cluster", "listen")
 PORT_LIMIT = 65536
-SEED_BYTES = 8  # the random seed depends on this many last bytes of the name
+SEED_BYTES = 8  # the random seed depends on at most this many bytes at the end of the name
 
 
 class MembershipSettingsError(GarnetusherError, ValueError):
@@ -130,7 +130,7 @@
 
     Args:
         settings: The settings of the member.
-        on_fleet_size_changed: Called with the number of instances whenever it changes; 0 means that none is known.
+        on_fleet_size_changed: Called with the number of instances whenever it changes; 0 means an unknown number.
     """
 
     def __init__(self, settings: MembershipSettings, on_fleet_size_changed: Callable[[int], None]) -> None:
@@ -191,8 +191,8 @@
     def _create_member(self, own_address: Address, now_us: int) -> Member:
         settings = self._settings
         host, port = own_address
-        # A later process needs a higher generation. If the clock went back, the process raises its generation when it
-        # learns of the higher one from other members.
+        # The generation is the wall-clock time, so that a later process has a higher one. If the clock was set back,
+        # the process raises its generation when it learns of the higher one from other members.
         generation = time.time_ns() // 1_000_000
         member_settings = MemberSettings(
             settings.name, settings.role, settings.zone, host, port, settings.seeds, settings.replaces
@@ -200,7 +200,7 @@
         return Member(member_settings, self._codec, generation, generation ^ _stable_hash(settings.name), now_us)
 
     def _handle_action(self, action: Action) -> None:
-        """Carry out an action; `Persist` is ignored, as a sidecar has no disk yet."""
+        """Carry out an action; `Persist` is ignored, as a sidecar stores nothing on disk."""
         if isinstance(action, LogEvent):
             fields = " ".join(f"{name}={value}" for name, value in action.fields.items())
             log.info("%s %s", action.event, fields)
--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -5,19 +5,19 @@
 from garnetusher.model.members import Members, Node
 
 SECOND_US = 1_000_000
-JOIN_US = 8 * SECOND_US
-JOIN_WITH_LOSS_US = 20 * SECOND_US
+JOIN_DURATION_US = 8 * SECOND_US
+JOIN_DURATION_WITH_LOSS_US = 20 * SECOND_US
 
 
 def joined_fleet(
     size: int, seed: int = 1, loss: float = 0.0, keys: list[bytes] | None = None
 ) -> tuple[Members, list[Node]]:
-    """Return members that have joined through the first two and all have the complete list of active members."""
+    """Return simulated members that joined with the first two as seeds; each lists all active members."""
     members = Members(seed, loss=loss, keys=keys)
     nodes = [members.add(f"m{index}") for index in range(size)]
     for node in nodes:
         members.start(node, nodes[:2])
-    members.run(JOIN_US if not loss else JOIN_WITH_LOSS_US)
+    members.run(JOIN_DURATION_US if not loss else JOIN_DURATION_WITH_LOSS_US)
     assert all(members.active_names(node) == sorted(other.name for other in nodes) for node in nodes)
     return members, nodes
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -23,7 +23,7 @@
     assert members.fleet_size(nodes[0]).instances == 4
 
 
-def test_sidecars_divide_limits_by_the_present_members_when_membership_is_on() -> None:
+def test_sidecars_divide_limits_by_the_present_members_when_membership_is_enabled() -> None:
     experiment = small(seconds=8)
     sidecars = structs.replace(experiment.sidecars, per_zone={"a": 3, "b": 2}, told=50, membership=True)
     experiment = structs.replace(experiment, sidecars=sidecars)
--- a/tests/test_membership_exploration.py
+++ b/tests/test_membership_exploration.py
@@ -27,12 +27,14 @@
     monkeypatch.setattr(NameConflicts, "handle_own_entry", lambda self, entry: None)
 
 
-def drops_failed_members_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def stops_counting_failed_members_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_size, "HOLD_FAILED_US", 0)
     monkeypatch.setattr(fleet_size.FleetSizeEstimator.__init__, "__defaults__", (1, 0, 0))
 
 
-@pytest.mark.parametrize("inject_fault", [never_contacts_failed_members, never_refutes, drops_failed_members_at_once])
+@pytest.mark.parametrize(
+    "inject_fault", [never_contacts_failed_members, never_refutes, stops_counting_failed_members_at_once]
+)
 def test_exploration_finds_the_fault_when_one_is_injected(
     inject_fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_membership_member.py
+++ b/tests/test_membership_member.py
@@ -14,7 +14,7 @@
 from tests.membership_fleet import SECOND_US, joined_fleet, logged_fields
 
 
-def test_failure_detector_notices_a_kill_and_accuses_nobody_else_when_a_tenth_is_starved() -> None:
+def test_failure_detector_notices_a_kill_and_accuses_no_other_member_when_a_tenth_of_all_is_starved() -> None:
     members, nodes = joined_fleet(30, loss=0.1)
     for node in nodes[3:6]:
         members.delays_us[node.name] = 300_000
@@ -70,7 +70,7 @@
     assert len(members.active_names(nodes[0])) == 4
 
 
-def test_member_is_believed_left_and_not_failed_when_it_leaves() -> None:
+def test_member_has_the_state_left_and_not_failed_when_it_leaves() -> None:
     members, nodes = joined_fleet(5)
     members.leave(nodes[4])
     members.run(2 * SECOND_US)
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -41,13 +41,13 @@
         parse_keys(text)
 
 
-_INVALID_DATAGRAM_FLEET = joined_fleet(2)
+_FLEET_FOR_INVALID_DATAGRAMS = joined_fleet(2)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.binary(max_size=1400) | st.binary(max_size=300).map(lambda payload: EMPTY_AUTH_TAG + payload))
 def test_view_is_unchanged_when_an_invalid_datagram_arrives(data: bytes) -> None:
-    members, nodes = _INVALID_DATAGRAM_FLEET
+    members, nodes = _FLEET_FOR_INVALID_DATAGRAMS
     member = nodes[0].member
     assert member is not None
     entries, dropped = dict(member.view.entries), sum(member.codec.dropped.values())
@@ -71,7 +71,7 @@
     member.handle(members.clock.now_us, DatagramReceived(data, nodes[1].address))
     assert member.codec.dropped == {"foreign": 1, "unknown kind": 1}
     assert member.dropped["replayed"] == 1
-    assert "m9" in member.view.entries  # gossip beside an unknown body is still merged
+    assert "m9" in member.view.entries  # gossip in a datagram with an unknown body type is still merged
 
 
 def test_replay_filter_accepts_each_sequence_number_once_when_they_arrive_out_of_order() -> None:
--- a/tests/test_membership_timers.py
+++ b/tests/test_membership_timers.py
@@ -10,7 +10,7 @@
         callback()
 
 
-def test_timers_run_by_deadline_and_then_by_scheduling_when_several_are_due() -> None:
+def test_timers_run_in_order_of_due_time_and_then_of_scheduling_when_several_are_due() -> None:
     timers = TimerQueue()
     ran: list[str] = []
     timers.schedule(20, lambda: ran.append("late"))
--- a/tests/test_membership_wire_format.py
+++ b/tests/test_membership_wire_format.py
@@ -1,7 +1,7 @@
 """The wire format of each message.
 
-The expected bytes come from the version before the modules were renamed, so a change that breaks compatibility with it
-fails here.
+The expected bytes were recorded from an earlier version, so these tests fail if a change makes the wire format
+incompatible with that version.
 """
 
 from __future__ import annotations
--- a/tests/test_sidecar_membership.py
+++ b/tests/test_sidecar_membership.py
@@ -98,7 +98,7 @@
         wait_until(admin, lambda document: states(document) == ["present", "left", "failed"])
 
 
-def test_sidecar_serves_alone_when_its_membership_settings_are_wrong(tmp_path: Path) -> None:
+def test_sidecar_runs_without_membership_when_its_membership_settings_are_wrong(tmp_path: Path) -> None:
     with running_sidecars(tmp_path, [{"cluster": "test", "listen": "127.0.0.1:none"}]) as running:
         process, admin = running[0]
         document = wait_until(admin, lambda document: "not switched on" in document["phase"])
