--- a/garnetusher/sidecar/clock.py
+++ b/garnetusher/sidecar/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the sidecar: monotonic, in microseconds."""
+"""The monotonic clock of the sidecar, in microseconds."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def monotonic_us() -> int:
-    """Read the monotonic clock, which all times of requests, attempts and endpoints refer to."""
+    """Return the monotonic time, to which all times of requests, attempts and endpoints refer."""
     return time.monotonic_ns() // NANOSECONDS_PER_MICROSECOND
--- a/garnetusher/sidecar/downstream/arrival_time.py
+++ b/garnetusher/sidecar/downstream/arrival_time.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from garnetusher.sidecar.clock import monotonic_us
-from garnetusher.sidecar.sockets import SteadySocket
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
 
 BURST_WINDOW_US = (
     20_000  # bytes read so soon after the set-up, or after other bytes, may have arrived together with them
@@ -44,7 +44,7 @@
     """
 
     def __init__(
-        self, accepted_us: int, loop_earliest_arrival_us: Callable[[], int], sock: SteadySocket | None
+        self, accepted_us: int, loop_earliest_arrival_us: Callable[[], int], sock: ShortageTolerantSocket | None
     ) -> None:
         """Begin with a connection that has just been accepted.
 
@@ -107,7 +107,7 @@
             missing_size: the bytes of the body that have not been read; None if its length is not known.
         """
         if self.paused_since_us and not self._complete_since_us and missing_size is not None and self._sock is not None:
-            if self._sock.unread() >= missing_size:
+            if self._sock.unread_size() >= missing_size:
                 self._complete_since_us = self._incomplete_at_us or min(self.paused_since_us, self.arrived_us)
             else:
                 self._incomplete_at_us = monotonic_us()
@@ -118,5 +118,5 @@
         if first_request and monotonic_us() < self._set_up_us + BURST_WINDOW_US:
             arrived_us = min(arrived_us, self.accepted_us)
         if self._sock is not None:
-            arrived_us = min(arrived_us, self._sock.reads.since_us() or arrived_us)
+            arrived_us = min(arrived_us, self._sock.read_failures.since_us() or arrived_us)
         return min(arrived_us, self._complete_since_us or arrived_us)
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -14,7 +14,7 @@
 from garnetusher.sidecar.downstream.request_reader import RequestReader
 from garnetusher.sidecar.downstream.response_writer import ResponseWriter, content_type_header, retry_after_header
 from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Disposition, FinalResponse
-from garnetusher.sidecar.sockets import SteadySocket
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from garnetusher.sidecar.streaming import STALL_TIMEOUT_US, Head, SharedBufferProtocol, Source, Upload
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
         idle_since_us: when it was set up, or its last response or discarded bytes ended.
     """
 
-    def __init__(self, server: DownstreamServer, sock: SteadySocket | None = None) -> None:
+    def __init__(self, server: DownstreamServer, sock: ShortageTolerantSocket | None = None) -> None:
         """Begin with a connection that has just been accepted.
 
         Args:
--- a/garnetusher/sidecar/downstream/listener.py
+++ b/garnetusher/sidecar/downstream/listener.py
@@ -7,10 +7,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnetusher.sidecar.sockets import RETRY_S, SHORTAGES, Stall, SteadySocket, is_own
+from garnetusher.sidecar.sockets import (
+    RETRY_INTERVAL_S,
+    SHORTAGES,
+    FailureStreak,
+    ShortageTolerantSocket,
+    is_local_error,
+)
 
 MAX_ACCEPTS_PER_ROUND = 64  # then the event loop goes on to the connections that are there
-MAX_SETUP_TRIES = int(1 / RETRY_S)  # to add an accepted connection to the event loop: for about 1 s
+MAX_SETUP_TRIES = int(1 / RETRY_INTERVAL_S)  # to add an accepted connection to the event loop: for about 1 s
 
 
 class Listener:
@@ -25,7 +31,7 @@
         retry_timer: the timer after which accepting goes on; None unless it has paused on a shortage.
     """
 
-    def __init__(self, sock: socket.socket, factory: Callable[[SteadySocket], asyncio.BaseProtocol]) -> None:
+    def __init__(self, sock: socket.socket, factory: Callable[[ShortageTolerantSocket], asyncio.BaseProtocol]) -> None:
         """Listen at a socket.
 
         Args:
@@ -33,7 +39,7 @@
             factory: makes the protocol of a connection, in the moment in which that is accepted.
         """
         self.sock = sock
-        self.stall = Stall()
+        self.stall = FailureStreak()
         self.retry_timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
         self._factory = factory
@@ -59,19 +65,19 @@
                 connection, _ = self.sock.accept()
             except BlockingIOError:
                 if index == 0:  # another process has accepted it, or it can't be accepted yet
-                    self.stall.note()
+                    self.stall.record_failure()
                 return True
             except OSError as error:
-                self.stall.note()
+                self.stall.record_failure()
                 if error.errno in SHORTAGES:
                     self.pause()
-                    self.retry_timer = self._loop.call_later(RETRY_S, self.start)
+                    self.retry_timer = self._loop.call_later(RETRY_INTERVAL_S, self.start)
                     return False
                 continue  # an error of the connection, which is gone by now
-            self._set_up(SteadySocket.adopt(connection))
+            self._set_up(ShortageTolerantSocket.adopt(connection))
         return False
 
-    def _set_up(self, connection: SteadySocket) -> None:
+    def _set_up(self, connection: ShortageTolerantSocket) -> None:
         task = self._loop.create_task(self._serve(connection, self._factory(connection)))
         self._setup_tasks.add(task)
         task.add_done_callback(self._setup_tasks.discard)
@@ -82,9 +88,9 @@
             try:
                 await self._loop.connect_accepted_socket(lambda: protocol, connection)
             except OSError as error:
-                if not is_own(error):
+                if not is_local_error(error):
                     break
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
             else:
                 return
         connection.close()
@@ -93,7 +99,7 @@
         """Accept all that the kernel has queued, for at most so long; closing the socket would reset it."""
         ends_at_s = self._loop.time() + longest_s
         while not self.accept() and self._loop.time() < ends_at_s:  # noqa: ASYNC110 - the kernel's queue has no event
-            await asyncio.sleep(RETRY_S if self.retry_timer is not None else 0)
+            await asyncio.sleep(RETRY_INTERVAL_S if self.retry_timer is not None else 0)
 
     def close(self) -> None:
         """Close this process's copy of the socket; other processes may hold one, too."""
@@ -137,6 +143,6 @@
         try:
             return _listening_socket(address, backlog)
         except OSError as error:
-            if not is_own(error) or loop.time() >= ends_at_s:
+            if not is_local_error(error) or loop.time() >= ends_at_s:
                 raise
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets on a machine that is short of memory for a moment, and which errors are local and say nothing of a peer."""
+"""Sockets that tolerate a temporary shortage of memory, and the errors that this host causes and not a peer."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer, WriteableBuffer
 
-RETRY_S = 0.02  # between tries of a call that fails on this machine: short beside the shortest deadlines
-STALL_GAP_US = 50_000  # a call that succeeds so soon after a failed one takes what that one could not take
-EPOLL_PATIENCE_S = 0.5  # for which the process stands still to add a descriptor to epoll
-EPOLL_RETRY_S = RETRY_S / 4  # the process stands still meanwhile
+# The time between tries of a call that fails with a local error; it is short compared with the shortest deadlines.
+RETRY_INTERVAL_S = 0.02
+MAX_FAILURE_GAP_US = 50_000  # a call that succeeds within this time after a failed one takes what that call wanted
+# The whole process blocks while it retries to add a descriptor to epoll, so the interval is shorter.
+EPOLL_RETRY_TIMEOUT_S = 0.5
+EPOLL_RETRY_INTERVAL_S = RETRY_INTERVAL_S / 4
 
-# Errors of this machine: what fails with them may be tried again, and they are no evidence against a peer.
+# Errors that this host causes. A call that fails with one may be tried again, and they are no evidence against a peer.
 SHORTAGES = frozenset((errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM))
-OWN_ERRORS = SHORTAGES | {
+LOCAL_ERRORS = SHORTAGES | {
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
     errno.EAGAIN,
@@ -35,25 +37,26 @@
     errno.EINTR,
 }
 SHORTAGE_TEXT = "short of memory or buffers"
-LINGER_FOR_NO_TIME = struct.pack("ii", 1, 0)  # a struct linger: on, 0 s
+ZERO_LINGER = struct.pack("ii", 1, 0)  # struct linger with l_onoff = 1 and l_linger = 0 s
 
 
-def is_own(error: OSError) -> bool:
-    """Return whether a call failed because of this machine."""
-    return error.errno in OWN_ERRORS
+def is_local_error(error: OSError) -> bool:
+    """Return whether a call failed because of this host and not because of a peer."""
+    return error.errno in LOCAL_ERRORS
 
 
 def _raise_as_blocking(error: OSError) -> NoReturn:
-    """Raise a shortage as BlockingIOError, after which the event loop tries again; other errors as they are."""
+    """Raise a shortage as BlockingIOError, so that the event loop tries again; raise any other error unchanged."""
     if error.errno in SHORTAGES:
         raise BlockingIOError(errno.EAGAIN, SHORTAGE_TEXT) from None
     raise error
 
 
-class Stall:
-    """A row of failed tries to take something, and when it began.
+class FailureStreak:
+    """Consecutive failed calls to read bytes or accept a connection, and when the first of them failed.
 
-    What is taken within STALL_GAP_US of a failed try is what that try wanted; later it is something else.
+    A call that succeeds within MAX_FAILURE_GAP_US of a failed call returns what the failed call should have returned.
+    What a later call returns may have arrived since.
     """
 
     __slots__ = ("_first_failure_us", "_last_failure_us")
@@ -62,36 +65,36 @@
         self._first_failure_us = 0
         self._last_failure_us = 0
 
-    def note(self) -> None:
-        """Record a failed try."""
+    def record_failure(self) -> None:
+        """Record a failed call."""
         now_us = time.monotonic_ns() // 1000
-        if now_us > self._last_failure_us + STALL_GAP_US:
+        if now_us > self._last_failure_us + MAX_FAILURE_GAP_US:
             self._first_failure_us = now_us
         self._last_failure_us = now_us
 
     def since_us(self) -> int:
-        """Return the earliest time at which what is taken now was there; 0 if it was taken at once."""
+        """Return the earliest arrival time of what a successful call returns now; 0 if no call failed before it."""
         now_us = time.monotonic_ns() // 1000
-        return self._first_failure_us if now_us <= self._last_failure_us + STALL_GAP_US else 0
+        return self._first_failure_us if now_us <= self._last_failure_us + MAX_FAILURE_GAP_US else 0
 
 
-class SteadySocket(socket.socket):
+class ShortageTolerantSocket(socket.socket):
     """A socket that reports a shortage of memory or buffers as BlockingIOError.
 
-    The event loop takes any other error for the end of the connection, and what is in flight on it would be lost.
+    The event loop closes the connection after any other error, and the requests in flight on it would be lost.
 
     Attributes:
-        reads: since when reads have failed.
+        read_failures: the consecutive failed reads.
     """
 
-    __slots__ = ("reads",)
+    __slots__ = ("read_failures",)
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
-        self.reads = Stall()
+        self.read_failures = FailureStreak()
 
     def setsockopt(self, *arguments: Any) -> None:
-        """Set an option as `socket.setsockopt` does, but leave out TCP_NODELAY where there is no memory for it."""
+        """Set an option as `socket.setsockopt` does, but skip TCP_NODELAY if there is no memory for it."""
         try:
             super().setsockopt(*arguments)
         except OSError as error:
@@ -110,22 +113,22 @@
         try:
             return super().recv_into(buffer, nbytes, flags)
         except OSError as error:
-            self.reads.note()
+            self.read_failures.record_failure()
             _raise_as_blocking(error)
 
     def peer_has_ended(self) -> bool:
-        """Return whether the peer has closed or ended its sending side, which the event loop may not know yet."""
+        """Return whether the peer has closed the connection or its sending side; the event loop may not know yet."""
         if self.fileno() < 0:
             return True
         poll = select.poll()
         poll.register(self.fileno(), select.POLLRDHUP)
         try:
             return bool(poll.poll(0))
-        except OSError:  # short of memory: the event loop finds out later
+        except OSError:  # poll is short of memory; the event loop detects the end later
             return False
 
-    def unread(self) -> int:
-        """Return how many bytes wait in the kernel to be read; 0 if it can't say."""
+    def unread_size(self) -> int:
+        """Return the number of bytes that wait in the kernel to be read; 0 if the kernel can't tell."""
         size = array.array("i", [0])
         try:
             fcntl.ioctl(self.fileno(), termios.FIONREAD, size)
@@ -134,34 +137,35 @@
         return size[0]
 
     def reset_at_close(self) -> None:
-        """Let its close reset the connection, so that the peer does not take it for an orderly end."""
+        """Make a later close reset the connection, so that the peer does not take it for an orderly end."""
         with contextlib.suppress(OSError):
-            super().setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_FOR_NO_TIME)
+            super().setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
 
     @classmethod
-    def adopt(cls, sock: socket.socket) -> SteadySocket:
-        """Return the same socket in this class."""
+    def adopt(cls, sock: socket.socket) -> ShortageTolerantSocket:
+        """Return a ShortageTolerantSocket that takes over the descriptor of a socket."""
         return cls(sock.family, sock.type, sock.proto, fileno=sock.detach())
 
 
-class PatientSelector(selectors.EpollSelector):
-    """An epoll that waits to add a descriptor on a machine that is short for a moment.
+class RetryingEpollSelector(selectors.EpollSelector):
+    """An epoll selector that retries to add a descriptor while this host is short of memory.
 
-    The process stands still meanwhile; a connection that the event loop never heard of would be lost.
+    The process blocks meanwhile. Without the retry, the event loop would never learn of the connection, and the
+    connection would be lost.
     """
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Add a descriptor, with retries for EPOLL_PATIENCE_S."""
-        ends_at_s = time.monotonic() + EPOLL_PATIENCE_S
+        """Add a descriptor, with retries for EPOLL_RETRY_TIMEOUT_S."""
+        retry_until_s = time.monotonic() + EPOLL_RETRY_TIMEOUT_S
         while True:
             try:
                 return super().register(fileobj, events, data)
             except OSError as error:
-                if error.errno not in (errno.ENOMEM, errno.ENOSPC) or time.monotonic() >= ends_at_s:
+                if error.errno not in (errno.ENOMEM, errno.ENOSPC) or time.monotonic() >= retry_until_s:
                     raise
-            time.sleep(EPOLL_RETRY_S)
+            time.sleep(EPOLL_RETRY_INTERVAL_S)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Change it in two steps: `selectors`' own call forgets the descriptor where it fails."""
+        """Remove the descriptor and add it again: the call in `selectors` loses the descriptor if it fails."""
         self.unregister(fileobj)
         return self.register(fileobj, events, data)
--- a/garnetusher/sidecar/startup.py
+++ b/garnetusher/sidecar/startup.py
@@ -19,7 +19,7 @@
 from garnetusher.sidecar.configuration_section import ConfigurationError
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from garnetusher.sidecar.sidecar import Sidecar
-from garnetusher.sidecar.sockets import RETRY_S, PatientSelector, is_own
+from garnetusher.sidecar.sockets import RETRY_INTERVAL_S, RetryingEpollSelector, is_local_error
 
 if TYPE_CHECKING:
     from garnetusher.sidecar.membership import FleetMembership
@@ -53,7 +53,7 @@
         except CONFIGURATION_ERRORS:
             if time.monotonic() >= retry_until_s:
                 raise
-        time.sleep(RETRY_S)
+        time.sleep(RETRY_INTERVAL_S)
 
 
 def make_event_loop() -> asyncio.AbstractEventLoop:
@@ -62,7 +62,7 @@
     Raises:
         OSError: this machine stays short of what the loop takes.
     """
-    return retry_on_shortage(lambda: asyncio.SelectorEventLoop(PatientSelector()))
+    return retry_on_shortage(lambda: asyncio.SelectorEventLoop(RetryingEpollSelector()))
 
 
 def retry_on_shortage(make: Callable[[], _Result]) -> _Result:
@@ -76,9 +76,9 @@
         try:
             return make()
         except OSError as error:
-            if not is_own(error) or time.monotonic() >= retry_until_s:
+            if not is_local_error(error) or time.monotonic() >= retry_until_s:
                 raise
-        time.sleep(RETRY_S)
+        time.sleep(RETRY_INTERVAL_S)
 
 
 async def start_membership(sidecar: Sidecar) -> FleetMembership | None:
--- a/garnetusher/sidecar/streaming.py
+++ b/garnetusher/sidecar/streaming.py
@@ -1,4 +1,4 @@
-"""Bodies and responses that are longer than what is buffered: streamed on as they come, within bounds."""
+"""Streaming, with bounded memory, of request bodies and responses that are too long to be buffered."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-MAX_BUFFERED_SIZE = 64 * 1024  # bytes of a body or a response that are buffered; what is longer is streamed
-MAX_BODY_SIZE = 32 * 1024 * 1024  # bytes of a body or a response
-STALL_TIMEOUT_US = 10_000_000  # a peer that takes or sends nothing for so long has gone; a slow one may take seconds
-UPLOAD_MEMORY_SIZE = 256 * 1024  # bytes that a long body takes at the most: buffered, read, and not yet written
-READ_BUFFER_SIZE = 64 * 1024  # bytes read at once; each stream that waits for its peer holds so many
+MAX_BUFFERED_SIZE = 64 * 1024  # bytes; a longer body or response is streamed
+MAX_BODY_SIZE = 32 * 1024 * 1024  # bytes; the limit for a body or a response
+# A peer that reads or sends nothing for this time has failed; a slow peer may take seconds.
+STALL_TIMEOUT_US = 10_000_000
+UPLOAD_MEMORY_SIZE = 256 * 1024  # bytes that a long body takes at most, including what is read and not yet written
+READ_BUFFER_SIZE = 64 * 1024  # bytes per read; each stream that waits for its peer holds this many
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 def chunk(data: bytes) -> list[bytes]:
-    """Return a piece of a body whose length is not known, in chunked framing."""
+    """Return a part of a body in chunked transfer encoding."""
     return [b"%x\r\n" % len(data), data, b"\r\n"]
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """Reads pieces of a bounded size into one buffer that all connections share, as each is used at once.
+    """Reads bounded parts into one buffer that all connections share, as each part is processed immediately.
 
-    The event loop's own pieces are of 256 KiB, and hundreds of streams would hold one each.
+    The event loop by itself reads up to 256 KiB at a time, and hundreds of streams would each hold that much.
     """
 
     _buffer = memoryview(bytearray(READ_BUFFER_SIZE))
@@ -34,61 +35,61 @@
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Hand over a copy of what was read."""
+        """Pass a copy of the bytes that were read to `data_received`."""
         self.data_received(bytes(self._buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Take a piece."""
+        """Process the bytes of one read."""
         raise NotImplementedError
 
 
 class BodySink(Protocol):
-    """Takes a long body: an attempt at an upstream."""
+    """The receiver of a long body: an attempt at an upstream."""
 
     def write_body_chunk(self, data: bytes) -> None:
         """Write the next bytes."""
 
     def end_body(self) -> None:
-        """Write the end."""
+        """Write the end of the body."""
 
 
 class Sink(Protocol):
-    """Takes a long response: the client's side."""
+    """The receiver of a streamed response: the downstream side."""
 
     def write_chunk(self, data: bytes) -> None:
         """Write the next bytes."""
 
 
 class Source(Protocol):
-    """Gives a long response: the upstream's side."""
+    """The origin of a streamed response: the upstream side."""
 
     def pause(self) -> None:
-        """Read no more for now: the client reads more slowly than the upstream sends."""
+        """Pause reading: the client reads more slowly than the upstream sends."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
 
 
 class BodySource(Protocol):
-    """Gives a long body: the client's side."""
+    """The origin of a long body: the downstream side."""
 
     def pause_body(self) -> None:
-        """Read no more for now: no attempt takes the body."""
+        """Pause reading: no attempt takes the body."""
 
     def resume_body(self) -> None:
-        """Read on."""
+        """Resume reading."""
 
     def body_not_replayable(self) -> None:
-        """Note that more of the body went to an attempt than is buffered, so that no other can send it."""
+        """Record that an attempt has taken more of the body than is buffered, so that no other attempt can send it."""
 
 
 @dataclass(slots=True)
 class Head:
-    """What is known of a long response at its first bytes.
+    """What is known of a streamed response when its first bytes arrive.
 
     Attributes:
-        length: of its body; None if only its end will tell.
-        content_type: empty if it has none.
+        length: the length of the body in bytes; None if it is unknown until the body ends.
+        content_type: the value of Content-Type; empty if the header is absent.
     """
 
     length: int | None
@@ -96,12 +97,12 @@
 
 
 class Upload:
-    """A long body: its first part, buffered while the request may be sent again, and the rest as it comes.
+    """A long body: the first part is buffered while the request can be retried, the rest is streamed as it arrives.
 
     Attributes:
-        length: of the whole body; None if only its end will tell.
-        replayable: the buffer has all that has been read so far.
-        complete: the last byte has been read.
+        length: the length of the whole body in bytes; None if it is unknown until the body ends.
+        replayable: whether the buffer has everything that has been read so far.
+        complete: whether the last byte has been read.
     """
 
     def __init__(self, buffered: bytes, length: int | None, source: BodySource) -> None:
@@ -114,71 +115,71 @@
 
     @property
     def buffered(self) -> bytes:
-        """What is buffered."""
+        """The part of the body that is buffered."""
         return bytes(self._buffer)
 
     def attach(self, sink: BodySink) -> bytes:
-        """Let an attempt take the body; return what is buffered, which goes first."""
+        """Start to pass the body to an attempt; return the buffered part, which the attempt sends first."""
         self._sink = sink
         self._source.resume_body()
         return self.buffered
 
     def detach(self, sink: BodySink) -> None:
-        """Let an attempt take no more; does nothing if another one has taken its place."""
+        """Stop passing the body to an attempt; do nothing if another attempt has replaced it."""
         if self._sink is sink:
             self._sink = None
             self._source.pause_body()
 
-    def flow(self, *, on: bool) -> None:
-        """Read on, or read no more for now, as the attempt's connection takes the body.
+    def set_source_reading(self, *, enabled: bool) -> None:
+        """Resume or pause reading from the client, as the connection of the attempt can or cannot take the body.
 
         Args:
-            on: read on.
+            enabled: True to resume, False to pause.
         """
-        if on:
+        if enabled:
             self._source.resume_body()
         else:
             self._source.pause_body()
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes: they are buffered until an attempt takes the body, and streamed on from then."""
+        """Process the next bytes: they are buffered until an attempt takes the body, and streamed from then on."""
         if self._sink is None:
-            if self.replayable:  # else no attempt can use them
+            if self.replayable:  # otherwise no attempt can use the bytes
                 self._buffer += data
             return
         if self.replayable:
             self.replayable = False
             self._buffer = bytearray()
             self._source.body_not_replayable()
-        if self._sink is not None:  # the attempt may have been given up on that notice
+        if self._sink is not None:  # body_not_replayable may have abandoned the attempt
             self._sink.write_body_chunk(data)
 
     def finish(self) -> None:
-        """Note the last byte."""
+        """Record that the last byte has been read."""
         self.complete = True
         if self._sink is not None:
             self._sink.end_body()
 
 
 class BodyMemory:
-    """Bounds the memory for long bodies: those that find none wait for it in turn, unread.
+    """Bounds the memory for long bodies: when it is used up, further bodies wait in order and are not read.
 
     Attributes:
-        free: how many more bodies find memory.
-        waiting: what begins the bodies that wait.
+        free: the number of further bodies that fit into the memory.
+        waiting: the callbacks that start the waiting bodies.
     """
 
     def __init__(self, size: int) -> None:
-        """Begin with all memory free.
+        """Start with all memory free.
 
         Args:
-            size: in bytes; it is enough for one body at the least.
+            size: the size of the memory in bytes; at least one body fits, whatever the size.
         """
         self.free = max(1, size // UPLOAD_MEMORY_SIZE)
         self.waiting: deque[Callable[[], None]] = deque()
 
     def acquire(self, begin: Callable[[], None]) -> None:
-        """Call `begin`, at once or when there is memory."""
+        """Call `begin` immediately, or as soon as there is memory."""
         if self.free > 0:
             self.free -= 1
             begin()
@@ -186,7 +187,7 @@
             self.waiting.append(begin)
 
     def release(self, begin: Callable[[], None]) -> None:
-        """End the wait of a body, or give its memory to the next one."""
+        """Remove a body that still waits, or pass the memory of a finished body to the next one that waits."""
         if begin in self.waiting:
             self.waiting.remove(begin)
         elif self.waiting:
--- a/garnetusher/sidecar/upstream/__init__.py
+++ b/garnetusher/sidecar/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Attempts at upstreams over HTTP/1.1, and the pool of connections that carry them."""
+"""Sends attempts to upstreams over HTTP/1.1, on a pool of connections."""
--- a/garnetusher/sidecar/upstream/attempt.py
+++ b/garnetusher/sidecar/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an upstream, from its choice to its result."""
+"""One attempt at an upstream, from its start to its result."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 
 
 class UpstreamAttempt:
-    """One attempt: it has a connection, or waits until one is up.
+    """One attempt, which has a connection or waits until a connection is established.
 
     Attributes:
-        address: where it goes.
+        address: the address of the upstream.
         request: the client's request.
-        connection: the connection that carries it, or that is opened for it; None before and after.
-        written: whether any of it has been written.
-        abandoned: whether its result is wanted no more.
-        short_of_local_resources: this machine lacks what a connection takes.
-        on_response_started: called with a long response's head; returns where it goes, or None if nowhere.
+        connection: the connection that carries the attempt or is being opened for it; None before and after that.
+        written: whether any byte of the attempt has been written.
+        abandoned: whether the result of the attempt is no longer needed.
+        short_of_local_resources: whether connecting last failed because this host lacked the resources for it.
+        on_response_started: called with the head of a streamed response; returns the sink for its body, or None if no
+            client waits for the response.
     """
 
     __slots__ = (
@@ -63,10 +64,10 @@
         self.short_of_local_resources = False
 
     def permitted_head(self) -> bytes | None:
-        """Return what is to be written now, long bodies aside.
+        """Return the bytes to write now, without the body if it is streamed.
 
         Returns:
-            Head and short body; None if it may not be written: it ends then, as not written.
+            The head and a buffered body. None if the attempt may not be written; it then ends as NOT_WRITTEN.
         """
         permit = self._permission()
         if isinstance(permit, WritePermit):
@@ -81,7 +82,7 @@
             self.end(AttemptResult(Outcome.NOT_WRITTEN))
 
     def abandon(self) -> None:
-        """Give it up: a connection that has carried it is closed, one that is still coming up is kept."""
+        """Abandon the attempt: its connection is closed once the attempt was written, and kept while being opened."""
         self.abandoned = True
         connection, self.connection = self.connection, None
         if connection is None:
@@ -92,6 +93,6 @@
             connection.close()
 
     def end(self, result: AttemptResult) -> None:
-        """Report its result."""
+        """Report the result of the attempt."""
         self.connection = None
         self._on_ended(result)
--- a/garnetusher/sidecar/upstream/connecting.py
+++ b/garnetusher/sidecar/upstream/connecting.py
@@ -1,4 +1,4 @@
-"""Opens connections to upstreams, again and again where this machine is short of what a connection takes."""
+"""Opens connections to upstreams, with retries while this host is short of the resources for a connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.requests.messages import AttemptResult
 from garnetusher.sidecar.requests.trace import Trace
-from garnetusher.sidecar.sockets import RETRY_S, SteadySocket, is_own
+from garnetusher.sidecar.sockets import RETRY_INTERVAL_S, ShortageTolerantSocket, is_local_error
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
 from garnetusher.sidecar.upstream.request_writer import Address
@@ -18,10 +18,10 @@
 
 
 class Connector:
-    """Opens a connection for each attempt that finds no idle one.
+    """Opens a connection for each attempt that has no idle connection to reuse.
 
     Attributes:
-        connect_timeout_us: how long a connection may take to come up; 0 = as long as its attempt waits.
+        connect_timeout_us: the longest time that connecting may take; 0 means for as long as the attempt waits.
     """
 
     def __init__(
@@ -37,21 +37,21 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, attempt: UpstreamAttempt) -> None:
-        """Begin to open a connection for an attempt."""
+        """Start to open a connection for an attempt."""
         task = self._loop.create_task(self._open(attempt))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _open(self, attempt: UpstreamAttempt) -> None:
-        """Open a connection and write the attempt on it, if it is still wanted; else the connection is kept."""
+        """Open a connection and write the attempt on it; if the attempt was abandoned, the connection becomes idle."""
         connection = None
         try:
             async with asyncio.timeout(self.connect_timeout_us / 1e6 or None):
                 connection = await self._connect(attempt)
             if connection is not None:
-                connected = connection
-                await self._loop.create_connection(lambda: connected, sock=connected.sock)
-        except (OSError, ValueError):  # refused, unreachable, not up in time, or no host's name
+                established = connection
+                await self._loop.create_connection(lambda: established, sock=established.sock)
+        except (OSError, ValueError):  # connection refused, host unreachable, timeout, or invalid address
             if connection is not None:
                 connection.attempt = None
                 connection.sock.close()
@@ -60,34 +60,35 @@
                 attempt.end(AttemptResult(Outcome.NOT_WRITTEN if local else Outcome.CONNECT_FAILED))
 
     async def _connect(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
-        """Connect for an attempt, with retries while this machine is short; that says nothing of the upstream.
+        """Connect for an attempt, with retries after local errors, which are no evidence against the upstream.
 
         Returns:
-            A connection that is up; it carries the attempt unless that is abandoned meanwhile. None if the attempt was
-            abandoned before the first try: in the round of the loop that chose it, it may be elsewhere by now.
+            An established connection; it carries the attempt unless the attempt has been abandoned in the meantime.
+            None if the attempt was abandoned before a try: within the iteration of the event loop that started it, the
+            attempt may be abandoned and its request sent to another upstream.
 
         Raises:
             OSError: the upstream can't be reached.
-            ValueError: its address is none.
+            ValueError: the address of the upstream is invalid.
         """
         while not attempt.abandoned:
             attempt.short_of_local_resources = False
             try:
                 return await self._connect_once(attempt)
             except OSError as error:
-                if not is_own(error):
+                if not is_local_error(error):
                     raise
             attempt.short_of_local_resources = True
             self._trace.count(LOCAL_FAILURE_COUNTER)
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return None
 
     async def _connect_once(self, attempt: UpstreamAttempt) -> UpstreamConnection:
-        sock = SteadySocket(socket.AF_INET, socket.SOCK_STREAM)
+        sock = ShortageTolerantSocket(socket.AF_INET, socket.SOCK_STREAM)
         connection = self._make_connection(attempt.address, sock)
         connection.attempt, attempt.connection = attempt, connection
         try:
-            sock.setblocking(False)  # noqa: FBT003 - the standard library takes it by position only
+            sock.setblocking(False)  # noqa: FBT003 - the standard library accepts this argument by position only
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.sock_connect(sock, attempt.address)
         except BaseException:
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -20,44 +20,46 @@
 if TYPE_CHECKING:
     from garnetusher.sidecar.upstream.pool import ConnectionPool
 
-# A response of unknown length is kept for so long, in seconds; one that takes longer is passed on as it comes, so that
-# its first bytes aren't late.
-MAX_HOLD_S = 0.1
+# A response of unknown length is buffered for this time, in seconds. After that it is streamed, so that its first bytes
+# reach the client without further delay.
+MAX_BUFFERING_S = 0.1
 
 
 class NotConnectedError(GarnetusherError):
-    """A connection that is not up yet was asked to write."""
+    """A request was to be written on a connection that is not established yet."""
 
     def __init__(self, address: Address) -> None:
-        super().__init__(f"expected a connection to {address[0]}:{address[1]} that is up, got one that is not")
+        super().__init__(
+            f"expected an established connection to {address[0]}:{address[1]}, got one that is still being opened"
+        )
 
 
 class TransportTypeError(GarnetusherError, TypeError):
-    """The event loop gave a connection a transport that is no stream."""
+    """The event loop gave a connection a transport that is not a stream transport."""
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
         super().__init__(f"expected a stream transport for an upstream connection, got {type(transport).__name__}")
 
 
 class UpstreamConnection(SharedBufferProtocol):
-    """A connection to an upstream, idle in its pool or with one attempt on it.
+    """A connection to an upstream, which is idle in its pool or carries one attempt.
 
     Attributes:
-        address: the upstream's.
-        sock: its socket.
-        attempt: the attempt that it carries, or is opened for.
-        idle: since when it is idle, and how long it was.
-        response_reader: reads the response of its attempt.
-        closed: it carries no further attempt.
-        reading_paused: nothing is read, as the client of a long response does not take it.
-        last_read_us: when something of the response last came, or reading went on.
+        address: the address of the upstream.
+        sock: the socket of the connection.
+        attempt: the attempt that the connection carries or is being opened for.
+        idle_timing: when the connection became idle, and how long it was idle before its attempt.
+        response_reader: the reader for the response to the attempt.
+        closed: whether the connection can carry no further attempt.
+        reading_paused: whether reading is paused because the client reads a streamed response too slowly.
+        last_read_us: when bytes of the response last arrived, or reading was last resumed.
     """
 
     def __init__(self, pool: ConnectionPool, address: Address, sock: socket.socket) -> None:
         self.address = address
         self.sock = sock
         self.attempt: UpstreamAttempt | None = None
-        self.idle = IdleTiming()
+        self.idle_timing = IdleTiming()
         self.response_reader = ResponseReader()
         self.closed = False
         self.reading_paused = False
@@ -68,10 +70,10 @@
 
     @property
     def request_writer(self) -> RequestWriter:
-        """What writes its attempts' requests.
+        """The writer for the requests of this connection.
 
         Raises:
-            NotConnectedError: the connection is not up yet.
+            NotConnectedError: the connection is not established yet.
         """
         if self._request_writer is None:
             raise NotConnectedError(self.address)
@@ -80,52 +82,52 @@
     # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the attempt that waits for this connection, or keep the connection as idle."""
+        """Write the attempt that waits for this connection, or put the connection into the pool as idle."""
         if not isinstance(transport, asyncio.Transport):
             raise TransportTypeError(transport)
         self._transport = transport
         self._request_writer = RequestWriter(transport)
-        transport.set_write_buffer_limits(high=0)  # pause_writing is called whenever something is left unsent
+        transport.set_write_buffer_limits(high=0)  # the loop calls pause_writing whenever bytes are left unsent
         if self.attempt is None or not self.send(self.attempt):
             self._pool.put_idle(self)
 
     def pause_writing(self) -> None:
-        """Stop the client of a long body: the kernel takes no more."""
+        """Stop reading a long body from the client, as the send buffer of the kernel is full."""
         self.request_writer.has_unsent_bytes = True
         if self.attempt is not None and self.attempt.request.upload is not None:
-            self.attempt.request.upload.flow(on=False)
+            self.attempt.request.upload.set_source_reading(enabled=False)
 
     def resume_writing(self) -> None:
-        """Let the client of a long body go on."""
+        """Resume reading a long body from the client."""
         self.request_writer.has_unsent_bytes = False
         if self.attempt is not None and self.attempt.request.upload is not None:
-            self.attempt.request.upload.flow(on=True)
+            self.attempt.request.upload.set_source_reading(enabled=True)
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the response."""
+        """Parse a part of the response."""
         if self.attempt is None or not self.response_reader.expecting:
-            self.close()  # bytes without a request
+            self.close()  # the upstream sent bytes that belong to no request
             return
         response = self.response_reader
         response.received += len(data)
         self.last_read_us = monotonic_us()
-        had_begun = response.in_body
+        was_in_body = response.in_body
         response.feed(data)
         if response.complete:
             self._finish_complete()
         elif self.closed or response.connection_unusable or response.exceeds_framing_limit:
-            self.break_off()
-        elif not had_begun and response.has_unknown_length:
-            self._pool.loop.call_later(MAX_HOLD_S, self._on_hold_timer, self.attempt)
+            self.abort_response()
+        elif not was_in_body and response.is_buffering_unknown_length:
+            self._pool.loop.call_later(MAX_BUFFERING_S, self._on_buffering_timeout, self.attempt)
 
     def eof_received(self) -> None:
-        """Complete a response that ends with the connection."""
+        """Complete a response whose body ends where the connection ends."""
         self.closed = True
-        if self.attempt is not None and self.response_reader.end_of_connection():
+        if self.attempt is not None and self.response_reader.feed_eof():
             self._finish_complete()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the attempt: a request that was written completely may have run, another one has not."""
+        """End the attempt; a request that was written completely may have run, an incomplete one has not."""
         self.closed = True
         self._pool.remove(self)
         if self.attempt is not None:
@@ -135,9 +137,10 @@
     # Requests
 
     def is_usable(self) -> bool:
-        """Return whether a request can be written.
+        """Return whether a request can be written on the connection.
 
-        An end or stray bytes that are in the kernel and were not read yet would cost the request.
+        If the kernel already holds the end of the connection or stray bytes that were not read yet, a request that is
+        written now would be lost.
         """
         if self.closed or self._transport is None or self._transport.is_closing():
             return False
@@ -150,7 +153,7 @@
         return False
 
     def send(self, attempt: UpstreamAttempt) -> bool:
-        """Write an attempt, if that is still permitted; return whether it was."""
+        """Write an attempt if that is still permitted; return whether it was."""
         writer = self.request_writer
         head = attempt.permitted_head()
         if head is None:
@@ -162,38 +165,38 @@
         self.response_reader.start(self)
         self.reading_paused = False
         self.last_read_us = 0
-        self.idle.start_attempt(monotonic_us())
+        self.idle_timing.start_attempt(monotonic_us())
         if not writer.write_head(head):
             self._pool.restart_attempt(self, attempt)
             return True
         if attempt.request.upload is not None:
             writer.start_body(attempt.request.upload)
-        if writer.transport.is_closing():  # the write failed: the connection had broken before
+        if writer.transport.is_closing():  # the write failed, as the connection was already broken
             writer.has_unsent_bytes = True
         return True
 
     def detach_upload(self, attempt: UpstreamAttempt) -> None:
-        """Take no more of the attempt's long body."""
+        """Stop taking the long body of an attempt."""
         if attempt.request.upload is not None and self._request_writer is not None:
             attempt.request.upload.detach(self._request_writer)
 
-    # Long responses
+    # Streamed responses
 
     def pause(self) -> None:
-        """Stop reading: the client takes a long response more slowly than it comes."""
+        """Pause reading: the client reads a streamed response more slowly than the upstream sends it."""
         self.reading_paused = True
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         self.reading_paused = False
         self.last_read_us = monotonic_us()
         if self._transport is not None:
             self._transport.resume_reading()
 
     def start_streaming(self, head: Head) -> Sink | None:
-        """Return where the body of a long response goes; None if no client waits for it."""
+        """Return the sink for the body of a streamed response; None if no client waits for it."""
         if self.attempt is None:
             return None
         sink = self.attempt.on_response_started(head, self)
@@ -201,37 +204,37 @@
             self._pool.streaming.add(self)
         return sink
 
-    def _on_hold_timer(self, attempt: UpstreamAttempt) -> None:
-        """Pass on a response of unknown length that takes long."""
+    def _on_buffering_timeout(self, attempt: UpstreamAttempt) -> None:
+        """Start to stream a response of unknown length that was not complete within MAX_BUFFERING_S."""
         response = self.response_reader
         if self.attempt is not attempt or response.sink is not None or response.complete:
             return
         if not response.body:
-            self._pool.loop.call_later(MAX_HOLD_S, self._on_hold_timer, attempt)
+            self._pool.loop.call_later(MAX_BUFFERING_S, self._on_buffering_timeout, attempt)
             return
         try:
             response.start_streaming()
         except ResponseNotWantedError:
-            self.break_off()
+            self.abort_response()
 
-    # Ends
+    # End of an attempt or of the connection
 
-    def break_off(self) -> None:
-        """Close the connection in the middle of a response."""
+    def abort_response(self) -> None:
+        """Close the connection in the middle of a response, and end the attempt as RESET."""
         self.close()
         self.finish(Outcome.RESET)
 
     def _finish_complete(self) -> None:
         if self.closed or self.response_reader.connection_unusable or self.request_writer.request_incomplete:
-            self.close()  # the rest of an incomplete request would be read as the next one
+            self.close()  # the upstream would take the rest of an incomplete request for the next request
         self.finish(self.response_reader.outcome())
 
     def finish(self, outcome: Outcome) -> None:
-        """End the attempt, and keep the connection as idle unless it is closed."""
+        """End the attempt; the connection becomes idle unless it is closed."""
         attempt, self.attempt = self.attempt, None
         response = self.response_reader
         lost = outcome is Outcome.RESET and response.received == 0
-        self._pool.idle_reuse.record_reuse(self.idle.before_attempt_us, lost=lost)
+        self._pool.idle_reuse.record_reuse(self.idle_timing.before_attempt_us, lost=lost)
         result = AttemptResult(outcome)
         if outcome is Outcome.OK and response.sink is None:
             result = AttemptResult(outcome, bytes(response.body), response.content_type)
@@ -246,15 +249,16 @@
             attempt.end(result)
 
     def close(self) -> None:
-        """Close the connection, and tell the upstream at once.
+        """Close the connection, and notify the upstream immediately.
 
-        The loop closes the socket in its next round. The next attempt of an abandoned one may be written in this
-        round, and two may not be out together; so the sending side is shut down here.
+        The event loop closes the socket in its next iteration. After an attempt is abandoned, the next attempt may be
+        written in this iteration, and two attempts may not be in flight together. The sending side is therefore shut
+        down here.
         """
         self.closed = True
         self._pool.remove(self)
         self._pool.streaming.discard(self)
         if self._transport is not None:
-            with contextlib.suppress(OSError):  # the upstream has ended it first
+            with contextlib.suppress(OSError):  # the upstream closed the connection first
                 self.sock.shutdown(socket.SHUT_WR)
             self._transport.abort()
--- a/garnetusher/sidecar/upstream/idle_reuse.py
+++ b/garnetusher/sidecar/upstream/idle_reuse.py
@@ -1,74 +1,80 @@
-"""How long a connection to an upstream has been idle, and how long it may be and still be used again."""
+"""Records how long connections to upstreams are idle, and estimates how long they may be idle and still be reused."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-IDLE_TIMEOUT_MARGIN_US = 300_000  # an upstream may close a connection while a request is on its way to it
-TRUSTED_IDLE_US = 25_000  # connections that are idle for less are in steady use
-RESPONSE_GRACE_US = 10_000  # stray second responses were seen 1 to 4 ms after the first; less than TRUSTED_IDLE_US
-MAX_LOSS_SHARE = 0.25  # well above the share that a bad network takes of requests on any connection
-LOSS_WEIGHT = 1 / 16  # of one reuse in the moving average: five losses in a dozen reuses pass MAX_LOSS_SHARE
-LOSS_DECAY_PER_SWEEP = 0.99  # ten sweeps a second: a measured share halves in 7 s
+# The sidecar closes an idle connection this long before the upstream does. Otherwise the upstream may close it while a
+# request is in flight to it.
+IDLE_TIMEOUT_MARGIN_US = 300_000
+TRUSTED_IDLE_US = 25_000  # shorter idle times mean steady use; losses never lower the limit below this
+# Stray second responses arrived 1 to 4 ms after the first one. This must be less than TRUSTED_IDLE_US.
+RESPONSE_GRACE_US = 10_000
+MAX_LOSS_SHARE = 0.25  # well above the share of requests that a bad network loses on connections of any idle time
+# The weight of one reuse in the moving average: five losses in a dozen reuses exceed MAX_LOSS_SHARE.
+LOSS_WEIGHT = 1 / 16
+LOSS_DECAY_PER_SWEEP = 0.99  # the pool sweeps ten times a second, so a measured share halves in 7 s
+# Values of `IdleTiming.before_attempt_us` that are not a time.
 NEVER_USED = -2  # the connection has carried no attempt yet
-FIRST_ATTEMPT = -1  # the connection was opened for the attempt and was not idle before
+FIRST_ATTEMPT = -1  # the connection was opened for its attempt and was not idle before
 
 
 @dataclass(slots=True)
 class IdleTiming:
-    """Idle times of one connection.
+    """The idle times of one connection.
 
     Attributes:
-        since_us: when the connection last became idle; 0 = never yet.
-        before_attempt_us: how long it was idle before its current or last attempt; FIRST_ATTEMPT and NEVER_USED
-            stand for none.
+        since_us: the time at which the connection last became idle; 0 if it never did.
+        before_attempt_us: how long the connection was idle before its current or latest attempt, or FIRST_ATTEMPT or
+            NEVER_USED.
     """
 
     since_us: int = 0
     before_attempt_us: int = NEVER_USED
 
     def start_attempt(self, now_us: int) -> None:
-        """Record that the connection carries an attempt from now on."""
+        """Record that an attempt starts on the connection."""
         self.before_attempt_us = now_us - self.since_us if self.since_us else FIRST_ATTEMPT
 
     def grace_remaining_us(self, now_us: int) -> int:
-        """Return how long a stray second response may still come; 0 or less = no longer."""
+        """Return for how long a stray second response may still arrive; 0 or less means that none is expected."""
         if self.before_attempt_us == NEVER_USED:
             return 0
         return self.since_us + RESPONSE_GRACE_US - now_us
 
 
 class IdleReuseEstimator:
-    """Estimates how long an idle connection can be used again, from the requests lost on reused ones.
+    """Estimates how long a connection may be idle and still be reused, from the requests lost on reused connections.
 
-    Upstreams may end an idle connection earlier than the settings say and without notice; the next request on it is
-    lost. The share of lost requests is a moving average per idle time, in ranges that double. Resets that strike
-    connections of every idle time shorten nothing below TRUSTED_IDLE_US.
+    An upstream may close an idle connection earlier than the settings say, without notice; the next request on that
+    connection is lost. The estimator keeps a moving average of the share of lost requests for each range of
+    idle times; each range is twice as long as the one before. Resets that affect connections of every idle time do not
+    lower the limit below TRUSTED_IDLE_US.
     """
 
     def __init__(self, max_idle_us: int) -> None:
         self.max_idle_us = max_idle_us
-        self.loss_shares = [0.0] * (max_idle_us // TRUSTED_IDLE_US).bit_length()  # one for each doubling of the time
+        self.loss_shares = [0.0] * (max_idle_us // TRUSTED_IDLE_US).bit_length()  # one share for each range
 
     @classmethod
     def for_idle_timeout(cls, idle_timeout_us: int) -> IdleReuseEstimator:
-        """Return an estimator for upstreams that close connections which are idle for so long."""
+        """Return an estimator for upstreams that close connections after this idle time."""
         return cls(max(0, idle_timeout_us - IDLE_TIMEOUT_MARGIN_US))
 
     def limit_us(self) -> int:
-        """Return the idle time up to which connections may be used again."""
-        doublings = next(
+        """Return the longest idle time after which a connection may be reused."""
+        range_index = next(
             (index for index, share in enumerate(self.loss_shares) if share > MAX_LOSS_SHARE),
             len(self.loss_shares),
         )
-        return min(self.max_idle_us, TRUSTED_IDLE_US << doublings)
+        return min(self.max_idle_us, TRUSTED_IDLE_US << range_index)
 
     def record_reuse(self, idle_us: int, *, lost: bool) -> None:
-        """Record that a connection was used again after `idle_us`, and whether its request was lost."""
-        doubling = (idle_us // TRUSTED_IDLE_US).bit_length() - 1
-        if 0 <= doubling < len(self.loss_shares):
-            self.loss_shares[doubling] += (lost - self.loss_shares[doubling]) * LOSS_WEIGHT
+        """Record that a connection was reused after `idle_us`, and whether its request was lost."""
+        range_index = (idle_us // TRUSTED_IDLE_US).bit_length() - 1
+        if 0 <= range_index < len(self.loss_shares):
+            self.loss_shares[range_index] += (lost - self.loss_shares[range_index]) * LOSS_WEIGHT
 
     def decay(self) -> None:
-        """Let measured shares decay by one sweep: an idle time that is no longer tried is tried again in time."""
+        """Decay the measured shares by one sweep, so that idle times above the limit are tried again later."""
         self.loss_shares = [share * LOSS_DECAY_PER_SWEEP for share in self.loss_shares]
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to upstreams: idle connections, their reuse and their end."""
+"""The pool of connections to upstreams: it reuses idle connections and closes them before their upstream does."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermission
 from garnetusher.sidecar.requests.trace import Trace
-from garnetusher.sidecar.sockets import RETRY_S
+from garnetusher.sidecar.sockets import RETRY_INTERVAL_S
 from garnetusher.sidecar.streaming import STALL_TIMEOUT_US, Head, Sink, Source
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
 from garnetusher.sidecar.upstream.connecting import Connector
@@ -17,18 +17,18 @@
 from garnetusher.sidecar.upstream.idle_reuse import IdleReuseEstimator
 from garnetusher.sidecar.upstream.request_writer import Address
 
-SWEEP_INTERVAL_S = 0.1  # well under the margin that idle connections are closed before their upstream would
+SWEEP_INTERVAL_S = 0.1  # must be well below IDLE_TIMEOUT_MARGIN_US, or the upstream could close a connection first
 
 
 class ConnectionPool:
-    """Connections to all upstreams. The most recently used one is used again first.
+    """Connections to all upstreams; an attempt reuses the idle connection that was used most recently.
 
     Attributes:
-        loop: the event loop that it was made in.
-        idle: the idle connections to each address, in the order in which they became idle.
-        idle_reuse: how long connections may be idle.
-        streaming: the connections on which a long response is being passed on.
-        sweep_timer: the timer of the next sweep.
+        loop: the event loop in which the pool was created.
+        idle: the idle connections to each address; the one that became idle first comes first.
+        idle_reuse: the estimate of how long a connection may be idle and still be reused.
+        streaming: the connections whose current response is streamed to the client.
+        sweep_timer: the timer for the next call of `sweep`.
     """
 
     def __init__(self, idle_timeout_us: int, connect_timeout_us: int, trace: Trace | None = None) -> None:
@@ -40,7 +40,7 @@
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def apply_settings(self, idle_timeout_us: int, connect_timeout_us: int) -> None:
-        """Apply the operator's new settings; with another idle time-out, reuse is measured anew."""
+        """Apply new settings; a changed idle timeout discards the measurements of lost requests."""
         idle_reuse = IdleReuseEstimator.for_idle_timeout(idle_timeout_us)
         if idle_reuse.max_idle_us != self.idle_reuse.max_idle_us:
             self.idle_reuse = idle_reuse
@@ -51,75 +51,77 @@
     def start_attempt(
         self,
         address: Address,
-        call: HttpRequest,
+        http_request: HttpRequest,
         permission: WritePermission,
-        ended: Callable[[AttemptResult], None],
-        began: Callable[[Head, Source], Sink | None],
+        on_ended: Callable[[AttemptResult], None],
+        on_response_started: Callable[[Head, Source], Sink | None],
     ) -> UpstreamAttempt:
         """Start an attempt on an idle connection, or on a new one.
 
         Args:
-            address: the upstream's.
-            call: the client's request.
-            permission: asked when the first byte is about to be written.
-            ended: called once with the result, later, unless the attempt is abandoned first.
-            began: called before it where the response is long; returns where it goes, or None if nowhere.
+            address: the address of the upstream.
+            http_request: the client's request.
+            permission: called just before the first byte is written.
+            on_ended: called once with the result after this method returns, unless the attempt is abandoned first.
+            on_response_started: called before `on_ended` if the response is streamed; returns the sink for its body, or
+                None if no client waits for the response.
         """
-        attempt = UpstreamAttempt(self.loop, address, call, permission, ended, began)
+        attempt = UpstreamAttempt(self.loop, address, http_request, permission, on_ended, on_response_started)
         now_us = monotonic_us()
         oldest_us = now_us - self.idle_reuse.limit_us()
-        in_response_grace = []
+        connections_in_grace = []
         for connection in reversed(self.idle.get(address, [])[:]):
-            if connection.idle.grace_remaining_us(now_us) > 0:
-                in_response_grace.append(connection)
-            elif connection.idle.since_us > oldest_us and connection.is_usable():
+            if connection.idle_timing.grace_remaining_us(now_us) > 0:
+                connections_in_grace.append(connection)
+            elif connection.idle_timing.since_us > oldest_us and connection.is_usable():
                 self.remove(connection)
-                self._send_or_keep(connection, attempt)
+                self._send_or_add_idle(connection, attempt)
                 return attempt
             else:
                 connection.close()
-        if in_response_grace:
-            self._wait_for_grace(in_response_grace[-1], attempt, now_us)
+        if connections_in_grace:
+            self._wait_for_grace(connections_in_grace[-1], attempt, now_us)
         else:
             self.open_connection(attempt)
         return attempt
 
     def _wait_for_grace(self, connection: UpstreamConnection, attempt: UpstreamAttempt, now_us: int) -> None:
-        """Reserve a connection that has just had a response.
+        """Reserve a connection that has just received a response, and write the attempt when its grace period is over.
 
-        A stray second response, some milliseconds late, would be taken for that to this request. To wait for the rest
-        of that time costs less than another connection.
+        A stray second response may arrive a few milliseconds after the first. On a connection that is reused at once,
+        the sidecar would take it for the response to the new request. Waiting for the rest of the grace period is
+        cheaper than opening another connection.
         """
         self.remove(connection)
-        delay_s = connection.idle.grace_remaining_us(now_us) / 1e6
+        delay_s = connection.idle_timing.grace_remaining_us(now_us) / 1e6
         self.loop.call_later(delay_s, self.send_after_grace, connection, attempt)
 
     def send_after_grace(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
-        """Write an attempt on the connection reserved for it; either may have ended meanwhile."""
+        """Write an attempt on its reserved connection, unless one of them has ended in the meantime."""
         if not connection.is_usable():
             connection.close()
             if not attempt.abandoned:
                 self.open_connection(attempt)
         elif attempt.abandoned:
-            self._keep(connection)
+            self._add_idle(connection)
         else:
-            self._send_or_keep(connection, attempt)
+            self._send_or_add_idle(connection, attempt)
 
-    def _send_or_keep(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
-        """Write an attempt on a connection that was idle and stays so if the attempt is not permitted any more."""
+    def _send_or_add_idle(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
+        """Write an attempt on an idle connection; put the connection back if the attempt is no longer permitted."""
         if not connection.send(attempt):
-            self._keep(connection)
+            self._add_idle(connection)
 
     def restart_attempt(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
-        """Give an attempt a new connection, as this machine is short and nothing of it could be sent.
+        """Close a connection that could not send any byte for lack of local resources, and open a new one.
 
-        What the loop sends as soon as it can would tell the upstream of time that has passed; so the head is written
-        anew.
+        The event loop would send the buffered head later, with a deadline header that is too long by then. A new
+        connection writes a new head with the time that remains at that moment.
         """
         attempt.written, attempt.connection = False, None
         connection.attempt = None
         connection.close()
-        self.loop.call_later(RETRY_S, self.open_connection, attempt)
+        self.loop.call_later(RETRY_INTERVAL_S, self.open_connection, attempt)
 
     def open_connection(self, attempt: UpstreamAttempt) -> None:
         """Open a new connection for an attempt."""
@@ -131,15 +133,15 @@
     # Idle connections
 
     def put_idle(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that has become idle."""
-        connection.idle.since_us = monotonic_us()
-        self._keep(connection)
+        """Add a connection that has just become idle to the idle connections."""
+        connection.idle_timing.since_us = monotonic_us()
+        self._add_idle(connection)
 
-    def _keep(self, connection: UpstreamConnection) -> None:
+    def _add_idle(self, connection: UpstreamConnection) -> None:
         self.idle.setdefault(connection.address, []).append(connection)
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Remove a connection from the idle ones, if it is among them."""
+        """Remove a connection from the idle connections, if it is one of them."""
         connections = self.idle.get(connection.address)
         if connections is None or connection not in connections:
             return
@@ -148,21 +150,21 @@
             del self.idle[connection.address]
 
     def close_idle_connections(self, address: Address) -> None:
-        """Close the idle connections to an upstream."""
+        """Close all idle connections to an upstream."""
         for connection in self.idle.get(address, [])[:]:
             connection.close()
 
     def sweep(self) -> None:
-        """Close connections that upstreams are about to close, and those whose long response has stalled."""
+        """Close idle connections before their upstream does, and connections whose streamed response has stalled."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         self.idle_reuse.decay()
-        self._break_off_stalled(monotonic_us() - STALL_TIMEOUT_US)
+        self._abort_stalled_responses(monotonic_us() - STALL_TIMEOUT_US)
         oldest_us = monotonic_us() - self.idle_reuse.limit_us()
         for connections in list(self.idle.values()):
-            for connection in [each for each in connections if each.idle.since_us <= oldest_us]:
+            for connection in [each for each in connections if each.idle_timing.since_us <= oldest_us]:
                 connection.close()
 
-    def _break_off_stalled(self, silent_since_us: int) -> None:
-        stalled = [each for each in self.streaming if not each.reading_paused and each.last_read_us <= silent_since_us]
+    def _abort_stalled_responses(self, no_data_since_us: int) -> None:
+        stalled = [each for each in self.streaming if not each.reading_paused and each.last_read_us <= no_data_since_us]
         for connection in stalled:
-            connection.break_off()
+            connection.abort_response()
--- a/garnetusher/sidecar/upstream/request_writer.py
+++ b/garnetusher/sidecar/upstream/request_writer.py
@@ -1,4 +1,4 @@
-"""Writes one request to an upstream: the head, and a long body as it comes from the client."""
+"""Writes requests to an upstream: the head, and a long body as it arrives from the client."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def request_head(request: HttpRequest, address: Address, remaining_us: int) -> bytes:
-    """Return the head of an attempt: the client's own, with the time that the sidecar still waits."""
+    """Return the head of an attempt: the client's headers, with the time that remains in X-Deadline-Ms."""
     host, port = address
     lines = [b"%s %s HTTP/1.1\r\nHost: %s:%d" % (request.method, request.target, host.encode(), port)]
     lines.extend([b"%s: %s" % header for header in request.headers])
@@ -25,12 +25,12 @@
 
 
 class RequestWriter:
-    """Writes requests to one connection, one after the other.
+    """Writes the requests of one connection, one after the other.
 
     Attributes:
-        transport: the connection's transport.
-        has_unsent_bytes: part of what was written has not been handed to the kernel.
-        body_incomplete: the rest of the request's body is still to come.
+        transport: the transport of the connection.
+        has_unsent_bytes: whether some of the written bytes have not been passed to the kernel.
+        body_incomplete: whether a part of the request's body has not arrived from the client yet.
     """
 
     __slots__ = ("_chunked", "body_incomplete", "has_unsent_bytes", "transport")
@@ -43,23 +43,23 @@
 
     @property
     def request_incomplete(self) -> bool:
-        """Whether the upstream cannot have the whole request yet."""
+        """Whether the upstream cannot have received the whole request yet."""
         return self.has_unsent_bytes or self.body_incomplete
 
     def write_head(self, head: bytes) -> bool:
-        """Write a head with its short body; return False if nothing of it was sent though the connection is up."""
+        """Write a head and its buffered body; return False if no byte was sent although the connection is open."""
         self.transport.write(head)
         return self.transport.get_write_buffer_size() < len(head) or self.transport.is_closing()
 
     def start_body(self, upload: Upload) -> None:
-        """Write what is there of a long body, and the rest as it comes."""
+        """Write the part of a long body that has arrived, and let the rest follow as it arrives."""
         self.body_incomplete = True
         self._chunked = upload.length is None
         self.write_body_chunk(upload.attach(self))
         if upload.complete:
             self.end_body()
         if self.has_unsent_bytes:
-            upload.flow(on=False)
+            upload.set_source_reading(enabled=False)
 
     def write_body_chunk(self, data: bytes) -> None:
         """Write the next part of a long body."""
@@ -71,7 +71,7 @@
             self.transport.write(data)
 
     def end_body(self) -> None:
-        """End a long body."""
+        """Write the end of a long body."""
         if self._chunked:
             self.transport.write(LAST_CHUNK)
         self.body_incomplete = False
--- a/garnetusher/sidecar/upstream/response_reader.py
+++ b/garnetusher/sidecar/upstream/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads one response of an upstream: its head, its body, the limits on both, and whether it is complete."""
+"""Reads the responses of an upstream, applies limits to their heads and bodies, and detects where they end."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, MAX_BUFFERED_SIZE, Head, Sink
 
-MAX_HEADERS_SIZE = 64 * 1024  # bytes; parsing a megabyte of headers takes 40 ms, in which all other requests wait
-MAX_FRAMING_SIZE = 1024 * 1024  # bytes that a response may take beside its body,
-FRAMING_PER_BODY_BYTE = 16  # and so many more for each byte of the body: its chunks may be of any size
+MAX_HEADERS_SIZE = 64 * 1024  # bytes; parsing 1 MiB of headers takes 40 ms, and all other requests wait meanwhile
+# A response may take MAX_FRAMING_SIZE bytes in addition to its body, and FRAMING_PER_BODY_BYTE more for each byte of
+# the body, as its chunks may have any size.
+MAX_FRAMING_SIZE = 1024 * 1024
+FRAMING_PER_BODY_BYTE = 16
 CLIENT_ERRORS = range(400, 500)
-UPSTREAM_STATE_STATUSES = (408, 429)  # client errors that speak of the upstream's state and not of the request
-OVERLOAD_STATUSES = (503, 504)  # with X-Not-Run: 1 the upstream has not begun with the request
+UPSTREAM_STATE_STATUSES = (408, 429)  # client errors that the state of the upstream causes, not the request
+OVERLOAD_STATUSES = (503, 504)  # with X-Not-Run: 1, the upstream has not started the request
 
 
 class ResponseError(GarnetusherError, ValueError):
-    """A response breaks a limit, or can't be passed on."""
+    """A response exceeds a limit, or has no client that waits for it."""
 
 
 class ResponsePart(enum.Enum):
@@ -39,45 +41,45 @@
 
 
 class ResponseNotWantedError(ResponseError):
-    """The request has been completed in another way, so there is no client for a long response."""
+    """The request was already completed in another way, so no client waits for a streamed response."""
 
     def __init__(self) -> None:
-        super().__init__("the request of a long response is already completed")
+        super().__init__("the request of a streamed response is already completed")
 
 
 class ResponseState(enum.Enum):
-    """How far a response has been read."""
+    """The progress of reading a response."""
 
     HEAD = "before the end of the final head"
     BODY = "between the final head and the end of the body"
     COMPLETE = "read to its end"
 
 
-# The parser's callbacks compare states for each header; Python 3.11 takes 0.1 us to look a member up in its class.
+# The parser's callbacks compare states for each header, and in Python 3.11 an enum member lookup takes 0.1 us.
 _HEAD = ResponseState.HEAD
 _BODY = ResponseState.BODY
 _COMPLETE = ResponseState.COMPLETE
 
 
 class ResponseConsumer(Protocol):
-    """Decides where a long response goes."""
+    """Provides the sink for a streamed response."""
 
     def start_streaming(self, head: Head) -> Sink | None:
-        """Return where the body of a long response goes; None if no client waits for it."""
+        """Return the sink for the body of a streamed response; None if no client waits for it."""
 
 
 class ResponseReader:
     """Reads the responses on one connection, one after the other; the parser calls its `on_` methods.
 
     Attributes:
-        state: how far the response has been read.
-        connection_unusable: no further response can be read from this connection.
+        state: the progress of reading the response.
+        connection_unusable: whether no further response can be read from this connection.
         status: the status of the latest head, which may be that of an interim response.
-        length: the value of Content-Length; None without one.
-        content_type: the value of Content-Type.
-        body: what has come of the body and was not passed on.
-        sink: where the body of a long response goes; None while the body is kept here.
-        received: bytes that have come, of head and body.
+        length: the value of Content-Length; None if the header is absent.
+        content_type: the value of Content-Type; empty if the header is absent.
+        body: the part of the body that is buffered.
+        sink: the receiver of a streamed body; None while the body is buffered.
+        received: the number of bytes of head and body that have arrived.
     """
 
     __slots__ = (
@@ -117,13 +119,13 @@
         self._chunked = False
 
     def start(self, consumer: ResponseConsumer) -> None:
-        """Expect a response."""
+        """Prepare to read the response to a new request."""
         self._parser = httptools.HttpResponseParser(self)
         self._consumer = consumer
         self._reset()
 
     def release(self) -> None:
-        """Drop the parser and the body of a response that has ended."""
+        """Discard the parser and the body of a response that has ended."""
         self._parser = None
         self._consumer = None
         self.sink = None
@@ -136,7 +138,7 @@
 
     @property
     def in_body(self) -> bool:
-        """Whether the final head has been read, and the body has not."""
+        """Whether the final head has been read and the end of the body has not."""
         return self.state is _BODY
 
     @property
@@ -146,45 +148,45 @@
 
     @property
     def exceeds_framing_limit(self) -> bool:
-        """Whether too much has come beside the body: a response without end would fill the memory."""
+        """Whether the framing of the response is too long: an endless response would use up the memory."""
         return self.received > MAX_FRAMING_SIZE + FRAMING_PER_BODY_BYTE * self._body_size
 
     @property
-    def has_unknown_length(self) -> bool:
-        """Whether a successful response has begun whose length is not known, and is not passed on yet."""
+    def is_buffering_unknown_length(self) -> bool:
+        """Whether the body of a successful response with unknown length is being buffered."""
         return self.state is _BODY and self.status == 200 and self.length is None and self.sink is None
 
     def feed(self, data: bytes) -> None:
-        """Parse what has come; bytes that can't be parsed make the connection unusable."""
+        """Parse received bytes; bytes that can't be parsed make the connection unusable."""
         if self._parser is None:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.connection_unusable = True  # what follows would be taken for the next response
+            self.connection_unusable = True  # the following bytes could be taken for the next response
 
-    def end_of_connection(self) -> bool:
-        """Note that the upstream sends no more; return whether that completes the response just now."""
+    def feed_eof(self) -> bool:
+        """Process the end of the upstream's stream; return whether it completes the response."""
         if self.state is not _BODY or self.length is not None or self._chunked:
             return False
         self.state = _COMPLETE
         return True
 
     def start_streaming(self) -> None:
-        """Pass the body on from here: it is longer than what is kept, or takes long.
+        """Stream the body from here on, because it is too long to be buffered or takes too long.
 
         Raises:
-            ResponseNotWantedError: no client waits for it any more.
+            ResponseNotWantedError: no client waits for the response any more.
         """
         if self._consumer is not None:
             self.sink = self._consumer.start_streaming(Head(self.length, self.content_type))
         if self.sink is None:
             raise ResponseNotWantedError
-        kept, self.body = bytes(self.body), bytearray()
-        self.sink.write_chunk(kept)
+        buffered, self.body = bytes(self.body), bytearray()
+        self.sink.write_chunk(buffered)
 
     def outcome(self) -> Outcome:
-        """Return what a complete response says of its attempt."""
+        """Return the outcome of the attempt, from its complete response."""
         if self.status == 200:
             return Outcome.OK
         if self.status in OVERLOAD_STATUSES and self._not_run:
@@ -196,15 +198,15 @@
     # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Begin a message; a second one after the response makes the connection unusable."""
+        """Handle the start of a message; a second message after the response makes the connection unusable."""
         if self.state is _COMPLETE:
             self.connection_unusable = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read a header of the head; trailers behind the body are ignored.
+        """Process a header of the head; trailers after the body are ignored.
 
         Raises:
-            ResponseTooLargeError: the headers are too long together.
+            ResponseTooLargeError: the total size of the headers exceeds MAX_HEADERS_SIZE.
         """
         if self.state is not _HEAD:
             return
@@ -222,10 +224,10 @@
             self._chunked = True
 
     def on_headers_complete(self) -> None:
-        """Take the head; a long successful response is passed on from here.
+        """Process the end of the head; a long successful response is streamed from here on.
 
         Raises:
-            ResponseTooLargeError: the body is announced to be too long.
+            ResponseTooLargeError: Content-Length exceeds MAX_BODY_SIZE.
         """
         if self._parser is None or self.state is _COMPLETE:
             return
@@ -239,10 +241,10 @@
             self.start_streaming()
 
     def on_body(self, data: bytes) -> None:
-        """Pass on a part of the body, or keep it.
+        """Stream or buffer a part of the body.
 
         Raises:
-            ResponseTooLargeError: the body is too long.
+            ResponseTooLargeError: the body exceeds MAX_BODY_SIZE, or MAX_BUFFERED_SIZE in an error response.
         """
         if self.state is _COMPLETE:
             return
@@ -259,7 +261,7 @@
             self.start_streaming()
 
     def on_message_complete(self) -> None:
-        """End the response, or an interim one, after which the final one follows."""
+        """Complete the response, or discard an interim response; the final response follows it."""
         if self._parser is None or self.state is _COMPLETE:
             return
         if self.status < 200:
--- a/tests/machine.py
+++ b/tests/faulty_host.py
@@ -1,4 +1,4 @@
-"""The real program on a machine that fails it: system calls, hold-ups and the wall clock, by tests' orders."""
+"""Runs the real program with faults that a test controls: failing system calls, pauses and a wrong wall clock."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @dataclass
-class Machine:
-    """One running program, its faults, and where its clients go."""
+class FaultyHostProgram:
+    """A running program, the faults injected into its system calls, and the address of its listener."""
 
     process: Popen[bytes]
     faults: FaultBoard
@@ -32,7 +32,7 @@
         return await asyncio.open_connection(*self.address)
 
     async def ask(self, data: bytes) -> int:
-        """The status of the answer to one request on a connection of its own."""
+        """Return the status of the response to a request that is sent on a new connection."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
@@ -42,26 +42,32 @@
             writer.close()
 
     @contextlib.asynccontextmanager
-    async def held_up(self, seconds: float) -> AsyncIterator[None]:
-        """The program does not run for so long; what the body does meets it stopped."""
+    async def paused(self, seconds: float) -> AsyncIterator[None]:
+        """Stop the program, run the body of the `async with` while it is stopped, and continue it after `seconds`."""
         self.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(0.02)
         yield
         await asyncio.sleep(seconds)
         self.process.send_signal(signal.SIGCONT)
 
-    def leave_unread(self, data: bytes) -> None:
-        """A client that connects, sends this and closes at once."""
+    def send_and_close(self, data: bytes) -> None:
+        """Connect, send `data` and close at once without reading a response."""
         with socket.create_connection(self.address) as sock:
             sock.sendall(data)
 
 
 @contextlib.asynccontextmanager
-async def machine(
+async def program_on_faulty_host(
     folder: Path, wall_step_s: float = 0.0, failing: tuple[Call, int, int] | None = None, **config: Any
-) -> AsyncIterator[Machine]:
-    """The program as the deploy file starts it, ready for clients; `failing` is a call that fails from its start on,
-    the error, and how many times."""
+) -> AsyncIterator[FaultyHostProgram]:
+    """Run the program as the deploy file starts it, until it listens.
+
+    Args:
+        folder: the folder for the configuration and the injected faults.
+        wall_step_s: the error of the wall clock in seconds.
+        failing: a system call that fails from the start of the program on, its error, and how many times it fails.
+        config: changes to the configuration.
+    """
     path = configuration(folder, **config)
     host, port = json.loads(path.read_text())["listen"].split(":")
     faults = FaultBoard(folder / "faults")
@@ -71,4 +77,4 @@
         faults.inject(call, error, count=count)
     with program(path, (), **faults.environment()) as process:
         await listening(int(port), lambda: process.poll() is None)
-        yield Machine(process, faults, (host, int(port)), path)
+        yield FaultyHostProgram(process, faults, (host, int(port)), path)
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -1,4 +1,4 @@
-"""Long bodies and responses, and upstreams that handle their connections by a function of the test."""
+"""Long bodies and responses, and an upstream whose connections a function of the test handles."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 LONG_BODY = bytes(range(256)) * 4096  # 1 MiB
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Not-Run\r\n\r\n"
-Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class FunctionUpstream(Upstream):
-    """An upstream whose connections are handled by a function."""
+    """An upstream that calls a function for each of its connections."""
 
-    def __init__(self, play: Serve) -> None:
+    def __init__(self, handler: ConnectionHandler) -> None:
         super().__init__(answering(OK))
-        self.play = play
+        self.handler = handler
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         try:
-            await self.play(reader, writer)
+            await self.handler(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -30,14 +30,14 @@
 
 
 def chunked(data: bytes, size: int, extra: bytes = b"") -> bytes:
-    """Return data in chunks of such a size, each with an extension."""
+    """Return data in chunks of `size` bytes, each with a chunk extension."""
     return b"".join(
         b"%x%s\r\n%s\r\n" % (len(data[at : at + size]), extra, data[at : at + size]) for at in range(0, len(data), size)
     )
 
 
 async def read_body(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Return head and body of a message with a length, in chunks, or up to the end."""
+    """Return head and body of a message in any framing: with a length, chunked, or up to the end of the connection."""
     head = await reader.readuntil(b"\r\n\r\n")
     lower = head.lower()
     if b"transfer-encoding: chunked" in lower:
@@ -53,7 +53,7 @@
 
 
 def upload_request(body: bytes, chunks: int = 0, extra: str = "") -> bytes:
-    """Return an unsafe request with a long body, in chunks of such a size or with its length."""
+    """Return an at_most_once request with a long body, in chunks of `chunks` bytes, or with its length if that is 0."""
     if not chunks:
         return request("pay", body=body, extra=extra)
     head = request("pay", extra=extra).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
--- a/tests/test_machine_faults.py
+++ b/tests/test_host_faults.py
@@ -1,4 +1,4 @@
-"""The real program while its machine fails it: calls that fail for a moment, hold-ups, a wall clock that is wrong."""
+"""Tests of the real program on a host with faults: system calls that fail for a moment, pauses, a wrong wall clock."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 import pytest
 
 from garnetusher.lab.syscall_faults import Call
-from tests.machine import machine
+from tests.faulty_host import program_on_faulty_host
 from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listening, listing, read_message, request
 from tests.processes import SETTINGS, configuration, program
 from tests.runner import run, status
 from tests.test_crossing_stop import never_up
 
-DEADLINE_SLACK_MS = 150  # of the time that an attempt tells its upstream, beyond what its client has left
+DEADLINE_SLACK_MS = 150  # the tolerance of X-Deadline-Ms above the time that remains to the client
 BOUNDS = SETTINGS["bounds"] | {"dial-timeout": 3_000_000}
-PATIENT_SETTINGS: dict[str, Any] = SETTINGS | {
+LONG_TIMEOUT_SETTINGS: dict[str, Any] = SETTINGS | {
     "bounds": BOUNDS | {"second-copies": False},
     "request-classes": [
         {"name": name, "aim": 1_400_000, "deadline": 1_500_000, "effect": effect, "worth": 1.0}
@@ -34,9 +34,11 @@
 
 
 @contextlib.contextmanager
-def late_listener() -> Iterator[tuple[socket.socket, list[socket.socket]]]:
-    """A listener whose backlog is full, and the connections that fill it: those that come now are up 1 s later, if
-    the backlog has been emptied by then."""
+def listener_with_full_backlog() -> Iterator[tuple[socket.socket, list[socket.socket]]]:
+    """Provide a listener whose backlog is full, and the connections that fill it.
+
+    Another connection is established 1 s later, when the kernel repeats its SYN, if the backlog is empty by then.
+    """
     with socket.socket() as listener, contextlib.ExitStack() as stack:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -52,12 +54,12 @@
     return int(line.split(b":")[1])
 
 
-async def head_of_a_late_attempt(folder: Path, data: bytes) -> tuple[bytes, float]:
-    """What an upstream reads first whose connection comes up 1 s late, and how long after the request was sent."""
+async def head_of_late_attempt(folder: Path, data: bytes) -> tuple[bytes, float]:
+    """Return what an upstream reads first when connecting takes 1 s, and the time since the request was sent in s."""
     loop = asyncio.get_running_loop()
-    with late_listener() as (listener, fillers):
-        async with machine(
-            folder, settings=PATIENT_SETTINGS, known=listing(entry("u", listener.getsockname()[1]))
+    with listener_with_full_backlog() as (listener, fillers):
+        async with program_on_faulty_host(
+            folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", listener.getsockname()[1]))
         ) as running:
             _, writer = await running.connect()
             sent_at_s = time.monotonic()
@@ -66,7 +68,7 @@
             listener.setblocking(False)
             for filler in fillers:
                 with contextlib.suppress(BlockingIOError):
-                    listener.accept()[0].close()  # no more than is there: the next to come is the sidecar's
+                    listener.accept()[0].close()  # accepts only the fillers; the next connection is the sidecar's
                 filler.close()
             async with asyncio.timeout(PATIENCE_S):
                 head = b""
@@ -85,10 +87,10 @@
     tmp_path: Path, data: bytes
 ) -> None:
     async def test() -> None:
-        head, after_s = await head_of_a_late_attempt(tmp_path, data)
-        left_ms = 1500 - after_s * 1000
-        assert left_ms < 1000  # it did come up late
-        assert deadline_header_ms(head) <= left_ms + DEADLINE_SLACK_MS
+        head, elapsed_s = await head_of_late_attempt(tmp_path, data)
+        remaining_ms = 1500 - elapsed_s * 1000
+        assert remaining_ms < 1000  # the connection was established late
+        assert deadline_header_ms(head) <= remaining_ms + DEADLINE_SLACK_MS
 
     run(test)
 
@@ -96,7 +98,9 @@
 def test_long_body_is_answered_in_time_when_it_waits_complete_for_its_upstream(tmp_path: Path) -> None:
     async def test() -> None:
         with never_up() as port:
-            async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", port))) as running:
+            async with program_on_faulty_host(
+                tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", port))
+            ) as running:
                 sent_at_s = time.monotonic()
                 assert await running.ask(request("pay", "1", b"x" * 150_000, 1500)) == 503
                 assert time.monotonic() - sent_at_s < 1.5 + 0.05
@@ -111,10 +115,12 @@
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
-        async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
-            async with running.held_up(0.3):
+        async with program_on_faulty_host(
+            tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
+        ) as running:
+            async with running.paused(0.3):
                 for number in range(10):
-                    running.leave_unread(
+                    running.send_and_close(
                         request(class_name, f"left-{number}", b"b" if class_name == "pay" else b"", 1500)
                     )
             await asyncio.sleep(0.2)
@@ -125,15 +131,17 @@
     run(test)
 
 
-async def time_to_serve_s(folder: Path, error: int) -> float:
-    """How long clients wait, of which the first comes when accept fails once."""
+async def time_for_two_requests_s(folder: Path, error: int) -> float:
+    """Return how long two requests take in turn, when accept fails once for the first of them."""
     upstream = Upstream(answering(OK))
     await upstream.start()
-    async with machine(folder, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
-        await asyncio.sleep(0.1)  # the loop has looked once more at the listener since it was found up
+    async with program_on_faulty_host(
+        folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
+    ) as running:
+        await asyncio.sleep(0.1)  # lets the loop poll the listener once more after the check that it is up
         running.faults.inject(Call.ACCEPT, error, count=1)
         sent_at_s = time.monotonic()
-        for number in range(2):  # an event loop's own listener takes the first and then pauses for a second
+        for number in range(2):  # the listener of asyncio would accept the first connection and then pause for 1 s
             assert await running.ask(request("read", str(number), deadline_ms=1500)) == 200
         assert running.faults.hits(Call.ACCEPT) == 1
     upstream.stop()
@@ -151,19 +159,21 @@
 
 
 async def assert_served_soon(folder: Path, error: int) -> None:
-    assert await time_to_serve_s(folder, error) < 0.6
+    assert await time_for_two_requests_s(folder, error) < 0.6
 
 
 def test_clients_are_answered_when_accept_fails_at_the_end_of_the_process(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
-        async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
+        async with program_on_faulty_host(
+            tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
+        ) as running:
             running.faults.inject(Call.ACCEPT, errno.ENFILE, for_s=0.7)
             clients = [await running.connect()]
             await asyncio.sleep(0.1)
             running.process.send_signal(signal.SIGTERM)
-            for _ in range(3):  # as the platform says, some still come for up to 0.4 s
+            for _ in range(3):  # the platform may route new connections here for up to 0.4 s after SIGTERM
                 clients.append(await running.connect())
                 await asyncio.sleep(0.1)
             for number, (_, writer) in enumerate(clients):
@@ -181,17 +191,17 @@
 
 
 def slow_start_settings(**bounds: Any) -> dict[str, Any]:
-    """As above, with upstreams that are cold for long."""
-    rules = PATIENT_SETTINGS["invariants"] | {
+    """Return LONG_TIMEOUT_SETTINGS with a long slow start of upstreams."""
+    rules = LONG_TIMEOUT_SETTINGS["invariants"] | {
         "cold-share": 0.13,
         "warm-up": 24_000_000,
         "overload-factor": 3.0,
         "fall": 3_000_000,
     }
-    return PATIENT_SETTINGS | {
+    return LONG_TIMEOUT_SETTINGS | {
         "invariants": rules,
         "registry-mode": "pushed",
-        "bounds": PATIENT_SETTINGS["bounds"] | bounds,
+        "bounds": LONG_TIMEOUT_SETTINGS["bounds"] | bounds,
     }
 
 
@@ -206,35 +216,35 @@
         known = listing(
             entry("w0", warm.port), entry("w1", warm.port), entry("cold", cold.port, boot_ms=int(time.time() * 1000))
         )
-        async with machine(tmp_path, step_s, settings=slow_start_settings(), known=known) as running:
+        async with program_on_faulty_host(tmp_path, step_s, settings=slow_start_settings(), known=known) as running:
             reader, writer = await running.connect()
             for number in range(90):
                 writer.write(request("read", str(number), deadline_ms=1500))
                 await read_message(reader)
             writer.close()
         assert len(warm.requests) > 70
-        assert len(cold.requests) <= 15  # a third of them, were it warm
+        assert len(cold.requests) <= 15  # a warm upstream would get a third of the requests
         warm.stop()
         cold.stop()
 
     run(test)
 
 
-async def watch_answered_by(discovery: Discovery) -> None:
+async def wait_for_watch(discovery: Discovery) -> None:
     async with asyncio.timeout(PATIENCE_S):
         await discovery.watched()
 
 
 @pytest.mark.parametrize("fault_kind", ["half written", "no descriptor left"])
 def test_reload_is_retried_when_the_new_file_cannot_be_read_yet(tmp_path: Path, fault_kind: str) -> None:
-    """The old address of discovery takes nobody any more: not to follow would be to miss each drain from now on."""
+    """The old address of discovery serves no watch any more; a sidecar that kept it would miss all later drains."""
 
     async def test() -> None:
         old, new = Discovery(), Discovery()
         await old.start()
         await new.start()
-        async with machine(tmp_path, discovery=f"127.0.0.1:{old.port}") as running:
-            await watch_answered_by(old)
+        async with program_on_faulty_host(tmp_path, discovery=f"127.0.0.1:{old.port}") as running:
+            await wait_for_watch(old)
             text = running.config.read_text().replace(f"127.0.0.1:{old.port}", f"127.0.0.1:{new.port}")
             if fault_kind == "half written":
                 running.config.write_text(text[:-100])
@@ -244,7 +254,7 @@
             running.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.2)
             running.config.write_text(text)
-            await watch_answered_by(new)
+            await wait_for_watch(new)
         old.stop()
         new.stop()
 
@@ -252,16 +262,18 @@
 
 
 def test_slot_is_released_when_a_client_connection_cannot_be_shut_down(tmp_path: Path) -> None:
-    """Its answer has been written; the upstream's slot is free again, and so is the end of the process."""
+    """A failing shutdown of a client connection after its response must not occupy a slot or delay the process exit."""
 
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
-        async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
+        async with program_on_faulty_host(
+            tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
+        ) as running:
             running.faults.inject(Call.SHUTDOWN, errno.ENOTCONN)
-            for number in range(8):  # more than an upstream has slots
-                asked = request("read", str(number), deadline_ms=1500, extra="Connection: close\r\n")
-                assert await running.ask(asked) == 200, number
+            for number in range(8):  # more requests than an upstream has slots
+                closing_request = request("read", str(number), deadline_ms=1500, extra="Connection: close\r\n")
+                assert await running.ask(closing_request) == 200, number
         upstream.stop()
 
     run(test)
@@ -274,10 +286,12 @@
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
-        async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
+        async with program_on_faulty_host(
+            tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
+        ) as running:
             assert await running.ask(request("pay", "first", b"b", 1500)) == 200
             for number in range(5):
-                async with running.held_up(0.3):
+                async with running.paused(0.3):
                     reader, writer = await running.connect()
                     writer.write(request("pay", str(number), body, 1500))
                 assert status(await read_message(reader)) == 200
@@ -290,10 +304,12 @@
 
 
 async def deadline_header_ms_after(folder: Path, call: Call, error: int) -> int:
-    """What an upstream is told of a request with 1,500 ms, which a call that fails for 400 ms holds back."""
+    """Return the X-Deadline-Ms of a request with a deadline of 1,500 ms that a failing system call delays by 400 ms."""
     upstream = Upstream(answering(OK))
     await upstream.start()
-    async with machine(folder, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
+    async with program_on_faulty_host(
+        folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
+    ) as running:
         assert await running.ask(request("pay", "first", b"b", 1500)) == 200
         running.faults.inject(call, error, for_s=0.4)
         assert await running.ask(request("pay", "second", b"b", 1500)) == 200
@@ -322,11 +338,11 @@
 
 
 async def assert_process_starts(folder: Path, call: Call, error: int) -> None:
-    """The program serves, though a call fails ten times at its start."""
+    """Assert that the program serves requests although a system call fails ten times at its start."""
     upstream = Upstream(answering(OK))
     await upstream.start()
-    async with machine(
-        folder, failing=(call, error, 10), settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))
+    async with program_on_faulty_host(
+        folder, failing=(call, error, 10), settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
     ) as running:
         assert await running.ask(request("pay", "1", b"b", 1500)) == 200
         assert running.faults.hits(call) == 10
@@ -346,15 +362,17 @@
 
 
 def test_requests_are_served_when_the_log_pipe_is_full(tmp_path: Path) -> None:
-    """Its pipe holds 64 KiB; what does not fit is left out."""
+    """The log pipe holds 64 KiB; the program must drop log lines that do not fit, and must not block."""
 
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
-        async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
-            whole = json.loads(running.config.read_text())
-            whole["settings"]["request-classes"][0] |= {"name": "n" * 3500, "aim": -1}
-            running.config.write_text(json.dumps(whole))
+        async with program_on_faulty_host(
+            tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
+        ) as running:
+            document = json.loads(running.config.read_text())
+            document["settings"]["request-classes"][0] |= {"name": "n" * 3500, "aim": -1}
+            running.config.write_text(json.dumps(document))
             for number in range(32):
                 running.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.21)  # five lines a second are logged
@@ -385,7 +403,9 @@
     async def test() -> None:
         upstream = Upstream(answering(OK))
         await upstream.start()
-        async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
+        async with program_on_faulty_host(
+            tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
+        ) as running:
             running.faults.inject(Call.EPOLL_CTL, errno.ENOMEM, for_s=0.2)
             assert await running.ask(request("pay", "1", b"b", 1500)) == 200
             assert running.faults.hits(Call.EPOLL_CTL) > 1
--- a/tests/test_crossing_idle.py
+++ b/tests/test_interleaving_idle.py
@@ -1,4 +1,4 @@
-"""Idle connections that are closed while a request is on its way over them."""
+"""Tests that no request is lost if it arrives while the sidecar is about to close its idle connection."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from tests.net import OK, Upstream, answering, request, sidecar
 from tests.runner import run, status
 
-UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 async def next_status(sock: socket.socket) -> int:
-    """The status of the next answer on a connection that the test writes to by itself; 0 if it ends without one."""
+    """Return the status of the next response on a raw socket; 0 if the connection ends without a response."""
     loop, data = asyncio.get_running_loop(), b""
     sock.setblocking(False)
     while b"\r\n\r\n" not in data:
         try:
-            more = await loop.sock_recv(sock, 65536)
+            received = await loop.sock_recv(sock, 65536)
         except ConnectionError:
             return 0
-        if not more:
+        if not received:
             return 0
-        data += more
+        data += received
     return status((data, b""))
 
 
@@ -37,7 +37,8 @@
             with socket.create_connection(("127.0.0.1", running.port)) as sock:
                 sock.sendall(request(ident="1"))
                 assert await next_status(sock) == 200
-                sock.send(request(ident="2"))  # no round of the loop between: it is there, and was not read
+                # The loop does not run between these two calls, so the request waits unread in the kernel.
+                sock.send(request(ident="2"))
                 running.stop.set()
                 assert await next_status(sock) == 200
             await running.task
@@ -46,7 +47,7 @@
 
 
 def test_first_request_of_a_new_connection_is_awaited_when_the_process_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream_server, "MIN_IDLE_US", 20_000_000)  # no busy machine is slower than that
+    monkeypatch.setattr(downstream_server, "MIN_IDLE_US", 20_000_000)  # no busy host takes longer than this
 
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as running:
@@ -68,15 +69,16 @@
 ) -> None:
     async def test() -> None:
         silent_sockets: list[socket.socket] = []
-        check = DownstreamServer.check_connections
+        check_connections = DownstreamServer.check_connections
 
         def check_after_request(server: DownstreamServer) -> None:
-            if silent_sockets and len(server.connections) != 1:  # the fixture's own connection is still there
+            if silent_sockets and len(server.connections) != 1:  # the connection of `sidecar` itself is still open
                 asyncio.get_running_loop().call_later(0.01, check_after_request, server)
                 return
             if silent_sockets:
-                silent_sockets.pop().send(request())  # after the loop's last look, and before the look at the time
-            check(server)
+                # The request arrives after the loop polled the socket, and before the sidecar checks the read timeout.
+                silent_sockets.pop().send(request())
+            check_connections(server)
 
         monkeypatch.setattr(DownstreamServer, "check_connections", check_after_request)
         async with sidecar(Upstream(answering(OK))) as running:
@@ -96,19 +98,19 @@
                 oldest.sendall(request(ident="1"))
                 assert await next_status(oldest) == 200
                 others = [socket.create_connection(("127.0.0.1", running.port)) for _ in range(98)]
-                for other in others:  # clients that have sent proper requests, as the oldest has
-                    other.sendall(UP)
+                for other in others:  # each has sent a valid request, as the oldest connection has
+                    other.sendall(UP_REQUEST)
                     assert await next_status(other) == 200
-                last = socket.create_connection(("127.0.0.1", running.port))
-                last.sendall(UP)
-                assert await next_status(last) == 200  # as many as may be
-                one_more = socket.create_connection(("127.0.0.1", running.port))
+                newest = socket.create_connection(("127.0.0.1", running.port))
+                newest.sendall(UP_REQUEST)
+                assert await next_status(newest) == 200  # the number of connections has now reached its limit
+                excess = socket.create_connection(("127.0.0.1", running.port))
                 oldest.setblocking(True)
-                for _ in range(rounds):  # of the loop, in one of which the new connection is set up
+                for _ in range(rounds):  # iterations of the event loop, which sets up the new connection in one of them
                     await asyncio.sleep(0)
                 oldest.send(request(ident="2"))
                 assert await next_status(oldest) == 200
-                for sock in (*others, last, one_more):
+                for sock in (*others, newest, excess):
                     sock.close()
 
     run(test)
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -1,4 +1,4 @@
-"""Responses that are longer than what is buffered, and the framings that HTTP/1.1 gives them."""
+"""Tests of streamed responses, in every framing that HTTP/1.1 allows."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "body"),
+    ("response", "body"),
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY, LONG_BODY),
         (CHUNKED + chunked(LONG_BODY, 999, b";a=b") + b"0\r\nX-Not-Run: 1\r\n\r\n", LONG_BODY),
@@ -30,44 +30,44 @@
         ),
     ],
 )
-def test_sidecar_forwards_response_unchanged_in_every_framing(answer: bytes, body: bytes) -> None:
+def test_sidecar_forwards_response_unchanged_in_every_framing(response: bytes, body: bytes) -> None:
     async def test() -> None:
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
-            writer.write(answer)
+            writer.write(response)
             await writer.drain()
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
             writer.write(request())
-            head, found = await read_body(reader)
+            head, received = await read_body(reader)
             writer.close()
-            assert status((head, found)) == 200
-            assert found == body
+            assert status((head, received)) == 200
+            assert received == body
 
     run(test)
 
 
 def test_sidecar_streams_long_response_and_keeps_connection() -> None:
     async def test() -> None:
-        seen = asyncio.Event()
+        client_has_read = asyncio.Event()
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_message(reader)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:10])
-                await seen.wait()
+                await client_has_read.wait()
                 writer.write(LONG_BODY[10:])
 
-        upstream = FunctionUpstream(play)
-        async with sidecar(upstream) as it:
-            reader, writer = await it.connect()
+        upstream = FunctionUpstream(handle)
+        async with sidecar(upstream) as running:
+            reader, writer = await running.connect()
             for _ in range(3):
-                seen.clear()
+                client_has_read.clear()
                 writer.write(request())
                 await reader.readuntil(b"\r\n\r\n")
                 assert await reader.readexactly(10) == LONG_BODY[:10]
-                seen.set()
+                client_has_read.set()
                 assert await reader.readexactly(len(LONG_BODY) - 10) == LONG_BODY[10:]
                 await asyncio.sleep(2 * RESPONSE_GRACE_US / 1e6)
             writer.close()
@@ -78,39 +78,39 @@
 
 def test_sidecar_streams_short_response_when_it_trickles() -> None:
     async def test() -> None:
-        seen = asyncio.Event()
+        client_has_read = asyncio.Event()
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(CHUNKED + b"3\r\nabc\r\n")
-            await seen.wait()
+            await client_has_read.wait()
             writer.write(b"3\r\ndef\r\n0\r\n\r\n")
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
             writer.write(request())
             await reader.readuntil(b"abc\r\n")
-            seen.set()
+            client_has_read.set()
             assert (await reader.readuntil(b"0\r\n\r\n")).startswith(b"3\r\ndef")
             writer.close()
 
     run(test)
 
 
-@pytest.mark.parametrize("kind", ["read", "pay"])
+@pytest.mark.parametrize("class_name", ["read", "pay"])
 @pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", CHUNKED + b"20000\r\n"])
-def test_sidecar_breaks_response_without_retry_when_upstream_breaks_it(kind: str, head: bytes) -> None:
+def test_sidecar_breaks_response_without_retry_when_upstream_breaks_it(class_name: str, head: bytes) -> None:
     async def test() -> None:
         requests = []
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             requests.append(await read_message(reader))
             writer.write(head + b"x" * 100_000)
             await writer.drain()
 
-        async with sidecar(FunctionUpstream(play), FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
-            writer.write(request(kind))
+        async with sidecar(FunctionUpstream(handle), FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
+            writer.write(request(class_name))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await read_body(reader)
             writer.close()
@@ -121,30 +121,30 @@
 
 def test_sidecar_pauses_upstream_when_client_reads_slowly() -> None:
     async def test() -> None:
-        sent, size = [0], 24 * 1024 * 1024
+        sent_size, size = [0], 24 * 1024 * 1024
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-            while sent[0] < size:
+            while sent_size[0] < size:
                 writer.write(b"x" * 65536)
                 await writer.drain()
-                sent[0] += 65536
+                sent_size[0] += 65536
 
-        async with sidecar(FunctionUpstream(play), Upstream(answering(OK))) as it:
-            reader, writer = await asyncio.open_connection("127.0.0.1", it.port, limit=4096)
+        async with sidecar(FunctionUpstream(handle), Upstream(answering(OK))) as running:
+            reader, writer = await asyncio.open_connection("127.0.0.1", running.port, limit=4096)
             writer.write(request())
-            await until(lambda: sent[0] > 0)
-            before = -1
-            while before != sent[0]:  # till nothing moves any more
-                before = sent[0]
+            await until(lambda: sent_size[0] > 0)
+            previous_size = -1
+            while previous_size != sent_size[0]:  # until the upstream can send no more
+                previous_size = sent_size[0]
                 await asyncio.sleep(0.2)
-            assert sent[0] < size
+            assert sent_size[0] < size
             await reader.readuntil(b"\r\n\r\n")
-            got = 0
-            while got < size:
-                got += len(await reader.read(1 << 20))
-            assert got == sent[0] == size
+            received_size = 0
+            while received_size < size:
+                received_size += len(await reader.read(1 << 20))
+            assert received_size == sent_size[0] == size
             writer.close()
 
     run(test)
@@ -152,26 +152,26 @@
 
 def test_attempt_fails_when_response_exceeds_limit() -> None:
     async def test() -> None:
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx" % (MAX_BODY_SIZE + 1))
             await reader.read()
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            assert status(await it.ask(request("pay"))) == 500
+        async with sidecar(FunctionUpstream(handle)) as running:
+            assert status(await running.ask(request("pay"))) == 500
 
     run(test)
 
 
 def test_sidecar_resets_http_1_0_client_when_response_breaks() -> None:
     async def test() -> None:
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(CHUNKED + chunked(LONG_BODY[:100_000], 1000))
             await writer.drain()
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
             writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             with pytest.raises(ConnectionResetError):
                 await reader.read()
@@ -182,34 +182,36 @@
 
 def test_pool_closes_connection_when_client_of_long_response_has_gone() -> None:
     async def test() -> None:
-        ended = asyncio.Event()
+        connection_ended = asyncio.Event()
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:100])
             assert await reader.read() == b""
-            ended.set()
+            connection_ended.set()
 
-        upstream = FunctionUpstream(play)
+        upstream = FunctionUpstream(handle)
         await upstream.start()
         pool = ConnectionPool(60_000_000, 10_000_000)
         pool.sweep_timer.cancel()
-        results, source = list[AttemptResult](), list[Source]()
+        results, sources = list[AttemptResult](), list[Source]()
 
-        class Nowhere:
+        class DiscardingSink:
             def write_chunk(self, data: bytes) -> None:
                 pass
 
-        def began(head: Head, of: Source) -> Nowhere:
-            source.append(of)
-            return Nowhere()
+        def on_response_started(head: Head, response_source: Source) -> DiscardingSink:
+            sources.append(response_source)
+            return DiscardingSink()
 
-        call = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
-        flight = pool.start_attempt(("127.0.0.1", upstream.port), call, allowed, results.append, began)
-        await until(lambda: bool(source))
+        http_request = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
+        attempt = pool.start_attempt(
+            ("127.0.0.1", upstream.port), http_request, allowed, results.append, on_response_started
+        )
+        await until(lambda: bool(sources))
         assert len(pool.streaming) == 1
-        flight.abandon()
-        await ended.wait()
+        attempt.abandon()
+        await connection_ended.wait()
         assert not pool.streaming
         assert not results
         upstream.stop()
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: reuse, idle time-outs and incomplete writes."""
+"""Tests of connections to upstreams: reuse, idle timeouts and incomplete writes."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
 
 def test_pool_reuses_connection_except_when_it_has_ended_or_sent_extra_bytes() -> None:
     async def test() -> None:
-        more, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
-        upstream = Upstream(answering(OK, more, OK, closing, OK))
-        async with sidecar(upstream) as it:
+        with_extra_bytes, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
+        upstream = Upstream(answering(OK, with_extra_bytes, OK, closing, OK))
+        async with sidecar(upstream) as running:
             for number in range(5):
-                assert (await it.ask(request(ident=str(number))))[1] == b"done"
-                await asyncio.sleep(2 * RESPONSE_GRACE_US / 1e6)  # sooner, a second answer may be on its way
+                assert (await running.ask(request(ident=str(number))))[1] == b"done"
+                await asyncio.sleep(2 * RESPONSE_GRACE_US / 1e6)  # the pool waits for the grace period before a reuse
         assert upstream.connections == 3
 
     run(test)
 
 
 def test_idle_reuse_estimator_lowers_limit_when_idle_connections_lose_requests() -> None:
-    trust = IdleReuseEstimator(4_700_000)
-    for _ in range(40):  # one in ten is lost at any age: no lesson
-        for age_us in (10_000, 60_000, 110_000, 300_000):
+    estimator = IdleReuseEstimator(4_700_000)
+    for _ in range(40):  # one request in ten is lost after any idle time, which must not lower the limit
+        for idle_us in (10_000, 60_000, 110_000, 300_000):
             for number in range(10):
-                trust.record_reuse(age_us, lost=number == 0)
-    assert trust.limit_us() == 4_700_000
+                estimator.record_reuse(idle_us, lost=number == 0)
+    assert estimator.limit_us() == 4_700_000
     for _ in range(10):
-        trust.record_reuse(60_000, lost=False)
-        trust.record_reuse(110_000, lost=True)
-    assert 60_000 < trust.limit_us() <= 110_000
-    for _ in range(600):  # a minute's sweeps
-        trust.decay()
-    assert trust.limit_us() == 4_700_000
-
-
-@pytest.mark.parametrize("longest_us", [0, 10_000, 25_000, 99_000, 60_000_000])
-def test_idle_reuse_estimator_never_exceeds_idle_timeout(longest_us: int) -> None:
-    trust = IdleReuseEstimator(longest_us)
-    for age_us in (-1, 0, 24_999, 25_000, longest_us, 2 * longest_us):
+        estimator.record_reuse(60_000, lost=False)
+        estimator.record_reuse(110_000, lost=True)
+    assert 60_000 < estimator.limit_us() <= 110_000
+    for _ in range(600):  # the sweeps of one minute
+        estimator.decay()
+    assert estimator.limit_us() == 4_700_000
+
+
+@pytest.mark.parametrize("max_idle_us", [0, 10_000, 25_000, 99_000, 60_000_000])
+def test_idle_reuse_estimator_never_exceeds_idle_timeout(max_idle_us: int) -> None:
+    estimator = IdleReuseEstimator(max_idle_us)
+    for idle_us in (-1, 0, 24_999, 25_000, max_idle_us, 2 * max_idle_us):
         for _ in range(20):
-            trust.record_reuse(age_us, lost=True)
-            assert 0 <= trust.limit_us() <= longest_us
+            estimator.record_reuse(idle_us, lost=True)
+            assert 0 <= estimator.limit_us() <= max_idle_us
 
 
 def test_pool_closes_connections_idle_as_long_when_requests_are_lost() -> None:
@@ -61,15 +61,15 @@
         pool.sweep_timer.cancel()
         with socket.socket() as sock:
             connection = UpstreamConnection(pool, address, sock)
-            connection.idle.since_us = monotonic_us() - 60_000
+            connection.idle_timing.since_us = monotonic_us() - 60_000
             pool.idle[address] = [connection]
             pool.sweep()
             pool.sweep_timer.cancel()
             assert pool.idle == {address: [connection]}
             for _ in range(10):
-                used_again = UpstreamConnection(pool, address, sock)
-                used_again.idle.before_attempt_us, used_again.closed = 60_000, True
-                used_again.finish(Outcome.RESET)
+                reused = UpstreamConnection(pool, address, sock)
+                reused.idle_timing.before_attempt_us, reused.closed = 60_000, True
+                reused.finish(Outcome.RESET)
             pool.sweep()
             pool.sweep_timer.cancel()
             assert pool.idle == {}
@@ -90,15 +90,15 @@
                 ended.set()
             raise ConnectionResetError
 
-        async with sidecar(Upstream(script), idle_us=400_000) as it:
-            await it.ask(request())
+        async with sidecar(Upstream(script), idle_us=400_000) as running:
+            await running.ask(request())
             await ended.wait()
 
     run(test)
 
 
-@pytest.mark.parametrize("early", [b"", OK])
-def test_connection_closes_when_request_was_not_written_completely(early: bytes) -> None:
+@pytest.mark.parametrize("early_response", [b"", OK])
+def test_connection_closes_when_request_was_not_written_completely(early_response: bytes) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         pool, results = ConnectionPool(60_000_000, 10_000_000), list[AttemptResult]()
@@ -115,12 +115,12 @@
         connection.attempt = attempt_at(pool, connection.address, results.append, b"x" * 1_000_000)
         await loop.create_connection(lambda: connection, sock=sock)
         assert connection.request_writer.has_unsent_bytes
-        if early:
-            peer.sendall(early)
+        if early_response:
+            peer.sendall(early_response)
             await until(lambda: bool(results))
         peer.close()
         await until(lambda: bool(results))
-        assert [result.outcome for result in results] == [Outcome.OK if early else Outcome.CONNECT_FAILED]
+        assert [result.outcome for result in results] == [Outcome.OK if early_response else Outcome.CONNECT_FAILED]
         assert pool.idle == {}
         assert connection.closed
         pool.sweep_timer.cancel()
