--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -19,7 +19,7 @@
 
 # The time between tries of a call that fails with a local error; it is short compared with the shortest deadlines.
 RETRY_INTERVAL_S = 0.02
-MAX_FAILURE_GAP_US = 50_000  # a call that succeeds within this time after a failed one takes what that call wanted
+MAX_FAILURE_GAP_US = 50_000  # a call that succeeds this soon after a failed call returns what that call missed
 # The whole process blocks while it retries to add a descriptor to epoll, so the interval is shorter.
 EPOLL_RETRY_TIMEOUT_S = 0.5
 EPOLL_RETRY_INTERVAL_S = RETRY_INTERVAL_S / 4
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -129,7 +129,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """End the attempt; a request that was written completely may have run, an incomplete one has not."""
         self.closed = True
-        self._pool.remove(self)
+        self._pool.remove_idle(self)
         if self.attempt is not None:
             never_ran = self.request_writer.request_incomplete and self.response_reader.sink is None
             self.finish(Outcome.CONNECT_FAILED if never_ran else Outcome.RESET)
@@ -256,7 +256,7 @@
         down here.
         """
         self.closed = True
-        self._pool.remove(self)
+        self._pool.remove_idle(self)
         self._pool.streaming.discard(self)
         if self._transport is not None:
             with contextlib.suppress(OSError):  # the upstream closed the connection first
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -74,7 +74,7 @@
             if connection.idle_timing.grace_remaining_us(now_us) > 0:
                 connections_in_grace.append(connection)
             elif connection.idle_timing.since_us > oldest_us and connection.is_usable():
-                self.remove(connection)
+                self.remove_idle(connection)
                 self._send_or_add_idle(connection, attempt)
                 return attempt
             else:
@@ -92,7 +92,7 @@
         the sidecar would take it for the response to the new request. Waiting for the rest of the grace period is
         cheaper than opening another connection.
         """
-        self.remove(connection)
+        self.remove_idle(connection)
         delay_s = connection.idle_timing.grace_remaining_us(now_us) / 1e6
         self.loop.call_later(delay_s, self.send_after_grace, connection, attempt)
 
@@ -140,7 +140,7 @@
     def _add_idle(self, connection: UpstreamConnection) -> None:
         self.idle.setdefault(connection.address, []).append(connection)
 
-    def remove(self, connection: UpstreamConnection) -> None:
+    def remove_idle(self, connection: UpstreamConnection) -> None:
         """Remove a connection from the idle connections, if it is one of them."""
         connections = self.idle.get(connection.address)
         if connections is None or connection not in connections:
--- a/garnetusher/sidecar/upstream/response_reader.py
+++ b/garnetusher/sidecar/upstream/response_reader.py
@@ -55,7 +55,8 @@
     COMPLETE = "read to its end"
 
 
-# The parser's callbacks compare states for each header, and in Python 3.11 an enum member lookup takes 0.1 us.
+# The parser's callbacks compare states for each header. In Python 3.11, looking a member up in its enum takes 0.1 us;
+# these constants avoid that.
 _HEAD = ResponseState.HEAD
 _BODY = ResponseState.BODY
 _COMPLETE = ResponseState.COMPLETE
@@ -148,7 +149,7 @@
 
     @property
     def exceeds_framing_limit(self) -> bool:
-        """Whether the framing of the response is too long: an endless response would use up the memory."""
+        """Whether the response has too many bytes besides its body; an endless response would use up the memory."""
         return self.received > MAX_FRAMING_SIZE + FRAMING_PER_BODY_BYTE * self._body_size
 
     @property
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -32,7 +32,8 @@
 def chunked(data: bytes, size: int, extra: bytes = b"") -> bytes:
     """Return data in chunks of `size` bytes, each with a chunk extension."""
     return b"".join(
-        b"%x%s\r\n%s\r\n" % (len(data[at : at + size]), extra, data[at : at + size]) for at in range(0, len(data), size)
+        b"%x%s\r\n%s\r\n" % (len(data[offset : offset + size]), extra, data[offset : offset + size])
+        for offset in range(0, len(data), size)
     )
 
 
@@ -52,9 +53,9 @@
     return head, await reader.read()
 
 
-def upload_request(body: bytes, chunks: int = 0, extra: str = "") -> bytes:
-    """Return an at_most_once request with a long body, in chunks of `chunks` bytes, or with its length if that is 0."""
-    if not chunks:
+def upload_request(body: bytes, chunk_size: int = 0, extra: str = "") -> bytes:
+    """Return an at_most_once request with a long body, in chunks of `chunk_size` bytes or, if that is 0, with a length."""
+    if not chunk_size:
         return request("pay", body=body, extra=extra)
     head = request("pay", extra=extra).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-    return head + chunked(body, chunks, b";x") + b"0\r\nX-Trailer: 1\r\n\r\n"
+    return head + chunked(body, chunk_size, b";x") + b"0\r\nX-Trailer: 1\r\n\r\n"
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -232,7 +232,7 @@
                 here.setblocking(False)
                 connection, wire = UpstreamConnection(pool, address, here), FakeTransport()
                 connection.connection_made(wire)
-                pool.remove(connection)
+                pool.remove_idle(connection)
                 attempt = attempt_at(pool, address, lambda result: None)
                 if abandoned:
                     attempt.abandon()
@@ -254,7 +254,7 @@
             connection = UpstreamConnection(pool, address, here)
             await asyncio.get_running_loop().create_connection(lambda: connection, sock=here)
             attempt = attempt_at(pool, address, lambda result: None)
-            pool.remove(connection)
+            pool.remove_idle(connection)
             connection.send(attempt)
             attempt.abandon()  # no round of the loop after it
             assert there.recv(1000).startswith(b"POST /pay")
