--- a/tests/streams.py
+++ b/tests/streams.py
@@ -54,7 +54,7 @@
 
 
 def upload_request(body: bytes, chunk_size: int = 0, extra: str = "") -> bytes:
-    """Return an at_most_once request with a long body, in chunks of `chunk_size` bytes or, if that is 0, with a length."""
+    """Return an at_most_once request with a long body, in chunks of `chunk_size` bytes or, if 0, with a length."""
     if not chunk_size:
         return request("pay", body=body, extra=extra)
     head = request("pay", extra=extra).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
