--- a/tests/test_host_faults.py
+++ b/tests/test_host_faults.py
@@ -55,7 +55,7 @@
 
 
 async def head_of_late_attempt(folder: Path, data: bytes) -> tuple[bytes, float]:
-    """Return what an upstream reads first when connecting takes 1 s, and the time since the request was sent in s."""
+    """Return the first bytes that an upstream reads when connecting takes 1 s, and the seconds since the request."""
     loop = asyncio.get_running_loop()
     with listener_with_full_backlog() as (listener, fillers):
         async with program_on_faulty_host(
@@ -375,7 +375,7 @@
             running.config.write_text(json.dumps(document))
             for number in range(32):
                 running.process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(0.21)  # five lines a second are logged
+                await asyncio.sleep(0.21)  # the program logs at most five lines per second
                 async with asyncio.timeout(5):
                     assert await running.ask(request("pay", str(number), b"b", 1500)) == 200
         upstream.stop()
