--- a/tests/test_interleaving_retries.py
+++ b/tests/test_interleaving_retries.py
@@ -233,7 +233,7 @@
                 sidecar_end.setblocking(False)
                 connection, wire = UpstreamConnection(pool, address, sidecar_end), FakeTransport()
                 connection.connection_made(wire)
-                pool.remove(connection)
+                pool.remove_idle(connection)
                 attempt = attempt_at(pool, address, lambda result: None)
                 if abandoned:
                     attempt.abandon()
@@ -255,7 +255,7 @@
             connection = UpstreamConnection(pool, address, sidecar_end)
             await asyncio.get_running_loop().create_connection(lambda: connection, sock=sidecar_end)
             attempt = attempt_at(pool, address, lambda result: None)
-            pool.remove(connection)
+            pool.remove_idle(connection)
             connection.send(attempt)
             attempt.abandon()  # no round of the loop follows before the checks
             assert upstream_end.recv(1000).startswith(b"POST /pay")
