--- a/garnetusher/sidecar/__init__.py
+++ b/garnetusher/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""A sidecar balancer on real sockets; its decisions are made in `garnetusher.policy`."""
+"""A sidecar load balancer on real sockets; `garnetusher.policy` makes its decisions."""
--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""The program of one sidecar: `python -m garnetusher.sidecar`, configured by its environment."""
+"""The entry point of a sidecar, `python -m garnetusher.sidecar`, which reads its options from the environment."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     ENVIRONMENT,
     SOCKET_VARIABLE,
     Configuration,
-    inherited_socket,
+    open_inherited_socket,
 )
 from garnetusher.sidecar.configuration_section import ConfigurationError
 from garnetusher.sidecar.errors import NOTHING
@@ -29,12 +29,12 @@
 
 @dataclass(slots=True)
 class Invocation:
-    """What the environment says.
+    """Options from the environment.
 
     Attributes:
-        path: the configuration file.
-        configuration: its content.
-        inherited: the listening socket, if the platform holds it.
+        path: configuration file.
+        configuration: parsed content of the configuration file.
+        inherited: listening socket, if the platform holds it open and this process inherits it.
     """
 
     path: str
@@ -43,23 +43,23 @@
 
     @classmethod
     def from_environment(cls, environment: Mapping[str, str]) -> Invocation:
-        """Read the environment, and the file that it names.
+        """Read the environment variables and the configuration file.
 
         Raises:
             OSError: the file cannot be read.
             ConfigurationError: a variable or the file is malformed.
-            SettingsTextError: a setting of the policy is missing or wrong.
+            SettingsTextError: a policy setting is missing or invalid.
         """
         path = environment.get(CONFIG_VARIABLE)
         if path is None:
             raise ConfigurationError(CONFIG_VARIABLE, ENVIRONMENT, "the path of the configuration file", NOTHING)
         configuration = load_configuration(path, environment.get(ADMIN_VARIABLE))
         descriptor = environment.get(SOCKET_VARIABLE)
-        return cls(path, configuration, inherited_socket(descriptor) if descriptor else None)
+        return cls(path, configuration, open_inherited_socket(descriptor) if descriptor else None)
 
 
 def main() -> int:
-    """Run the sidecar; returns the exit status."""
+    """Run the sidecar and return the exit status."""
     logs.configure()
     try:
         invocation = Invocation.from_environment(os.environ)
--- a/garnetusher/sidecar/admin/__init__.py
+++ b/garnetusher/sidecar/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP calls of operators, at an address of their own."""
+"""The HTTP server for operators, at a separate address."""
--- a/garnetusher/sidecar/admin/handlers.py
+++ b/garnetusher/sidecar/admin/handlers.py
@@ -1,4 +1,4 @@
-"""The operators' calls: readiness, draining, zones, the latest events, counters and members."""
+"""Handlers of the admin server: readiness, draining, zones, the latest events, counters and members."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 
 
 class AdminHandlers:
-    """Answers operators' calls to one sidecar."""
+    """Handles the requests of operators to one sidecar."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self._sidecar = sidecar
 
     def ready(self, request: AdminRequest) -> AdminResponse:
-        """Report whether clients may come, and why not."""
+        """Report whether the sidecar is ready for clients, and the reason if it is not."""
         server = self._sidecar.server
         text = self._sidecar.lifecycle.state.value if server.dispatcher.ready else "no upstream"
         return _response(text, is_success=server.ready)
 
     def drain(self, request: AdminRequest) -> AdminResponse:
-        """Ask clients to go elsewhere from now on."""
+        """Start draining: ask clients to use other sidecars."""
         self._sidecar.lifecycle.drain()
         return _response(self._sidecar.lifecycle.state.value)
 
     def undrain(self, request: AdminRequest) -> AdminResponse:
-        """End a drain."""
+        """Stop draining."""
         self._sidecar.lifecycle.undrain()
         return _response(self._sidecar.lifecycle.state.value)
 
     def zones(self, request: AdminRequest) -> AdminResponse:
-        """Report what the policy knows of each zone."""
+        """Report the state of each zone in the policy."""
         reports = self._sidecar.server.dispatcher.zone_reports(self._sidecar.configuration.zones)
         return _response(json.dumps(reports))
 
     def trace(self, request: AdminRequest) -> AdminResponse:
-        """Report the latest events, or with `?request=` those of the request with that `X-Request-Id`."""
+        """Report the latest events, or only those of one request if `?request=` has its `X-Request-Id`."""
         trace = self._sidecar.trace
         client_request_id = request.query.removeprefix("request=")
         events = trace.find(client_request_id) if request.query else list(trace.events)
@@ -52,11 +52,11 @@
         return _response(json.dumps(self._sidecar.trace.counts))
 
     def evacuate_zone(self, request: AdminRequest) -> AdminResponse:
-        """Stop forwarding to the zone that `?zone=` names."""
+        """Evacuate the zone in `?zone=`: stop forwarding requests to it."""
         return self._override_zone(request, evacuate=True)
 
     def restore_zone(self, request: AdminRequest) -> AdminResponse:
-        """Forward again to the zone that `?zone=` names."""
+        """Restore the zone in `?zone=`: forward requests to it again."""
         return self._override_zone(request, evacuate=False)
 
     def _override_zone(self, request: AdminRequest, *, evacuate: bool) -> AdminResponse:
@@ -67,16 +67,16 @@
             return _response(text, is_success=False)
         rejection = self._sidecar.server.dispatcher.override_zone(names.index(name), evacuate=evacuate)
         if rejection is not None:
-            return _response(f"zone {name} is not left: {rejection}", is_success=False)
-        return _response(f"zone {name} is {'left' if evacuate else 'returned to'} by an operator's order")
+            return _response(f"zone {name} is not evacuated: {rejection}", is_success=False)
+        return _response(f"zone {name} is {'evacuated' if evacuate else 'restored'} by an operator")
 
 
 def admin_routes(sidecar: Sidecar, members: FleetMembership | None = None) -> dict[bytes, Route]:
-    """Return the calls at the admin address, by their paths.
+    """Return the routes of the admin server by path.
 
     Args:
-        sidecar: what the calls report on and change.
-        members: the fleet's members, if membership is switched on.
+        sidecar: sidecar that the routes report on and change.
+        members: fleet membership, if it is enabled.
     """
     handlers = AdminHandlers(sidecar)
     routes = {
--- a/garnetusher/sidecar/admin/messages.py
+++ b/garnetusher/sidecar/admin/messages.py
@@ -1,4 +1,4 @@
-"""Requests, responses and routes of the admin address."""
+"""Requests, responses and routes of the admin server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """An operator's call; `query` is what stands behind the `?` of its path."""
+    """A request to the admin server; `query` is the part of the target after the `?`."""
 
     method: bytes
     path: bytes
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """The answer to an operator's call; `allowed_method` answers one that used another method."""
+    """A response of the admin server; `allowed_method` is the Allow header if the request used another method."""
 
     status: HTTPStatus
     text: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What answers the calls to one path, and the method that they have to use."""
+    """The handler for one path, and the HTTP method that requests to it must use."""
 
     method: bytes
     handle: Callable[[AdminRequest], AdminResponse]
--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -1,4 +1,4 @@
-"""The server of the admin address: one call to a connection, answered at once."""
+"""The HTTP server for operators, which accepts one request per connection and answers it immediately."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 16  # a few that stall and some that don't
-BACKLOG = 64  # connections not yet accepted
-REQUEST_TIMEOUT_S = 2.0  # for a call to arrive in full; a caller waits 1 s for its answer
+MAX_CONNECTIONS = 16  # room for several stalled connections and some working ones
+BACKLOG = 64  # maximum number of connections not accepted yet
+REQUEST_TIMEOUT_S = 2.0  # time for a request to arrive in full; callers wait 1 s for a response
 MAX_REQUEST_BYTES = 8 * 1024
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection, which carries one call."""
+    """A connection that carries one request."""
 
     def __init__(self, server: AdminServer) -> None:
         self._server = server
@@ -37,37 +37,37 @@
         self._is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the call, for a bounded time."""
-        self._transport = cast("asyncio.Transport", transport)  # a TCP connection reads and writes
+        """Wait for the request, for at most `REQUEST_TIMEOUT_S`."""
+        self._transport = cast("asyncio.Transport", transport)  # a TCP transport can both read and write
         self._server.add(self)
-        response = AdminResponse(HTTPStatus.REQUEST_TIMEOUT, "no whole call")
+        response = AdminResponse(HTTPStatus.REQUEST_TIMEOUT, "the request did not arrive in full in time")
         self._timeout = self._server.loop.call_later(REQUEST_TIMEOUT_S, self._respond, response)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the server."""
+        """Unregister from the server and cancel the timeout."""
         self._server.remove(self)
         if self._timeout is not None:
             self._timeout.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Read more of the call."""
+        """Parse more of the request."""
         if self._is_answered:
             return
         self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._respond(AdminResponse(HTTPStatus.BAD_REQUEST, "malformed call"))
+            self._respond(AdminResponse(HTTPStatus.BAD_REQUEST, "malformed request"))
         if self._received_bytes > MAX_REQUEST_BYTES:
-            self._respond(AdminResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is too long"))
+            self._respond(AdminResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the request is too large"))
 
     def on_url(self, url: bytes) -> None:
-        """Read a part of the target; only the first call of a connection counts."""
+        """Append a part of the request target; requests after the first one on a connection are ignored."""
         if not self._is_request_complete:
             self._target += url
 
     def on_message_complete(self) -> None:
-        """Answer the call."""
+        """Answer the request."""
         if self._is_request_complete:
             return
         self._is_request_complete = True
@@ -76,7 +76,7 @@
         self._respond(self._server.handle(request))
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -89,26 +89,26 @@
 
 
 class AdminServer:
-    """The connections of operators: few, so that callers that stall take no descriptors from clients."""
+    """Server for operators, with few connections so that stalled callers leave the file descriptors to clients."""
 
     def __init__(self, routes: dict[bytes, Route]) -> None:
         self.loop = asyncio.get_running_loop()
         self._routes = routes
-        self._connections: dict[AdminConnection, None] = {}  # in order of arrival
+        self._connections: dict[AdminConnection, None] = {}  # ordered by arrival, oldest first
         self._listener: Listener | None = None
 
     async def listen(self, address: Address) -> None:
-        """Accept operators from now on.
+        """Start to accept connections.
 
         Raises:
-            OSError: the address stays taken.
+            OSError: the address is still in use after the last retry.
         """
         sock = await listen_at(address, BACKLOG, LISTEN_PATIENCE_S)
         self._listener = Listener(sock, lambda _: AdminConnection(self))
         self._listener.start()
 
     def add(self, connection: AdminConnection) -> None:
-        """Register a new connection, at the expense of the oldest one if there are too many."""
+        """Register a new connection, and abort the oldest one if there are too many."""
         if len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
             del self._connections[oldest]
@@ -116,19 +116,19 @@
         self._connections[connection] = None
 
     def remove(self, connection: AdminConnection) -> None:
-        """Forget a connection that has ended."""
+        """Unregister a closed connection."""
         self._connections.pop(connection, None)
 
     def handle(self, request: AdminRequest) -> AdminResponse:
-        """Answer a call."""
+        """Return the response to a request."""
         route = self._routes.get(request.path)
         if route is None:
-            return AdminResponse(HTTPStatus.NOT_FOUND, "unknown call")
+            return AdminResponse(HTTPStatus.NOT_FOUND, "unknown path")
         if request.method != route.method:
-            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "not the method of this call", route.method)
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "this path requires another method", route.method)
         response = route.handle(request)
         if request.method == b"POST":
-            log.info("an operator called %s: %s", request.path.decode(), response.text)
+            log.info("operator request %s: %s", request.path.decode(), response.text)
         return response
 
 
--- a/garnetusher/sidecar/configuration.py
+++ b/garnetusher/sidecar/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration of one sidecar: the JSON file that BALANCER_CONFIG names, and what the environment adds.
+"""The configuration of one sidecar: the JSON file at the path in BALANCER_CONFIG, and values from the environment.
 
-The keys of the file are the platform's own; this module is where they become the sidecar's names.
+The platform defines the keys of the file; this module maps them to the names that the sidecar uses.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 )
 from garnetusher.sidecar.errors import NOTHING, join_path
 
-ENVIRONMENT = "environment"  # the place of what is no part of the file
+ENVIRONMENT = "environment"  # `place` of values that are not in the file
 CONFIG_VARIABLE = "BALANCER_CONFIG"
 ADMIN_VARIABLE = "BALANCER_ADMIN"
 SOCKET_VARIABLE = "BALANCER_SOCKET_FD"
@@ -37,11 +37,11 @@
 
 @dataclass(slots=True)
 class MembershipSection:
-    """The file's `fleet.membership`, which switches on what `garnetusher.sidecar.membership` does.
+    """The object `fleet.membership` of the file, which enables `garnetusher.sidecar.membership`.
 
     Attributes:
-        value: the section as it was read; whoever uses it checks it.
-        instance_name: the name of this sidecar.
+        value: unchecked JSON value; the membership module checks it.
+        instance_name: name of this sidecar.
     """
 
     value: object
@@ -53,19 +53,19 @@
     """The configuration of a sidecar.
 
     Attributes:
-        listen: where clients connect.
-        discovery: where the endpoint list is.
-        seed: of the policy's random draws.
-        max_descriptors: file descriptors that it may have open.
-        settings: the policy's settings.
-        zones: the names of the zones, by their index in the settings.
-        machine_types: likewise of machine types.
-        idle_timeout_us: upstreams close a connection that has been idle for this long.
-        cached_endpoints: the endpoint list as last known, in discovery's form; None if there is none.
-        admin: where operators call; None if nowhere.
-        memory_bytes: memory that it may use.
-        membership: what switches on membership; None if it is off.
-        document: the file as it was read, to compare a later one with it.
+        listen: address at which clients connect.
+        discovery: address of the discovery service, which has the endpoint list.
+        seed: seed of the policy's random draws.
+        max_descriptors: maximum number of open file descriptors.
+        settings: settings of the policy.
+        zones: names of the zones, by their index in the settings.
+        machine_types: names of the machine types, by their index in the settings.
+        idle_timeout_us: idle time after which upstreams close a connection.
+        cached_endpoints: last known endpoint list, in the format of discovery; None if there is none.
+        admin: address of the admin server; None if it is disabled.
+        memory_bytes: memory limit.
+        membership: membership section; None if membership is disabled.
+        document: parsed JSON document of the file, for comparison with a later file.
     """
 
     listen: Address
@@ -84,19 +84,19 @@
 
 
 def load(path: str, admin: str | None = None) -> Configuration:
-    """Read and check the file.
+    """Read and validate the configuration file.
 
     Args:
-        path: the file.
-        admin: the operators' address by the environment, which overrides the file's: two processes may have the
-            same file.
+        path: configuration file.
+        admin: admin address from the environment. This address overrides the one in the file because two processes
+            may use the same file.
 
     Raises:
         OSError: the file cannot be read.
-        ConfigurationError: it is malformed.
-        SettingsTextError: a setting of the policy is missing or wrong.
+        ConfigurationError: the file is malformed.
+        SettingsTextError: a policy setting is missing or invalid.
     """
-    file = _read(path)
+    file = _read_file(path)
     settings_section = file.section("settings")
     for request_class in settings_section.sections("request-classes"):
         request_class.get("name")
@@ -116,58 +116,58 @@
         settings=settings,
         zones=zones,
         machine_types=settings_section.items("kinds"),
-        idle_timeout_us=bounds.number(_whole, "conn-idle"),
+        idle_timeout_us=bounds.number(_parse_integer, "conn-idle"),
         cached_endpoints=file.value.get("known"),
         admin=_admin_address(file, admin),
-        memory_bytes=limits.number(_megabytes, "memory_mb"),
-        membership=_membership(file),
+        memory_bytes=limits.number(_megabytes_to_bytes, "memory_mb"),
+        membership=_membership_section(file),
         document=file.value,
     )
 
 
 def reload(path: str, previous: Configuration) -> Configuration:
-    """Read the file that replaces one in force.
+    """Read the file that replaces the current configuration.
 
-    A zone keeps its index, so that what is known of it and what operators have ordered stays with it.
+    Each zone keeps its index, so that its recorded state and the overrides by operators still apply to it.
 
     Raises:
         OSError: the file cannot be read.
-        ConfigurationError: it is malformed, or incomplete, as one that is still being written may be.
-        SettingsTextError: a setting of the policy is missing or wrong.
+        ConfigurationError: the file is malformed, or incomplete because it is still being written.
+        SettingsTextError: a policy setting is missing or invalid.
     """
     configuration = load(path)
     missing = first_missing_key(previous.document, configuration.document)
     if missing:
         place, _, key = missing.rpartition(".")
-        raise ConfigurationError(key, place, "a value, as in the file before", NOTHING)
+        raise ConfigurationError(key, place, "a value, as in the previous file", NOTHING)
     _keep_zone_indexes(configuration, previous.zones)
     return configuration
 
 
-def inherited_socket(text: str) -> socket.socket:
-    """Return the clients' listening socket, which the platform holds.
+def open_inherited_socket(text: str) -> socket.socket:
+    """Return the listening socket for clients that this process inherits from the platform.
 
     Args:
-        text: its descriptor.
+        text: number of the file descriptor.
 
     Raises:
-        ConfigurationError: it is no listening socket.
+        ConfigurationError: the descriptor is not a listening socket.
     """
     if not text.isdecimal():
-        raise ConfigurationError(SOCKET_VARIABLE, ENVIRONMENT, "a descriptor's number", text)
+        raise ConfigurationError(SOCKET_VARIABLE, ENVIRONMENT, "a file descriptor number", text)
     try:
         sock = socket.socket(fileno=int(text))
     except (OSError, OverflowError) as error:
-        found = f"descriptor {text}, which is no socket: {error}"
+        found = f"descriptor {text}, which is not a socket: {error}"
         raise ConfigurationError(SOCKET_VARIABLE, ENVIRONMENT, "a socket", found) from None
     if sock.type != socket.SOCK_STREAM or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        found = f"descriptor {text}, which is no listening socket"
+        found = f"descriptor {text}, which is not a listening socket"
         raise ConfigurationError(SOCKET_VARIABLE, ENVIRONMENT, "a listening socket", found)
     return sock
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Return nested settings as the path=value pairs of the simulator's first message."""
+    """Flatten nested settings to the path and value pairs of the simulator's first message."""
     items: list[tuple[object, object]]
     if isinstance(value, Mapping):
         items = list(value.items())
@@ -183,20 +183,20 @@
     return pairs
 
 
-def _read(path: str) -> ConfigurationSection:
+def _read_file(path: str) -> ConfigurationSection:
     text = Path(path).read_bytes()
     try:
         value: object = json.loads(text.decode("utf-8"))
     except ValueError as error:
         raise ConfigurationError(CONFIG_VARIABLE, ENVIRONMENT, "a JSON file", f"{path}: {error}") from None
     if not isinstance(value, dict):
-        raise ConfigurationError(CONFIG_VARIABLE, ENVIRONMENT, "a file with an object", value)
+        raise ConfigurationError(CONFIG_VARIABLE, ENVIRONMENT, "a file that contains an object", value)
     return ConfigurationSection(value, "", "")
 
 
 def _keep_zone_indexes(configuration: Configuration, previous_zones: list[str]) -> None:
     settings, names = configuration.settings, configuration.zones
-    own_names = names[settings.zone : settings.zone + 1]  # none if its index is out of range
+    own_names = names[settings.zone : settings.zone + 1]  # empty if the index of the own zone is out of range
     regions = dict(zip(names, settings.zone_regions, strict=False))
     configuration.zones = previous_zones + [name for name in names if name not in previous_zones]
     if own_names:
@@ -205,7 +205,7 @@
 
 
 def _zone_regions(zones: list[str], file: ConfigurationSection) -> list[int]:
-    """Return the region of each zone, as `fleet.regions` names them; none where it does not."""
+    """Return the region index of each zone from `fleet.regions`; an empty list if the file has no regions."""
     fleet = file.value.get(FLEET_KEY)
     regions = fleet.get(REGIONS_KEY) if isinstance(fleet, Mapping) else None
     if regions is None:
@@ -214,31 +214,31 @@
         raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "lists of zones by region", regions)
     try:
         region_of = {zone: index for index, names in enumerate(regions.values()) for zone in names}
-        lacking = [zone for zone in zones if zone not in region_of]
+        unassigned_zones = [zone for zone in zones if zone not in region_of]
     except TypeError:
-        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "lists of zones' names", regions) from None
-    if lacking:
-        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "each zone in a region", f"{lacking[0]} in none")
+        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "lists of zone names", regions) from None
+    if unassigned_zones:
+        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "each zone in a region", f"{unassigned_zones[0]} in none")
     return [region_of[zone] for zone in zones]
 
 
-def _admin_address(file: ConfigurationSection, from_environment: str | None) -> Address | None:
-    if from_environment:
-        return parse_configured_address(from_environment, ENVIRONMENT, ADMIN_VARIABLE)
+def _admin_address(file: ConfigurationSection, environment_address: str | None) -> Address | None:
+    if environment_address:
+        return parse_configured_address(environment_address, ENVIRONMENT, ADMIN_VARIABLE)
     text = file.value.get("admin")
     return parse_configured_address(text, "", "admin") if text else None
 
 
-def _membership(file: ConfigurationSection) -> MembershipSection | None:
+def _membership_section(file: ConfigurationSection) -> MembershipSection | None:
     fleet = file.value.get(FLEET_KEY)
     if not isinstance(fleet, Mapping) or "membership" not in fleet:
         return None
     return MembershipSection(fleet["membership"], str(file.value.get("name", "")))
 
 
-def _whole(value: object) -> int:
+def _parse_integer(value: object) -> int:
     return int(float(str(value)))
 
 
-def _megabytes(value: Any) -> int:
+def _megabytes_to_bytes(value: Any) -> int:
     return int(float(value) * BYTES_PER_MB)
--- a/garnetusher/sidecar/configuration_comparison.py
+++ b/garnetusher/sidecar/configuration_comparison.py
@@ -1,4 +1,4 @@
-"""Compares a configuration file with its predecessor, to notice one that is incomplete."""
+"""Compares a configuration file with the previous one, to detect an incomplete file."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from garnetusher.sidecar.errors import join_path
 
-# Keys that a file may lack though the one before had them: they may be absent, or serve the start only.
+# Keys that a file may lack even if the previous file had them: they are optional, or are used only at startup.
 OPTIONAL_KEYS = frozenset(("known", "accounts", "aim-stretch", "passes-deadline", "warm-keys"))
 
 
 def first_missing_key(previous: object, current: object, path: str = "") -> str:
-    """Return the path of a key that a file lacks though its predecessor has it, as one cut short would; else ""."""
+    """Return the path of a key that only the previous file has, as when the current file is truncated; "" if none."""
     if isinstance(previous, Mapping):
         return _first_missing_of_object(previous, current, path)
     if isinstance(previous, list) and previous and all(isinstance(item, Mapping) for item in previous):
@@ -33,10 +33,10 @@
 
 
 def _first_missing_of_list(previous: list[Mapping[str, object]], current: object, path: str) -> str:
-    """Compare each item with the keys that all items had before, as items may come, go and change places."""
-    common = {key: None for key in previous[0] if all(key in item for item in previous)}
+    """Check that each item has the keys that all previous items had; items may be added, removed or reordered."""
+    common_keys = {key: None for key in previous[0] if all(key in item for item in previous)}
     for index, item in enumerate(current if isinstance(current, list) else [None]):
-        missing = first_missing_key(common, item, f"{path}.{index}")
+        missing = first_missing_key(common_keys, item, f"{path}.{index}")
         if missing:
             return missing
     return ""
--- a/garnetusher/sidecar/configuration_section.py
+++ b/garnetusher/sidecar/configuration_section.py
@@ -1,4 +1,4 @@
-"""Checked reading of the configuration file: objects whose values have to be of the expected form."""
+"""Reads values from objects of the configuration file and checks their type."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class ConfigurationError(InvalidValueError):
-    """A configuration that cannot be used."""
+    """The configuration is invalid."""
 
 
 class ConfigurationSection:
-    """An object of the file, whose values are read with checks.
+    """An object of the configuration file whose values are checked when read.
 
-    All methods raise `ConfigurationError` if the key is missing or its value is not as expected.
+    All methods raise `ConfigurationError` if the key is missing or its value does not have the expected type.
 
     Attributes:
-        value: the object.
-        place: its path in the file.
+        value: the JSON object.
+        place: path of the object in the file.
     """
 
     def __init__(self, value: object, place: str, key: str) -> None:
@@ -40,7 +40,7 @@
         return self.value[key]
 
     def section(self, key: str) -> ConfigurationSection:
-        """Return an object."""
+        """Return the object at `key` as a section."""
         return ConfigurationSection(self.get(key), self.place, key)
 
     def items(self, key: str) -> list[Any]:
@@ -51,12 +51,12 @@
         return list(value)
 
     def sections(self, key: str) -> list[ConfigurationSection]:
-        """Return a list of objects."""
+        """Return a list of objects as sections."""
         place = join_path(self.place, key)
         return [ConfigurationSection(value, place, str(index)) for index, value in enumerate(self.items(key))]
 
     def number(self, number_type: Callable[[Any], _Number], key: str) -> _Number:
-        """Return a number, which may also stand in the file as text."""
+        """Return a number, which the file may also contain as a string."""
         value = self.get(key)
         try:
             return number_type(value)
@@ -64,7 +64,7 @@
             raise ConfigurationError(key, self.place, "a number", value) from None
 
     def require_positive(self, key: str) -> None:
-        """Check that a value is a positive number, and not a text."""
+        """Check that a value is a positive number and not a string."""
         value = self.get(key)
         if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
             raise ConfigurationError(key, self.place, "a positive number", value)
@@ -74,7 +74,7 @@
         return parse_configured_address(self.get(key), self.place, key)
 
     def seed(self, key: str) -> int:
-        """Return a number that is written as hexadecimal text."""
+        """Return a number that the file contains as a hexadecimal string."""
         text = self.get(key)
         try:
             return int(text, SEED_BASE)
@@ -83,10 +83,10 @@
 
 
 def parse_configured_address(text: object, place: str, key: str) -> Address:
-    """Return an address of the configuration.
+    """Parse an address from the configuration.
 
     Raises:
-        ConfigurationError: it is no `host:port`.
+        ConfigurationError: `text` does not have the form `host:port`.
     """
     if not isinstance(text, str):
         raise ConfigurationError(key, place, "host:port", text)
--- a/garnetusher/sidecar/errors.py
+++ b/garnetusher/sidecar/errors.py
@@ -1,4 +1,4 @@
-"""What the errors of the sidecar have in common."""
+"""Base classes and helpers for the errors of the sidecar."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Missing(enum.Enum):
-    """Stands in an error for the value of a key that is not there."""
+    """Placeholder in an error for the value of a missing key."""
 
     NOTHING = "nothing"
 
@@ -20,13 +20,13 @@
 
 
 class InvalidValueError(GarnetusherError, ValueError):
-    """A value in a JSON document or in the environment that cannot be used.
+    """A value in a JSON document or in the environment is invalid.
 
     Attributes:
-        key: the key whose value is wrong or missing.
-        place: the path of the object that has the key; empty for the document as a whole.
-        expected: what the value should be.
-        found: what is there instead.
+        key: key whose value is invalid or missing.
+        place: path of the object that contains the key; empty for the whole document.
+        expected: description of a valid value.
+        found: actual value.
     """
 
     def __init__(self, key: str, place: str, expected: str, found: object) -> None:
@@ -38,5 +38,5 @@
 
 
 def join_path(place: str, key: str) -> str:
-    """Return the path of a key of the object at `place`."""
+    """Return the path of `key` in the object at path `place`."""
     return f"{place}.{key}" if place else key
--- a/garnetusher/sidecar/lifecycle.py
+++ b/garnetusher/sidecar/lifecycle.py
@@ -1,4 +1,4 @@
-"""The state of this process: readiness, draining and shutdown go by it, and nothing else holds a copy."""
+"""The lifecycle state of this process, which readiness, draining and shutdown all read from one `Lifecycle` object."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 
 
 class LifecycleState(enum.Enum):
-    """What this process is doing."""
+    """A stage in the lifecycle of this process."""
 
-    STARTING = "starting"  # it does not accept clients yet
+    STARTING = "starting"  # the process does not accept clients yet
     SERVING = "serving"
-    DRAINING = "draining"  # an operator has asked clients to go elsewhere, for a time
-    STOPPING = "stopping"  # it shuts down, and nothing reverses that
+    DRAINING = "draining"  # an operator has temporarily asked clients to use other sidecars
+    STOPPING = "stopping"  # the process is shutting down, which cannot be undone
 
 
 class Lifecycle:
-    """Holds the state: stopping overrides draining, which overrides the others. Repeated calls change nothing."""
+    """Tracks the lifecycle state.
+
+    Stopping overrides draining, which overrides starting and serving. Repeated calls have no effect.
+    """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -27,7 +30,7 @@
 
     @property
     def state(self) -> LifecycleState:
-        """The present state."""
+        """The current state."""
         if self._stopped_at_s is not None:
             return LifecycleState.STOPPING
         if self._drained_at_s is not None:
@@ -46,24 +49,24 @@
 
     @property
     def closing_for_s(self) -> float:
-        """For how long connections have been closing; 0 while they are not."""
+        """Seconds since connections began to close after their next response; 0 while they stay open."""
         since_s = self._drained_at_s if self._stopped_at_s is None else self._stopped_at_s
         return 0.0 if since_s is None else self._clock() - since_s
 
     def start(self) -> None:
-        """Serve from now on."""
+        """Mark the process as serving."""
         self._started = True
 
     def drain(self) -> None:
-        """Drain until `undrain`; a repeated call does not put off when idle connections close."""
+        """Start draining, until `undrain`; a repeated call does not postpone the closing of idle connections."""
         if self._drained_at_s is None:
             self._drained_at_s = self._clock()
 
     def undrain(self) -> None:
-        """End a drain."""
+        """Stop draining."""
         self._drained_at_s = None
 
     def stop(self) -> None:
-        """Shut down."""
+        """Mark the process as shutting down, which cannot be undone."""
         if self._stopped_at_s is None:
             self._stopped_at_s = self._clock()
--- a/garnetusher/sidecar/logs.py
+++ b/garnetusher/sidecar/logs.py
@@ -1,4 +1,4 @@
-"""The log of this process on standard error, which must never block the process."""
+"""Logging to standard error without ever blocking the process."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 STANDARD_ERROR = 2
 MAX_LINES_PER_SECOND = 5
-MAX_LINE_BYTES = 4096  # a pipe that takes anything at all takes this much at once, without blocking
+MAX_LINE_BYTES = 4096  # a writable pipe accepts this many bytes in one write without blocking
 
 
 class RateLimit(logging.Filter):
-    """Lets a few records a second through."""
+    """Passes at most `MAX_LINES_PER_SECOND` records a second."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,9 +31,9 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes a line if that does not block, and drops it otherwise: whoever reads the log may have stopped.
+    """Writes a line if that does not block, and drops it otherwise, because the reader of the log may have stopped.
 
-    The next line that is written says how many were dropped.
+    The next line written is preceded by the number of dropped lines.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -45,7 +45,7 @@
         """Write a record, or count it as dropped."""
         line = self.format(record)
         if self._dropped_count:
-            line = f"({self._dropped_count} lines are missing here)\n{line}"
+            line = f"({self._dropped_count} log lines were dropped here)\n{line}"
         data = line.encode(errors="backslashreplace")[: MAX_LINE_BYTES - 1] + b"\n"
         if self._write(data):
             self._dropped_count = 0
@@ -55,7 +55,7 @@
     def _write(self, data: bytes) -> bool:
         try:
             return self._is_writable() and os.write(self._descriptor, data) > 0
-        except OSError:  # a full disk, a pipe without a reader: the process goes on without its log
+        except OSError:  # if the disk is full or the pipe has no reader, the process continues without its log
             return False
 
     def _is_writable(self) -> bool:
@@ -65,7 +65,7 @@
 
 
 def configure(descriptor: int = STANDARD_ERROR) -> None:
-    """Write all of this process's log to a descriptor."""
+    """Write all log records of this process to a file descriptor."""
     handler = NonBlockingHandler(descriptor)
     handler.addFilter(RateLimit())
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", handlers=[handler])
--- a/garnetusher/sidecar/reload.py
+++ b/garnetusher/sidecar/reload.py
@@ -1,4 +1,4 @@
-"""Loads the file that replaces the configuration in force: at SIGHUP, and again while it is not in order yet."""
+"""Reloads the configuration file at SIGHUP, and retries while the file is not valid yet."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_INTERVAL_S = 0.05  # between attempts to load a file
-# A change counts as known to the sidecar 4 s after the signal if discovery sends it from its new address; discovery's
-# old address ends before that.
+RETRY_INTERVAL_S = 0.05  # delay between attempts to load a file
+# When discovery moves to a new address, the sidecar must know a change that discovery sends from there within 4 s after
+# the signal. The old discovery address shuts down before that.
 RETRY_FOR_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class FileState:
-    """What distinguishes one state of a file from the next."""
+    """Metadata that differs between two versions of a file."""
 
     inode: int
     size: int
@@ -26,7 +26,7 @@
 
     @classmethod
     def of(cls, path: str) -> FileState:
-        """Return the present state of a file.
+        """Return the current state of a file.
 
         Raises:
             OSError: the file is absent, or this machine is short of resources.
@@ -38,46 +38,46 @@
 class Reloader:
     """Loads a file at each signal.
 
-    A file that is not in order is ignored, and read again for some seconds: it may be half written, or this machine
-    may be short of what reading it takes, and no second signal would follow.
+    A file that cannot be applied is ignored and retried for `RETRY_FOR_S` seconds: the file may be half written, or
+    this machine may be short of the resources to read it, and no second signal would follow.
     """
 
     def __init__(self, path: str, apply: Callable[[str], None]) -> None:
-        """Wait for signals.
+        """Prepare to load the file at each call of `on_signal`.
 
         Args:
-            path: the file.
-            apply: puts all of the file in force, or raises and then has changed nothing.
+            path: file to load.
+            apply: callback that applies the whole file, or raises an exception and changes nothing.
         """
         self._loop = asyncio.get_running_loop()
         self._path = path
         self._apply = apply
-        self._retry_until_s = 0.0  # on the event loop's clock
-        self._rejected: FileState | None = None  # the state of the file that was not in order
+        self._retry_until_s = 0.0  # time on the clock of the event loop
+        self._rejected_state: FileState | None = None  # state of the file when it was last rejected as invalid
         self._timer: asyncio.TimerHandle | None = None
 
-    def signal(self) -> None:
-        """Look at the file, which has been replaced or is being replaced."""
+    def on_signal(self) -> None:
+        """Load the file, which has been replaced or is being replaced."""
         self._retry_until_s = self._loop.time() + RETRY_FOR_S
-        self._rejected = None
+        self._rejected_state = None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self._look(log_failure=True)
+        self._try_load(log_failure=True)
 
-    def _look(self, *, log_failure: bool = False) -> None:
-        """Apply the file if it has changed since it was rejected; on failure look again after a moment."""
+    def _try_load(self, *, log_failure: bool = False) -> None:
+        """Apply the file unless it is unchanged since it was rejected; on failure retry after `RETRY_INTERVAL_S`."""
         self._timer = None
         state: FileState | None = None
         try:
             state = FileState.of(self._path)
-            if state != self._rejected:
+            if state != self._rejected_state:
                 self._apply(self._path)
                 return
-        except Exception as error:  # whatever is wrong with the file, the running sidecar must go on
+        except Exception as error:  # the running sidecar must survive any error in the file
             if not isinstance(error, OSError):
-                self._rejected = state
+                self._rejected_state = state
             if log_failure:
-                log.warning("the configuration is not taken, all stays as it was: %r", error)
+                log.warning("the new configuration is rejected, the current one stays in force: %r", error)
         if self._loop.time() < self._retry_until_s:
-            self._timer = self._loop.call_later(RETRY_INTERVAL_S, self._look)
+            self._timer = self._loop.call_later(RETRY_INTERVAL_S, self._try_load)
--- a/garnetusher/sidecar/service.py
+++ b/garnetusher/sidecar/service.py
@@ -1,4 +1,4 @@
-"""One sidecar in service, from its startup to the end of its shutdown."""
+"""Runs one sidecar from startup to the end of its shutdown."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 async def run(configuration: Configuration, path: str, inherited: socket.socket | None) -> None:
-    """Serve until SIGTERM; SIGHUP means that the configuration file has been replaced.
+    """Serve until SIGTERM, and reload the configuration file at SIGHUP.
 
     Args:
-        configuration: the configuration to begin with.
-        path: the file that it comes from.
-        inherited: the listening socket, if the platform holds it.
+        configuration: initial configuration.
+        path: configuration file.
+        inherited: listening socket, if the platform holds it open and this process inherits it.
 
     Raises:
         OSError: the sidecar cannot start.
@@ -29,10 +29,10 @@
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
 
-    def reload_at_sighup(sidecar: Sidecar) -> None:
-        loop.add_signal_handler(signal.SIGHUP, Reloader(path, sidecar.reload).signal)
+    def reload_on_sighup(sidecar: Sidecar) -> None:
+        loop.add_signal_handler(signal.SIGHUP, Reloader(path, sidecar.reload).on_signal)
 
-    await serve(configuration, stop, reload_at_sighup, inherited)
+    await serve(configuration, stop, reload_on_sighup, inherited)
 
 
 async def serve(
@@ -44,10 +44,10 @@
     """Serve until `stop` is set, then shut down gracefully.
 
     Args:
-        configuration: the configuration to begin with.
-        stop: ends the service.
-        on_sidecar_started: gets the sidecar's parts before it accepts clients.
-        inherited: the listening socket, if the platform holds it; then the service is a takeover from another process.
+        configuration: initial configuration.
+        stop: event that starts the shutdown.
+        on_sidecar_started: callback that receives the sidecar before it accepts clients.
+        inherited: listening socket, if the platform holds it open; this process then takes over from another one.
 
     Raises:
         OSError: the sidecar cannot start.
@@ -65,12 +65,12 @@
     await stop.wait()
 
     sidecar.lifecycle.stop()
-    schedule = ShutdownSchedule.of_classes(server.dispatcher.settings.classes)
+    schedule = ShutdownSchedule.for_classes(server.dispatcher.settings.classes)
     shutdown.announce_deadline(server, schedule)
     if members is not None:
         await members.leave()
     if inherited is None:
-        await shutdown.drain_alone(server)
+        await shutdown.drain_without_successor(server)
     else:
-        await shutdown.drain_beside_successor(server, schedule)
-    await shutdown.finish(server, schedule)
+        await shutdown.drain_with_successor(server, schedule)
+    await shutdown.finish_requests(server, schedule)
--- a/garnetusher/sidecar/shutdown.py
+++ b/garnetusher/sidecar/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: what happens between SIGTERM and the end of the process.
+"""Graceful shutdown: the steps between SIGTERM and the exit of the process.
 
-In the drain phase clients still come, or each open connection still carries a last request; in the end phase only what
-is in flight is answered. All is answered before SIGKILL may come.
+The drain phase still accepts new clients, or one last request on each open connection. The final phase only answers
+the requests in flight. Every request is answered before SIGKILL can arrive.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.server import DownstreamServer
 
-NEW_CONNECTIONS_S = 0.5  # after SIGTERM new connections come for up to 0.4 s
-KILL_DELAY_S = 0.7  # SIGKILL comes so long after the longest deadline at the soonest
-MAX_DEADLINE_S = 3.0  # a deadline that is longer counts as this
-LAST_RESPONSE_S = 0.4  # with the longest latency objective, what a last request gets for its response
-FINAL_RESPONSE_MARGIN_S = 0.2  # the last responses are written so long before SIGKILL, as the loop may be busy
+NEW_CONNECTIONS_S = 0.5  # clients open new connections for up to 0.4 s after SIGTERM
+KILL_DELAY_S = 0.7  # SIGKILL arrives at least this long after the longest deadline
+MAX_DEADLINE_S = 3.0  # longer deadlines are capped at this value
+LAST_RESPONSE_S = 0.4  # a last request has this time plus the longest latency objective to be answered
+FINAL_RESPONSE_MARGIN_S = 0.2  # the last responses are written this long before SIGKILL because the loop may be busy
 POLL_INTERVAL_S = 0.01
 
 
@@ -27,10 +27,12 @@
     """When the steps of a shutdown happen, in seconds after SIGTERM.
 
     Attributes:
-        kill_s: when SIGKILL may come at the soonest.
-        final_responses_s: when everything that is still in flight is answered.
-        last_connections_s: when connections that are idle till then close, even if a request may be on its way.
-        idle_connections_s: when connections close that wait for a last request beside another process.
+        kill_s: earliest time at which SIGKILL can arrive.
+        final_responses_s: time at which all requests still in flight are answered.
+        last_connections_s: time at which the remaining idle connections close, even if a client may be sending a
+            request.
+        idle_connections_s: time at which connections that wait for a last request close if a successor process shares
+            the listening socket.
     """
 
     kill_s: float
@@ -39,7 +41,7 @@
     idle_connections_s: float
 
     @classmethod
-    def of_classes(cls, classes: Sequence[RequestClass]) -> ShutdownSchedule:
+    def for_classes(cls, classes: Sequence[RequestClass]) -> ShutdownSchedule:
         """Return the schedule for these request classes."""
         longest_deadline_s = max(request_class.deadline_us for request_class in classes) / 1e6
         longest_objective_s = max(request_class.latency_objective_us for request_class in classes) / 1e6
@@ -53,41 +55,41 @@
 
 
 def announce_deadline(server: DownstreamServer, schedule: ShutdownSchedule) -> None:
-    """Have all requests answered by the time of the final responses."""
+    """Tell the dispatcher to answer all requests by `schedule.final_responses_s`."""
     server.dispatcher.finish_by(monotonic_us() + int(schedule.final_responses_s * 1e6))
 
 
-async def drain_alone(server: DownstreamServer) -> None:
-    """Accept clients for a moment more, then close the listener: no other process accepts them here."""
+async def drain_without_successor(server: DownstreamServer) -> None:
+    """Accept clients for `NEW_CONNECTIONS_S` more, as no other process accepts them, then close the listener."""
     server.close_idle(monotonic_us())
     await asyncio.sleep(NEW_CONNECTIONS_S)
     await server.stop_listening(shared=False)
 
 
-async def drain_beside_successor(server: DownstreamServer, schedule: ShutdownSchedule) -> None:
-    """Leave new connections to the process that shares the socket, and let each open one carry a last request.
+async def drain_with_successor(server: DownstreamServer, schedule: ShutdownSchedule) -> None:
+    """Leave new connections to the process that shares the socket, and accept a last request on each open one.
 
-    An idle connection that closed at once would cost the request that its client is sending.
+    Closing an idle connection immediately would lose a request that its client is sending at that moment.
     """
     await server.stop_listening(shared=True)
-    while server.connections and server.lifecycle.closing_for_s < schedule.idle_connections_s:  # noqa: ASYNC110 or time
+    while server.connections and server.lifecycle.closing_for_s < schedule.idle_connections_s:  # noqa: ASYNC110 also ends by time
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def finish(server: DownstreamServer, schedule: ShutdownSchedule) -> None:
-    """Wait for what is in flight, and refuse requests that have not come in full when time is up.
+async def finish_requests(server: DownstreamServer, schedule: ShutdownSchedule) -> None:
+    """Wait for the requests in flight, and reject those that have not arrived in full by the final responses.
 
-    The process does not end by itself while anything is in flight: what it cut would be lost, while what SIGKILL cuts
-    need not be.
+    The process does not exit by itself while any request is in flight. A request that the process cut off by exiting
+    would certainly be lost, but SIGKILL may come later than its earliest time, so the request may still complete.
     """
-    while _is_in_use(server, schedule):
+    while _has_open_work(server, schedule):
         server.close_idle(monotonic_us())
         if server.lifecycle.closing_for_s >= schedule.final_responses_s:
             server.shed_unread()
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _is_in_use(server: DownstreamServer, schedule: ShutdownSchedule) -> bool:
+def _has_open_work(server: DownstreamServer, schedule: ShutdownSchedule) -> bool:
     if server.busy:
         return True
     return bool(server.connections) and server.lifecycle.closing_for_s < schedule.last_connections_s
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""Composition: the parts of one sidecar, which are made, started and given new settings together."""
+"""Creates, starts and reconfigures the components of one sidecar."""
 
 from __future__ import annotations
 
@@ -18,34 +18,33 @@
 
 log = logging.getLogger(__name__)
 
-BASE_MEMORY_BYTES = 20 * 1024 * 1024  # what the program takes without any request
-USABLE_MEMORY_FRACTION = 0.75  # of the limit; the rest is for short requests and for what the allocator keeps
-CLIENT_DESCRIPTOR_DIVISOR = (
-    2  # clients have a third of the descriptors at most, in both processes of a takeover together
-)
-PROCESSES_AT_TAKEOVER = 2  # which share the limits while one takes over from the other
+BASE_MEMORY_BYTES = 20 * 1024 * 1024  # memory use of the process without any requests
+USABLE_MEMORY_FRACTION = 0.75  # fraction of the limit; the rest is for short requests and allocator overhead
+# Clients use at most a third of the descriptors, counting both processes during a takeover.
+CLIENT_DESCRIPTOR_DIVISOR = 2
+PROCESSES_AT_TAKEOVER = 2  # both processes share the limits while one takes over from the other
 
 
 class Sidecar:
-    """The parts of one sidecar.
+    """The components of one sidecar.
 
     Attributes:
-        configuration: the configuration in force.
-        lifecycle: what the process is doing.
-        trace: the latest events, and counters.
-        connection_pool: the connections to upstreams.
-        dispatcher: the requests in flight, and the policy.
-        endpoint_list: the endpoints that discovery has listed.
-        endpoint_watcher: the watch on the endpoint list.
-        server: the connections of clients.
+        configuration: current configuration.
+        lifecycle: lifecycle state of the process.
+        trace: latest events and counters.
+        connection_pool: connections to upstreams.
+        dispatcher: dispatcher of the requests in flight, which runs the policy.
+        endpoint_list: endpoints that discovery has listed.
+        endpoint_watcher: watcher of the endpoint list.
+        server: server for the connections of clients.
     """
 
     def __init__(self, configuration: Configuration, inherited: socket.socket | None = None) -> None:
-        """Make the parts.
+        """Create the components.
 
         Args:
-            configuration: the configuration to begin with.
-            inherited: the listening socket, if the platform holds it and another process may have it too.
+            configuration: initial configuration.
+            inherited: listening socket, if the platform holds it open and another process may share it.
         """
         settings = configuration.settings
         self.configuration = configuration
@@ -69,7 +68,7 @@
         )
 
     def start(self) -> None:
-        """Load the cached endpoint list, and let the policy or the watcher request a new one."""
+        """Load the cached endpoint list, and let the policy or the watcher request a current one."""
         if self.configuration.cached_endpoints:
             self.endpoint_watcher.load_cached(self.configuration.cached_endpoints)
         if not self.configuration.settings.poll_endpoints:
@@ -77,12 +76,12 @@
         self.dispatcher.start()
 
     def reload(self, path: str) -> None:
-        """Read the file again and put all of it in force.
+        """Read the file again and apply all of it; nothing changes if an error is raised.
 
         Raises:
-            OSError: the file cannot be read; nothing has changed.
-            ConfigurationError: it is malformed or incomplete; nothing has changed.
-            SettingsTextError: a setting of the policy is missing or wrong; nothing has changed.
+            OSError: the file cannot be read.
+            ConfigurationError: the file is malformed or incomplete.
+            SettingsTextError: a policy setting is missing or invalid.
         """
         current = configurations.reload(path, self.configuration)
         previous, self.configuration = self.configuration, current
@@ -93,7 +92,7 @@
         self.dispatcher.apply_settings(current.settings)
         self._apply_discovery(previous, current)
         log.info(
-            "the configuration is taken anew, with the classes %s",
+            "the configuration is reloaded, with the request classes %s",
             ", ".join(request_class.name for request_class in current.settings.classes),
         )
 
--- a/garnetusher/sidecar/startup.py
+++ b/garnetusher/sidecar/startup.py
@@ -1,6 +1,6 @@
-"""What a sidecar does before it accepts clients: the admin address, membership, and the takeover from another process.
+"""The startup steps before a sidecar accepts clients: membership, the admin server and takeover from another process.
 
-The functions that wait for this machine's resources and for the configuration file run before there is an event loop.
+The functions that wait for resources of this machine or for the configuration file run before the event loop exists.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 log = logging.getLogger(__name__)
 
 CONFIGURATION_ERRORS = (OSError, ConfigurationError, SettingsTextError)
-FILE_TIMEOUT_S = 1.0  # a file that is absent or half written at a start is in place by then
-RESOURCE_TIMEOUT_S = 5.0  # clients wait for 30 s at a start, other sidecars for 10 s
-CURRENT_LIST_TIMEOUT_S = 4.5  # a process that takes over from another has to be ready within 6 s
+FILE_TIMEOUT_S = 1.0  # a file that is absent or half written at startup is complete within this time
+RESOURCE_TIMEOUT_S = 5.0  # at startup, clients wait 30 s and other sidecars wait 10 s
+CURRENT_LIST_TIMEOUT_S = 4.5  # a process that takes over from another must be ready within 6 s
 
 _Result = TypeVar("_Result")
 
 
 def load_configuration(path: str, admin: str | None) -> Configuration:
-    """Load the configuration; retry for as long as replacing the file may take.
+    """Load the configuration; retry for `FILE_TIMEOUT_S` because the file may be in the middle of a replacement.
 
     Args:
-        path: the file.
-        admin: the operators' address by the environment.
+        path: configuration file.
+        admin: admin address from the environment.
 
     Raises:
-        OSError: the file stays unreadable.
-        ConfigurationError: it stays malformed.
-        SettingsTextError: a setting of the policy stays missing or wrong.
+        OSError: the file is still unreadable after the last retry.
+        ConfigurationError: the file is still malformed after the last retry.
+        SettingsTextError: a policy setting is still missing or invalid after the last retry.
     """
     retry_until_s = time.monotonic() + FILE_TIMEOUT_S
     while True:
@@ -57,24 +57,24 @@
 
 
 def make_event_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop on epoll, also where epoll failed when `selectors` tried it at its import.
+    """Return an event loop that uses epoll, even if epoll failed when `selectors` probed it at import.
 
     Raises:
-        OSError: this machine stays short of what the loop takes.
+        OSError: this machine still lacks the resources for the loop after the last retry.
     """
     return retry_on_shortage(lambda: asyncio.SelectorEventLoop(PatientSelector()))
 
 
-def retry_on_shortage(make: Callable[[], _Result]) -> _Result:
-    """Return what `make` returns; call it again while this machine is short of resources.
+def retry_on_shortage(create: Callable[[], _Result]) -> _Result:
+    """Return the result of `create`; retry while this machine is short of resources.
 
     Raises:
-        OSError: the last error, if the shortage lasts or the error is no shortage.
+        OSError: the last error, if the shortage persists or the error has another cause.
     """
     retry_until_s = time.monotonic() + RESOURCE_TIMEOUT_S
     while True:
         try:
-            return make()
+            return create()
         except OSError as error:
             if not is_own(error) or time.monotonic() >= retry_until_s:
                 raise
@@ -82,10 +82,10 @@
 
 
 async def start_membership(sidecar: Sidecar) -> FleetMembership | None:
-    """Join the fleet's membership if the configuration switches it on.
+    """Join the fleet membership if the configuration enables it.
 
-    Whatever is wrong with it is logged and does not keep the sidecar from starting, which serves without it as it does
-    alone.
+    A failure is logged and does not prevent startup: the sidecar then serves without membership, as a single sidecar
+    does.
     """
     configuration = sidecar.configuration
     section = configuration.membership
@@ -93,7 +93,7 @@
         return None
     zone_name = configuration.zones[configuration.settings.zone]
     try:
-        from garnetusher.sidecar.membership import (  # noqa: PLC0415 imported only if switched on
+        from garnetusher.sidecar.membership import (  # noqa: PLC0415 imported only if enabled
             FleetMembership,
             parse_membership_settings,
         )
@@ -102,20 +102,22 @@
         members = FleetMembership(settings, sidecar.dispatcher.set_fleet_size)
         own_address = await members.open()
     except ImportError as error:
-        log.warning("no membership, as %s; pip install -r requirements-fleet.txt brings what it needs", error)
+        log.warning(
+            "membership is disabled: %s; install its dependencies with pip install -r requirements-fleet.txt", error
+        )
     except (OSError, ValueError) as error:
-        log.warning("no membership, as %s", error)
+        log.warning("membership is disabled: %s", error)
     else:
-        log.info("membership at %s:%d", *own_address)
+        log.info("membership listens at %s:%d", *own_address)
         return members
     return None
 
 
 async def start_admin(sidecar: Sidecar, members: FleetMembership | None) -> None:
-    """Accept operators' calls, if the configuration names an address for them.
+    """Start the admin server if the configuration has an admin address.
 
     Raises:
-        OSError: the address stays taken.
+        OSError: the address is still in use after the last retry.
     """
     address = sidecar.configuration.admin
     if address is not None:
@@ -123,16 +125,16 @@
 
 
 async def wait_for_current_list(watcher: EndpointWatcher, stop: asyncio.Event) -> None:
-    """Wait until discovery has answered, for a bounded time.
+    """Wait until discovery has sent a current endpoint list, for at most `CURRENT_LIST_TIMEOUT_S`.
 
-    A process that takes over has the list that another process knew at its start, which may be long outdated: clients
-    that are accepted earlier would be forwarded to endpoints that are gone.
+    A process that takes over starts with the list that its predecessor had at startup, which may be long out of date.
+    Requests of clients accepted before a current list arrives would be forwarded to endpoints that are gone.
     """
     if watcher.watch is None:
-        watcher.watch_endpoints(True)  # noqa: FBT003 at once: the policy would spread its first call over seconds
-    waits = [asyncio.create_task(event.wait()) for event in (watcher.has_current_list, stop)]
-    await asyncio.wait(waits, timeout=CURRENT_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+        watcher.watch_endpoints(True)  # noqa: FBT003 immediately: the policy would delay its first call by seconds
+    wait_tasks = [asyncio.create_task(event.wait()) for event in (watcher.has_current_list, stop)]
+    await asyncio.wait(wait_tasks, timeout=CURRENT_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+    for task in wait_tasks:
+        task.cancel()
     if not watcher.has_current_list.is_set():
-        log.warning("discovery is silent: starting from the list as it was known")
+        log.warning("no response from discovery: starting with the cached endpoint list")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -65,7 +65,7 @@
     file = configuration(tmp_path)
     previous = load(str(file))
     file.write_text(json.dumps(without(json.loads(file.read_text()), "name")))
-    with pytest.raises(ConfigurationError, match=r"^name: expected a value, as in the file before, found nothing$"):
+    with pytest.raises(ConfigurationError, match=r"^name: expected a value, as in the previous file, found nothing$"):
         reload(str(file), previous)
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -76,7 +76,7 @@
         before = (sidecar.configuration, sidecar.server.router, sidecar.dispatcher.settings)
         broken = without(whole, path) if value is None else with_value(whole, path, value)
         file.write_text(json.dumps(broken | {"discovery": "127.0.0.1:2"} if path != "discovery" else broken))
-        Reloader(str(file), sidecar.reload).signal()
+        Reloader(str(file), sidecar.reload).on_signal()
         assert (sidecar.configuration, sidecar.server.router, sidecar.dispatcher.settings) == before
         assert sidecar.dispatcher.balancer.settings is before[2]
         assert sidecar.endpoint_watcher.address == ("127.0.0.1", 1)
@@ -92,9 +92,9 @@
         sidecar = Sidecar(load(str(file)))
         before = sidecar.configuration
         file.write_text(text)
-        Reloader(str(file), sidecar.reload).signal()
+        Reloader(str(file), sidecar.reload).on_signal()
         file.unlink()
-        Reloader(str(file), sidecar.reload).signal()
+        Reloader(str(file), sidecar.reload).on_signal()
         assert sidecar.configuration is before
         assert sidecar.endpoint_watcher.watch is None
 
@@ -117,7 +117,7 @@
         new = with_value(new, "settings.bounds.most-tries", 2)
         new = with_value(new, "settings.bounds.conn-idle", 900000)
         file.write_text(json.dumps(without(new, "known") | {"discovery": "127.0.0.1:2"}))
-        Reloader(str(file), sidecar.reload).signal()
+        Reloader(str(file), sidecar.reload).on_signal()
         assert list(sidecar.server.router.class_indexes) == [b"read", b"pay"]
         assert sidecar.dispatcher.settings.max_attempts == sidecar.dispatcher.balancer.settings.max_attempts == 2
         assert sidecar.connection_pool.idle_reuse.max_idle_us == 600_000
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -14,7 +14,7 @@
 import pytest
 
 from garnetusher.sidecar import startup
-from garnetusher.sidecar.configuration import inherited_socket
+from garnetusher.sidecar.configuration import open_inherited_socket
 from tests.net import (
     OK,
     PATIENCE_S,
@@ -43,14 +43,14 @@
         yield sock
 
 
-def test_inherited_socket_fails_when_it_is_no_listening_socket() -> None:
+def test_open_inherited_socket_fails_when_it_is_no_listening_socket() -> None:
     with tempfile.TemporaryFile() as file, socket.socket() as plain, held_socket() as held:
         for text in ("x", "-1", "", "1e3", "999999", "9" * 30, str(file.fileno())):
             with pytest.raises(ValueError, match="BALANCER_SOCKET_FD"):
-                inherited_socket(text)
-        with pytest.raises(ValueError, match="no listening socket"):
-            inherited_socket(str(os.dup(plain.fileno())))
-        inherited_socket(str(os.dup(held.fileno()))).close()
+                open_inherited_socket(text)
+        with pytest.raises(ValueError, match="not a listening socket"):
+            open_inherited_socket(str(os.dup(plain.fileno())))
+        open_inherited_socket(str(os.dup(held.fileno()))).close()
 
 
 @pytest.mark.parametrize("text", ["seven", "0"])
