--- a/tests/machine.py
+++ b/tests/machine.py
@@ -15,7 +15,7 @@
 
 from garnetusher.lab.syscall_faults import Call, FaultBoard
 from tests.net import PATIENCE_S, listening, read_message
-from tests.processes import configuration, program
+from tests.processes import program, write_configuration
 from tests.runner import status
 
 
@@ -62,7 +62,7 @@
 ) -> AsyncIterator[Machine]:
     """The program as the deploy file starts it, ready for clients; `failing` is a call that fails from its start on,
     the error, and how many times."""
-    path = configuration(folder, **config)
+    path = write_configuration(folder, **config)
     host, port = json.loads(path.read_text())["listen"].split(":")
     faults = FaultBoard(folder / "faults")
     faults.step_wall_clock(wall_step_s)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process: its configuration file, and the program that the deploy file starts."""
+"""Runs the sidecar as a process, with a configuration file, as the deploy file starts it."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 }
 
 
-def configuration(folder: Path, **changes: Any) -> Path:
-    """Write a configuration file with these top-level keys changed; returns its path."""
+def write_configuration(folder: Path, **changes: Any) -> Path:
+    """Write a configuration file with these top-level keys changed, and return its path."""
     path = folder / "config.json"
-    whole = {
+    document = {
         "name": "n0",
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": "127.0.0.1:1",
@@ -57,21 +57,21 @@
         "settings": SETTINGS,
         "known": listing(entry("u", 1)),
     }
-    path.write_text(json.dumps(whole | changes))
+    path.write_text(json.dumps(document | changes))
     return path
 
 
 @contextmanager
-def program(path: Path, keep: tuple[int, ...] = (), **variables: str) -> Iterator[subprocess.Popen[bytes]]:
-    """Run the program with that configuration file, more environment variables, and these descriptors kept open."""
+def program(path: Path, descriptors: tuple[int, ...] = (), **variables: str) -> Iterator[subprocess.Popen[bytes]]:
+    """Run the sidecar with this configuration file, extra environment variables and inherited file descriptors."""
     subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True, timeout=600)
-    plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
+    base_environment = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
     process = subprocess.Popen(
         ["/bin/sh", "-c", DEPLOY["run"]],
         cwd=ROOT,
         stderr=subprocess.PIPE,
-        pass_fds=keep,
-        env=plain | {"BALANCER_CONFIG": str(path)} | variables,
+        pass_fds=descriptors,
+        env=base_environment | {"BALANCER_CONFIG": str(path)} | variables,
     )
     try:
         yield process
@@ -80,25 +80,25 @@
         process.communicate()
 
 
-def copied(whole: Any, path: str) -> tuple[Any, Any, str]:
-    """A copy, with the part of it that holds the key at the end of this path, and that key."""
-    copy = json.loads(json.dumps(whole))
-    *way, last = path.split(".")
+def copy_and_locate(document: Any, path: str) -> tuple[Any, Any, str]:
+    """Return a deep copy, the object in the copy that contains the last key of `path`, and that key."""
+    copy = json.loads(json.dumps(document))
+    *parents, last = path.split(".")
     inner: Any = copy
-    for key in way:
+    for key in parents:
         inner = inner[int(key) if isinstance(inner, list) else key]
     return copy, inner, last
 
 
-def without(whole: Any, path: str) -> Any:
-    """A copy that lacks this key."""
-    copy, inner, last = copied(whole, path)
+def without_key(document: Any, path: str) -> Any:
+    """Return a copy without the key at `path`."""
+    copy, inner, last = copy_and_locate(document, path)
     del inner[last]
     return copy
 
 
-def with_value(whole: Any, path: str, value: object) -> Any:
-    """A copy with another value there."""
-    copy, inner, last = copied(whole, path)
+def with_value(document: Any, path: str, value: object) -> Any:
+    """Return a copy with another value at `path`."""
+    copy, inner, last = copy_and_locate(document, path)
     inner[last] = value
     return copy
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -1,4 +1,4 @@
-"""Runs the asynchronous part of a test, and reads what it got."""
+"""Runs asynchronous tests and reads the status of responses."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tests.net import PATIENCE_S
 
 
-def status(answer: tuple[bytes, bytes]) -> int:
-    """Return the status of a response, given as head and body."""
-    return int(answer[0].split(b" ")[1])
+def status(response: tuple[bytes, bytes]) -> int:
+    """Return the status of a response, which is a pair of head and body."""
+    return int(response[0].split(b" ")[1])
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test on an event loop of its own; one that hangs is ended."""
+    """Run a test on a new event loop, with a timeout that ends a test that hangs."""
 
-    async def limited() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(3 * PATIENCE_S):
             await test()
 
-    asyncio.run(limited())
+    asyncio.run(run_with_timeout())
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' calls over loopback sockets: readiness, drain and its end."""
+"""Tests of the admin server over loopback sockets: readiness, draining and malformed requests."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from garnetusher.sidecar.configuration import load
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from tests.net import OK, Upstream, answering, read_message, request, sidecar
-from tests.processes import configuration
+from tests.processes import write_configuration
 from tests.runner import run, status
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 def test_lifecycle_prefers_stopping_and_keeps_the_first_drain_when_calls_repeat() -> None:
-    now = [0.0]
-    lifecycle = Lifecycle(lambda: now[0])
+    now_s = [0.0]
+    lifecycle = Lifecycle(lambda: now_s[0])
     assert lifecycle.state is LifecycleState.STARTING
     assert not lifecycle.serving
     assert not lifecycle.closing
-    lifecycle.undrain()  # off without on
+    lifecycle.undrain()  # no drain to end
     lifecycle.start()
     assert lifecycle.serving
     assert lifecycle.closing_for_s == 0.0
     lifecycle.drain()
-    now[0] = 2.0
+    now_s[0] = 2.0
     lifecycle.drain()
     assert lifecycle.state is LifecycleState.DRAINING
     assert lifecycle.closing
@@ -40,7 +40,7 @@
     lifecycle.drain()
     lifecycle.stop()
     lifecycle.undrain()
-    now[0] = 3.0
+    now_s[0] = 3.0
     assert lifecycle.state is LifecycleState.STOPPING
     assert lifecycle.closing
     assert lifecycle.closing_for_s == 1.0
@@ -57,30 +57,31 @@
 
 def test_sidecar_serves_on_and_returns_when_it_is_drained() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            assert await it.call("GET", "/_ready") == 200
-            assert status(await it.ask(UP)) == 200
-            open_reader, open_writer = await it.connect()
+        async with sidecar(Upstream(answering(OK))) as instance:
+            assert await instance.call("GET", "/_ready") == 200
+            assert status(await instance.ask(UP)) == 200
+            open_reader, open_writer = await instance.connect()
             open_writer.write(request())
             assert b"close" not in (await read_message(open_reader))[0]
-            idle_reader, idle_writer = await it.connect()
+            idle_reader, idle_writer = await instance.connect()
             for _ in range(2):
-                assert await it.call("POST", "/_lameduck/on") == 200
-                assert status(await it.ask(UP)) == 503
-                assert await it.call("GET", "/_ready") == 503
-            open_writer.write(request(ident="2"))  # its last one
+                assert await instance.call("POST", "/_lameduck/on") == 200
+                assert status(await instance.ask(UP)) == 503
+                assert await instance.call("GET", "/_ready") == 503
+            open_writer.write(request(ident="2"))  # the last request on this connection
             head, body = await read_message(open_reader)
             assert body == b"done"
             assert b"Connection: close" in head
-            assert (await it.ask(request(ident="3")))[1] == b"done"  # one that crossed the no
+            # A client may send a request before it sees the failed readiness check.
+            assert (await instance.ask(request(ident="3")))[1] == b"done"
             async with asyncio.timeout(3.5):
                 assert await open_reader.read() == b""
                 assert await idle_reader.read() == b""
             for _ in range(2):
-                assert await it.call("POST", "/_lameduck/off") == 200
-                assert status(await it.ask(UP)) == 200
-                assert await it.call("GET", "/_ready") == 200
-            head, body = await it.ask(request(ident="4"))
+                assert await instance.call("POST", "/_lameduck/off") == 200
+                assert status(await instance.ask(UP)) == 200
+                assert await instance.call("GET", "/_ready") == 200
+            head, body = await instance.ask(request(ident="4"))
             assert body == b"done"
             assert b"Connection: close" not in head
             for writer in (open_writer, idle_writer):
@@ -91,13 +92,13 @@
 
 def test_sidecar_stays_not_ready_when_a_drain_ends_after_sigterm() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            assert await it.call("POST", "/_lameduck/on") == 200
-            it.stop.set()
+        async with sidecar(Upstream(answering(OK))) as instance:
+            assert await instance.call("POST", "/_lameduck/on") == 200
+            instance.stop.set()
             await asyncio.sleep(0)
-            assert await it.call("POST", "/_lameduck/off") == 200
-            assert status(await it.ask(UP)) == 503
-            await it.task
+            assert await instance.call("POST", "/_lameduck/off") == 200
+            assert status(await instance.ask(UP)) == 503
+            await instance.task
 
     run(test)
 
@@ -119,14 +120,14 @@
 )
 def test_admin_server_answers_with_an_error_when_a_call_is_malformed(data: bytes, expected: int) -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            reader, writer = await asyncio.open_connection("127.0.0.1", it.admin_port)
+        async with sidecar(Upstream(answering(OK))) as instance:
+            reader, writer = await asyncio.open_connection("127.0.0.1", instance.admin_port)
             writer.write(data)
-            answer = await reader.read()
+            response = await reader.read()
             writer.close()
-            assert int(answer.split(b" ")[1]) == expected
-            assert b"Connection: close" in answer
-            assert status(await it.ask(UP)) == 200
+            assert int(response.split(b" ")[1]) == expected
+            assert b"Connection: close" in response
+            assert status(await instance.ask(UP)) == 200
 
     run(test)
 
@@ -135,22 +136,22 @@
     monkeypatch.setattr(admin_server, "REQUEST_TIMEOUT_S", 0.5)
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            stalled = [await asyncio.open_connection("127.0.0.1", it.admin_port) for _ in range(40)]
+        async with sidecar(Upstream(answering(OK))) as instance:
+            stalled = [await asyncio.open_connection("127.0.0.1", instance.admin_port) for _ in range(40)]
             for _, writer in stalled:
                 writer.write(b"POST /_lameduck/on HT")
-            assert await it.call("GET", "/_ready") == 200
-            ends = [await reader.read() for reader, _ in stalled[-3:]]
-            assert all(end.startswith(b"HTTP/1.1 408 ") for end in ends)
+            assert await instance.call("GET", "/_ready") == 200
+            responses = [await reader.read() for reader, _ in stalled[-3:]]
+            assert all(response.startswith(b"HTTP/1.1 408 ") for response in responses)
             for _, writer in stalled:
                 writer.close()
-            assert status(await it.ask(UP)) == 200
+            assert status(await instance.ask(UP)) == 200
 
     run(test)
 
 
 def test_load_prefers_the_admin_address_of_the_environment_when_both_have_one(tmp_path: Path) -> None:
-    path = configuration(tmp_path)
+    path = write_configuration(tmp_path)
     assert load(str(path)).admin is None
     path.write_text(json.dumps(json.loads(path.read_text()) | {"admin": "127.0.0.1:15000"}))
     assert load(str(path)).admin == ("127.0.0.1", 15000)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file: what is read from it, and errors that name the key that is wrong."""
+"""Tests of reading the configuration file, and of errors that name the invalid key."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from garnetusher.sidecar.configuration import Configuration, flatten, load, reload
 from garnetusher.sidecar.configuration_section import ConfigurationError
-from tests.processes import configuration, with_value, without
+from tests.processes import with_value, without_key, write_configuration
 
 
-def test_load_reads_settings_when_they_have_the_platforms_names(tmp_path: Path) -> None:
-    config: Configuration = load(str(configuration(tmp_path)))
+def test_load_reads_settings_when_they_have_the_names_of_the_platform(tmp_path: Path) -> None:
+    config: Configuration = load(str(write_configuration(tmp_path)))
     assert (config.seed, config.max_descriptors, config.idle_timeout_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.machine_types) == (["a", "b"], ["m"])
     assert config.settings.zone == 1
     assert config.settings.poll_endpoints
     assert config.settings.endpoint_weights
     assert config.settings.load_report_names == ["in_flight", "queued"]
-    assert [kind.effect for kind in config.settings.classes] == ["at_most_once"]
+    assert [request_class.effect for request_class in config.settings.classes] == ["at_most_once"]
 
 
 def test_flatten_returns_pairs_when_settings_are_nested() -> None:
@@ -45,7 +45,7 @@
 def test_load_names_key_place_and_value_when_a_value_is_wrong(
     tmp_path: Path, path: str, value: object, message: str
 ) -> None:
-    file = configuration(tmp_path)
+    file = write_configuration(tmp_path)
     file.write_text(json.dumps(with_value(json.loads(file.read_text()), path, value)))
     with pytest.raises(ConfigurationError) as caught:
         load(str(file))
@@ -55,16 +55,16 @@
 
 @pytest.mark.parametrize("path", ["listen", "limits.sockets", "settings.kinds", "settings.request-classes.0.name"])
 def test_load_names_key_when_it_is_missing(tmp_path: Path, path: str) -> None:
-    file = configuration(tmp_path)
-    file.write_text(json.dumps(without(json.loads(file.read_text()), path)))
+    file = write_configuration(tmp_path)
+    file.write_text(json.dumps(without_key(json.loads(file.read_text()), path)))
     with pytest.raises(ConfigurationError, match=f"^{path}: expected a value, found nothing$"):
         load(str(file))
 
 
-def test_reload_names_key_when_the_file_before_has_it(tmp_path: Path) -> None:
-    file = configuration(tmp_path)
+def test_reload_names_key_when_only_the_previous_file_has_it(tmp_path: Path) -> None:
+    file = write_configuration(tmp_path)
     previous = load(str(file))
-    file.write_text(json.dumps(without(json.loads(file.read_text()), "name")))
+    file.write_text(json.dumps(without_key(json.loads(file.read_text()), "name")))
     with pytest.raises(ConfigurationError, match=r"^name: expected a value, as in the previous file, found nothing$"):
         reload(str(file), previous)
 
@@ -78,7 +78,7 @@
     ],
 )
 def test_load_names_fleet_regions_when_they_are_wrong(tmp_path: Path, regions: object, message: str) -> None:
-    file = configuration(tmp_path, fleet={"regions": regions})
+    file = write_configuration(tmp_path, fleet={"regions": regions})
     with pytest.raises(ConfigurationError) as caught:
         load(str(file))
     assert str(caught.value) == message
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -10,7 +10,7 @@
 from tests.net import OK, Upstream, answering, entry, listing, read_message, request, sidecar, until
 from tests.runner import run, status
 from tests.streams import upload_request
-from tests.test_crossing_stop import never_up
+from tests.test_interleaving_stop import full_backlog_port
 
 NOT_SENT_AFTER_S = 0.3  # what waits is not sent on later than this after its client has left
 
@@ -53,7 +53,7 @@
 
 def test_unwritten_attempt_is_withdrawn_when_client_half_closes() -> None:
     async def test() -> None:
-        with never_up() as port:
+        with full_backlog_port() as port:
             async with sidecar(known=listing(entry("u", port)), connect_timeout_us=60_000_000) as it:
                 reader, writer = await it.connect()
                 writer.write(request("pay", body=b"b"))
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -29,7 +29,7 @@
     until,
 )
 from tests.runner import run, status
-from tests.test_crossing_stop import never_up
+from tests.test_interleaving_stop import full_backlog_port
 from tests.test_interleaving_watch import FakeTransport
 from tests.world import World, settings, upstreams
 
@@ -38,7 +38,7 @@
     async def test() -> None:
         other, discovery = Upstream(answering(OK)), Discovery()
         await other.start()
-        with never_up() as port:
+        with full_backlog_port() as port:
             async with sidecar(
                 known=listing(entry("u0", port)), discovery=discovery, connect_timeout_us=60_000_000
             ) as running:
@@ -61,7 +61,7 @@
     async def test() -> None:
         other, discovery = Upstream(answering(OK)), Discovery()
         await other.start()
-        with never_up() as port:
+        with full_backlog_port() as port:
             async with sidecar(
                 known=listing(entry("u0", port)),
                 discovery=discovery,
@@ -110,7 +110,7 @@
 def test_request_waiting_for_a_connection_is_shed_at_once_when_the_endpoint_list_is_empty() -> None:
     async def test() -> None:
         discovery = Discovery()
-        with never_up() as port:
+        with full_backlog_port() as port:
             async with sidecar(
                 known=listing(entry("u0", port)), discovery=discovery, connect_timeout_us=60_000_000
             ) as running:
@@ -151,7 +151,7 @@
 
         first = Upstream(script)
         await first.start()
-        with never_up() as port:
+        with full_backlog_port() as port:
             async with sidecar(
                 known=listing(entry("u0", first.port)),
                 discovery=discovery,
--- a/tests/test_crossing_settings.py
+++ b/tests/test_interleaving_settings.py
@@ -1,4 +1,4 @@
-"""Crossings with settings that change, and requests whose tenant or class the settings do not know."""
+"""Tests of requests interleaved with settings changes, and of requests with an unknown tenant or similar names."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
     router = RequestRouter(Settings(classes(), tenants=TENANTS))
     for tenant, tenant_index in (("b", 0), ("b-b", 1), ("x", 2), ("", 2), (None, 2)):
         assert router.route(b"GET", b"/read/it", headers(tenant)).tenant_index == tenant_index
-    assert (
-        RequestRouter(Settings(classes())).route(b"GET", b"/read/it", headers(None)).tenant_index == 0
-    )  # where there are none
+    # Without tenants in the settings, the index is 0.
+    assert RequestRouter(Settings(classes())).route(b"GET", b"/read/it", headers(None)).tenant_index == 0
 
     world, plain = World(settings(tenants=TENANTS, over_quota_weight=0.2)), World()
-    values = []
-    for each in (world, plain):
-        each.tell_list(upstreams(2))
-        request = each.balancer.requests[each.arrive(class_index=1, tenant_index=2)]
-        values.append(each.balancer.admission.expected_weight(request))
-    assert values[0] == pytest.approx(0.2 * values[1])  # where there are shares it has none
+    weights = []
+    for policy_host in (world, plain):
+        policy_host.tell_list(upstreams(2))
+        request = policy_host.balancer.requests[policy_host.arrive(class_index=1, tenant_index=2)]
+        weights.append(policy_host.balancer.admission.expected_weight(request))
+    # An unknown tenant has no share if the settings have tenants, so all its requests are over quota.
+    assert weights[0] == pytest.approx(0.2 * weights[1])
     for _ in range(50):
         world.arrive(tenant_index=2)
-    assert [party.recent_arrivals for party in world.balancer.context.tenant_states] == [0.0, 0.0]
+    assert [tenant_state.recent_arrivals for tenant_state in world.balancer.context.tenant_states] == [0.0, 0.0]
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site["name"])
 def test_router_finds_class_and_tenant_when_a_name_begins_with_another(site: dict[str, list[dict[str, str]]]) -> None:
-    """Also where one's name is another's beginning, or has letters that are odd but legal in a path."""
+    """The names in the site files include prefixes of other names and unusual characters that are legal in a path."""
     effects = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
     request_classes = [RequestClass(entry["name"], 1, 1, effect=effects[entry["effect"]]) for entry in site["class"]]
     tenants = [Tenant(tenant["name"], 1.0) for tenant in site.get("tenant", [])]
@@ -68,7 +68,7 @@
 
 
 def test_program_names_no_class_tenant_or_zone_when_searched_for_those_of_the_sites() -> None:
-    """Neither the program nor the deploy file knows a class, a tenant or a zone of any site."""
+    """The program and the deploy file contain no class, tenant or zone name of any site."""
     files = [ROOT / "deploy" / "balancer.toml"]
     for package in ("policy", "simulator", "sidecar"):
         files.extend((ROOT / "garnetusher" / package).rglob("*.py"))
@@ -82,27 +82,43 @@
             *(each["name"] for each in site["tenant"]),
             *site["net"]["zones"],
         ]
-        # one or two letters, or a plain word of the protocol, name nothing
-        telling = [name for name in names if len(name) > 2 and name not in ("post", "fetch", "store", "east", "west")]
-        assert len(telling) >= 3
-        for name in telling:
-            for where, what in text.items():
-                assert name not in what, f"{where} names {json.dumps(name)} of {site['name']}"
+        # Names of one or two letters and common words of the protocol also occur in the code for other reasons.
+        distinctive = [
+            name for name in names if len(name) > 2 and name not in ("post", "fetch", "store", "east", "west")
+        ]
+        assert len(distinctive) >= 3
+        for name in distinctive:
+            for file_name, content in text.items():
+                assert name not in content, f"{file_name} names {json.dumps(name)} of {site['name']}"
 
 
 def test_policy_keeps_estimates_by_name_when_settings_change_the_order() -> None:
-    kinds = classes()
+    previous_classes = classes()
     world = World(settings(tenants=TENANTS))
     world.tell_list(upstreams(2))
     for _ in range(20):
         world.arrive(tenant_index=1)
-    held = next(iter(world.balancer.requests.values()))
-    seen = world.balancer.context.tenant_states[1].recent_arrivals
-    after = settings(
+    outstanding = next(iter(world.balancer.requests.values()))
+    previous_arrivals = world.balancer.context.tenant_states[1].recent_arrivals
+    new_settings = settings(
         tenants=[TENANTS[1], Tenant("b-", 1.0), TENANTS[0]],
-        classes=[kinds[2], RequestClass("read", 200_000, 900_000, effect="at_most_once"), kinds[1]],
+        classes=[
+            previous_classes[2],
+            RequestClass("read", 200_000, 900_000, effect="at_most_once"),
+            previous_classes[1],
+        ],
+    )
+    world.tell(
+        SettingsChanged(
+            new_settings,
+            previous_indexes(new_settings.classes, previous_classes),
+            previous_indexes(new_settings.tenants, TENANTS),
+        )
     )
-    world.tell(SettingsChanged(after, previous_indexes(after.classes, kinds), previous_indexes(after.tenants, TENANTS)))
-    assert [party.recent_arrivals for party in world.balancer.context.tenant_states] == [seen, 0.0, 0.0]
-    assert held.class_state.rules is not after.classes[1]
-    assert held.class_state.rules.effect == "idempotent"
+    assert [tenant_state.recent_arrivals for tenant_state in world.balancer.context.tenant_states] == [
+        previous_arrivals,
+        0.0,
+        0.0,
+    ]
+    assert outstanding.class_state.rules is not new_settings.classes[1]
+    assert outstanding.class_state.rules.effect == "idempotent"
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,7 +12,7 @@
 
 from tests.experiment import ROOT
 from tests.net import listing
-from tests.processes import configuration, program
+from tests.processes import program, write_configuration
 
 # what a part may import of the project; a deeper name goes before its parent's
 ALLOWED = {
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("admin", [False, True])
 def test_run_opens_what_it_did(tmp_path: Path, admin: bool) -> None:
-    path = configuration(tmp_path, known=listing(), **({"admin": "127.0.0.1:0"} if admin else {}))
+    path = write_configuration(tmp_path, known=listing(), **({"admin": "127.0.0.1:0"} if admin else {}))
     before = {p.name for p in tmp_path.iterdir()}
     with program(path, TMPDIR=str(tmp_path)) as process:
         listening: set[str] = set()
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -18,9 +18,9 @@
 from garnetusher.lab.syscall_faults import Call
 from tests.machine import machine
 from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listening, listing, read_message, request
-from tests.processes import SETTINGS, configuration, program
+from tests.processes import SETTINGS, program, write_configuration
 from tests.runner import run, status
-from tests.test_crossing_stop import never_up
+from tests.test_interleaving_stop import full_backlog_port
 
 DEADLINE_SLACK_MS = 150  # of the time that an attempt tells its upstream, beyond what its client has left
 BOUNDS = SETTINGS["bounds"] | {"dial-timeout": 3_000_000}
@@ -95,7 +95,7 @@
 
 def test_long_body_is_answered_in_time_when_it_waits_complete_for_its_upstream(tmp_path: Path) -> None:
     async def test() -> None:
-        with never_up() as port:
+        with full_backlog_port() as port:
             async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", port))) as running:
                 sent_at_s = time.monotonic()
                 assert await running.ask(request("pay", "1", b"x" * 150_000, 1500)) == 503
@@ -368,7 +368,7 @@
 @pytest.mark.parametrize("fault_kind", ["absent", "half written"])
 def test_process_starts_when_its_file_is_there_a_moment_later(tmp_path: Path, fault_kind: str) -> None:
     async def test() -> None:
-        path = configuration(tmp_path)
+        path = write_configuration(tmp_path)
         text = path.read_text()
         path.unlink()
         if fault_kind == "half written":
--- a/tests/test_readiness_and_shutdown.py
+++ b/tests/test_readiness_and_shutdown.py
@@ -1,4 +1,4 @@
-"""Readiness, and the end of a sidecar with requests open."""
+"""Tests of readiness, and of the shutdown of a sidecar with open requests."""
 
 from __future__ import annotations
 
@@ -11,53 +11,54 @@
 def test_up_returns_200_only_when_there_is_an_upstream() -> None:
     async def test() -> None:
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-        async with sidecar(known=listing()) as it:
-            assert status(await it.ask(up)) == 503
-        async with sidecar(Upstream(silent)) as it:
-            assert status(await it.ask(up)) == 200
+        async with sidecar(known=listing()) as instance:
+            assert status(await instance.ask(up)) == 503
+        async with sidecar(Upstream(silent)) as instance:
+            assert status(await instance.ask(up)) == 200
 
     run(test)
 
 
 def test_sidecar_serves_open_and_late_requests_when_stopping() -> None:
     async def test() -> None:
-        held = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await held.wait()
+            await release.wait()
             writer.write(OK)
 
-        upstreams = [Upstream(script), Upstream(script)]  # one slot each
+        upstreams = [Upstream(script), Upstream(script)]  # each upstream has one slot
 
-        def total() -> int:
+        def request_count() -> int:
             return sum(len(upstream.requests) for upstream in upstreams)
 
-        async with sidecar(*upstreams) as it:
-            idle_reader, idle_writer = await it.connect()
-            idle_writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")  # a new one is given time for its first request
+        async with sidecar(*upstreams) as instance:
+            idle_reader, idle_writer = await instance.connect()
+            # A new connection gets time to send its first request, so this one sends it before the stop.
+            idle_writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert status(await read_message(idle_reader)) == 200
-            reader, writer = await it.connect()
+            reader, writer = await instance.connect()
             writer.write(request(ident="1"))
-            await until(lambda: total() == 1)
-            it.stop.set()
+            await until(lambda: request_count() == 1)
+            instance.stop.set()
             assert await idle_reader.read() == b""
-            late_reader, late_writer = await it.connect()
+            late_reader, late_writer = await instance.connect()
             late_writer.write(request(ident="2"))
-            await until(lambda: total() == 2)
-            held.set()
-            for each in (reader, late_reader):
-                head, body = await read(each)
+            await until(lambda: request_count() == 2)
+            release.set()
+            for client_reader in (reader, late_reader):
+                head, body = await read(client_reader)
                 assert body == b"done"
                 assert b"Connection: close" in head
-            for client in (idle_writer, writer, late_writer):
-                client.close()
-            await it.task
+            for client_writer in (idle_writer, writer, late_writer):
+                client_writer.close()
+            await instance.task
 
     async def read(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-        whole = await reader.read()
-        head, _, body = whole.partition(b"\r\n\r\n")
+        response = await reader.read()
+        head, _, body = response.partition(b"\r\n\r\n")
         return head, body
 
     run(test)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""A configuration file that replaces another: all of it is put in force, or nothing."""
+"""Tests of a configuration file that replaces another: either all of it is applied or nothing."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     request,
     until,
 )
-from tests.processes import SETTINGS, configuration, program, with_value, without
+from tests.processes import SETTINGS, program, with_value, without_key, write_configuration
 
-BROKEN: list[tuple[str, Any]] = [
+INVALID_CHANGES: list[tuple[str, Any]] = [
     *[
         (path, None)
         for path in (
@@ -67,15 +67,15 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value"), BROKEN)
+@pytest.mark.parametrize(("path", "value"), INVALID_CHANGES)
 def test_reloader_changes_nothing_when_the_file_is_malformed(tmp_path: Path, path: str, value: object) -> None:
     async def test() -> None:
-        file = configuration(tmp_path)
-        whole = json.loads(file.read_text())
+        file = write_configuration(tmp_path)
+        document = json.loads(file.read_text())
         sidecar = Sidecar(load(str(file)))
         before = (sidecar.configuration, sidecar.server.router, sidecar.dispatcher.settings)
-        broken = without(whole, path) if value is None else with_value(whole, path, value)
-        file.write_text(json.dumps(broken | {"discovery": "127.0.0.1:2"} if path != "discovery" else broken))
+        invalid = without_key(document, path) if value is None else with_value(document, path, value)
+        file.write_text(json.dumps(invalid | {"discovery": "127.0.0.1:2"} if path != "discovery" else invalid))
         Reloader(str(file), sidecar.reload).on_signal()
         assert (sidecar.configuration, sidecar.server.router, sidecar.dispatcher.settings) == before
         assert sidecar.dispatcher.balancer.settings is before[2]
@@ -86,9 +86,9 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "null", "[]", "5", '"x"', "\x00", "[" * 100_000])
-def test_reloader_changes_nothing_when_the_file_is_no_configuration(tmp_path: Path, text: str) -> None:
+def test_reloader_changes_nothing_when_the_file_is_not_a_configuration(tmp_path: Path, text: str) -> None:
     async def test() -> None:
-        file = configuration(tmp_path)
+        file = write_configuration(tmp_path)
         sidecar = Sidecar(load(str(file)))
         before = sidecar.configuration
         file.write_text(text)
@@ -101,13 +101,13 @@
     asyncio.run(test())
 
 
-def test_reloader_applies_everything_when_the_file_is_in_order(tmp_path: Path) -> None:
+def test_reloader_applies_everything_when_the_file_is_valid(tmp_path: Path) -> None:
     async def test() -> None:
-        file = configuration(tmp_path)
-        whole = json.loads(file.read_text())
+        file = write_configuration(tmp_path)
+        document = json.loads(file.read_text())
         sidecar = Sidecar(load(str(file)))
         new = with_value(
-            whole,
+            document,
             "settings.request-classes",
             [
                 {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent", "worth": 1.0},
@@ -116,7 +116,7 @@
         )
         new = with_value(new, "settings.bounds.most-tries", 2)
         new = with_value(new, "settings.bounds.conn-idle", 900000)
-        file.write_text(json.dumps(without(new, "known") | {"discovery": "127.0.0.1:2"}))
+        file.write_text(json.dumps(without_key(new, "known") | {"discovery": "127.0.0.1:2"}))
         Reloader(str(file), sidecar.reload).on_signal()
         assert list(sidecar.server.router.class_indexes) == [b"read", b"pay"]
         assert sidecar.dispatcher.settings.max_attempts == sidecar.dispatcher.balancer.settings.max_attempts == 2
@@ -130,68 +130,68 @@
 
 def test_program_keeps_the_class_of_a_request_when_sighup_changes_the_classes(tmp_path: Path) -> None:
     async def test() -> None:
-        held = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             if number == 0:
-                await held.wait()
+                await release.wait()
             writer.write(OK)
 
         upstream = Upstream(script)
         await upstream.start()
-        path = configuration(tmp_path, known=listing(entry("u0", upstream.port)))
-        whole = json.loads(path.read_text())
-        slow = with_value(whole, "settings.request-classes.0.aim", 10_000_000)
+        path = write_configuration(tmp_path, known=listing(entry("u0", upstream.port)))
+        document = json.loads(path.read_text())
+        slow = with_value(document, "settings.request-classes.0.aim", 10_000_000)
         slow = with_value(slow, "settings.request-classes.0.deadline", 20_000_000)
         path.write_text(json.dumps(slow))
-        host, port = whole["listen"].split(":")
+        host, port = document["listen"].split(":")
 
-        async def ask(kind: str) -> int:
+        async def ask(class_name: str) -> int:
             reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(request(kind, "1", b"" if kind == "read" else b"b"))
-            answer = await read_message(reader)
+            writer.write(request(class_name, "1", b"" if class_name == "read" else b"b"))
+            response = await read_message(reader)
             writer.close()
-            return int(answer[0].split(b" ")[1])
+            return int(response[0].split(b" ")[1])
 
         with program(path) as process:
             async with asyncio.timeout(PATIENCE_S):
                 await listening(int(port))
                 assert await ask("read") == 404
-                under_way = asyncio.create_task(ask("pay"))
+                outstanding = asyncio.create_task(ask("pay"))
                 await until(lambda: len(upstream.requests) == 1)
                 read = {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent", "worth": 1.0}
                 path.write_text(json.dumps(with_value(slow, "settings.request-classes", [read])))
                 process.send_signal(signal.SIGHUP)
                 while await ask("read") != 200:
                     pass
-                sent = len(upstream.requests)
+                sent_count = len(upstream.requests)
                 assert await ask("pay") == 404
-                assert len(upstream.requests) == sent
-                held.set()
-                assert await under_way == 200
+                assert len(upstream.requests) == sent_count
+                release.set()
+                assert await outstanding == 200
                 assert process.poll() is None
         upstream.stop()
 
     asyncio.run(test())
 
 
-def test_program_moves_its_watch_when_sighup_comes_with_another_address(tmp_path: Path) -> None:
+def test_program_moves_its_watch_when_sighup_changes_the_discovery_address(tmp_path: Path) -> None:
     async def test() -> None:
         old, new, upstream = Discovery(), Discovery(), Upstream(answering(OK))
         for peer in (old, new, upstream):
             await peer.start()
-        path = configuration(tmp_path, discovery=f"127.0.0.1:{old.port}")
-        whole = json.loads(path.read_text())
+        path = write_configuration(tmp_path, discovery=f"127.0.0.1:{old.port}")
+        document = json.loads(path.read_text())
         with program(path) as process:
             async with asyncio.timeout(PATIENCE_S):
                 await old.watched()
-                path.write_text(json.dumps(whole | {"discovery": f"127.0.0.1:{new.port}"}))
+                path.write_text(json.dumps(document | {"discovery": f"127.0.0.1:{new.port}"}))
                 process.send_signal(signal.SIGHUP)
                 await new.watched()
                 new.line(listing(entry("moved", upstream.port), rev=2))
-                host, port = whole["listen"].split(":")
+                host, port = document["listen"].split(":")
                 while not upstream.requests:
                     reader, writer = await asyncio.open_connection(host, int(port))
                     writer.write(request("pay", "1", b"b", deadline_ms=1000))
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -1,4 +1,4 @@
-"""A process that takes over: the inherited socket, the list it trusts, and the end of the old process."""
+"""Tests of a takeover: the inherited socket, the endpoint list of the successor, and the exit of the predecessor."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
     request,
     sidecar,
 )
-from tests.processes import configuration, program
+from tests.processes import program, write_configuration
 from tests.runner import run, status
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 @contextlib.contextmanager
-def held_socket() -> Iterator[socket.socket]:
-    """The clients' listening socket, as the platform holds it."""
+def platform_socket() -> Iterator[socket.socket]:
+    """A listening socket for clients, as the platform holds it open across processes."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         sock.listen(512)
         yield sock
 
 
-def test_open_inherited_socket_fails_when_it_is_no_listening_socket() -> None:
-    with tempfile.TemporaryFile() as file, socket.socket() as plain, held_socket() as held:
+def test_open_inherited_socket_fails_when_it_is_not_a_listening_socket() -> None:
+    with tempfile.TemporaryFile() as file, socket.socket() as plain, platform_socket() as held:
         for text in ("x", "-1", "", "1e3", "999999", "9" * 30, str(file.fileno())):
             with pytest.raises(ValueError, match="BALANCER_SOCKET_FD"):
                 open_inherited_socket(text)
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("text", ["seven", "0"])
 def test_program_exits_with_one_line_when_the_socket_is_not_inheritable(tmp_path: Path, text: str) -> None:
-    with program(configuration(tmp_path), BALANCER_SOCKET_FD=text) as process:
+    with program(write_configuration(tmp_path), BALANCER_SOCKET_FD=text) as process:
         _, errors = process.communicate(timeout=PATIENCE_S)
         assert process.returncode == 2
         assert len(errors.splitlines()) == 1
@@ -66,16 +66,16 @@
     async def test() -> None:
         gone, upstream, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
         await upstream.start()
-        with held_socket() as held:
-            async with sidecar(gone, discovery=discovery, inherited=held) as it:
+        with platform_socket() as held:
+            async with sidecar(gone, discovery=discovery, inherited=held) as instance:
                 await discovery.watched()
-                waiting = asyncio.create_task(it.ask(request()))
-                assert await it.call("GET", "/_ready") == 503
+                waiting = asyncio.create_task(instance.ask(request()))
+                assert await instance.call("GET", "/_ready") == 503
                 assert not waiting.done()
                 assert not gone.requests
                 discovery.line(listing(entry("u9", upstream.port), rev=2))
                 assert status(await waiting) == 200
-                assert await it.call("GET", "/_ready") == 200
+                assert await instance.call("GET", "/_ready") == 200
                 assert len(upstream.requests) == 1
                 assert not gone.requests
         upstream.stop()
@@ -87,10 +87,10 @@
     monkeypatch.setattr(startup, "CURRENT_LIST_TIMEOUT_S", 0.2)
 
     async def test() -> None:
-        with held_socket() as held:
-            async with sidecar(Upstream(answering(OK)), inherited=held) as it:
-                assert status(await it.ask(request())) == 200
-                assert await it.call("GET", "/_ready") == 200
+        with platform_socket() as held:
+            async with sidecar(Upstream(answering(OK)), inherited=held) as instance:
+                assert status(await instance.ask(request())) == 200
+                assert await instance.call("GET", "/_ready") == 200
 
     run(test)
 
@@ -99,7 +99,7 @@
     async def test() -> None:
         upstream, second = Upstream(answering(OK)), Upstream(answering(OK))
         old_discovery, new_discovery = Discovery(), Discovery()
-        with held_socket() as held:
+        with platform_socket() as held:
             async with (
                 sidecar(upstream, discovery=old_discovery, inherited=held) as old,
                 sidecar(second, discovery=new_discovery, inherited=held) as new,
@@ -117,7 +117,8 @@
                     pass
                 old.stop.set()
                 await asyncio.sleep(0.05)
-                for number in range(20):  # whoever comes now is let in, and by the new process
+                # The new process accepts connections that clients open during the shutdown of the old one.
+                for number in range(20):
                     assert status(await new.ask(request(ident=f"n{number}"))) == 200
                 assert len(second.requests) == 20
                 await asyncio.sleep(0.5)
@@ -135,20 +136,20 @@
     run(test)
 
 
-def test_predecessor_alone_ends_when_sigterm_comes_to_it(tmp_path: Path) -> None:
+def test_predecessor_alone_exits_when_it_receives_sigterm(tmp_path: Path) -> None:
     async def test() -> None:
         upstream, discovery = Upstream(answering(OK)), Discovery()
         await upstream.start()
         await discovery.start()
         known = listing(entry("u0", upstream.port))
-        path = configuration(tmp_path, known=known, discovery=f"127.0.0.1:{discovery.port}")
+        path = write_configuration(tmp_path, known=known, discovery=f"127.0.0.1:{discovery.port}")
 
         async def ask(port: int, ident: str) -> int:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(request("pay", ident, b"b", deadline_ms=1000))
-            answer = await read_message(reader)
+            response = await read_message(reader)
             writer.close()
-            return status(answer)
+            return status(response)
 
         async def ready(port: int) -> bool:
             try:
@@ -156,18 +157,22 @@
             except ConnectionRefusedError:
                 return False
             writer.write(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            answer = await read_message(reader)
+            response = await read_message(reader)
             writer.close()
             for watch in discovery.writers:
                 watch.write(b"1\r\n\n\r\n")
-            return status(answer) == 200
+            return status(response) == 200
 
-        with held_socket() as held:
-            keep, port = held.fileno(), held.getsockname()[1]
+        with platform_socket() as held:
+            descriptor, port = held.fileno(), held.getsockname()[1]
             first, second = free_ports(2)
             with (
-                program(path, (keep,), BALANCER_SOCKET_FD=str(keep), BALANCER_ADMIN=f"127.0.0.1:{first}") as old,
-                program(path, (keep,), BALANCER_SOCKET_FD=str(keep), BALANCER_ADMIN=f"127.0.0.1:{second}") as new,
+                program(
+                    path, (descriptor,), BALANCER_SOCKET_FD=str(descriptor), BALANCER_ADMIN=f"127.0.0.1:{first}"
+                ) as old,
+                program(
+                    path, (descriptor,), BALANCER_SOCKET_FD=str(descriptor), BALANCER_ADMIN=f"127.0.0.1:{second}"
+                ) as new,
             ):
                 async with asyncio.timeout(PATIENCE_S):
                     while not (await ready(first) and await ready(second)):  # noqa: ASYNC110 - polls two processes
@@ -187,11 +192,11 @@
 def test_sidecar_accepts_as_many_clients_when_it_shares_the_socket() -> None:
     async def test() -> None:
         discovery = Discovery()
-        with held_socket() as held:
-            async with sidecar(Upstream(answering(OK)), discovery=discovery, inherited=held) as it:
+        with platform_socket() as held:
+            async with sidecar(Upstream(answering(OK)), discovery=discovery, inherited=held) as instance:
                 await discovery.watched()
                 discovery.line(listing(rev=1, full=False))
-                clients = [await it.connect() for _ in range(200 // 3)]
+                clients = [await instance.connect() for _ in range(200 // 3)]
                 for reader, writer in clients:
                     writer.write(request())
                     assert status(await read_message(reader)) == 200
@@ -200,17 +205,17 @@
     run(test)
 
 
-def test_successor_accepts_nobody_when_it_is_stopped_before_it_is_ready() -> None:
+def test_successor_accepts_no_client_when_it_is_stopped_before_it_is_ready() -> None:
     async def test() -> None:
         discovery = Discovery()
-        with held_socket() as held:
-            async with sidecar(Upstream(answering(OK)), discovery=discovery, inherited=held) as it:
+        with platform_socket() as held:
+            async with sidecar(Upstream(answering(OK)), discovery=discovery, inherited=held) as instance:
                 await discovery.watched()
-                _, writer = await it.connect()
-                it.stop.set()
-                await it.task
+                _, writer = await instance.connect()
+                instance.stop.set()
+                await instance.task
                 held.setblocking(False)
-                held.accept()[0].close()  # it waits there still
+                held.accept()[0].close()  # the connection still waits in the backlog
                 writer.close()
 
     run(test)
--- a/tests/test_sidecar_membership.py
+++ b/tests/test_sidecar_membership.py
@@ -19,7 +19,7 @@
 from garnetusher.sidecar.membership import MembershipSettingsError, parse_membership_settings
 from tests.experiment import ROOT
 from tests.net import free_port
-from tests.processes import configuration
+from tests.processes import write_configuration
 
 TIMEOUT_S = 30.0  # the awaited changes take a few seconds on an idle machine
 
@@ -35,7 +35,7 @@
             directory = folder / str(index)
             directory.mkdir()
             admin = f"127.0.0.1:{free_port()}"
-            path = configuration(directory, name=f"n{index}", admin=admin, fleet={"membership": membership})
+            path = write_configuration(directory, name=f"n{index}", admin=admin, fleet={"membership": membership})
             with (directory / "log").open("wb") as log:
                 running.append(
                     (
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""The program that the deploy file starts: readiness, SIGTERM, and a configuration that can't be read."""
+"""Tests of the program that the deploy file starts: readiness, SIGTERM and an invalid configuration."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
     read_message,
     request,
 )
-from tests.processes import configuration, program
+from tests.processes import program, write_configuration
 
 
 def test_program_is_ready_and_exits_with_0_when_sigterm_comes(tmp_path: Path) -> None:
-    path = configuration(tmp_path)
+    path = write_configuration(tmp_path)
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
     with program(path) as process:
-        answer, ends = b"", time.monotonic() + PATIENCE_S
-        while not answer and time.monotonic() < ends:
+        response, deadline_s = b"", time.monotonic() + PATIENCE_S
+        while not response and time.monotonic() < deadline_s:
             assert process.poll() is None
             try:
                 with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as sock:
                     sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-                    answer = sock.recv(100)
+                    response = sock.recv(100)
             except ConnectionRefusedError:
                 time.sleep(0.02)
-        assert answer.startswith(b"HTTP/1.1 200 ")
+        assert response.startswith(b"HTTP/1.1 200 ")
         process.send_signal(signal.SIGTERM)
         assert process.wait(PATIENCE_S) == 0
 
 
-def test_program_answers_all_that_ran_when_sigterm_comes_under_load(tmp_path: Path) -> None:
+def test_program_answers_all_requests_that_ran_when_sigterm_comes_under_load(tmp_path: Path) -> None:
     async def slow(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.05)
         writer.write(OK)
 
     async def client(name: int, port: int, stopped: asyncio.Event, answered: set[str]) -> None:
-        """Sends one request after another; after the stop until its connection is closed."""
+        """Send requests one after another until the connection closes, which may only happen once `stopped` is set."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for number in range(10_000):
             ident = f"{name}-{number}"
@@ -57,7 +57,7 @@
                 writer.write(request("pay", ident, b"b"))
                 head, _ = await read_message(reader)
             except (asyncio.IncompleteReadError, ConnectionError):
-                assert stopped.is_set()  # closed between requests
+                assert stopped.is_set()  # the sidecar closed the connection between requests
                 break
             answered.add(ident)
             if b"Connection: close" in head:
@@ -70,7 +70,7 @@
         for upstream in upstreams:
             await upstream.start()
         known = listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
-        path = configuration(tmp_path, known=known)
+        path = write_configuration(tmp_path, known=known)
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         stopped, answered = asyncio.Event(), set[str]()
         with program(path) as process:
@@ -85,20 +85,20 @@
                 assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
         for upstream in upstreams:
             upstream.stop()
-        ran = {
+        executed = {
             head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0].decode()
             for upstream in upstreams
             for head, _ in upstream.requests
         }
-        assert ran
-        assert ran <= answered
+        assert executed
+        assert executed <= answered
 
     asyncio.run(test())
 
 
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
 def test_program_exits_with_one_line_when_the_file_is_malformed(tmp_path: Path, changes: dict[str, Any]) -> None:
-    with program(configuration(tmp_path, **changes)) as process:
+    with program(write_configuration(tmp_path, **changes)) as process:
         _, errors = process.communicate(timeout=PATIENCE_S)
         assert process.returncode == 2
         assert len(errors.splitlines()) == 1
--- a/tests/test_streaming_memory.py
+++ b/tests/test_streaming_memory.py
@@ -11,7 +11,7 @@
 from garnetusher.sidecar.streaming import BodyMemory
 from tests.downstream import NullTransport, new_connection
 from tests.net import PATIENCE_S, classes, entry, listening, listing, request
-from tests.processes import configuration, program
+from tests.processes import program, write_configuration
 from tests.runner import run
 from tests.streams import LONG_BODY, FunctionUpstream
 
@@ -49,7 +49,7 @@
         for upstream in upstreams:
             await upstream.start()
         known = listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
-        path = configuration(tmp_path, known=known, limits={"cores": 1.0, "memory_mb": 80, "sockets": 1024})
+        path = write_configuration(tmp_path, known=known, limits={"cores": 1.0, "memory_mb": 80, "sockets": 1024})
         whole = json.loads(path.read_text())
         whole["settings"]["request-classes"] = [
             {"name": name, "aim": 9_000_000, "deadline": 19_000_000, "effect": effect, "worth": 1.0}
