--- a/tests/faulty_host.py
+++ b/tests/faulty_host.py
@@ -15,7 +15,7 @@
 
 from garnetusher.lab.syscall_faults import Call, FaultBoard
 from tests.net import PATIENCE_S, listening, read_message
-from tests.processes import configuration, program
+from tests.processes import program, write_configuration
 from tests.runner import status
 
 
@@ -68,7 +68,7 @@
         failing: a system call that fails from the start of the program on, its error, and how many times it fails.
         config: changes to the configuration.
     """
-    path = configuration(folder, **config)
+    path = write_configuration(folder, **config)
     host, port = json.loads(path.read_text())["listen"].split(":")
     faults = FaultBoard(folder / "faults")
     faults.step_wall_clock(wall_step_s)
