--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -1,8 +1,8 @@
 """A host for a `Balancer` that performs its actions, ends its attempts and checks every action against the contract.
 
-The host is not a simulator: its caller decides what happens and when. The four rules are checked as the protocol
-specification states them, using only the records of the host. `check_slots` compares the state of the balancer with
-these records.
+The host is not a simulator: its caller decides what happens and when. The host checks rules 1 to 3 (listed in
+`garnetusher/policy/balancer.py`) as the protocol specification states them, using only its own records. `check_slots`
+compares the state of the balancer with these records.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 NEVER_RAN = {Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN}
 START_US = 1_000_000_000  # not 0, because a start time of 0 means long ago
-# If more timers than this fire at the same time, each of them arms the next one without delay, in an endless loop
+# More timers than this at the same time indicate an endless loop in which each timer arms the next one without delay
 MAX_TIMERS_AT_ONCE = 50
 
 
@@ -59,6 +59,7 @@
 
 
 def require(condition: bool, rule: str, text: str) -> None:
+    """Raise `ContractViolation` with the rule and the text unless the condition holds."""
     if not condition:
         raise ContractViolation(rule, text)
 
@@ -72,7 +73,7 @@
     cell: int
     sent_us: int
     ends_us: int
-    listing: int  # how often the upstream had been added to the list when the attempt started
+    addition_count: int  # how often the upstream had been added to the list when the attempt started
     timeout_us: int = 0  # counted from the last byte of the request body; 0 = no timeout
     outcome: Outcome | None = None
 
@@ -83,30 +84,35 @@
 
     event: RequestArrived
     attempts: list[AttemptRecord] = field(default_factory=list)
-    answers: int = 0
-    completed: bool = False  # it has its final answer, or its client has disconnected
+    answer_count: int = 0
+    completed: bool = False  # the request has its final answer, or the client has disconnected
     response_started: bool = False
     body_incomplete: bool = False  # until the last byte arrives, no timeout runs and no slot is held
-    half_closed: bool = False  # its client sends nothing more
+    half_closed: bool = False  # the client sends nothing more
 
     def possibly_executed(self) -> list[AttemptRecord]:
+        """Return the attempts that an endpoint may have executed."""
         return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
     def outstanding_indexes(self) -> list[int]:
+        """Return the indexes of the attempts that have not ended."""
         return [index for index, attempt in enumerate(self.attempts) if attempt.outcome is None]
 
 
 class Host:
-    """A balancer, and the records of its requests, attempts and timers. Methods raise `ContractViolation`."""
+    """A balancer and the records of its requests, attempts and timers.
+
+    Methods that deliver events raise `ContractViolation` if an action of the balancer breaks the contract.
+    """
 
     def __init__(self, settings: Settings, seed: int = 7) -> None:
         self.settings = settings
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.request_records: dict[int, RequestRecord] = {}
-        self.known: dict[int, Endpoint] = {}  # the last entry of each upstream in the endpoint list
-        self.listings: dict[int, int] = {}  # how often each upstream has been added to the list
-        self.unavailable_since_us: dict[int, int] = {}  # when each draining or removed upstream became so
+        self.latest_entries: dict[int, Endpoint] = {}  # the latest entry of each upstream in the endpoint list
+        self.addition_counts: dict[int, int] = {}  # how often each upstream has been added to the list
+        self.unavailable_since_us: dict[int, int] = {}  # when each draining or removed upstream became unavailable
         self.timers: list[tuple[int, int]] = []  # (time, token)
         self.actions: list[Action] = []
         self.next_id = 1
@@ -114,6 +120,7 @@
     # Events
 
     def deliver(self, event: Event) -> list[Action]:
+        """Pass an event to the balancer; check, record and return the resulting actions."""
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
@@ -121,21 +128,29 @@
         return actions
 
     def update_endpoints(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.SNAPSHOT) -> list[Action]:
+        """Record an update of the endpoint list and deliver it; a complete list removes all upstreams not in it."""
         for entry in entries:
-            previous = self.known.get(entry.id)
+            previous = self.latest_entries.get(entry.id)
             if entry.id in self.unavailable_since_us or previous is None or previous.zone != entry.zone:
-                self.listings[entry.id] = self.listings.get(entry.id, 0) + 1
-            self.known[entry.id] = entry
+                self.addition_counts[entry.id] = self.addition_counts.get(entry.id, 0) + 1
+            self.latest_entries[entry.id] = entry
             if entry.status is EndpointStatus.READY:
                 self.unavailable_since_us.pop(entry.id, None)
             else:
                 self.unavailable_since_us.setdefault(entry.id, self.now_us)
         if kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
-            for upstream in self.known.keys() - {listed.id for listed in entries}:
+            for upstream in self.latest_entries.keys() - {listed.id for listed in entries}:
                 self.unavailable_since_us.setdefault(upstream, self.now_us)
         return self.deliver(EndpointsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, client_timeout_us: int | None = None, **fields: Any) -> int:
+        """Deliver a new request and return its id.
+
+        Args:
+            class_index: The index of the request class.
+            client_timeout_us: How long the client waits; None = the deadline of the class.
+            **fields: Further fields of `RequestArrived`.
+        """
         request_id = self.next_id
         self.next_id += 1
         timeout_us = client_timeout_us or self.settings.classes[class_index].deadline_us
@@ -145,13 +160,23 @@
         return request_id
 
     def end(self, request_id: int, attempt_index: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
+        """End an outstanding attempt with an outcome and return the resulting actions.
+
+        The request has its final answer if the outcome is OK or if its response has already started.
+
+        Args:
+            request_id: The id of the request.
+            attempt_index: The index of the attempt.
+            outcome: How the attempt ends.
+            **fields: Further fields of `AttemptEnded`.
+        """
         record = self.request_records[request_id]
         attempt = record.attempts[attempt_index]
         assert attempt.outcome is None
         attempt.outcome = outcome
         if (outcome is Outcome.OK or record.response_started) and not record.completed:
             record.completed = True
-            record.answers += 1
+            record.answer_count += 1
         return self.deliver(
             AttemptEnded(
                 request_id,
@@ -171,13 +196,14 @@
         record.event.deadline_us = self.now_us + self.settings.classes[record.event.class_index].deadline_us
         for index in record.outstanding_indexes():
             attempt = record.attempts[index]
-            attempt.sent_us = self.now_us  # by the protocol, an attempt counts from the arrival of its last byte
+            attempt.sent_us = self.now_us  # the protocol measures an attempt from the last byte of the request
             attempt.ends_us = min(
                 record.event.deadline_us, self.now_us + (attempt.timeout_us or record.event.deadline_us)
             )
         self.deliver(RequestBodyComplete(request_id, record.event.deadline_us))
 
     def start_response(self, request_id: int, attempt_index: int) -> None:
+        """Deliver the start of a long response; after this, no attempt of the request times out."""
         self.request_records[request_id].response_started = True
         self.deliver(
             ResponseStarted(
@@ -186,14 +212,16 @@
         )
 
     def disconnect_client(self, request_id: int) -> None:
+        """Disconnect the client of a request, which then needs no final answer."""
         self.request_records[request_id].completed = True
-        self.request_records[request_id].answers = 1
+        self.request_records[request_id].answer_count = 1
         self.deliver(ClientDisconnected(request_id))
 
     def half_close_client(self, request_id: int) -> None:
         """Report that the client of a request sends nothing more.
 
-        In the sidecar, an attempt that waits for a connection then ends without being written; other attempts continue.
+        If an attempt still waits for a connection, the sidecar then ends it before it is written; other attempts
+        continue.
         """
         self.request_records[request_id].half_closed = True
         self.deliver(ClientHalfClosed(request_id))
@@ -211,8 +239,7 @@
 
         Args:
             by_us: How far to advance the clock.
-            pause_us: How long the process does not run at first; everything that expires meanwhile fires late, at the
-                end of the pause.
+            pause_us: How long the process is paused at the start. Whatever expires during the pause fires at its end.
         """
         end_us = self.now_us + by_us
         self.now_us += min(pause_us, by_us)
@@ -247,7 +274,7 @@
                 and not record.body_incomplete
             )
             require(
-                not overdue or record.answers == 1,
+                not overdue or record.answer_count == 1,
                 "rule 1",
                 f"request {request_id} has no final answer after its deadline",
             )
@@ -255,6 +282,7 @@
     # Checks
 
     def check(self, action: Action) -> None:
+        """Check an action of the balancer against the contract and record its effect."""
         if isinstance(action, Forward):
             self.check_forward(action)
         elif isinstance(action, Shed | Fail):
@@ -279,9 +307,10 @@
             )
 
     def check_forward(self, forward: Forward) -> None:
+        """Check that an attempt is allowed, and record it."""
         record = self.request_records[forward.request_id]
-        entry = self.known[forward.endpoint_id]
-        rules = self.settings.classes[record.event.class_index]
+        entry = self.latest_entries[forward.endpoint_id]
+        request_class = self.settings.classes[record.event.class_index]
         require(not record.completed, "rule 1", "forwarded a request after its final answer")
         require(not record.half_closed, "left", "forwarded a request of a client that has half-closed")
         require(
@@ -298,27 +327,29 @@
             "two attempts are outstanding although hedging is not allowed",
         )
         for earlier in record.possibly_executed():
-            require(rules.effect != "at_most_once", "rule 2", "repeated an at_most_once request that may have run")
-            if rules.effect == "deduplicated":
+            require(
+                request_class.effect != "at_most_once", "rule 2", "repeated an at_most_once request that may have run"
+            )
+            if request_class.effect == "deduplicated":
                 require(
-                    self.now_us - earlier.sent_us <= rules.deduplication_window_us,
+                    self.now_us - earlier.sent_us <= request_class.deduplication_window_us,
                     "rule 2",
                     "repeated a request after the deduplication window",
                 )
                 require(
-                    0 < forward.latest_start_us <= earlier.sent_us + rules.deduplication_window_us,
+                    0 < forward.latest_start_us <= earlier.sent_us + request_class.deduplication_window_us,
                     "rule 2",
                     "the repeat may start after the deduplication window",
                 )
                 require(
-                    rules.deduplication_scope != "cell" or entry.cell == earlier.cell,
+                    request_class.deduplication_scope != "cell" or entry.cell == earlier.cell,
                     "rule 2",
-                    "repeated a request outside the cell",
+                    "repeated a request outside the cell of an earlier attempt",
                 )
                 require(
-                    rules.deduplication_scope != "zone" or entry.zone == earlier.zone,
+                    request_class.deduplication_scope != "zone" or entry.zone == earlier.zone,
                     "rule 2",
-                    "repeated a request outside the zone",
+                    "repeated a request outside the zone of an earlier attempt",
                 )
         ends_us = record.event.deadline_us
         if forward.timeout_us:
@@ -330,23 +361,26 @@
                 entry.cell,
                 self.now_us,
                 ends_us,
-                self.listings[forward.endpoint_id],
+                self.addition_counts[forward.endpoint_id],
                 forward.timeout_us,
             )
         )
 
     def check_answer(self, answer: Shed | Fail) -> None:
+        """Check that a final answer is allowed, and record it."""
         record = self.request_records[answer.request_id]
-        rules = self.settings.classes[record.event.class_index]
-        require(not record.completed, "rule 1", "a second final answer")
+        request_class = self.settings.classes[record.event.class_index]
+        require(not record.completed, "rule 1", "gave a request a second final answer")
         record.completed = True
-        record.answers += 1
+        record.answer_count += 1
         if isinstance(answer, Shed):
             require(
-                answer.retry_after_us <= self.settings.max_retry_after_us, "contract", "the retry-after is too long"
+                answer.retry_after_us <= self.settings.max_retry_after_us,
+                "contract",
+                "the Retry-After is longer than max_retry_after_us",
             )
-            is_safe_to_retry = rules.effect == "idempotent" or (
-                rules.effect == "deduplicated" and rules.deduplication_scope == "all"
+            is_safe_to_retry = request_class.effect == "idempotent" or (
+                request_class.effect == "deduplicated" and request_class.deduplication_scope == "all"
             )
             require(is_safe_to_retry or not record.possibly_executed(), "rule 2", "shed a request that may have run")
 
@@ -359,7 +393,7 @@
                 if (
                     not record.response_started
                     and not record.body_incomplete
-                    and attempt.listing == self.listings[attempt.upstream]
+                    and attempt.addition_count == self.addition_counts[attempt.upstream]
                 ):
                     outstanding[attempt.upstream] = outstanding.get(attempt.upstream, 0) + 1
         for upstream, state in self.balancer.endpoints.items():
@@ -380,11 +414,13 @@
     # Results
 
     def forward_actions(self, request_id: int | None = None) -> list[Forward]:
+        """Return the `Forward` actions so far, of all requests or of one."""
         return [
             action for action in self.actions if isinstance(action, Forward) and request_id in (None, action.request_id)
         ]
 
     def answer(self, request_id: int) -> Action | None:
+        """Return the `Shed` or `Fail` action of a request; None if the balancer has not answered it."""
         for action in self.actions:
             if isinstance(action, Shed | Fail) and action.request_id == request_id:
                 return action
--- a/garnetusher/policy/actions.py
+++ b/garnetusher/policy/actions.py
@@ -1,4 +1,7 @@
-"""The actions that the policy returns. The sidecar performs them in order."""
+"""The actions that the policy returns. The sidecar performs them in order.
+
+The final answer to a request is the one response that its client gets, from an endpoint or from the sidecar itself.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +14,10 @@
 
     Attributes:
         request_id: The id of the request.
-        endpoint_id: The id of the endpoint to send it to.
+        endpoint_id: The id of the endpoint to which the request is sent.
         timeout_us: The timeout, counted from this action or from the last byte of an incomplete request body; 0 = until
             the client stops waiting.
-        latest_start_us: The latest time at which the request may be written, in case its connection opens late; 0 = no
+        latest_start_us: The latest time at which the request may be written, in case the connection opens late; 0 = no
             limit.
     """
 
--- a/garnetusher/policy/admission.py
+++ b/garnetusher/policy/admission.py
@@ -13,15 +13,17 @@
 from garnetusher.policy.state import RequestState
 from garnetusher.policy.timers import TimerKind, TimerQueue
 
-# The averaging window, in arrivals: long enough to tell a tenant at twice its quota from chance, short enough to adapt
+# The averaging window, in arrivals. It is long enough to distinguish a tenant at twice its quota from random variation,
+# and short enough to adapt to a changing load.
 ARRIVAL_WINDOW = 200
 OVERLOAD_START = 0.2  # an overload is logged once more than this fraction of arrivals finds no free slot
 OVERLOAD_END = 0.02  # the end of an overload is logged once the fraction falls to this value
-MAX_ADMISSION_CREDIT = 2.0  # the most attempts that a pool's credit can accumulate
-ARRIVAL_CREDIT = 0.1  # the number of responses that one arrival counts as when slots of warming endpoints open
-WARMING_ARRIVAL_CREDIT = 0.3  # the same if all endpoints of the pool are warming: it starts with a third of its load
-# In such a pool arrivals count for at most this share of the sidecar's quota. Together with the responses, the load
-# then stays within three times the initial warm-up fraction.
+MAX_ADMISSION_CREDIT = 2.0  # the largest admission credit of a pool; an attempt spends a credit of 1
+ARRIVAL_CREDIT = 0.1  # slow start counts one arrival as this many responses
+# The arrival credit if all endpoints of a pool are warming: the pool starts with about a third of its load
+WARMING_ARRIVAL_CREDIT = 0.3
+# If all endpoints of a pool are warming, arrivals count for at most this share of the sidecar's quota. The load that
+# responses and arrivals allow together then stays within three times the initial warm-up fraction.
 WARMING_QUOTA_SHARE = 0.2
 MICROSECONDS_PER_S = 1_000_000
 
@@ -50,8 +52,8 @@
         self._selector = selector
         self._forwarder = forwarder
         self.buffer: RequestState | None = None
-        self._unsent_fraction = 0.0  # moving average: the fraction of arrivals that found no free slot
-        self._is_overloaded = False  # the state that was last logged
+        self._unsent_fraction = 0.0  # the moving average of the fraction of arrivals that found no free slot
+        self._is_overloaded = False  # whether the last logged message said that an overload begins
 
     def admit(self, request: RequestState) -> None:
         """Forward, buffer or finish a request that has just arrived."""
@@ -102,7 +104,7 @@
             self._forwarder.forward(request, state)
 
     def on_buffer_timeout(self, request_id: int) -> None:
-        """Give the buffered request its final answer if it is still the one that the timer was set for."""
+        """Give the buffered request its final answer, unless another request has replaced it in the buffer."""
         if self.buffer is not None and self.buffer.event.request_id == request_id:
             self.finish(self.buffer)
 
@@ -115,7 +117,8 @@
     def finish(self, request: RequestState) -> None:
         """Give a request its final answer.
 
-        Rule 1: a request gets one final answer. Rule 2: it is shed only if a retry by the client has no second effect.
+        By rule 1 a request gets one final answer; by rule 2 the policy sheds it only if a retry by the client has no
+        second effect.
         """
         is_safe_to_retry = self._retry_policy.is_safe_to_retry(request)
         self.close(request)
@@ -134,12 +137,12 @@
             self._context.requests.pop(request.event.request_id, None)
 
     def expected_weight(self, request: RequestState) -> float:
-        """Return the weight earned by using a slot for this request; it is lower if its tenant exceeds its quota.
+        """Return the weight earned by using a slot for this request; it is lower if the tenant exceeds its quota.
 
         A tenant's arrivals are compared with those of the other tenants at this sidecar, because a sidecar does not
         know the rates of the whole fleet.
         """
-        settings, weight = self._context.settings, request.class_state.rules.priority_weight
+        settings, weight = self._context.settings, request.class_state.request_class.priority_weight
         if not settings.weight_by_work:
             weight /= request.class_state.mean_response_us
         if request.tenant is not None:
@@ -151,7 +154,7 @@
             share_within_quota = min(1.0, quota_fraction / arrival_fraction) if arrival_fraction > 0.0 else 1.0
             weight *= settings.over_quota_weight + (1.0 - settings.over_quota_weight) * share_within_quota
         elif self._context.tenant_states:
-            weight *= settings.over_quota_weight  # the request belongs to no tenant that has a quota
+            weight *= settings.over_quota_weight  # a request without a tenant counts as over the quota
         return weight
 
     def _record_tenant_arrival(self, request: RequestState) -> None:
@@ -174,7 +177,7 @@
         pool.last_arrival_us = self._context.now_us
 
     def _warm_up_credit(self, pool: Pool) -> float:
-        """Return how many responses an arrival counts as when slots of warming endpoints open.
+        """Return the credit of an arrival: the number of responses that it counts as in slow start.
 
         The credit is small unless all endpoints of the pool are warming, as in a restored zone, where no warm endpoint
         shows how fast load may grow. During an overload, arrivals alone would overload such a pool, so they count for
@@ -188,10 +191,10 @@
         return credit
 
     def _record_exhausted_pools(self, state: EndpointState | None) -> None:
-        """Record the pools that had no free slot and credit the request to their warming endpoints.
+        """Record the pools that had no free slot, and count the request as served traffic for their slow start.
 
         If only responses counted, warming endpoints would idle while the other endpoints are full and requests are
-        shed. The credit falls to 0 when half of the arrivals find no slot, because in such an overload it would
+        shed. The credit falls to 0 when half of the arrivals find no slot, because the credit of so many arrivals would
         overload the warming endpoints.
         """
         exhausted = self._pools[: self._pools.index(state.pool)] if state is not None else self._pools
@@ -204,7 +207,8 @@
                 pool.slow_start.served += credit
 
     def _may_take_buffer(self, request: RequestState) -> bool:
-        # Otherwise, when slots are short, many low-weight requests would keep high-weight requests out of every slot
+        # A request of higher weight replaces the buffered one: when slots are short, many requests of low weight would
+        # otherwise take every slot that becomes free
         return self.buffer is None or self.expected_weight(request) > self.expected_weight(self.buffer)
 
     def _set_buffer(self, request: RequestState) -> None:
--- a/garnetusher/policy/attempts.py
+++ b/garnetusher/policy/attempts.py
@@ -29,7 +29,8 @@
     def forward(self, request: RequestState, state: EndpointState) -> None:
         """Start an attempt of a request at an endpoint."""
         now_us, pool, cohort = self._context.now_us, state.pool, state.cohort
-        if cohort is not None:  # a health check of a zone may use an endpoint at which no send is due
+        if cohort is not None:
+            # A request that serves as a health check of its zone may use an endpoint before its next send is due
             cohort.schedule_send(state, 1.0 if state.send_due else 1.0 + state.due_at_accrual - cohort.accrued)
         self._record_send(pool)
         pool.set_in_use(state, now_us, in_use=True)
@@ -37,7 +38,7 @@
         latest_forward_us = self._retry_policy.latest_forward_us(request)
         attempt = AttemptState(state, now_us)
         request.attempts.append(attempt)
-        if request.body_complete:  # otherwise slow uploads would hold all slots for seconds
+        if request.body_complete:  # an incomplete body takes no slot: slow uploads would hold all slots for seconds
             self.take_slot(attempt)
         elif cohort is not None:
             pool.update_weight(state, now_us)
--- a/garnetusher/policy/balancer.py
+++ b/garnetusher/policy/balancer.py
@@ -4,6 +4,13 @@
 is taken, it is shed. A retry takes a slot in the same way (docs/design.md). `garnetusher/policy/events.py` defines the
 events and `garnetusher/policy/actions.py` the actions. This module only dispatches events to the components that make
 the decisions.
+
+The four rules that the modules of this package refer to:
+
+1. Each request gets one final answer, at the latest shortly after the client stops waiting.
+2. A request that may have run is repeated, or shed as safe to retry, only if the repeat has no second effect.
+3. No new attempt goes to an endpoint that is draining or removed, and the endpoint list is kept current.
+4. The sidecars together do not overload an endpoint that is warming up.
 """
 
 from __future__ import annotations
@@ -96,7 +103,7 @@
             self._lifecycle.hedge_requests_in(self._registry.evacuate_next_zone())
         if self.admission.buffer is not None:
             self.admission.forward_buffered()
-        # The end of an ejection frees slots at a point in time, without an event
+        # An ejection ends without an event, so a timer is needed to forward the buffered request at that time
         self._timers.arm(self._registry.readmissions_us() if self.admission.buffer is not None else None)
         return self.context.take_actions()
 
--- a/garnetusher/policy/context.py
+++ b/garnetusher/policy/context.py
@@ -9,7 +9,8 @@
 from garnetusher.policy.settings import Settings
 from garnetusher.policy.state import ClassState, RequestState, TenantState
 
-LOG_INTERVAL_US = 1_000_000  # the minimum interval between two log lines, however many endpoints change
+# The minimum interval between log lines, so that a change of many endpoints does not flood the log
+LOG_INTERVAL_US = 1_000_000
 
 
 class PolicyContext:
@@ -17,7 +18,7 @@
 
     Attributes:
         settings: The operator's settings.
-        random: The random number generator for all draws except those about zones.
+        random: The random number generator for all draws except those that concern zones.
         now_us: The time of the event that is being handled.
         actions: The actions collected for that event so far.
         requests: The requests without a final answer or with outstanding attempts, by id.
@@ -33,7 +34,7 @@
         self.now_us = now_us
         self.actions: list[Action] = []
         self.requests: dict[int, RequestState] = {}
-        self.class_states = [ClassState(rules) for rules in settings.classes]
+        self.class_states = [ClassState(request_class) for request_class in settings.classes]
         self.tenant_states = [TenantState(tenant) for tenant in settings.tenants]
         self.total_quota_per_s = self._sum_of_quotas()
         self.slots_exhausted_us = 0
@@ -42,7 +43,7 @@
     def log(self, text: str) -> bool:
         """Write a line unless one was written within `LOG_INTERVAL_US`; return whether it was written."""
         if self.now_us < self._next_log_us:
-            return False  # the caller logs the change later if it persists
+            return False  # the caller tries again at a later event if the change still holds
         self._next_log_us = self.now_us + LOG_INTERVAL_US
         self.actions.append(LogMessage(text))
         return True
@@ -57,8 +58,8 @@
         self.settings = event.settings
         class_states, tenant_states = self.class_states, self.tenant_states
         self.class_states = [
-            ClassState(rules, class_states[index].mean_response_us if index is not None else None)
-            for rules, index in zip(event.settings.classes, event.previous_class_indexes, strict=True)
+            ClassState(request_class, class_states[index].mean_response_us if index is not None else None)
+            for request_class, index in zip(event.settings.classes, event.previous_class_indexes, strict=True)
         ]
         self.tenant_states = [
             TenantState(tenant, tenant_states[index].recent_arrivals if index is not None else 0.0)
--- a/garnetusher/policy/events.py
+++ b/garnetusher/policy/events.py
@@ -52,13 +52,13 @@
     """One entry of the endpoint list: an upstream process.
 
     Attributes:
-        id: The number that the sidecar gave it.
+        id: The number that the sidecar assigned to the endpoint.
         status: Whether requests may be sent to it.
         zone: The index of its zone.
         machine_type: The index of its machine type.
         cell: The number of the replica group that it belongs to.
-        weight: Its relative size.
-        started_us: The time of its most recent start; 0 = long ago.
+        weight: The capacity of the endpoint relative to other endpoints.
+        started_us: The time of its most recent start; 0 = so long ago that the endpoint has warmed up.
     """
 
     id: int
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """The endpoint list or a change to it has arrived, or the sidecar has failed to get it."""
+    """The endpoint list or a change to the list has arrived, or the sidecar has failed to get it."""
 
     update_kind: UpdateKind
     endpoints: list[Endpoint] = field(default_factory=list)
@@ -84,14 +84,14 @@
     """The sidecar has read a request of a client.
 
     Attributes:
-        request_id: The number that the sidecar gave it.
+        request_id: The number that the sidecar assigned to the request.
         deadline_us: The time when the client stops waiting.
         class_index: The index of its class in the settings.
         tenant_index: The index of its tenant in the settings; an index past the last tenant means no tenant.
         affinity_key: The affinity key of the request; 0 = none.
         expected_work_us: The expected CPU time on a standard core; 0 = not known.
-        client_retry: Whether it is a retry by the client.
-        writes: Whether it changes data.
+        client_retry: Whether the request is a retry by the client.
+        writes: Whether the request changes data.
         body_complete: Whether the whole body has arrived. If not, the deadline is set by `RequestBodyComplete`.
     """
 
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True)
 class ZoneOverridden:
-    """An operator has evacuated or restored a zone; evidence does not change an evacuation by an operator."""
+    """An operator has evacuated or restored a zone; outcomes of attempts do not undo an evacuation by an operator."""
 
     zone: int
     evacuate: bool
--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -21,12 +21,13 @@
 from garnetusher.policy.state import AttemptState, RequestState
 from garnetusher.policy.zone import Zone
 
-# These outcomes say nothing about the endpoint: if rejections counted, bad requests would close all slots
+# These outcomes say nothing about the endpoint. If rejections counted, invalid requests would reduce the slot limits of
+# healthy endpoints.
 OUTCOMES_WITHOUT_EVIDENCE = (Outcome.REJECTED, Outcome.NOT_WRITTEN)
 RESPONSE_WINDOW = 8  # the averaging window of a class's mean response time, in responses
-# Requests without a free slot count towards opening slots of warming endpoints, limited to this share of the responses
+# Slow start also counts requests that found no free slot, but at most this many for each response
 UNSERVED_SHARE = 0.5
-MAX_UNSERVED = 2.0  # the most such requests that can accumulate
+MAX_UNSERVED = 2.0  # the most requests without a free slot that slow start can count at once
 
 
 class RequestLifecycle:
@@ -59,7 +60,7 @@
         self._admission.admit(request)
 
     def on_body_complete(self, event: RequestBodyComplete) -> None:
-        """Start the request's time limits and take slots: only a complete request puts load on its endpoint."""
+        """Start the time limits of a request and take slots: only a complete request puts load on its endpoint."""
         request = self._context.requests.get(event.request_id)
         if request is None:
             return
@@ -72,7 +73,7 @@
                 self._forwarder.take_slot(attempt)
 
     def on_not_replayable(self, event: RequestNotReplayable) -> None:
-        """Record that the body cannot be sent again."""
+        """Record that the body of a request cannot be sent again."""
         request = self._context.requests.get(event.request_id)
         if request is not None:
             request.not_replayable = True
@@ -123,7 +124,7 @@
         if attempt.outcome is not None:
             return
         attempt.outcome = event.outcome
-        if not request.response_started or attempt.holds_slot:  # otherwise on_response_started has updated them
+        if not request.response_started or attempt.holds_slot:  # on_response_started has not counted this attempt
             self._update_estimates(request, attempt, event.outcome, event.elapsed_us)
         if event.request_completed or request.completed:
             self._forwarder.cancel_outstanding(request)
@@ -153,7 +154,7 @@
             last = request.attempts[-1] if request.attempts else None
             if last is None or last.outcome is not None or last.endpoint.zone != zone.number:
                 continue
-            if self._retry_policy.has_budget() and request.class_state.rules.effect == "idempotent":
+            if self._retry_policy.has_budget() and request.class_state.request_class.effect == "idempotent":
                 self._admission.hedge(request)
 
     def _retry_or_finish(self, request: RequestState, outcome: Outcome) -> None:
--- a/garnetusher/policy/polling.py
+++ b/garnetusher/policy/polling.py
@@ -8,16 +8,18 @@
 from garnetusher.policy.timers import TimerKind, TimerQueue
 from garnetusher.policy.zones import Zones
 
-# The mean time between two calls of the fleet to discovery before any failure: one call costs discovery up to 0.2 s
+# The mean interval between calls to discovery from the whole fleet while no call has failed. Discovery needs up to
+# 0.2 s for one call.
 POLL_GAP_US = 250_000
-FIRST_POLL_FRACTION = 0.8  # a poll starts within this fraction of the poll interval
-# An update must arrive within 6 s of discovery being reachable; a call can take 2.5 s of that, and stalls the rest
+FIRST_POLL_FRACTION = 0.8  # the backoff before a poll is at most this fraction of the poll interval
+# An update must arrive within 6 s after discovery becomes reachable. A call can take 2.5 s of that time, and the
+# remainder allows for stalls of the process.
 MAX_POLL_GAP_US = 3_000_000
 MAX_BACKOFF_EXPONENT = 20
 
 
 class EndpointPoller:
-    """Polls the endpoint list until a watch delivers it, and again after each failure."""
+    """Schedules calls to discovery until a watch delivers the endpoint list, and again after each failure."""
 
     def __init__(self, context: PolicyContext, timers: TimerQueue, zones: Zones) -> None:
         self._context = context
@@ -43,7 +45,7 @@
             self._schedule_after_backoff()
 
     def on_timer(self) -> None:
-        """Poll if a poll is due, and schedule the next one in case the call is lost and no answer comes."""
+        """Start a watch if one is due, and schedule another attempt in case no answer to the call arrives."""
         now_us = self._context.now_us
         if self._next_poll_us != 0 and now_us >= self._next_poll_us:
             self._context.actions.append(WatchEndpoints(active=True))
--- a/garnetusher/policy/retry.py
+++ b/garnetusher/policy/retry.py
@@ -11,14 +11,15 @@
 IMMEDIATE_FAILURES = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
 # Without retries, all requests that fail at a partly failing or removed endpoint would be lost
 RETRIED_OUTCOMES = (*IMMEDIATE_FAILURES, Outcome.TIMEOUT, Outcome.NOT_WRITTEN)
-# Retries earned by each first attempt: enough for a fifth of the endpoints to fail every attempt
+# The part of a retry that each first attempt adds to the budget. The budget then lasts while a fifth of the endpoints
+# fail every attempt.
 RETRY_BUDGET_RATIO = 0.2
-MAX_RETRY_BUDGET = 5.0  # retries that can accumulate while few attempts fail
+MAX_RETRY_BUDGET = 5.0  # the most unused retries that the budget holds
 # An attempt is overdue after this multiple of the mean response time, or after half the latency objective if sooner
 OVERDUE_FACTOR = 3.0
-TIMEOUT_FACTOR = 4  # multiple of the mean response time after which an attempt that may be retried times out
-# A hedge starts after this multiple of the mean response time: early enough for its response to meet the objective,
-# and late enough for hedges to be rare
+TIMEOUT_FACTOR = 4  # an attempt that may be retried times out after this multiple of the mean response time
+# A hedge starts after this multiple of the mean response time. That is early enough for the hedge to meet the latency
+# objective, and late enough for hedges to be rare.
 HEDGE_FACTOR = 2
 
 
@@ -55,10 +56,13 @@
     def _may_repeat(self, request: RequestState) -> bool:
         if request.outstanding() > 0 and not self._context.settings.hedging:
             return False
-        first, rules = request.first_possibly_executed(), request.class_state.rules
-        if first is None or rules.effect == "idempotent":
+        first, request_class = request.first_possibly_executed(), request.class_state.request_class
+        if first is None or request_class.effect == "idempotent":
             return True
-        return rules.effect == "deduplicated" and self._context.now_us - first.sent_us < rules.deduplication_window_us
+        return (
+            request_class.effect == "deduplicated"
+            and self._context.now_us - first.sent_us < request_class.deduplication_window_us
+        )
 
     def same_deduplication_scope(self, request: RequestState) -> Callable[[Endpoint], bool] | None:
         """Return a predicate for the endpoints that drop repeats of this request; None if every endpoint is allowed.
@@ -66,11 +70,11 @@
         Rule 2: once an attempt of a deduplicated request may have run, the next one may go only to endpoints in the
         same deduplication scope.
         """
-        first, rules = request.first_possibly_executed(), request.class_state.rules
-        if first is None or rules.effect != "deduplicated" or rules.deduplication_scope == "all":
+        first, request_class = request.first_possibly_executed(), request.class_state.request_class
+        if first is None or request_class.effect != "deduplicated" or request_class.deduplication_scope == "all":
             return None
         endpoint = first.endpoint
-        if rules.deduplication_scope == "zone":
+        if request_class.deduplication_scope == "zone":
             return lambda other: other.zone == endpoint.zone
         return lambda other: other.cell == endpoint.cell
 
@@ -78,11 +82,11 @@
         """Return whether a retry by the client has no second effect, so that the request may be shed."""
         if any(attempt.outcome is Outcome.REJECTED for attempt in request.attempts):
             return False
-        rules = request.class_state.rules
+        request_class = request.class_state.request_class
         return (
-            rules.effect == "idempotent"
+            request_class.effect == "idempotent"
             or request.first_possibly_executed() is None
-            or (rules.effect == "deduplicated" and rules.deduplication_scope == "all")
+            or (request_class.effect == "deduplicated" and request_class.deduplication_scope == "all")
         )
 
     def latest_forward_us(self, request: RequestState) -> int:
@@ -90,15 +94,15 @@
 
         A new connection can take so long to open that endpoints no longer remember the earlier attempt.
         """
-        first, rules = request.first_possibly_executed(), request.class_state.rules
-        if first is None or rules.effect != "deduplicated":
+        first, request_class = request.first_possibly_executed(), request.class_state.request_class
+        if first is None or request_class.effect != "deduplicated":
             return 0
-        return first.sent_us + rules.deduplication_window_us
+        return first.sent_us + request_class.deduplication_window_us
 
     def useful_until_us(self, request: RequestState) -> int:
         """Return the time after which a response earns no weight."""
-        rules = request.class_state.rules
-        useful_us = rules.deadline_us if rules.late_weight > 0 else rules.latency_objective_us
+        request_class = request.class_state.request_class
+        useful_us = request_class.deadline_us if request_class.late_weight > 0 else request_class.latency_objective_us
         return self._clock_start_us(request) + min(request.client_timeout_us, useful_us)
 
     def latest_start_us(self, request: RequestState) -> int:
@@ -119,7 +123,11 @@
         """
         remaining_us = max(1, self.useful_until_us(request) - self._context.now_us)
         class_state = request.class_state
-        if self._context.settings.hedging or class_state.rules.effect == "at_most_once" or not self.has_budget():
+        if (
+            self._context.settings.hedging
+            or class_state.request_class.effect == "at_most_once"
+            or not self.has_budget()
+        ):
             return remaining_us
         retryable_timeout_us = max(
             int(TIMEOUT_FACTOR * class_state.mean_response_us),
@@ -133,7 +141,7 @@
         class_state = request.class_state
         if (
             not self._context.settings.hedging
-            or class_state.rules.effect == "at_most_once"
+            or class_state.request_class.effect == "at_most_once"
             or not request.body_complete
         ):
             return None
@@ -153,5 +161,5 @@
         )
 
     def _clock_start_us(self, request: RequestState) -> int:
-        """Return the time from which the request's time limits count: its last byte, or now if that has not arrived."""
+        """Return when the time limits of a request start: at its last byte, or now while the body is incomplete."""
         return request.arrived_us if request.body_complete else self._context.now_us
--- a/garnetusher/policy/selection.py
+++ b/garnetusher/policy/selection.py
@@ -50,7 +50,7 @@
     def _zones_to_avoid(self, request: RequestState) -> list[set[int]]:
         """Return sets of zones to avoid if another zone has a free slot, in the order in which to try them."""
         avoided_sets = []
-        if request.class_state.rules.effect == "at_most_once" and (suspected := self._zones.suspected()):
+        if request.class_state.request_class.effect == "at_most_once" and (suspected := self._zones.suspected()):
             # a request that is lost with the zone can't be retried, and idempotent requests provide evidence as well
             avoided_sets.append(suspected)
         if request.attempts:
@@ -138,7 +138,7 @@
 
     def _select_for_health_check(self, request: RequestState) -> EndpointState | None:
         """Return an endpoint of an evacuated zone if a check is due and the request is a first, idempotent attempt."""
-        if request.attempts or request.class_state.rules.effect != "idempotent" or self._zones.all_in_use:
+        if request.attempts or request.class_state.request_class.effect != "idempotent" or self._zones.all_in_use:
             return None
         zone = self._zones.take_due_health_check(self._context.now_us)
         if zone is None:
--- a/garnetusher/policy/settings.py
+++ b/garnetusher/policy/settings.py
@@ -43,10 +43,10 @@
     Attributes:
         name: The first segment of the request path.
         latency_objective_us: The response time up to which a response earns the full weight.
-        deadline_us: The time from arrival to deadline of a request without a deadline of its own.
+        deadline_us: The time from arrival to deadline for requests that state no deadline.
         priority_weight: The weight of a response within the objective, relative to other classes.
         late_weight: The share of the weight that a response after the objective still earns.
-        latency_objective_stretch: The multiple of the work of a request by which its objective grows.
+        latency_objective_stretch: How much the latency objective grows per unit of work of the request.
         effect: What a repeated attempt may do; one of `EFFECTS`.
         deduplication_scope: Which endpoints drop repeats of each other's requests; one of `DEDUPLICATION_SCOPES`.
         deduplication_window_us: How long endpoints remember a request.
@@ -74,10 +74,10 @@
             "a latency objective stretch of 0 or more",
             self.latency_objective_stretch,
         )
-        _require(self.effect in EFFECTS, f"an effect out of {', '.join(EFFECTS)}", self.effect)
+        _require(self.effect in EFFECTS, f"an effect that is one of {', '.join(EFFECTS)}", self.effect)
         _require(
             self.deduplication_scope in DEDUPLICATION_SCOPES,
-            f"a deduplication scope out of {', '.join(DEDUPLICATION_SCOPES)}",
+            f"a deduplication scope that is one of {', '.join(DEDUPLICATION_SCOPES)}",
             self.deduplication_scope,
         )
         _require(self.deduplication_window_us >= 0, "a deduplication window of 0 or more", self.deduplication_window_us)
@@ -103,12 +103,12 @@
     Attributes:
         classes: The request classes; events refer to them by index.
         tenants: The tenants; events refer to them by index.
-        over_quota_weight: The share of the weight that requests over the quota of their tenant still earn.
+        over_quota_weight: The fraction of its weight that a request still earns if its tenant exceeds the quota.
         weight_by_work: Whether weights are per unit of work; otherwise they are per request.
         fleet_size: The number of sidecars that share the quotas.
         instance_index: The index of this sidecar in the fleet.
         zone: The zone of this sidecar.
-        batch_interval_us: The shortest interval between two batches of the simulator.
+        batch_interval_us: The shortest interval between two batches of events from the simulator.
         max_attempts: The maximum number of attempts of a request.
         max_retry_after_us: The longest Retry-After.
         connect_timeout_us: How long it may take to establish a connection.
@@ -118,13 +118,13 @@
         hedging: Whether a request may have two outstanding attempts.
         poll_endpoints: Whether updates of the endpoint list arrive only after `WatchEndpoints` or `PollEndpoints`.
         poll_interval_us: The longest interval between two polls of the list while it is not watched.
-        warm_up_initial_fraction: The minimum share of its capacity that an endpoint has when it starts.
+        warm_up_initial_fraction: The minimum fraction of its full capacity that an endpoint has when it starts.
         warm_up_us: The time from the start of an endpoint until it is warm.
-        overload_factor: The multiple of its current capacity at which a warming endpoint fails.
-        overload_window_us: The time for which that load must last to make a warming endpoint fail.
-        cross_zone_cost: The cost of an attempt in another zone, as a share of the weight.
+        overload_factor: The load at which a warming endpoint fails, as a multiple of its current capacity.
+        overload_window_us: How long a load of `overload_factor` must last before a warming endpoint fails.
+        cross_zone_cost: The cost of an attempt in another zone, as a share of the weight of its request.
         load_report_names: The names of the values in load reports, in their order.
-        endpoint_weights: Whether the weights in the endpoint list are the sizes of the endpoints.
+        endpoint_weights: Whether the weights in the endpoint list state the relative capacities of the endpoints.
         zone_regions: The region of each zone, by zone index; a zone past the end of the list is in region 0.
     """
 
@@ -157,7 +157,7 @@
     def __post_init__(self) -> None:
         _require(len(self.classes) > 0, "at least one request class", self.classes)
         names = [request_class.name for request_class in self.classes]
-        _require(len(set(names)) == len(names), "request classes of different names", names)
+        _require(len(set(names)) == len(names), "request classes with distinct names", names)
         _require(self.fleet_size >= 1, "a fleet size of 1 or more", self.fleet_size)
         _require(self.instance_index >= 0, "an instance index of 0 or more", self.instance_index)
         _require(0 <= self.over_quota_weight <= 1, "an over-quota weight from 0 to 1", self.over_quota_weight)
--- a/garnetusher/policy/settings_text.py
+++ b/garnetusher/policy/settings_text.py
@@ -1,4 +1,6 @@
-"""Parser for settings in path=value form, as the simulator sends them and as the configuration file is flattened.
+"""Parser for settings in path=value form.
+
+The simulator sends its settings in this form, and the settings of the configuration file are converted to it.
 
 The keys are part of the configuration format and do not change; this module maps them to the names in `Settings`.
 """
--- a/garnetusher/policy/state.py
+++ b/garnetusher/policy/state.py
@@ -1,4 +1,4 @@
-"""The state of request classes, tenants, requests and attempts. The decisions are made in the other modules."""
+"""The state of request classes, tenants, requests and attempts; the other modules of the package make the decisions."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
     """The settings of a request class and the estimates from its responses.
 
     Attributes:
-        rules: The settings of the class.
+        request_class: The settings of the class.
         mean_response_us: The moving average of response times; a quarter of the latency objective before the first
             response.
         half_objective_us: Half the latency objective. It limits the time in the buffer, and a response that takes
-            longer is slow. The other half is left for a retry.
+            longer counts as slow. The other half leaves time for a retry.
     """
 
-    def __init__(self, rules: RequestClass, mean_response_us: float | None = None) -> None:
-        self.rules = rules
-        self.mean_response_us = mean_response_us or rules.latency_objective_us / 4
-        self.half_objective_us = rules.latency_objective_us // 2
+    def __init__(self, request_class: RequestClass, mean_response_us: float | None = None) -> None:
+        self.request_class = request_class
+        self.mean_response_us = mean_response_us or request_class.latency_objective_us / 4
+        self.half_objective_us = request_class.latency_objective_us // 2
 
 
 class TenantState:
@@ -57,7 +57,7 @@
     """A request that has no final answer yet or still has outstanding attempts.
 
     Attributes:
-        event: The event of its arrival.
+        event: The `RequestArrived` event of the request.
         class_state: The state of its class. This is a reference because new settings can change the index of a class.
         tenant: The state of its tenant; None if it has no tenant with a quota.
         max_attempts: The limit on attempts when it arrived.
@@ -97,5 +97,5 @@
         return sum(1 for attempt in self.attempts if attempt.outcome is None)
 
     def first_possibly_executed(self) -> AttemptState | None:
-        """Return the first attempt that an endpoint may have executed."""
+        """Return the first attempt that an endpoint may have executed; None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN), None)
--- a/garnetusher/policy/timers.py
+++ b/garnetusher/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timers of the policy, multiplexed on the one timer that the sidecar keeps for it."""
+"""The timers of the policy, multiplexed on one timer of the sidecar."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """The pending timers of the policy.
 
     Attributes:
-        armed_us: The time of the earliest timer that the sidecar has been asked for; 0 = none.
+        armed_us: The time for which the sidecar has been asked to set its timer; 0 = no timer is set.
     """
 
     def __init__(self, context: PolicyContext) -> None:
@@ -37,8 +37,8 @@
     def on_fired(self) -> None:
         """Record that the sidecar's timer has fired.
 
-        A timer that fires before the armed time was replaced by another one. It is ignored: otherwise each such timer
-        would arm a further one.
+        A timer that fires before the armed time is outdated, because another timer has replaced it, and is ignored. If
+        it were not ignored, each outdated timer would arm another one.
         """
         if self.armed_us <= self._context.now_us:
             self.armed_us = 0
@@ -57,7 +57,8 @@
             readmissions_us: The times at which ejected endpoints are readmitted; None if no request waits for a slot.
         """
         pending, requests = self._pending, self._context.requests
-        # Most requests are answered before their timers expire, and each needless timer costs as much as a request
+        # Timers of requests that have been answered are dropped: most requests are answered before their timers expire,
+        # and handling an unneeded timer costs as much as handling a request
         while pending and pending[0][2] not in requests and pending[0][1] is not TimerKind.POLL:
             heapq.heappop(pending)
         times = [pending[0][0]] if pending else []
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -37,14 +37,16 @@
     class_index: int = READ,
     response_time_us: int = 10_000,
 ) -> None:
-    """Send one request per step; at the end of the step all outstanding attempts end.
+    """Send one request per step and end all outstanding attempts after `response_time_us`.
 
-    They end with `failure` at the upstream `failing_upstream`, and with `OK` elsewhere.
+    The attempts end with `failure` at the upstream `failing_upstream`, and with `OK` elsewhere.
     """
     for _ in range(steps):
         host.arrive(class_index)
         host.advance(response_time_us)
-        for request in [ident for ident, record in host.request_records.items() if record.outstanding_indexes()]:
+        for request in [
+            request_id for request_id, record in host.request_records.items() if record.outstanding_indexes()
+        ]:
             for index in host.request_records[request].outstanding_indexes():
                 fails = host.request_records[request].attempts[index].upstream == failing_upstream
                 host.end(request, index, failure if fails else Outcome.OK)
--- a/tests/policy_host.py
+++ b/tests/policy_host.py
@@ -54,7 +54,7 @@
 
 
 class PolicyHost(Host):
-    """A host that checks the actions of a balancer, with the settings above by default."""
+    """A host that checks the actions of a balancer; its default settings are those of `settings()`."""
 
     def __init__(self, policy_settings: Settings | None = None, seed: int = 7) -> None:
         super().__init__(policy_settings or settings(), seed)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -61,7 +61,7 @@
     assert host.forward_actions(host.arrive(READ))
 
 
-def test_buffer_prefers_the_request_of_higher_weight_when_two_wait() -> None:
+def test_buffer_keeps_the_request_of_higher_weight_when_two_find_no_slot() -> None:
     host = ready_host()
     low_weight = fill_slots(host)[-1]
     high_weight = host.arrive(PAY)
@@ -73,7 +73,7 @@
     assert host.forward_actions(high_weight)
 
 
-def test_buffer_prefers_a_tenant_within_its_quota_when_two_wait() -> None:
+def test_buffer_keeps_the_request_of_a_tenant_within_its_quota_when_two_find_no_slot() -> None:
     host = ready_host(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         host.arrive(READ, tenant_index=0)
@@ -92,16 +92,16 @@
     assert [host.answer(request) is None for request in (waiting, last)].count(True) == 1
 
 
-def slow_period(host: PolicyHost, seconds: int) -> None:
+def send_timed_out_requests(host: PolicyHost, seconds: int) -> None:
     """Send one request per second, each of which times out."""
     for _ in range(seconds):
         host.arrive(PAY)
         host.advance(1_000_000)
 
 
-def test_admission_falls_and_recovers_when_all_endpoints_are_slow_for_a_while() -> None:
+def test_admitted_fraction_falls_and_recovers_when_all_endpoints_are_slow_for_a_while() -> None:
     host = ready_host(40, fleet_size=400)
-    slow_period(host, 30)
+    send_timed_out_requests(host, 30)
     assert 3 <= len(host.forward_actions()) <= 12
     run_traffic(host, 300)
     before = len(host.forward_actions())
@@ -109,16 +109,16 @@
     assert len(host.forward_actions()) - before == 20
 
 
-def test_admission_stays_full_when_one_response_among_quick_ones_is_slow() -> None:
+def test_admitted_fraction_does_not_fall_when_one_response_among_fast_ones_is_slow() -> None:
     host = ready_host(40, fleet_size=400)
     run_traffic(host, 30, class_index=PAY)
-    slow_period(host, 1)
+    send_timed_out_requests(host, 1)
     before = len(host.forward_actions())
     run_traffic(host, 10, class_index=PAY)
     assert len(host.forward_actions()) - before == 10
 
 
-def test_admission_falls_little_when_two_responses_of_a_light_sidecar_are_slow() -> None:
+def test_admitted_fraction_falls_little_when_a_sidecar_with_low_traffic_gets_two_slow_responses() -> None:
     host = ready_host(6)
     run_traffic(host, 12, response_time_us=120_000)
     host.advance(5_000_000)
@@ -127,7 +127,7 @@
         host.advance(290_000)
         host.end(request, 0, Outcome.OK)
     later = [host.arrive(PAY) for _ in range(6)]
-    # If admission fell to its minimum, none of them would be forwarded
+    # If the admitted fraction fell to its minimum, none of these requests would be forwarded
     assert sum(1 for request in later if host.forward_actions(request)) >= 3
 
 
@@ -141,7 +141,7 @@
     assert log_lines(host)[-1] == "overload ends"
 
 
-def test_admission_holds_off_client_retries_when_little_is_admitted() -> None:
+def test_admission_rejects_client_retries_when_the_admitted_fraction_is_low() -> None:
     host = ready_host()
     pool = host.balancer.pools[0]
     assert host.forward_actions(host.arrive(READ, client_retry=True))
@@ -154,7 +154,7 @@
     assert host.forward_actions(host.arrive(READ, client_retry=True))
 
 
-def test_admission_takes_client_retries_when_one_response_was_slow() -> None:
+def test_admission_accepts_client_retries_when_one_response_was_slow() -> None:
     host = ready_host()
     run_traffic(host, 20)
     run_traffic(host, 1, response_time_us=250_000)
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -106,5 +106,5 @@
         SettingsChanged(after, previous_indexes(after.classes, kinds), previous_indexes(after.tenants, TENANTS))
     )
     assert [party.recent_arrivals for party in host.balancer.context.tenant_states] == [seen, 0.0, 0.0]
-    assert held.class_state.rules is not after.classes[1]
-    assert held.class_state.rules.effect == "idempotent"
+    assert held.class_state.request_class is not after.classes[1]
+    assert held.class_state.request_class.effect == "idempotent"
--- a/tests/test_policy_settings_change.py
+++ b/tests/test_policy_settings_change.py
@@ -55,9 +55,9 @@
     assert host.forward_actions(host.arrive(1))
 
 
-def test_new_requests_follow_a_stricter_effect_when_the_classes_change() -> None:
+def test_new_requests_get_the_stricter_effect_when_the_classes_change() -> None:
     host = ready_host()
-    strict_classes = [dataclasses.replace(rules, effect="at_most_once") for rules in settings().classes]
+    strict_classes = [dataclasses.replace(request_class, effect="at_most_once") for request_class in settings().classes]
     change_settings(host, classes=strict_classes)
     request = host.arrive(READ)
     host.end(request, 0, Outcome.ERROR)
@@ -65,7 +65,7 @@
     assert isinstance(host.answer(request), Fail)
 
 
-def test_attempt_limit_holds_at_once_when_it_falls_and_for_new_requests_when_it_rises() -> None:
+def test_attempt_limit_applies_immediately_when_it_falls_and_to_new_requests_when_it_rises() -> None:
     host = ready_host(max_attempts=3)
     in_flight = host.arrive(READ)
     change_settings(host, max_attempts=1)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Long request bodies and responses: when attempts hold slots and from when time counts."""
+"""Long request bodies and responses: when attempts hold slots and when their timeouts start."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def arrive_with_partial_body(host: PolicyHost, class_index: int = READ) -> int:
-    """Send a request with an incomplete body, whose client waits until the body is complete."""
+    """Send a request with an incomplete body; its attempt does not time out before the body is complete."""
     request = host.arrive(class_index, body_complete=False)
     host.request_records[request].attempts[0].ends_us += 3_600_000_000
     return request
@@ -38,7 +38,7 @@
     assert not any(host.answer(request) for request in requests)
 
 
-def test_request_clock_starts_when_its_body_is_complete() -> None:
+def test_request_time_limits_start_when_its_body_is_complete() -> None:
     host = ready_host(1)
     request = arrive_with_partial_body(host)
     host.now_us += 5_000_000
@@ -85,7 +85,7 @@
     assert [host.balancer.endpoints[attempt.upstream].slots_used for attempt in (first, second)] == [1, 0]
     latency_ratio = host.balancer.endpoints[second.upstream].latency_ratio
     host.end(request, 0, Outcome.CANCELLED)
-    host.now_us += 20_000_000  # the client reads slowly, which says nothing about the upstream
+    host.now_us += 20_000_000  # a slow client must not make the upstream appear slow
     host.end(request, 1, Outcome.OK)
     assert host.balancer.endpoints[second.upstream].latency_ratio == latency_ratio
     assert all(state.slots_used == 0 for state in host.balancer.endpoints.values())
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -29,7 +29,7 @@
     assert first.endpoint_id != second.endpoint_id
 
 
-def test_retry_is_denied_when_an_unsafe_request_may_have_run() -> None:
+def test_retry_is_not_sent_when_an_at_most_once_request_may_have_run() -> None:
     host = ready_host()
     request = host.arrive(PAY)
     host.end(request, 0, Outcome.RESET)
@@ -37,7 +37,7 @@
     assert len(host.forward_actions(request)) == 1
 
 
-def test_timeout_lasts_while_a_response_earns_weight_when_a_request_is_unsafe() -> None:
+def test_timeout_ends_at_the_latency_objective_when_a_request_is_at_most_once() -> None:
     host = ready_host()
     request = host.arrive(PAY)  # a response after the objective earns no weight in this class
     host.advance(290_000)
@@ -46,14 +46,14 @@
     assert isinstance(host.answer(request), Fail)
 
 
-def test_timeout_lasts_until_the_deadline_when_a_late_response_has_weight() -> None:
+def test_timeout_ends_at_the_deadline_when_a_late_response_earns_weight() -> None:
     host = ready_host(max_attempts=1)
     request = host.arrive(READ)
     host.advance(1_400_000)
     assert host.answer(request) is None
 
 
-def test_timer_arms_no_further_timer_when_it_is_outdated() -> None:
+def test_outdated_timer_arms_no_other_timer_when_it_fires() -> None:
     host = ready_host(2)
     for _ in range(50):
         fill_slots(host)
@@ -65,7 +65,7 @@
     assert len(host.timers) == 0
 
 
-def test_hedge_goes_to_another_endpoint_when_an_attempt_is_slow_and_the_first_may_still_answer() -> None:
+def test_hedge_goes_to_another_endpoint_and_the_first_attempt_may_still_answer_when_it_is_slow() -> None:
     host = ready_host()
     request = host.arrive(READ)
     host.advance(250_000)
@@ -73,7 +73,7 @@
     assert first.endpoint_id != second.endpoint_id
     host.end(request, 0, Outcome.OK)
     assert host.answer(request) is None
-    assert host.request_records[request].answers == 1
+    assert host.request_records[request].answer_count == 1
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(("class_index", "is_retried"), [(READ, True), (MARK, True), (PAY, False)])
-def test_retry_follows_an_error_when_the_class_may_run_again(class_index: int, is_retried: bool) -> None:
+def test_error_is_retried_when_the_effect_of_the_class_allows_it(class_index: int, is_retried: bool) -> None:
     host = ready_host()
     request = host.arrive(class_index)
     host.end(request, 0, Outcome.ERROR)
@@ -122,16 +122,16 @@
     assert 5 <= errors - first_attempts <= 5 + first_attempts / 5
 
 
-def test_timeout_is_longer_when_a_request_is_known_to_be_heavy() -> None:
+def test_timeout_is_longer_when_the_expected_work_is_large() -> None:
     host = ready_host(hedging=False)
     run_traffic(host, 50)
-    light, heavy = host.arrive(READ, expected_work_us=10_000), host.arrive(READ, expected_work_us=200_000)
-    assert host.forward_actions(light)[0].timeout_us < 200_000
-    assert host.forward_actions(heavy)[0].timeout_us >= 800_000
+    small, large = host.arrive(READ, expected_work_us=10_000), host.arrive(READ, expected_work_us=200_000)
+    assert host.forward_actions(small)[0].timeout_us < 200_000
+    assert host.forward_actions(large)[0].timeout_us >= 800_000
 
 
 @pytest.mark.parametrize("hedging", [True, False])
-def test_requests_are_forwarded_when_an_outage_outlasted_every_response(hedging: bool) -> None:
+def test_requests_are_forwarded_when_an_outage_without_any_response_has_ended(hedging: bool) -> None:
     host = ready_host(2, hedging=hedging)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,12 +30,12 @@
     st.tuples(st.just("arrive"), st.integers(0, 4), st.integers(1, 2_000_000)),
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(OUTCOMES)),
     st.tuples(st.just("advance"), st.integers(0, 700_000), st.just(0)),
-    st.tuples(st.just("list"), st.integers(0, 7), st.sampled_from(list(EndpointStatus))),
-    st.tuples(st.just("full"), st.integers(0, 8), st.sampled_from([UpdateKind.SNAPSHOT, UpdateKind.CACHED])),
+    st.tuples(st.just("update"), st.integers(0, 7), st.sampled_from(list(EndpointStatus))),
+    st.tuples(st.just("snapshot"), st.integers(0, 8), st.sampled_from([UpdateKind.SNAPSHOT, UpdateKind.CACHED])),
     st.tuples(st.just("restart"), st.integers(0, 7), st.integers(0, 30_000_000)),
-    st.tuples(st.just("fail"), st.just(0), st.just(0)),
-    st.tuples(st.just("quit"), st.integers(0, 50), st.just(0)),
-    st.tuples(st.just("stream"), st.integers(0, 50), st.just(0)),
+    st.tuples(st.just("poll_failure"), st.just(0), st.just(0)),
+    st.tuples(st.just("disconnect"), st.integers(0, 50), st.just(0)),
+    st.tuples(st.just("start_response"), st.integers(0, 50), st.just(0)),
 )
 
 SETTINGS = st.fixed_dictionaries(
@@ -71,33 +71,33 @@
 
 
 def play(host: PolicyHost, step: tuple[str, int, object]) -> None:  # noqa: C901 - one branch for each kind of step
-    what, number, extra = step
+    kind, number, extra = step
     outstanding = [
         (request, index) for request, record in host.request_records.items() for index in record.outstanding_indexes()
     ]
-    if what == "arrive":
+    if kind == "arrive":
         assert isinstance(extra, int)
         host.arrive(number, client_timeout_us=extra)
-    elif what == "advance":
+    elif kind == "advance":
         host.advance(number)
-    elif what in ("list", "restart"):
+    elif kind in ("update", "restart"):
         started_us = host.now_us - extra if isinstance(extra, int) else 0
         status = extra if isinstance(extra, EndpointStatus) else EndpointStatus.READY
         entry = Endpoint(100 + number, status, number // 2, 0, number // 2, 1.0, started_us)
         host.update_endpoints([entry], UpdateKind.DELTA)
-    elif what == "full":
+    elif kind == "snapshot":
         assert isinstance(extra, UpdateKind)
         host.update_endpoints(upstreams(number), extra)
-    elif what == "fail" and host.settings.poll_endpoints:
+    elif kind == "poll_failure" and host.settings.poll_endpoints:
         host.deliver(EndpointsUpdated(UpdateKind.FAILED))
-    elif what == "quit" and host.request_records:
+    elif kind == "disconnect" and host.request_records:
         request = list(host.request_records)[number % len(host.request_records)]
         if not host.request_records[request].completed:
             host.disconnect_client(request)
-    elif what == "end" and outstanding:
+    elif kind == "end" and outstanding:
         assert isinstance(extra, Outcome)
         host.end(*outstanding[number % len(outstanding)], extra)
-    elif what == "stream":
+    elif kind == "start_response":
         streamable = [
             (request_id, index)
             for request_id, index in outstanding
@@ -127,21 +127,22 @@
     host = PolicyHost(settings(classes=all_classes(), **changes), seed)
     host.update_endpoints(upstreams(6), UpdateKind.CACHED)
     for _ in range(1500):
-        what = rng.choices(
-            ["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"], [50, 40, 10, 1, 1, 1, 1, 1]
+        kind = rng.choices(
+            ["arrive", "end", "advance", "update", "restart", "disconnect", "start_response", "poll_failure"],
+            [50, 40, 10, 1, 1, 1, 1, 1],
         )[0]
         extra: object = 0
         number = rng.randrange(50)
-        if what == "arrive":
+        if kind == "arrive":
             number, extra = rng.randrange(5), rng.randrange(1_000, 2_000_000)
-        elif what == "end":
+        elif kind == "end":
             extra = rng.choices(OUTCOMES, [20, *[2] * 4, *[1] * (len(OUTCOMES) - 5)])[0]
-        elif what == "advance":
+        elif kind == "advance":
             number = rng.randrange(60_000)
-        elif what in ("list", "restart"):
+        elif kind in ("update", "restart"):
             number = rng.randrange(8)
-            extra = rng.choice(list(EndpointStatus)) if what == "list" else rng.randrange(30_000_000)
-        play(host, (what, number, extra))
+            extra = rng.choice(list(EndpointStatus)) if kind == "update" else rng.randrange(30_000_000)
+        play(host, (kind, number, extra))
     host.advance(5_000_000)
     return list(host.actions)
 
@@ -161,12 +162,12 @@
 def peak_load_share(  # noqa: C901, PLR0912 - one event loop of a small fleet, kept in one piece
     rates: list[int], outcome: Outcome, expected_work_us: int = 0, seed: int = 0
 ) -> float:
-    """Return the peak load on one warming upstream, as a share of the load at which it would fail.
+    """Return the peak load on one warming upstream, as a fraction of the load at which it would fail.
 
     The load is the work that all sidecars together send to the upstream within any `overload_window_us`. The upstream
     has just started; nine others are warm. Each has one core, serves requests in order and rejects those that would
     wait longer than 300 ms. A request takes 40 ms on a warm upstream. `rates` holds the number of requests that each
-    sidecar gets in a tick of 4 ms; together they are up to 26 times the capacity of the nine warm upstreams.
+    sidecar gets in a tick of 4 ms; the total load is up to 26 times the capacity of the nine warm upstreams.
     """
     policy_settings = settings(fleet_size=len(rates), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(policy_settings, seed + index, START_US) for index in range(len(rates))]
@@ -181,7 +182,7 @@
     free_us = {endpoint.id: START_US for endpoint in endpoints}
     sent_us: list[int] = []
     # (time, sidecar, request, endpoint, attempt index, outcome, start time)
-    ends: list[tuple[int, int, int, int, int, Outcome, int]] = []
+    pending_ends: list[tuple[int, int, int, int, int, Outcome, int]] = []
     attempt_counts: dict[int, int] = {}
     timers: list[tuple[int, int]] = []  # (time, sidecar)
     now_us, request = START_US, 0
@@ -189,30 +190,37 @@
         balancer.handle(now_us, EndpointsUpdated(UpdateKind.SNAPSHOT, endpoints))
     while now_us < START_US + 8_000_000:
         events: list[tuple[int, object]] = []
-        for number, rate in enumerate(rates):
+        for sidecar, rate in enumerate(rates):
             for _ in range(rate):
                 request += 1
-                events.append((number, RequestArrived(request, now_us + 1_500_000, expected_work_us=expected_work_us)))
-        for end in [pending for pending in ends if pending[0] <= now_us]:
-            ends.remove(end)
-            ended, elapsed_us = end[5], now_us - end[6]
-            events.append((end[1], AttemptEnded(end[2], end[4], end[3], ended, elapsed_us, ended is Outcome.OK)))
+                events.append((sidecar, RequestArrived(request, now_us + 1_500_000, expected_work_us=expected_work_us)))
+        for end in [pending for pending in pending_ends if pending[0] <= now_us]:
+            pending_ends.remove(end)
+            end_outcome, elapsed_us = end[5], now_us - end[6]
+            events.append(
+                (end[1], AttemptEnded(end[2], end[4], end[3], end_outcome, elapsed_us, end_outcome is Outcome.OK))
+            )
         for timer in [due for due in timers if due[0] <= now_us]:
             timers.remove(timer)
             events.append((timer[1], TimerFired(0)))
-        for number, event in events:
-            for action in balancers[number].handle(now_us, event):  # type: ignore[arg-type]
+        for sidecar, event in events:
+            for action in balancers[sidecar].handle(now_us, event):  # type: ignore[arg-type]
                 if isinstance(action, Forward):
                     attempt_index = attempt_counts.get(action.request_id, 0)
                     attempt_counts[action.request_id] = attempt_index + 1
                     speed = capacity_fraction(now_us) if action.endpoint_id == 1 else 1.0
                     end_us = max(free_us[action.endpoint_id], now_us) + int(40_000 / speed)
-                    ended = outcome if action.endpoint_id == 1 else Outcome.OK
-                    if ended is not Outcome.OK or end_us > now_us + 300_000:
-                        end_us, ended = now_us + 4_000, Outcome.OVERLOADED if ended is Outcome.OK else ended
+                    end_outcome = outcome if action.endpoint_id == 1 else Outcome.OK
+                    if end_outcome is not Outcome.OK or end_us > now_us + 300_000:
+                        end_us, end_outcome = (
+                            now_us + 4_000,
+                            Outcome.OVERLOADED if end_outcome is Outcome.OK else end_outcome,
+                        )
                     else:
                         free_us[action.endpoint_id] = end_us
-                    ends.append((end_us, number, action.request_id, action.endpoint_id, attempt_index, ended, now_us))
+                    pending_ends.append(
+                        (end_us, sidecar, action.request_id, action.endpoint_id, attempt_index, end_outcome, now_us)
+                    )
                     if action.endpoint_id == 1:
                         sent_us.append(now_us)
         now_us += 4_000
@@ -233,7 +241,7 @@
     for rates in ([1, 1, 1], [3, 0, 0], [1] * 8, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR, Outcome.CONNECT_FAILED):
             assert 0 < peak_load_share(rates, outcome) <= 1, (rates, outcome)
-    for outcome in (Outcome.OK, Outcome.OVERLOADED):  # the rule allows for chance, and the limit is 12 attempts
+    for outcome in (Outcome.OK, Outcome.OVERLOADED):  # random draws may exceed the limit of 12 attempts by a little
         shares = [peak_load_share([1] * 24, outcome, seed=seed) for seed in (0, 100, 200)]
         assert 0 < statistics.median(shares) <= 1, (shares, outcome)
         assert max(shares) < 1.2, (shares, outcome)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -20,14 +20,14 @@
 def test_selection_forwards_at_once_when_an_endpoint_is_ready() -> None:
     host = ready_host()
     request = host.arrive(READ)
-    assert [s.endpoint_id in host.known for s in host.forward_actions(request)] == [True]
+    assert [s.endpoint_id in host.latest_entries for s in host.forward_actions(request)] == [True]
 
 
 def test_selection_spreads_over_all_endpoints_when_all_are_well() -> None:
     host = ready_host(6)
     for _ in range(60):
         host.end(host.arrive(READ), 0, Outcome.OK)
-    assert {s.endpoint_id for s in host.forward_actions()} == set(host.known)
+    assert {s.endpoint_id for s in host.forward_actions()} == set(host.latest_entries)
 
 
 def test_selection_avoids_endpoints_when_they_drain_or_are_removed() -> None:
@@ -41,29 +41,29 @@
 def test_selection_prefers_this_zone_when_crossing_costs() -> None:
     host = ready_host(8, zone=1, cross_zone_cost=0.03)
     first = [host.arrive(READ) for _ in range(2 * INITIAL_SLOT_LIMIT)]
-    assert {host.known[host.forward_actions(r)[0].endpoint_id].zone for r in first} == {1}
+    assert {host.latest_entries[host.forward_actions(r)[0].endpoint_id].zone for r in first} == {1}
     overflow = host.arrive(READ)
-    assert host.known[host.forward_actions(overflow)[0].endpoint_id].zone != 1
+    assert host.latest_entries[host.forward_actions(overflow)[0].endpoint_id].zone != 1
 
 
 def test_selection_ignores_zones_when_crossing_is_free() -> None:
     host = ready_host(8, zone=1)
     run_traffic(host, 100)
-    assert {host.known[s.endpoint_id].zone for s in host.forward_actions()} == {0, 1, 2, 3}
+    assert {host.latest_entries[s.endpoint_id].zone for s in host.forward_actions()} == {0, 1, 2, 3}
 
 
 def test_selection_crosses_zones_when_this_zone_admits_little() -> None:
     host = ready_host(8, zone=1, cross_zone_cost=0.2, fleet_size=400)
     run_traffic(host, 30, class_index=PAY)
-    assert {host.known[s.endpoint_id].zone for s in host.forward_actions()} == {1}
+    assert {host.latest_entries[s.endpoint_id].zone for s in host.forward_actions()} == {1}
     sends_before = len(host.forward_actions())
     for _ in range(30):
         request = host.arrive(PAY)
-        sends_here = [s for s in host.forward_actions(request) if host.known[s.endpoint_id].zone == 1]
+        sends_here = [s for s in host.forward_actions(request) if host.latest_entries[s.endpoint_id].zone == 1]
         host.advance(300_000 if sends_here else 20_000)
         if not sends_here and host.request_records[request].outstanding_indexes():
             host.end(request, 0, Outcome.OK)
-    crossed = [s for s in host.forward_actions()[sends_before:] if host.known[s.endpoint_id].zone != 1]
+    crossed = [s for s in host.forward_actions()[sends_before:] if host.latest_entries[s.endpoint_id].zone != 1]
     assert len(crossed) >= 10
     assert len(host.forward_actions()) - sends_before >= 25
 
--- a/tests/test_unusual_events.py
+++ b/tests/test_unusual_events.py
@@ -22,7 +22,7 @@
 from tests.policy_host import START_US, PolicyHost, settings, upstreams
 
 
-def test_policy_changes_nothing_when_events_are_about_unknown_items() -> None:
+def test_policy_ignores_events_when_they_refer_to_unknown_ids() -> None:
     host = PolicyHost()
     host.update_endpoints(upstreams(3))
     for event in (
@@ -51,7 +51,7 @@
     assert host.deliver(ClientDisconnected(served)) == []
 
 
-def test_policy_ignores_an_outcome_when_the_attempt_was_never_made() -> None:
+def test_policy_ignores_an_outcome_when_the_attempt_does_not_exist() -> None:
     host = PolicyHost()
     host.update_endpoints(upstreams(3))
     request = host.arrive(0)
