--- a/tests/test_interleaving_settings.py
+++ b/tests/test_interleaving_settings.py
@@ -120,5 +120,5 @@
         0.0,
         0.0,
     ]
-    assert outstanding.class_state.rules is not new_settings.classes[1]
-    assert outstanding.class_state.rules.effect == "idempotent"
+    assert outstanding.class_state.request_class is not new_settings.classes[1]
+    assert outstanding.class_state.request_class.effect == "idempotent"
