--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -11,9 +11,9 @@
 
 from garnetusher.sidecar.addresses import Address
 from garnetusher.sidecar.admin.messages import AdminRequest, AdminResponse, Route
-from garnetusher.sidecar.downstream.listener import Listener, listen_at
+from garnetusher.sidecar.downstream.listener import Listener, open_listening_socket
 from garnetusher.sidecar.downstream.response_writer import REASONS
-from garnetusher.sidecar.downstream.server import LISTEN_PATIENCE_S
+from garnetusher.sidecar.downstream.server import LISTEN_RETRY_TIMEOUT_S
 
 log = logging.getLogger(__name__)
 
@@ -103,7 +103,7 @@
         Raises:
             OSError: the address stays taken.
         """
-        sock = await listen_at(address, BACKLOG, LISTEN_PATIENCE_S)
+        sock = await open_listening_socket(address, BACKLOG, LISTEN_RETRY_TIMEOUT_S)
         self._listener = Listener(sock, lambda _: AdminConnection(self))
         self._listener.start()
 
--- a/garnetusher/sidecar/downstream/__init__.py
+++ b/garnetusher/sidecar/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: accepts connections, reads requests and writes responses."""
+"""The downstream side: accepts client connections, reads requests and writes responses."""
--- a/garnetusher/sidecar/downstream/arrival_time.py
+++ b/garnetusher/sidecar/downstream/arrival_time.py
@@ -1,7 +1,8 @@
-"""When the bytes that are read from clients arrived, at the earliest.
+"""Estimates of the earliest time at which the bytes read from clients arrived.
 
-While this process is held up or short of memory, bytes wait in the kernel and the time of their client runs. A request
-is therefore dated by the last moment in which it was not there yet. All times are monotonic microseconds.
+While this process is paused or short of memory, received bytes wait in the kernel, and the client's deadline already
+runs. The arrival time of a request is therefore the last time at which the request was known not to have arrived. All
+times are monotonic microseconds.
 """
 
 from __future__ import annotations
@@ -11,100 +12,104 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.sockets import SteadySocket
 
-BURST_WINDOW_US = (
-    20_000  # bytes read so soon after the set-up, or after other bytes, may have arrived together with them
-)
-MAX_BURST_US = 500_000  # of a body that keeps coming after a hold-up, what was read so long after its start is new
+# Bytes that are read within this time after the set-up of a connection or after a previous read may have arrived
+# together with the connection or with the previous bytes.
+BURST_WINDOW_US = 20_000
+# While a body keeps arriving after a pause of this process, bytes read this long after the first ones are new.
+MAX_BURST_US = 500_000
 
 
 class EventLoopLag:
-    """Dates by a periodic check that is overdue for how long the event loop may have been held up."""
+    """Detects pauses of the event loop from the delay of a periodic check."""
 
     def __init__(self) -> None:
-        self._next_check_due_us = 0  # 0: no check has run yet
+        self._next_check_due_us = 0  # 0 means that no check has run yet
 
     def record_check(self, checked_at_us: int, interval_us: int) -> None:
-        """Record that all that had arrived at the time of a check has been read."""
+        """Record that the event loop has read all bytes that had arrived before a check."""
         self._next_check_due_us = checked_at_us + interval_us
 
     def earliest_arrival_us(self) -> int:
-        """Return when bytes that are read now arrived, at the earliest."""
+        """Return the earliest time at which bytes that are read now may have arrived."""
         if self._next_check_due_us:
             return min(monotonic_us(), self._next_check_due_us)
         return monotonic_us()
 
 
 class ArrivalTimes:
-    """The earliest times of arrival on one connection.
+    """The earliest arrival times on one connection.
 
     Attributes:
-        accepted_us: when the connection was made, at the earliest.
-        arrived_us: when the bytes that were read last arrived, at the earliest.
-        paused_since_us: since when the body is not read on; 0 while it is.
+        accepted_us: The earliest time at which the client may have connected.
+        arrived_us: The earliest time at which the most recently read bytes may have arrived.
+        paused_since_us: The time since when reading of the body is paused; 0 while it is not paused.
     """
 
     def __init__(
         self, accepted_us: int, loop_earliest_arrival_us: Callable[[], int], sock: SteadySocket | None
     ) -> None:
-        """Begin with a connection that has just been accepted.
+        """Initialize for a connection that has just been accepted.
 
         Args:
-            accepted_us: when it was made, at the earliest.
-            loop_earliest_arrival_us: when bytes read now arrived, as far as the event loop knows.
-            sock: the connection's socket; without one the kernel can't be asked about it.
+            accepted_us: The earliest time at which the client may have connected.
+            loop_earliest_arrival_us: Returns the earliest time at which bytes that are read now may have arrived,
+                judged by the delays of the event loop.
+            sock: The connection's socket. Without it, the estimates do not use information from the kernel.
         """
         self.accepted_us = accepted_us
         self._loop_earliest_arrival_us = loop_earliest_arrival_us
         self._sock = sock
-        self._set_up_us = 0  # when the event loop began to read it
+        self._reading_started_us = 0  # the time at which the event loop started to read the connection
         self.reset()
 
     def reset(self) -> None:
-        """Begin a new request."""
+        """Reset the state for the connection's next request."""
         self.arrived_us = 0
         self.paused_since_us = 0
-        self._read_at_us = 0  # when bytes were last read
-        self._incomplete_at_us = 0  # when the rest of a paused body was last seen not to be in the kernel
-        self._complete_since_us = 0  # since when it has been there, at the earliest; 0: it was not seen there
+        self._read_at_us = 0  # the time of the most recent read
+        self._incomplete_at_us = 0  # the last time at which the kernel did not hold all of the rest of a paused body
+        self._complete_since_us = 0  # the earliest time at which it held all of the rest; 0 if not seen yet
 
     def start_reading(self) -> int:
-        """Record that the event loop reads the connection from now on; return the time."""
-        self._set_up_us = monotonic_us()
-        return self._set_up_us
+        """Record that the event loop starts to read the connection now, and return the current time."""
+        self._reading_started_us = monotonic_us()
+        return self._reading_started_us
 
     def record_read(self, *, first_request: bool) -> None:
-        """Date bytes that have just been read.
+        """Update the arrival time for bytes that have just been read.
 
-        After a hold-up all that had arrived meanwhile is read piece by piece without a pause: the later pieces are as
-        old as the first one.
+        After a pause of this process, the event loop reads all bytes that arrived during the pause in several reads
+        shortly after each other, so bytes from the later reads may be as old as those from the first.
 
         Args:
-            first_request: the connection has not carried a valid request yet.
+            first_request: Whether the connection has not carried a valid request yet.
         """
         now_us = monotonic_us()
         arrived_us = self._earliest_arrival_us(first_request=first_request)
-        in_burst = now_us < self._read_at_us + BURST_WINDOW_US and self.arrived_us < self._read_at_us - BURST_WINDOW_US
-        if in_burst and arrived_us < self.arrived_us + MAX_BURST_US:
+        same_burst = (
+            now_us < self._read_at_us + BURST_WINDOW_US and self.arrived_us < self._read_at_us - BURST_WINDOW_US
+        )
+        if same_burst and arrived_us < self.arrived_us + MAX_BURST_US:
             arrived_us = min(arrived_us, self.arrived_us)
         self.arrived_us = arrived_us
         self._read_at_us = now_us
 
     def pause(self) -> None:
-        """Record that the body is not read on from now on."""
+        """Record that reading of the body is paused."""
         self.paused_since_us = self.paused_since_us or self._loop_earliest_arrival_us()
 
     def resume(self) -> None:
-        """Record that the body is read on."""
+        """Record that reading of the body continues."""
         self.paused_since_us = 0
         self._incomplete_at_us = 0
 
     def complete_unread_since_us(self, missing_size: int | None) -> int:
-        """Return since when all of a paused body has been in the kernel, at the earliest; 0 if it is still to come.
+        """Return the earliest time at which the kernel may have held all of a paused body; 0 if it is not known to.
 
-        Its client's time has begun then, though the last byte has not been read.
+        The client's deadline runs from that time, although the last byte has not been read.
 
         Args:
-            missing_size: the bytes of the body that have not been read; None if its length is not known.
+            missing_size: The number of body bytes that have not been read; None if the body's length is unknown.
         """
         if self.paused_since_us and not self._complete_since_us and missing_size is not None and self._sock is not None:
             if self._sock.unread() >= missing_size:
@@ -115,7 +120,7 @@
 
     def _earliest_arrival_us(self, *, first_request: bool) -> int:
         arrived_us = self._loop_earliest_arrival_us()
-        if first_request and monotonic_us() < self._set_up_us + BURST_WINDOW_US:
+        if first_request and monotonic_us() < self._reading_started_us + BURST_WINDOW_US:
             arrived_us = min(arrived_us, self.accepted_us)
         if self._sock is not None:
             arrived_us = min(arrived_us, self._sock.reads.since_us() or arrived_us)
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: it carries one HTTP/1.1 request at a time, from its first byte to the end of its response."""
+"""One client connection, which handles one HTTP/1.1 request at a time from its first byte to its complete response."""
 
 from __future__ import annotations
 
@@ -22,39 +22,40 @@
 
 log = logging.getLogger(__name__)
 
-CHECK_INTERVAL_S = 0.1  # between checks of all connections
-BODY_MEMORY_TIMEOUT_US = 5_000_000  # for memory for a long body to come free
-RESTART_RETRY_AFTER_US = 1_000_000  # after which another process has taken the place of one that stops
-LINGER_INTERVAL_S = 1.0  # between checks whether a client has read its last response
+CHECK_INTERVAL_S = 0.1  # interval between time-out checks of all connections
+BODY_MEMORY_TIMEOUT_US = 5_000_000  # maximum wait for free memory for a long body
+RESTART_RETRY_AFTER_US = 1_000_000  # a new process has replaced a stopping one by then
+LINGER_CHECK_INTERVAL_S = 1.0  # interval between checks whether a client has read its last response
 
 
 class ConnectionState(enum.Enum):
-    """Whether a connection takes further requests."""
+    """The states of a connection, which tell whether it accepts further requests."""
 
     ACTIVE = "active"
-    CLOSE_SCHEDULED = "close scheduled"  # it closes after two rounds of the loop if no request has been read by then
-    CLOSING = "closing"  # what still comes is discarded
+    CLOSE_SCHEDULED = "close scheduled"  # closes after two event loop iterations unless a request arrives first
+    CLOSING = "closing"  # further input is discarded
 
 
 class DownstreamConnection(SharedBufferProtocol):
-    """A client's connection.
+    """A connection from a client.
 
     Attributes:
-        state: whether it takes further requests.
-        reader: the request that is being read.
-        writer: the response that is being written.
-        arrival_times: when what was read arrived.
-        has_open_request: the dispatcher has a request of it that has no final response yet.
-        has_sent_valid_request: a valid request has been read from it, so its next one has the full read time-out.
-        idle_since_us: when it was set up, or its last response or discarded bytes ended.
+        state: Whether the connection accepts further requests.
+        reader: Parses the current request.
+        writer: Writes the current response.
+        arrival_times: Estimates when the bytes that were read arrived.
+        has_open_request: Whether the dispatcher has a request from this connection without a final response.
+        has_sent_valid_request: Whether the client has sent a valid request. Each further request then has the full
+            read time-out.
+        idle_since_us: The latest time at which the connection was set up, finished a response, or discarded input.
     """
 
     def __init__(self, server: DownstreamServer, sock: SteadySocket | None = None) -> None:
-        """Begin with a connection that has just been accepted.
+        """Initialize a connection that has just been accepted.
 
         Args:
-            server: the server that accepted it.
-            sock: its socket; without one the kernel can't be asked about its client.
+            server: The server that accepted the connection.
+            sock: The connection's socket. Without it, the kernel's information about the client is not used.
         """
         self.server = server
         self.state = ConnectionState.ACTIVE
@@ -65,48 +66,49 @@
         self.has_sent_valid_request = False
         self.idle_since_us = 0
         self._sock = sock
-        self._request_id = 0  # the dispatcher's number for the request
+        self._request_id = 0  # the dispatcher's identifier of the current request
         self._close_after_response = False
-        self._client_half_closed = False  # the client sends nothing more
+        self._client_half_closed = False  # the client has closed its sending side
 
     @property
     def transport(self) -> asyncio.Transport:
-        """The transport; raises `NotConnectedError` before `connection_made`."""
+        """The connection's transport; raises `NotConnectedError` before `connection_made`."""
         return self.writer.transport
 
     @property
     def closing(self) -> bool:
-        """Whether what still comes is discarded."""
+        """Whether the connection is closing and discards further input."""
         return self.state is ConnectionState.CLOSING
 
     @property
     def idle(self) -> bool:
-        """Whether it waits for the first bytes of a request."""
+        """Whether the connection waits for the first bytes of a request."""
         return not self.has_open_request and not self.closing and self.reader.message_started_us == 0
 
     # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read."""
+        """Start reading from the client."""
         self.writer.connect(transport)
         self.idle_since_us = self.arrival_times.start_reading()
         self.reader.set_deadline(self.arrival_times.accepted_us)
-        self.server.connected(self)
+        self.server.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection; its request goes no further."""
+        """Remove the connection from the server and cancel its request."""
         self.server.connections.pop(self, None)
         self._drop_request()
 
     def eof_received(self) -> bool:
-        """Handle the end of the client's sending side; return whether the connection stays open.
+        """Handle the end of the client's input and return whether the connection stays open.
 
-        No socket tells whether the client has disconnected or only waits for its response before something is
-        written. So nothing is forwarded for it from now on, and it gets a response.
+        Until something is written, the socket does not show whether the client has disconnected or has only closed
+        its sending side and waits for the response. The client therefore gets a response, but nothing more is
+        forwarded for it.
         """
         if not (self.has_open_request and self.reader.complete):
             if self.writer.source is not None:
-                self._reject(400)  # a plain end would make the response to half a body look complete
+                self._reject(400)  # an orderly close would make a partial response look complete
             return False
         self._close_after_response = True
         self._client_half_closed = True
@@ -114,20 +116,20 @@
         return True
 
     def pause_writing(self) -> None:
-        """Hold back the source of the response."""
+        """Pause the source of the response."""
         self.writer.pause()
 
     def resume_writing(self) -> None:
-        """Let the source of the response go on."""
+        """Resume the source of the response."""
         self.writer.resume()
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes of a request."""
+        """Process bytes from the client."""
         if self.closing:
             self.idle_since_us = monotonic_us()
             return
         if self.has_open_request and self.reader.complete:
-            self.reader.has_extra_bytes = True  # pipelined: the open request gets its response, then the end
+            self.reader.has_extra_bytes = True  # pipelining: the connection closes after the open request's response
             return
         self.reader.start_message(renew_deadline=self.has_sent_valid_request)
         self.arrival_times.record_read(first_request=not self.has_sent_valid_request)
@@ -136,8 +138,8 @@
         except RequestRejected as rejection:
             self._reject_with_reason(rejection)
         except Exception:
-            # a fault with one request must end neither the process nor other requests
-            log.exception("a request could not be read")
+            # An unexpected error in one request must affect neither the process nor other requests.
+            log.exception("unexpected error while processing a client request; responding with status 500")
             self._reject(500)
 
     # Reading a request
@@ -145,7 +147,7 @@
     def _read_request(self, data: bytes) -> None:
         self.reader.feed(data)
         if self.closing:
-            return  # it got its response while its body was still coming
+            return  # the client got a response before the body was complete
         if self.reader.complete:
             self._on_request_complete()
         elif self.reader.exceeds_buffer:
@@ -166,7 +168,7 @@
             self.writer.write_continue()
 
     def _on_request_complete(self) -> None:
-        """Hand over the request, or the end of its body."""
+        """Dispatch the request, or the end of a streamed body."""
         self.has_sent_valid_request = True
         if self.reader.is_readiness_check:
             self._write_response(200 if self.server.ready else 503, b"")
@@ -182,10 +184,10 @@
         self.has_open_request = True
         self._request_id = self.server.dispatcher.on_request(http_request, self)
 
-    # A body that is longer than what is buffered
+    # Bodies that exceed the buffer limit
 
     def _start_upload(self) -> None:
-        """Stream the body on as it comes, once there is memory for it."""
+        """Switch to streaming the body, which begins when body memory is available."""
         self.reader.upload = Upload(bytes(self.reader.body), self.reader.body_length, self)
         self.reader.body = bytearray()
         self.pause_body()
@@ -204,20 +206,20 @@
         self._request_id = self.server.dispatcher.on_request(http_request, self, body_complete=False)
 
     def _finish_upload(self, upload: Upload) -> None:
-        arrived_us = self.arrival_times.arrived_us  # the end of the upload may bring a response, which resets it
+        arrived_us = self.arrival_times.arrived_us  # a response during `finish` resets this time
         upload.finish()
         if self.has_open_request:
             self.server.dispatcher.on_body_complete(self._request_id, arrived_us)
 
     def pause_body(self) -> None:
-        """Read no more of the body: no upstream takes it."""
+        """Pause reading the body because no upstream attempt takes it."""
         if self.reader.upload is None or self.reader.complete:
             return
         self.arrival_times.pause()
         self.transport.pause_reading()
 
     def resume_body(self) -> None:
-        """Read more of the body."""
+        """Resume reading the body."""
         if self.reader.upload is None:
             return
         self.arrival_times.resume()
@@ -225,16 +227,16 @@
         self.transport.resume_reading()
 
     def body_not_replayable(self) -> None:
-        """Tell the dispatcher that more of the body was streamed on than is buffered."""
+        """Tell the dispatcher that the body cannot be replayed, because it exceeds the buffer."""
         self.server.dispatcher.on_not_replayable(self._request_id)
 
     # Rejecting a request without the dispatcher
 
-    def shed_unread(self, retry_after_us: int = RESTART_RETRY_AFTER_US) -> None:
-        """Shed a request that has not been read completely, and so has not run.
+    def shed_incomplete_request(self, retry_after_us: int = RESTART_RETRY_AFTER_US) -> None:
+        """Shed a request that has not been read completely and therefore has not run.
 
         Args:
-            retry_after_us: told to the client as far as the settings allow.
+            retry_after_us: The value of the Retry-After header, limited by the settings, which may also disable it.
         """
         settings = self.server.router.settings
         retry_after_us = min(retry_after_us, settings.max_retry_after_us) if settings.send_retry_after else 0
@@ -244,9 +246,10 @@
         self._reject(rejection.status, str(rejection).encode() + b"\n")
 
     def _reject(self, status: int, body: bytes = b"", headers: bytes = b"") -> None:
-        """Drop the request and close the connection behind an error response.
+        """Drop the request, send an error response and close the connection.
 
-        Where a streamed response has begun, an error would be read as part of it: the connection is reset instead.
+        If a streamed response has started, the client would read the error as part of it, so the connection is
+        reset instead.
         """
         response_started = self.writer.source is not None
         self._drop_request()
@@ -256,7 +259,7 @@
             self._write_response(status, body, headers, close=True)
 
     def _drop_request(self) -> None:
-        """Take a request that is here no further."""
+        """Cancel the current request, if there is one, and release its body memory."""
         if self.reader.upload is not None:
             self.server.body_memory.release(self._dispatch_streamed_request)
             self.reader.upload = None
@@ -264,10 +267,10 @@
             self.has_open_request = False
             self.server.dispatcher.on_client_disconnected(self._request_id)
 
-    # The response, as the dispatcher hands it over
+    # Responses from the dispatcher
 
     def send_response(self, response: FinalResponse) -> None:
-        """Write the one final response, unless a streamed one has begun."""
+        """Write the single final response of a request whose response has not been streamed."""
         self.has_open_request = False
         if response.disposition is Disposition.SERVED:
             self._write_response(200, response.body, content_type_header(response.content_type))
@@ -277,7 +280,7 @@
             self._write_response(500, b"")
 
     def begin_response(self, head: Head, source: Source) -> None:
-        """Write the head of the final response, which is long and is streamed."""
+        """Write the head of a long final response, whose body is streamed."""
         ends_with_connection = self.writer.start_stream(head, source, allow_chunked=not self.reader.is_http_1_0)
         self._decide_close(close=ends_with_connection)
         self.writer.write_stream_head(head, close=self._close_after_response)
@@ -287,10 +290,11 @@
         self.writer.write_chunk(data)
 
     def finish_response(self, *, complete: bool) -> None:
-        """End a streamed response.
+        """Finish a streamed response.
 
         Args:
-            complete: it is; else the connection is reset, as a plain end would make it look complete.
+            complete: Whether all of the response was written. If not, the connection is reset, because an orderly
+                close would make the response look complete.
         """
         self.has_open_request = False
         self.writer.source = None
@@ -303,18 +307,20 @@
             self._on_response_complete()
 
     def client_has_closed(self) -> bool:
-        """Return whether the client has closed, or ended its sending side, as far as the kernel knows.
+        """Return whether the kernel knows that the client has closed the connection or its sending side.
 
-        The event loop reads a request before the end behind it, and nothing while reading is paused.
+        The event loop may not know yet: it reads pending data before the end of input, and reads nothing while reading
+        is paused.
         """
         if self._client_half_closed or self.transport.is_closing():
             return True
         return self._sock is not None and self._sock.peer_has_ended()
 
     def body_complete_since_us(self) -> int:
-        """Return since when a body that has not been read completely may have been sent completely, at the earliest.
+        """Return the earliest time at which the client may have sent all of a body that is not read completely.
 
-        Its last bytes may be in the client's kernel. While it is read as it comes that is about now.
+        The last bytes may still be in the client's kernel. While the body is not paused, this is the arrival time of
+        the most recently read bytes, which is about the current time.
         """
         return self._complete_unread_since_us() or self.arrival_times.arrived_us
 
@@ -329,17 +335,17 @@
         self._on_response_complete()
 
     def _decide_close(self, *, close: bool) -> None:
-        """Close after a response to a body that is still coming: what follows would be read as a request."""
+        """Decide whether to close after the response; the rest of an incomplete body would be read as a request."""
         if close or not self.reader.complete or self.server.lifecycle.closing:
             self._close_after_response = True
 
     def _on_response_complete(self) -> None:
-        """Go on to the next request, or end the connection."""
+        """Prepare for the next request or close the connection."""
         self._drop_request()
         if self.reader.has_extra_bytes and not self._close_after_response:
             self.writer.write_pipelining_error()
         if self._close_after_response or self.reader.has_extra_bytes:
-            self._end()
+            self._start_lingering_close()
             return
         self.reader.reset()
         self.writer.reset()
@@ -347,40 +353,40 @@
         self.idle_since_us = monotonic_us()
         self.transport.resume_reading()
 
-    # The end of the connection
+    # Closing the connection
 
-    def _end(self) -> None:
-        """End the sending side and discard what still comes.
+    def _start_lingering_close(self) -> None:
+        """Close the sending side and discard further input.
 
-        Closing with bytes unread would reset the connection, and the client might lose its response.
+        Closing a socket with unread bytes resets the connection, and the client might lose the response.
         """
         self.state = ConnectionState.CLOSING
-        if self._client_half_closed:  # no bytes can come any more, and the descriptor is free at once
+        if self._client_half_closed:  # no further input can arrive, and an immediate close frees the descriptor
             self.transport.close()
             return
         self.transport.resume_reading()
-        with contextlib.suppress(OSError):  # the client has just reset the connection
+        with contextlib.suppress(OSError):  # the client may have just reset the connection
             self.transport.write_eof()
         self.idle_since_us = monotonic_us()
-        self._linger(self.idle_since_us + STALL_TIMEOUT_US)
+        self._continue_lingering_close(self.idle_since_us + STALL_TIMEOUT_US)
 
-    def _linger(self, deadline_us: int) -> None:
-        """Abort once the client, which may read slowly or still send, has the end of its response.
+    def _continue_lingering_close(self, deadline_us: int) -> None:
+        """Abort the connection when the client has received the whole response and has stopped sending.
 
         Args:
-            deadline_us: a client that sends without end is waited for no longer than this.
+            deadline_us: The time after which a client that keeps sending is no longer waited for.
         """
         now_us = monotonic_us()
-        still_sends = self.idle_since_us + LINGER_INTERVAL_S * 1e6 > now_us and deadline_us > now_us
+        still_sends = self.idle_since_us + LINGER_CHECK_INTERVAL_S * 1e6 > now_us and deadline_us > now_us
         if self.writer.unsent_size or still_sends:
-            asyncio.get_running_loop().call_later(LINGER_INTERVAL_S, self._linger, deadline_us)
+            asyncio.get_running_loop().call_later(LINGER_CHECK_INTERVAL_S, self._continue_lingering_close, deadline_us)
         else:
             self.transport.abort()
 
     def schedule_close(self) -> None:
-        """Close an idle connection after two rounds of the loop, in which what the kernel holds of it is read.
+        """Close an idle connection after two event loop iterations, which read pending input from the kernel.
 
-        Closing at once would reset a connection with a request that has arrived and was not read.
+        An immediate close would reset a connection with a request that has arrived but has not been read.
         """
         if self.state is ConnectionState.ACTIVE:
             self.state = ConnectionState.CLOSE_SCHEDULED
@@ -394,7 +400,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close a connection that carries no complete request."""
+        """Close the connection if the write gate confirms that it carries no complete request."""
         carries_request = self.has_open_request and self.reader.complete
         if not self.server.dispatcher.write_gate.may_close(self._request_id, carries_request):
             return
@@ -404,16 +410,16 @@
     # Time-outs
 
     def check_timeouts(self, now_us: int) -> None:
-        """End what has taken too long: a client that sends nothing or half a request would stay for ever.
+        """Apply the time-outs; a client that sends nothing or a partial request would otherwise stay connected forever.
 
         Args:
-            now_us: the time of the check, which all connections share.
+            now_us: The time of the check, which is the same for all connections.
         """
         self.writer.abort_if_stalled(now_us)
         if self.closing or self.reader.complete:
             return
         if self.has_sent_valid_request and self.reader.message_started_us == 0:
-            return  # idle between two requests
+            return  # the connection is idle between two requests
         if self.arrival_times.paused_since_us:
             self._check_paused_body(now_us)
         elif now_us > self.reader.deadline_us:
@@ -425,14 +431,14 @@
     def _check_paused_body(self, now_us: int) -> None:
         paused_us = now_us - self.arrival_times.paused_since_us
         if self.client_has_closed() or self._must_respond_before_next_check(now_us):
-            self.shed_unread()
+            self.shed_incomplete_request()
         elif not self.has_open_request and paused_us > BODY_MEMORY_TIMEOUT_US:
-            self.shed_unread(BODY_MEMORY_TIMEOUT_US)
+            self.shed_incomplete_request(BODY_MEMORY_TIMEOUT_US)
         elif self.has_open_request and paused_us > STALL_TIMEOUT_US:
             self.server.dispatcher.on_body_stalled(self._request_id)
 
     def _must_respond_before_next_check(self, now_us: int) -> bool:
-        """Whether the client's time for a body that has arrived, but can't be read on, is nearly over."""
+        """Return whether the request's deadline nearly expires although its fully arrived body cannot be read."""
         complete_since_us = self._complete_unread_since_us()
         http_request = self.reader.http_request
         if not complete_since_us or http_request is None:
--- a/garnetusher/sidecar/downstream/errors.py
+++ b/garnetusher/sidecar/downstream/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the clients' side."""
+"""Errors of the downstream side."""
 
 from __future__ import annotations
 
 from garnetusher.errors import GarnetusherError
 
 
-class RequestRejected(GarnetusherError):  # noqa: N818 - an answer to the client, and no fault of the program
-    """A request that is not accepted: it is answered with a status, and its connection closes.
+class RequestRejected(GarnetusherError):  # noqa: N818 - a response to the client, not an error of this program
+    """An invalid request: the client gets an error status, and the connection closes after the response.
 
     Attributes:
-        status: the HTTP status of the response.
+        status: The HTTP status of the response.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -18,7 +18,7 @@
 
 
 class NotConnectedError(GarnetusherError):
-    """A connection was used before the event loop had given it a stream transport."""
+    """A connection is used before the event loop has given it a stream transport."""
 
     def __init__(self) -> None:
         super().__init__("the connection has no stream transport yet")
--- a/garnetusher/sidecar/downstream/listener.py
+++ b/garnetusher/sidecar/downstream/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets that go on accepting on a machine that is short of descriptors or memory for a moment."""
+"""Listening sockets that keep accepting connections after temporary shortages of descriptors or memory."""
 
 from __future__ import annotations
 
@@ -9,75 +9,75 @@
 
 from garnetusher.sidecar.sockets import RETRY_S, SHORTAGES, Stall, SteadySocket, is_own
 
-MAX_ACCEPTS_PER_ROUND = 64  # then the event loop goes on to the connections that are there
-MAX_SETUP_TRIES = int(1 / RETRY_S)  # to add an accepted connection to the event loop: for about 1 s
+MAX_ACCEPTS_PER_ROUND = 64  # limit per event loop iteration, so that established connections are served too
+MAX_SETUP_TRIES = int(1 / RETRY_S)  # tries to add an accepted connection to the event loop, in about 1 s
 
 
 class Listener:
     """Accepts connections at one listening socket.
 
-    The event loop's own listener pauses for a second when accept fails for want of descriptors or memory, which is
-    longer than many clients wait, and its pause outlives the socket.
+    When accept fails for lack of descriptors or memory, asyncio's own listener pauses for a second. That is longer
+    than many clients wait, and asyncio's timer still fires after the socket is closed.
 
     Attributes:
-        sock: the listening socket.
-        stall: since when connections could not be accepted.
-        retry_timer: the timer after which accepting goes on; None unless it has paused on a shortage.
+        sock: The listening socket.
+        accept_failures: Records since when accept has failed.
+        retry_timer: Resumes accepting after a shortage; None while accepting is not paused by one.
     """
 
-    def __init__(self, sock: socket.socket, factory: Callable[[SteadySocket], asyncio.BaseProtocol]) -> None:
-        """Listen at a socket.
+    def __init__(self, sock: socket.socket, protocol_factory: Callable[[SteadySocket], asyncio.BaseProtocol]) -> None:
+        """Initialize for a listening socket, without accepting yet.
 
         Args:
-            sock: a listening socket.
-            factory: makes the protocol of a connection, in the moment in which that is accepted.
+            sock: The listening socket.
+            protocol_factory: Creates the protocol of a connection; called immediately after accept.
         """
         self.sock = sock
-        self.stall = Stall()
+        self.accept_failures = Stall()
         self.retry_timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
-        self._factory = factory
-        self._setup_tasks: set[asyncio.Task[Any]] = set()  # of connections accepted, and not yet in the event loop
-        sock.setblocking(False)  # noqa: FBT003 - the standard library takes it by position only
+        self._protocol_factory = protocol_factory
+        self._setup_tasks: set[asyncio.Task[Any]] = set()  # tasks that add accepted connections to the event loop
+        sock.setblocking(False)  # noqa: FBT003 - the standard library accepts this argument only by position
 
     def start(self) -> None:
-        """Accept from now on."""
+        """Start or resume accepting connections."""
         self.retry_timer = None
         self._loop.add_reader(self.sock.fileno(), self.accept)
 
     def pause(self) -> None:
-        """Stop accepting; what the kernel has queued stays there for other processes that hold the socket."""
+        """Stop accepting; connections in the kernel's queue stay there for other processes that share the socket."""
         self._loop.remove_reader(self.sock.fileno())
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
 
     def accept(self) -> bool:
-        """Accept some of the queued connections; return whether the queue is empty now."""
+        """Accept a limited number of queued connections and return whether the queue is empty."""
         for index in range(MAX_ACCEPTS_PER_ROUND):
             try:
                 connection, _ = self.sock.accept()
             except BlockingIOError:
-                if index == 0:  # another process has accepted it, or it can't be accepted yet
-                    self.stall.note()
+                if index == 0:  # another process has accepted the connection, or accepting is not possible yet
+                    self.accept_failures.note()
                 return True
             except OSError as error:
-                self.stall.note()
+                self.accept_failures.note()
                 if error.errno in SHORTAGES:
                     self.pause()
                     self.retry_timer = self._loop.call_later(RETRY_S, self.start)
                     return False
-                continue  # an error of the connection, which is gone by now
+                continue  # the error belongs to the connection, which the kernel has removed
             self._set_up(SteadySocket.adopt(connection))
         return False
 
     def _set_up(self, connection: SteadySocket) -> None:
-        task = self._loop.create_task(self._serve(connection, self._factory(connection)))
+        task = self._loop.create_task(self._add_to_event_loop(connection, self._protocol_factory(connection)))
         self._setup_tasks.add(task)
         task.add_done_callback(self._setup_tasks.discard)
 
-    async def _serve(self, connection: socket.socket, protocol: asyncio.BaseProtocol) -> None:
-        """Add an accepted connection to the event loop; close it if that stays impossible."""
+    async def _add_to_event_loop(self, connection: socket.socket, protocol: asyncio.BaseProtocol) -> None:
+        """Add an accepted connection to the event loop, or close it if all tries fail."""
         for _ in range(MAX_SETUP_TRIES):
             try:
                 await self._loop.connect_accepted_socket(lambda: protocol, connection)
@@ -89,24 +89,28 @@
                 return
         connection.close()
 
-    async def drain(self, longest_s: float) -> None:
-        """Accept all that the kernel has queued, for at most so long; closing the socket would reset it."""
-        ends_at_s = self._loop.time() + longest_s
-        while not self.accept() and self._loop.time() < ends_at_s:  # noqa: ASYNC110 - the kernel's queue has no event
+    async def drain(self, timeout_s: float) -> None:
+        """Accept all connections that the kernel has queued, since closing the socket would reset them.
+
+        Args:
+            timeout_s: The maximum duration.
+        """
+        deadline_s = self._loop.time() + timeout_s
+        while not self.accept() and self._loop.time() < deadline_s:  # noqa: ASYNC110 - no event reports an empty queue
             await asyncio.sleep(RETRY_S if self.retry_timer is not None else 0)
 
     def close(self) -> None:
-        """Close this process's copy of the socket; other processes may hold one, too."""
+        """Close this process's copy of the socket; other processes may keep their copies open."""
         self.pause()
         self.sock.close()
 
-    async def settled(self) -> None:
-        """Wait until all accepted connections are in the event loop."""
+    async def wait_for_setups(self) -> None:
+        """Wait until each accepted connection is added to the event loop or closed."""
         while self._setup_tasks:
             await asyncio.wait(set(self._setup_tasks))
 
 
-def _listening_socket(address: tuple[str, int], backlog: int) -> socket.socket:
+def _bind_and_listen(address: tuple[str, int], backlog: int) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -118,25 +122,25 @@
     return sock
 
 
-async def listen_at(address: tuple[str, int], backlog: int, patience_s: float) -> socket.socket:
-    """Open a listening socket, with retries while this machine does not allow it.
+async def open_listening_socket(address: tuple[str, int], backlog: int, retry_timeout_s: float) -> socket.socket:
+    """Open a listening socket, and retry after local errors.
 
-    A process that is started in the place of one that still ends, or on a machine that is short, tries again.
+    The address may still be in use by a previous process that is stopping, and the machine may be short of resources.
 
     Args:
-        address: where to listen.
-        backlog: connections that the kernel queues.
-        patience_s: for how long to try.
+        address: The host and port to listen on.
+        backlog: The maximum number of connections that the kernel queues.
+        retry_timeout_s: The time limit for retries.
 
     Raises:
-        OSError: it is still impossible then, or can't be cured by a retry.
+        OSError: The socket cannot be opened within the time limit, or the error is not a local one.
     """
     loop = asyncio.get_running_loop()
-    ends_at_s = loop.time() + patience_s
+    deadline_s = loop.time() + retry_timeout_s
     while True:
         try:
-            return _listening_socket(address, backlog)
+            return _bind_and_listen(address, backlog)
         except OSError as error:
-            if not is_own(error) or loop.time() >= ends_at_s:
+            if not is_own(error) or loop.time() >= deadline_s:
                 raise
         await asyncio.sleep(RETRY_S)
--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes responses to a connection: status line, head and body."""
+"""Writes responses to a connection: status line, headers and body."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from garnetusher.sidecar.downstream.errors import NotConnectedError
 from garnetusher.sidecar.streaming import LAST_CHUNK, STALL_TIMEOUT_US, Head, Source, chunk
 
-WRITE_BUFFER_LIMIT = 32 * 1024  # unsent bytes of a long response before its upstream is paused
+WRITE_BUFFER_LIMIT = 32 * 1024  # number of unsent bytes above which the source of a streamed response is paused
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 PIPELINING_RESPONSE = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 REASONS = {
@@ -29,47 +29,47 @@
     """Return a status line with headers.
 
     Args:
-        status: one of `REASONS`.
-        headers: header lines, each with its line end.
-        close: tell the client that the connection closes behind the response.
+        status: A status from `REASONS`.
+        headers: Header lines, each with its line end.
+        close: Whether to add `Connection: close`.
     """
     connection = b"Connection: close\r\n" if close else b""
     return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (status, REASONS[status], headers, connection)
 
 
 def content_type_header(content_type: bytes) -> bytes:
-    """Return the header line of a content type, or nothing without one."""
+    """Return a Content-Type header line, or nothing for an empty type."""
     return b"Content-Type: %s\r\n" % content_type if content_type else b""
 
 
 def retry_after_header(retry_after_us: int) -> bytes:
-    """Return the header line that tells when to retry, or nothing for 0."""
+    """Return a Retry-After header line, or nothing for 0."""
     return b"Retry-After: %.3f\r\n" % (retry_after_us / 1e6) if retry_after_us else b""
 
 
 class ResponseWriter:
-    """The response that is being written to a connection; it is reused for the connection's next response.
+    """Writer of a connection's current response; reused for each next response.
 
     Attributes:
-        source: where the rest of a streamed response comes from; None while none is streamed.
+        source: Supplies the rest of a streamed response; None while no response is streamed.
     """
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._blocked_since_us = 0  # since when the client has taken none of what was written; 0: all is taken
-        self._blocked_size = 0  # the unsent bytes, as last checked
+        self._blocked_since_us = 0  # start of the time without progress; 0 while writing is not paused
+        self._blocked_size = 0  # the number of unsent bytes at the last check
         self.reset()
 
     def reset(self) -> None:
-        """Begin the connection's next response."""
+        """Reset the state for the connection's next response."""
         self.source: Source | None = None
         self._chunked = False
 
     def connect(self, transport: asyncio.BaseTransport) -> None:
-        """Write to a transport from now on.
+        """Set the transport to write to.
 
         Raises:
-            NotConnectedError: it is no stream.
+            NotConnectedError: The transport is not a stream transport.
         """
         if not isinstance(transport, asyncio.Transport):
             raise NotConnectedError
@@ -81,7 +81,7 @@
         """The connection's transport.
 
         Raises:
-            NotConnectedError: it has none yet.
+            NotConnectedError: The connection has no transport yet.
         """
         if self._transport is None:
             raise NotConnectedError
@@ -89,27 +89,27 @@
 
     @property
     def unsent_size(self) -> int:
-        """Bytes of responses that the client has not taken yet."""
+        """The number of response bytes that are not yet handed to the kernel."""
         return self.transport.get_write_buffer_size()
 
     def write_continue(self) -> None:
-        """Tell the client to send the body."""
+        """Write a 100 (Continue) response, which asks the client to send the body."""
         self.transport.write(CONTINUE_RESPONSE)
 
     def write_pipelining_error(self) -> None:
-        """Reject what came behind a request before its response."""
+        """Write an error response to input that followed a request before its response."""
         self.transport.write(PIPELINING_RESPONSE)
 
     def write_response(self, status: int, body: bytes, headers: bytes, *, close: bool) -> None:
-        """Write a complete response; see `response_head` for the arguments."""
+        """Write a complete response; `response_head` describes the arguments."""
         headers += b"Content-Length: %d\r\n" % len(body)
         self.transport.write(response_head(status, headers, close=close) + body)
 
     def start_stream(self, head: Head, source: Source, *, allow_chunked: bool) -> bool:
-        """Choose the framing of a streamed response: its length, chunks, or the end of the connection.
+        """Choose the framing of a streamed response: a known length, chunks, or the close of the connection.
 
         Returns:
-            Whether only the end of the connection will tell the end of the response.
+            Whether only the close of the connection marks the end of the response.
         """
         self.source = source
         self._chunked = head.length is None and allow_chunked
@@ -139,19 +139,19 @@
             self.transport.write(LAST_CHUNK)
 
     def pause(self) -> None:
-        """Pause the source: the client reads more slowly than the upstream sends."""
+        """Pause the source because the client reads more slowly than the upstream sends."""
         self._blocked_since_us = monotonic_us()
         if self.source is not None:
             self.source.pause()
 
     def resume(self) -> None:
-        """Resume the source: the client has taken most of what was written."""
+        """Resume the source because most of the unsent bytes have been sent."""
         self._blocked_since_us = 0
         if self.source is not None:
             self.source.resume()
 
     def abort_if_stalled(self, now_us: int) -> None:
-        """Abort the connection if its client has taken nothing for the stall time-out."""
+        """Abort the connection if the client has read nothing for the duration of the stall time-out."""
         if not self._blocked_since_us:
             return
         unsent_size = self.unsent_size
--- a/garnetusher/sidecar/downstream/router.py
+++ b/garnetusher/sidecar/downstream/router.py
@@ -1,4 +1,4 @@
-"""Checks a request's head against the settings, and finds its class and tenant in them."""
+"""Validates request heads against the settings, and determines the class and tenant of each request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 MAX_INTEGER_DIGITS = 12
 AFFINITY_KEY_MASK = 0xFFFF_FFFF_FFFF_FFFF
-# headers that are not forwarded: they belong to this connection, or are written anew for each attempt
+# Headers that are not forwarded: they apply to one connection only, or are rewritten for each attempt.
 CONNECTION_HEADERS = frozenset(
     (
         b"host",
@@ -28,10 +28,10 @@
 
 
 def parse_integer(text: bytes, header_name: str) -> int:
-    """Return the number in a header.
+    """Return the value of an integer header.
 
     Raises:
-        RequestRejected: there is no number, or it is too large.
+        RequestRejected: The value is not a non-negative integer or has too many digits.
     """
     if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS:
         raise RequestRejected(400, f"{header_name} is no whole number")
@@ -39,12 +39,12 @@
 
 
 class RequestRouter:
-    """The classes and tenants that requests may name, in one version of the settings.
+    """Maps requests to the classes and tenants of one version of the settings.
 
     Attributes:
-        settings: that version.
-        class_indexes: each class's place in it, by the name as it is on the wire.
-        tenant_indexes: each tenant's place in it, likewise.
+        settings: The settings that the router uses.
+        class_indexes: The index of each class in the settings, by the encoded class name.
+        tenant_indexes: The index of each tenant in the settings, by the encoded tenant name.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -53,10 +53,10 @@
         self.tenant_indexes = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
 
     def route(self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]]) -> HttpRequest:
-        """Check a request's head and return the request with its place in the settings.
+        """Validate a request's head and return the request with its class and tenant.
 
         Raises:
-            RequestRejected: the class is unknown, or the head does not fit it.
+            RequestRejected: The class is unknown, or the head violates the rules of the class.
         """
         values = {name.lower(): value for name, value in headers}
         class_index = self._find_class(target, values)
@@ -79,7 +79,7 @@
         )
 
     def _find_class(self, target: bytes, values: dict[bytes, bytes]) -> int:
-        """The class is the first part of the path; the header X-Class may repeat it."""
+        """Return the index of the class that the first path segment names; an X-Class header must name the same."""
         class_name = target.split(b"?")[0].lstrip(b"/").split(b"/")[0]
         class_index = self.class_indexes.get(class_name)
         if class_index is None or values.get(b"x-class", class_name) != class_name:
@@ -96,5 +96,5 @@
             raise RequestRejected(400, "no Idempotency-Key")
 
     def _tenant_index(self, values: dict[bytes, bytes]) -> int:
-        """An index beyond all tenants stands for none of them."""
+        """Return the tenant's index, or the number of tenants for an unknown or missing one."""
         return self.tenant_indexes.get(values.get(b"x-tenant", b""), len(self.tenant_indexes))
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -1,4 +1,4 @@
-"""All client connections: their listener, their limits and their end."""
+"""Manages all client connections: accepting, limiting and closing them."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.arrival_time import EventLoopLag
 from garnetusher.sidecar.downstream.connection import CHECK_INTERVAL_S, ConnectionState, DownstreamConnection
-from garnetusher.sidecar.downstream.listener import Listener, listen_at
+from garnetusher.sidecar.downstream.listener import Listener, open_listening_socket
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
 from garnetusher.sidecar.streaming import BodyMemory
 
-LISTEN_BACKLOG = 512  # connections that are not accepted yet
-LISTEN_PATIENCE_S = 10.0  # for an address to come free: clients wait for 30 s at a start
-BACKLOG_DRAIN_TIMEOUT_S = 1.0  # for accept to work again at the end: a third of the time that is left to respond
-DRAIN_IDLE_CLOSE_DELAY_S = 1.5  # idle connections close so long after a drain began; 4 s after it none may be left
-MIN_IDLE_US = 300_000  # since a connection was set up or had its response: its last request may be on its way
+LISTEN_BACKLOG = 512  # maximum number of connections waiting to be accepted
+LISTEN_RETRY_TIMEOUT_S = 10.0  # time for the address to become free; clients wait 30 s at startup
+BACKLOG_DRAIN_TIMEOUT_S = 1.0  # time to accept the backlog at shutdown; a third of the time left to respond
+DRAIN_IDLE_CLOSE_DELAY_S = 1.5  # delay from the start of a drain; all idle connections must close within 4 s
+MIN_IDLE_US = 300_000  # minimum idle time before a close, because a request may be in transit
 DEFAULT_BODY_MEMORY_SIZE = 64 * 1024 * 1024  # bytes
 
 
 class DownstreamServer:
-    """All client connections.
+    """The server for all client connections.
 
     Attributes:
-        dispatcher: takes their requests.
-        lifecycle: tells whether connections are to close.
-        router: made from the current settings; replaced with them.
-        connections: in the order in which they were set up.
-        body_memory: for bodies that are longer than what is buffered.
-        event_loop_lag: tells how old bytes may be that are read now.
+        dispatcher: Handles the requests of all connections.
+        lifecycle: The state of the process, which decides whether connections close.
+        router: The router for the current settings; replaced when the settings change.
+        connections: All connections in the order in which they were set up.
+        body_memory: Limits the memory for bodies that exceed the buffer limit.
+        event_loop_lag: Estimates how long ago the bytes that are read now may have arrived.
     """
 
     def __init__(
@@ -59,50 +59,50 @@
 
     @property
     def busy(self) -> bool:
-        """Whether something is outstanding: a request, or a response that is not yet written."""
+        """Whether any connection has an open request or unsent response bytes."""
         return any(each.has_open_request or each.writer.unsent_size for each in self.connections)
 
-    async def listen(self, where: tuple[str, int] | socket.socket) -> None:
-        """Accept connections.
+    async def listen(self, address_or_socket: tuple[str, int] | socket.socket) -> None:
+        """Start accepting connections and checking time-outs.
 
         Args:
-            where: an address of this process, or a listening socket that other processes hold too.
+            address_or_socket: An address to bind, or a listening socket, which other processes may share.
 
         Raises:
-            OSError: the address stays taken.
+            OSError: The address stays unavailable.
         """
-        if isinstance(where, socket.socket):
-            sock = where
+        if isinstance(address_or_socket, socket.socket):
+            sock = address_or_socket
         else:
-            sock = await listen_at(where, LISTEN_BACKLOG, LISTEN_PATIENCE_S)
+            sock = await open_listening_socket(address_or_socket, LISTEN_BACKLOG, LISTEN_RETRY_TIMEOUT_S)
         self._listener = Listener(sock, lambda accepted: DownstreamConnection(self, accepted))
         self._listener.start()
         self.check_connections()
 
-    async def stop_listening(self, shared: bool) -> None:  # noqa: FBT001 - a name that the program calls
-        """Accept no more connections, and close this process's copy of the listening socket.
+    async def stop_listening(self, shared: bool) -> None:  # noqa: FBT001 - all callers name the argument
+        """Stop accepting connections and close this process's copy of the listening socket.
 
         Args:
-            shared: another process holds the socket too and will accept what the kernel has queued; else that is
-                accepted first, as a close would reset it.
+            shared: Whether another process shares the socket and will accept the queued connections. If not, they are
+                accepted first, because the close would reset them.
         """
         if self._listener is None:
             return
         if not shared:
             await self._listener.drain(BACKLOG_DRAIN_TIMEOUT_S)
         self._listener.close()
-        await self._listener.settled()
+        await self._listener.wait_for_setups()
 
     def accepted_us(self) -> int:
-        """Return when a connection that is accepted now was made, at the earliest."""
-        stalled_since_us = self._listener.stall.since_us() if self._listener is not None else 0
+        """Return the earliest time at which the client of a connection accepted now may have connected."""
+        stalled_since_us = self._listener.accept_failures.since_us() if self._listener is not None else 0
         return min(self.event_loop_lag.earliest_arrival_us(), stalled_since_us or monotonic_us())
 
-    def connected(self, connection: DownstreamConnection) -> None:
-        """Add a connection; at the limit, close the oldest one without an open request for it.
+    def add_connection(self, connection: DownstreamConnection) -> None:
+        """Add a connection; at the limit, close the oldest connection without an open request.
 
-        With no descriptor left no upstream could be reached. A connection that has not sent a valid request yet is
-        closed before one that has.
+        The limit reserves descriptors for upstream connections. Connections that have not sent a valid request yet are
+        closed before the others.
         """
         if len(self.connections) >= self._max_connections:
             self._close_oldest()
@@ -121,12 +121,12 @@
             oldest.close()
 
     def check_connections(self) -> None:
-        """Check the time-outs of all connections, now and periodically."""
+        """Check the time-outs of all connections now, and schedule the next check."""
         loop = asyncio.get_running_loop()
         loop.call_later(CHECK_INTERVAL_S, self.check_connections)
         now_us = monotonic_us()
-        # after a hold-up this timer may run before what has arrived is read, so the lag is told by the check before
-        # this one for two more rounds of the loop
+        # After a pause of the process, this timer may run before the event loop has read what arrived meanwhile. For
+        # two more iterations, the estimate therefore uses the previous check.
         loop.call_soon(loop.call_soon, self.event_loop_lag.record_check, now_us, int(CHECK_INTERVAL_S * 1e6))
         for connection in list(self.connections):
             connection.check_timeouts(now_us)
@@ -135,9 +135,13 @@
             self.close_idle(now_us - MIN_IDLE_US)
 
     def close_idle(self, idle_since_us: int) -> None:
-        """Close the connections that have been idle since a moment or longer.
+        """Close all connections that have been idle since a given time or longer.
 
-        A new connection stays for a while: its first request is on its way, and clients do not retry that.
+        New connections stay open for the minimum idle time: their first request is in transit, and clients do not
+        retry that request.
+
+        Args:
+            idle_since_us: The latest start of the idle time of a connection to close.
         """
         new_idle_since_us = min(idle_since_us, monotonic_us() - MIN_IDLE_US)
         for connection in list(self.connections):
@@ -145,9 +149,9 @@
             if connection.idle and connection.idle_since_us <= limit_us:
                 connection.schedule_close()
 
-    def shed_unread(self) -> None:
-        """Shed all requests that have not been read completely: there is no time left for them."""
+    def shed_incomplete_requests(self) -> None:
+        """Shed all requests that have not been read completely, because no time is left to handle them."""
         for connection in list(self.connections):
             reading = connection.reader.message_started_us and not connection.reader.complete
             if reading and not connection.closing and connection.writer.source is None:
-                connection.shed_unread()
+                connection.shed_incomplete_request()
--- a/garnetusher/sidecar/shutdown.py
+++ b/garnetusher/sidecar/shutdown.py
@@ -83,7 +83,7 @@
     while _is_in_use(server, schedule):
         server.close_idle(monotonic_us())
         if server.lifecycle.closing_for_s >= schedule.final_responses_s:
-            server.shed_unread()
+            server.shed_incomplete_requests()
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
