--- a/garnetusher/sidecar/downstream/request_reader.py
+++ b/garnetusher/sidecar/downstream/request_reader.py
@@ -14,7 +14,7 @@
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, MAX_BUFFERED_SIZE, Upload
 
 MAX_HEAD_SIZE = 16 * 1024  # bytes
-READ_TIMEOUT_US = 2_700_000  # a new client must get a response or a close within 3 s of its connect
+READ_TIMEOUT_US = 2_700_000  # time for a whole request; a new client must get a response or a close within 3 s
 FIRST_BODY_TIMEOUT_US = 900_000  # time for the first body bytes after the head, which may have taken 2 s
 MIN_BODY_RATE = 32_000  # bytes/s that extend the deadline as fast as time passes; half the rate of a slow client
 MAX_DEADLINE_AHEAD_US = 5_000_000  # the maximum time from now to which body bytes extend the deadline
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -17,7 +17,7 @@
 
 LISTEN_BACKLOG = 512  # maximum number of connections waiting to be accepted
 LISTEN_RETRY_TIMEOUT_S = 10.0  # time for the address to become free; clients wait 30 s at startup
-BACKLOG_DRAIN_TIMEOUT_S = 1.0  # time to accept the backlog at shutdown; a third of the time left to respond
+BACKLOG_DRAIN_TIMEOUT_S = 1.0  # time limit to accept the backlog at shutdown; a third of the time left to respond
 DRAIN_IDLE_CLOSE_DELAY_S = 1.5  # delay from the start of a drain; all idle connections must close within 4 s
 MIN_IDLE_US = 300_000  # minimum idle time before a close, because a request may be in transit
 DEFAULT_BODY_MEMORY_SIZE = 64 * 1024 * 1024  # bytes
--- a/tests/downstream.py
+++ b/tests/downstream.py
@@ -1,4 +1,4 @@
-"""A downstream connection without sockets."""
+"""Creates a downstream connection without sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class NullTransport(asyncio.Transport):
-    """Discards what is written."""
+    """A transport that discards all written data."""
 
     def is_closing(self) -> bool:
         return False
@@ -48,7 +48,7 @@
 
 
 def new_connection(transport: asyncio.Transport | None = None) -> DownstreamConnection:
-    """Return a client's connection with a server and a dispatcher that accepts all and does nothing."""
+    """Return a connection whose dispatcher accepts every request and never responds."""
     settings = Settings(classes())
 
     class NullDispatcher:
--- a/tests/interleaving_driver.py
+++ b/tests/interleaving_driver.py
@@ -14,7 +14,7 @@
 import time
 from dataclasses import dataclass, field
 
-from tests.net import PATIENCE_S, Discovery, Sidecar, entry, listing, request, sidecar
+from tests.net import TEST_TIMEOUT_S, Discovery, Sidecar, entry, listing, request, sidecar
 
 SETTLE_ROUNDS = 40  # loop rounds in which the sidecar applies an update and a loopback connection is established
 OPEN, SERVED, STARTED, FAILED, NOT_RUN, BROKEN = "open", "served", "started", "failed", "not run", "broken"
@@ -150,7 +150,7 @@
         async with sidecar(
             known=endpoint_list, discovery=self.discovery, cancel_attempts=True, hedging=self.rng.random() < 0.5
         ) as running:
-            await self.discovery.watched()
+            await self.discovery.wait_for_watch()
             try:
                 for number in range(steps):
                     self.take_step(running, number)
@@ -178,7 +178,7 @@
 
         Upstreams respond to the open requests as well, unless the sidecar is stopping.
         """
-        give_up_at = time.monotonic() + PATIENCE_S
+        give_up_at = time.monotonic() + TEST_TIMEOUT_S
         for client_request in self.client_requests:
             self.send_bytes(client_request, len(client_request.unsent))
         while time.monotonic() < give_up_at and any(not self.is_done(each) for each in self.client_requests):
@@ -359,7 +359,7 @@
         upstream.drained_round = self.round
         self.revision += 1
         self.log_step(f"{upstream.uid} drains, {replacement.uid} is ready")
-        self.discovery.line(
+        self.discovery.send_update(
             listing(
                 entry(upstream.uid, upstream.port, self.rng.choice(("leaving", "left"))),
                 entry(replacement.uid, replacement.port),
--- a/tests/machine.py
+++ b/tests/machine.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from garnetusher.lab.syscall_faults import Call, FaultBoard
-from tests.net import PATIENCE_S, listening, read_message
+from tests.net import TEST_TIMEOUT_S, read_message, wait_for_listener
 from tests.processes import configuration, program
 from tests.runner import status
 
@@ -31,12 +31,12 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self.address)
 
-    async def ask(self, data: bytes) -> int:
+    async def send_request(self, data: bytes) -> int:
         """The status of the answer to one request on a connection of its own."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 return status(await read_message(reader))
         finally:
             writer.close()
@@ -70,5 +70,5 @@
         call, error, count = failing
         faults.inject(call, error, count=count)
     with program(path, (), **faults.environment()) as process:
-        await listening(int(port), lambda: process.poll() is None)
+        await wait_for_listener(int(port), lambda: process.poll() is None)
         yield Machine(process, faults, (host, int(port)), path)
--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,4 @@
-"""Peers for the real sidecar over loopback sockets: upstreams, discovery and a client that do as told."""
+"""Test peers for a real sidecar over loopback sockets: scripted upstreams, a discovery server and a client."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from garnetusher.sidecar.upstream.pool import ConnectionPool
 from garnetusher.sidecar.upstream.request_writer import Address
 
-PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
+TEST_TIMEOUT_S = 20.0  # only ends a hanging test; no test waits for this time-out on purpose
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
@@ -46,7 +46,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Head and body of one message that has a Content-Length."""
+    """Return the head and body of one message; without a Content-Length the body is empty."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
@@ -58,7 +58,13 @@
 
 @dataclass
 class Upstream:
-    """Answers its requests as `script` says, which is told the number of each; keeps what it has seen."""
+    """An upstream that responds by a script and records its requests.
+
+    Attributes:
+        script: Handles each request; gets the upstream, the index of the request, and the connection's streams.
+        requests: The head and body of each request.
+        connections: The number of accepted connections.
+    """
 
     script: Script
     requests: list[tuple[bytes, bytes]] = field(default_factory=list)
@@ -86,23 +92,28 @@
             self.server.close()
 
 
-def answering(*answers: bytes) -> Script:
-    """Gives these answers in turn, the last one ever after; an empty one breaks the connection."""
+def respond_with(*responses: bytes) -> Script:
+    """Return a script that sends the responses in order and repeats the last one.
+
+    An empty response aborts the connection instead.
+    """
 
     async def script(
         upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        answer = answers[min(number, len(answers) - 1)]
-        if not answer:
+        response = responses[min(number, len(responses) - 1)]
+        if not response:
             writer.transport.abort()
             raise ConnectionResetError
-        writer.write(answer)
+        writer.write(response)
         await writer.drain()
 
     return script
 
 
-async def silent(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def never_respond(
+    upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     await reader.read()
     raise ConnectionResetError
 
@@ -126,11 +137,17 @@
 
 @dataclass
 class Discovery:
-    """Holds watches open; `lines` puts a list on the newest."""
+    """A discovery server that keeps each watch open; `send_update` writes to the latest watch.
+
+    Attributes:
+        watch_requests: The head of each watch request.
+        writers: The writer of each watch.
+        watch_opened: Set when a new watch is opened.
+    """
 
-    calls: list[bytes] = field(default_factory=list)
+    watch_requests: list[bytes] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
-    called: asyncio.Event = field(default_factory=asyncio.Event)
+    watch_opened: asyncio.Event = field(default_factory=asyncio.Event)
     port: int = 0
     server: asyncio.Server | None = None
 
@@ -140,20 +157,20 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head, _ = await read_message(reader)
-        self.calls.append(head)
+        self.watch_requests.append(head)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.writers.append(writer)
-        self.called.set()
+        self.watch_opened.set()
         await reader.read()
 
-    async def watched(self) -> None:
-        """Until there is a new watch."""
-        async with asyncio.timeout(PATIENCE_S):
-            await self.called.wait()
-        self.called.clear()
+    async def wait_for_watch(self) -> None:
+        """Wait until a new watch is opened."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await self.watch_opened.wait()
+        self.watch_opened.clear()
 
-    def line(self, lines: object) -> None:
-        data = json.dumps(lines).encode() + b"\n"
+    def send_update(self, update: object) -> None:
+        data = json.dumps(update).encode() + b"\n"
         self.writers[-1].write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def stop(self) -> None:
@@ -163,21 +180,21 @@
             writer.transport.abort()
 
 
-def allowed() -> WritePermit:
-    """Whatever the gate would say."""
+def permit_write() -> WritePermit:
+    """Return a permit without asking a write gate."""
     return WritePermit(remaining_us=1_000_000)
 
 
 def attempt_at(
     pool: ConnectionPool, address: Address, ended: Callable[[AttemptResult], None], body: bytes = b""
 ) -> UpstreamAttempt:
-    """An attempt that may be written at any time; its head begins with `POST /pay`."""
+    """Return an attempt that may be written at any time; its head starts with `POST /pay`."""
     call = HttpRequest(b"POST", b"/pay", [], body, 0, 0, 1)
-    return UpstreamAttempt(pool.loop, address, call, allowed, ended, lambda head, source: None)
+    return UpstreamAttempt(pool.loop, address, call, permit_write, ended, lambda head, source: None)
 
 
 def free_ports(count: int) -> list[int]:
-    """Different ones: a port that has been let go may be given out again at once."""
+    """Return different free ports; all are reserved together, because the kernel may reuse a released port at once."""
     with contextlib.ExitStack() as stack:
         socks = [stack.enter_context(socket.socket()) for _ in range(count)]
         for sock in socks:
@@ -190,25 +207,25 @@
 
 
 def request(
-    kind: str = "read", ident: str = "1", body: bytes = b"", deadline_ms: object = 15_000, extra: str = ""
+    class_name: str = "read", request_id: str = "1", body: bytes = b"", deadline_ms: object = 15_000, extra: str = ""
 ) -> bytes:
-    method = "GET" if kind == "read" else "POST"
-    key = "Idempotency-Key: k\r\n" if kind == "mark" else ""
-    length = "" if kind == "read" else f"Content-Length: {len(body)}\r\n"
+    method = "GET" if class_name == "read" else "POST"
+    key = "Idempotency-Key: k\r\n" if class_name == "mark" else ""
+    length = "" if class_name == "read" else f"Content-Length: {len(body)}\r\n"
     return (
-        f"{method} /{kind}/it?x=1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {ident}\r\n"
-        f"X-Class: {kind}\r\nX-Deadline-Ms: {deadline_ms}\r\n{key}{length}{extra}\r\n"
+        f"{method} /{class_name}/it?x=1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {request_id}\r\n"
+        f"X-Class: {class_name}\r\nX-Deadline-Ms: {deadline_ms}\r\n{key}{length}{extra}\r\n"
     ).encode() + body
 
 
-async def listening(port: int, alive: Callable[[], bool] = lambda: True) -> None:
-    """Until the program takes connections there."""
-    async with asyncio.timeout(PATIENCE_S):
+async def wait_for_listener(port: int, is_alive: Callable[[], bool] = lambda: True) -> None:
+    """Wait until a program accepts connections at a port, and check that the program stays alive meanwhile."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             try:
                 _, writer = await asyncio.open_connection("127.0.0.1", port)
             except ConnectionRefusedError:
-                assert alive()
+                assert is_alive()
                 await asyncio.sleep(0.01)
             else:
                 writer.close()
@@ -217,7 +234,7 @@
 
 @dataclass
 class Sidecar:
-    """A running sidecar as its application sees it."""
+    """A running sidecar as a client and an operator see it."""
 
     port: int
     stop: asyncio.Event
@@ -227,17 +244,17 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def call(self, method: str, path: str) -> int:
-        """An operator's call; the status of its answer."""
-        head, _ = await self.ask(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), self.admin_port)
+    async def call_admin(self, method: str, path: str) -> int:
+        """Send an operator's call to the admin port and return the response status."""
+        head, _ = await self.send_request(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), self.admin_port)
         return int(head.split(b" ")[1])
 
-    async def ask(self, data: bytes, port: int = 0) -> tuple[bytes, bytes]:
-        """One request on a connection of its own; head and body of the answer."""
+    async def send_request(self, data: bytes, port: int = 0) -> tuple[bytes, bytes]:
+        """Send one request on a new connection and return the head and body of the response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port or self.port)
         try:
             writer.write(data)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 return await read_message(reader)
         finally:
             writer.close()
@@ -247,12 +264,21 @@
 async def sidecar(
     *upstreams: Upstream,
     discovery: Discovery | None = None,
-    idle_us: int = 60_000_000,
+    idle_timeout_us: int = 60_000_000,
     known: dict[str, Any] | None = None,
     inherited: socket.socket | None = None,
-    **changes: Any,
+    **settings: Any,
 ) -> AsyncIterator[Sidecar]:
-    """A sidecar whose known list holds these upstreams; with `inherited` one that may not be ready yet."""
+    """Run a sidecar, together with its upstreams and discovery server.
+
+    Args:
+        upstreams: The upstreams to start; they form the cached endpoint list.
+        discovery: The discovery server to start; without one, the sidecar does not poll.
+        idle_timeout_us: The idle time-out of upstream connections.
+        known: The cached endpoint list, if it differs from `upstreams`.
+        inherited: A listening socket for the sidecar to share. The sidecar may then not be ready yet.
+        settings: Settings that replace the defaults of this function.
+    """
     for upstream in upstreams:
         await upstream.start()
     if discovery is not None:
@@ -272,10 +298,10 @@
         discovery=("127.0.0.1", discovery.port if discovery else 1),
         seed=1,
         max_descriptors=200,
-        settings=Settings(**(values | changes)),
+        settings=Settings(**(values | settings)),
         zones=["a"],
         machine_types=["m"],
-        idle_timeout_us=idle_us,
+        idle_timeout_us=idle_timeout_us,
         cached_endpoints=known,
         admin=("127.0.0.1", admin_port),
     )
@@ -284,7 +310,7 @@
     task = asyncio.create_task(serve(config, stop, inherited=inherited and inherited.dup()))
     try:
         if inherited is None:
-            await listening(port, lambda: not task.done())
+            await wait_for_listener(port, lambda: not task.done())
         yield Sidecar(port, stop, task, admin_port)
     finally:
         task.cancel()
@@ -296,7 +322,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until it holds."""
-    async with asyncio.timeout(PATIENCE_S):
-        while not condition():  # noqa: ASYNC110 - a condition on state of the sidecar, which sets no event
+    """Wait until a condition holds."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        while not condition():  # noqa: ASYNC110 - no event reports the sidecar's state
             await asyncio.sleep(0.005)
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from tests.net import PATIENCE_S
+from tests.net import TEST_TIMEOUT_S
 
 
 def status(answer: tuple[bytes, bytes]) -> int:
@@ -17,7 +17,7 @@
     """Run a test on an event loop of its own; one that hangs is ended."""
 
     async def limited() -> None:
-        async with asyncio.timeout(3 * PATIENCE_S):
+        async with asyncio.timeout(3 * TEST_TIMEOUT_S):
             await test()
 
     asyncio.run(limited())
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from tests.net import OK, Upstream, answering, request
+from tests.net import OK, Upstream, request, respond_with
 
 LONG_BODY = bytes(range(256)) * 4096  # 1 MiB
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Not-Run\r\n\r\n"
@@ -16,7 +16,7 @@
     """An upstream whose connections are handled by a function."""
 
     def __init__(self, play: Serve) -> None:
-        super().__init__(answering(OK))
+        super().__init__(respond_with(OK))
         self.play = play
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -11,7 +11,7 @@
 from garnetusher.sidecar.admin import server as admin_server
 from garnetusher.sidecar.configuration import load
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
-from tests.net import OK, Upstream, answering, read_message, request, sidecar
+from tests.net import OK, Upstream, read_message, request, respond_with, sidecar
 from tests.processes import configuration
 from tests.runner import run, status
 
@@ -57,30 +57,30 @@
 
 def test_sidecar_serves_on_and_returns_when_it_is_drained() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            assert await it.call("GET", "/_ready") == 200
-            assert status(await it.ask(UP)) == 200
+        async with sidecar(Upstream(respond_with(OK))) as it:
+            assert await it.call_admin("GET", "/_ready") == 200
+            assert status(await it.send_request(UP)) == 200
             open_reader, open_writer = await it.connect()
             open_writer.write(request())
             assert b"close" not in (await read_message(open_reader))[0]
             idle_reader, idle_writer = await it.connect()
             for _ in range(2):
-                assert await it.call("POST", "/_lameduck/on") == 200
-                assert status(await it.ask(UP)) == 503
-                assert await it.call("GET", "/_ready") == 503
-            open_writer.write(request(ident="2"))  # its last one
+                assert await it.call_admin("POST", "/_lameduck/on") == 200
+                assert status(await it.send_request(UP)) == 503
+                assert await it.call_admin("GET", "/_ready") == 503
+            open_writer.write(request(request_id="2"))  # its last one
             head, body = await read_message(open_reader)
             assert body == b"done"
             assert b"Connection: close" in head
-            assert (await it.ask(request(ident="3")))[1] == b"done"  # one that crossed the no
+            assert (await it.send_request(request(request_id="3")))[1] == b"done"  # one that crossed the no
             async with asyncio.timeout(3.5):
                 assert await open_reader.read() == b""
                 assert await idle_reader.read() == b""
             for _ in range(2):
-                assert await it.call("POST", "/_lameduck/off") == 200
-                assert status(await it.ask(UP)) == 200
-                assert await it.call("GET", "/_ready") == 200
-            head, body = await it.ask(request(ident="4"))
+                assert await it.call_admin("POST", "/_lameduck/off") == 200
+                assert status(await it.send_request(UP)) == 200
+                assert await it.call_admin("GET", "/_ready") == 200
+            head, body = await it.send_request(request(request_id="4"))
             assert body == b"done"
             assert b"Connection: close" not in head
             for writer in (open_writer, idle_writer):
@@ -91,12 +91,12 @@
 
 def test_sidecar_stays_not_ready_when_a_drain_ends_after_sigterm() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            assert await it.call("POST", "/_lameduck/on") == 200
+        async with sidecar(Upstream(respond_with(OK))) as it:
+            assert await it.call_admin("POST", "/_lameduck/on") == 200
             it.stop.set()
             await asyncio.sleep(0)
-            assert await it.call("POST", "/_lameduck/off") == 200
-            assert status(await it.ask(UP)) == 503
+            assert await it.call_admin("POST", "/_lameduck/off") == 200
+            assert status(await it.send_request(UP)) == 503
             await it.task
 
     run(test)
@@ -119,14 +119,14 @@
 )
 def test_admin_server_answers_with_an_error_when_a_call_is_malformed(data: bytes, expected: int) -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
+        async with sidecar(Upstream(respond_with(OK))) as it:
             reader, writer = await asyncio.open_connection("127.0.0.1", it.admin_port)
             writer.write(data)
             answer = await reader.read()
             writer.close()
             assert int(answer.split(b" ")[1]) == expected
             assert b"Connection: close" in answer
-            assert status(await it.ask(UP)) == 200
+            assert status(await it.send_request(UP)) == 200
 
     run(test)
 
@@ -135,16 +135,16 @@
     monkeypatch.setattr(admin_server, "REQUEST_TIMEOUT_S", 0.5)
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
+        async with sidecar(Upstream(respond_with(OK))) as it:
             stalled = [await asyncio.open_connection("127.0.0.1", it.admin_port) for _ in range(40)]
             for _, writer in stalled:
                 writer.write(b"POST /_lameduck/on HT")
-            assert await it.call("GET", "/_ready") == 200
+            assert await it.call_admin("GET", "/_ready") == 200
             ends = [await reader.read() for reader, _ in stalled[-3:]]
             assert all(end.startswith(b"HTTP/1.1 408 ") for end in ends)
             for _, writer in stalled:
                 writer.close()
-            assert status(await it.ask(UP)) == 200
+            assert status(await it.send_request(UP)) == 200
 
     run(test)
 
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -10,7 +10,7 @@
 from garnetusher.sidecar.downstream import request_reader
 from garnetusher.sidecar.downstream import server as downstream_server
 from garnetusher.sidecar.downstream.server import DownstreamServer
-from tests.net import OK, Upstream, answering, request, sidecar
+from tests.net import OK, Upstream, request, respond_with, sidecar
 from tests.runner import run, status
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -33,11 +33,11 @@
 
 def test_unread_request_is_served_when_idle_connections_are_closed() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as running:
+        async with sidecar(Upstream(respond_with(OK))) as running:
             with socket.create_connection(("127.0.0.1", running.port)) as sock:
-                sock.sendall(request(ident="1"))
+                sock.sendall(request(request_id="1"))
                 assert await next_status(sock) == 200
-                sock.send(request(ident="2"))  # no round of the loop between: it is there, and was not read
+                sock.send(request(request_id="2"))  # no round of the loop between: it is there, and was not read
                 running.stop.set()
                 assert await next_status(sock) == 200
             await running.task
@@ -49,12 +49,12 @@
     monkeypatch.setattr(downstream_server, "MIN_IDLE_US", 20_000_000)  # no busy machine is slower than that
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as running:
+        async with sidecar(Upstream(respond_with(OK))) as running:
             with socket.create_connection(("127.0.0.1", running.port)) as sock:
-                while await running.call("GET", "/_ready") != 200:
+                while await running.call_admin("GET", "/_ready") != 200:
                     pass
                 running.stop.set()
-                while await running.call("GET", "/_ready") == 200:
+                while await running.call_admin("GET", "/_ready") == 200:
                     pass
                 sock.send(request())
                 assert await next_status(sock) == 200
@@ -79,7 +79,7 @@
             check(server)
 
         monkeypatch.setattr(DownstreamServer, "check_connections", check_after_request)
-        async with sidecar(Upstream(answering(OK))) as running:
+        async with sidecar(Upstream(respond_with(OK))) as running:
             monkeypatch.setattr(request_reader, "READ_TIMEOUT_US", 0)
             with socket.create_connection(("127.0.0.1", running.port)) as sock:
                 silent_sockets.append(sock)
@@ -91,9 +91,9 @@
 @pytest.mark.parametrize("rounds", range(4))
 def test_oldest_connection_is_not_evicted_when_its_next_request_has_arrived(rounds: int) -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as running:
+        async with sidecar(Upstream(respond_with(OK))) as running:
             with socket.create_connection(("127.0.0.1", running.port)) as oldest:
-                oldest.sendall(request(ident="1"))
+                oldest.sendall(request(request_id="1"))
                 assert await next_status(oldest) == 200
                 others = [socket.create_connection(("127.0.0.1", running.port)) for _ in range(98)]
                 for other in others:  # clients that have sent proper requests, as the oldest has
@@ -106,7 +106,7 @@
                 oldest.setblocking(True)
                 for _ in range(rounds):  # of the loop, in one of which the new connection is set up
                     await asyncio.sleep(0)
-                oldest.send(request(ident="2"))
+                oldest.send(request(request_id="2"))
                 assert await next_status(oldest) == 200
                 for sock in (*others, last, one_more):
                     sock.close()
--- a/tests/test_crossing_stop.py
+++ b/tests/test_crossing_stop.py
@@ -16,16 +16,16 @@
 
 from tests.net import (
     OK,
-    PATIENCE_S,
+    TEST_TIMEOUT_S,
     Upstream,
-    answering,
     entry,
-    listening,
     listing,
+    never_respond,
     read_message,
     request,
-    silent,
+    respond_with,
     until,
+    wait_for_listener,
 )
 from tests.processes import SETTINGS, configuration, program
 from tests.runner import run, status
@@ -61,7 +61,7 @@
 
     async def status(self) -> int:
         """Of a whole answer; a connection that ends without one fails the test."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             answer = await read_message(self.reader)
         assert b"Connection: close" in answer[0]
         self.writer.close()
@@ -82,17 +82,17 @@
         return Client(reader, writer)
 
     with program(path) as process:
-        await listening(port, lambda: process.poll() is None)
+        await wait_for_listener(port, lambda: process.poll() is None)
         yield process, send
 
 
 async def ended(process: Popen[bytes]) -> int:
-    return await asyncio.to_thread(process.wait, PATIENCE_S)
+    return await asyncio.to_thread(process.wait, TEST_TIMEOUT_S)
 
 
 def test_stop_responds_before_exit_when_request_outlasts_process(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Upstream(silent)
+        upstream = Upstream(never_respond)
         await upstream.start()
         async with running(tmp_path, upstream.port) as (process, send):
             out = [await send(request("pay", f"p{n}", b"b")) for n in range(2)]
@@ -190,7 +190,7 @@
                 process.send_signal(each)
             await asyncio.sleep(0.2)
             go.set()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert status(await read_message(client.reader)) == 200
             client.writer.close()
             assert await ended(process) == 0
@@ -217,7 +217,7 @@
     }
 
     async def test() -> None:
-        upstream = Upstream(answering(b"never"))
+        upstream = Upstream(respond_with(b"never"))
         await upstream.start()
         async with running(tmp_path, upstream.port, settings=short) as (process, send):
             half = await send(request("pay", body=b"four")[:-2])
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -1,4 +1,4 @@
-"""Connections of clients: invalid input, read time-outs, limits and the forms of a request head."""
+"""Client connections: invalid input, read time-outs, connection limits and variants of request heads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from garnetusher.sidecar.requests.messages import Disposition, FinalResponse
 from tests.downstream import new_connection
-from tests.net import NOT_RUN, OK, Upstream, answering, read_message, request, sidecar
+from tests.net import NOT_RUN, OK, Upstream, read_message, request, respond_with, sidecar
 from tests.runner import run, status
 from tests.streams import upload_request
 
@@ -19,7 +19,7 @@
         (b"noise\r\n\r\n", 400),
         (request("read").replace(b"read", b"gone"), 404),
         (request("read", extra="X-Class: pay\r\n"), 404),
-        (request("read", ident=""), 400),
+        (request("read", request_id=""), 400),
         (request("read", deadline_ms="soon"), 400),
         (request("read", deadline_ms=-5), 400),
         (request("mark").replace(b"Idempotency-Key", b"Other"), 400),
@@ -28,7 +28,7 @@
         (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),
         (request("pay", extra="Content-Length: 1\r\n"), 400),
         (request("pay").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"x\r\n\r\n", 400),
-        (request("pay", extra="Expect: a-wonder\r\n"), 417),
+        (request("pay", extra="Expect: unknown\r\n"), 417),
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: 33554433"), 413),
         (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
@@ -36,41 +36,41 @@
 )
 def test_connection_responds_with_error_and_closes_when_input_is_invalid(data: bytes, expected: int) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
-        async with sidecar(upstream) as it:
-            reader, writer = await it.connect()
+        upstream = Upstream(respond_with(OK))
+        async with sidecar(upstream) as running:
+            reader, writer = await running.connect()
             writer.write(data)
-            answer = await reader.read()
+            response = await reader.read()
             writer.close()
-            assert int(answer.split(b" ")[1]) == expected
-            assert b"Connection: close" in answer
+            assert int(response.split(b" ")[1]) == expected
+            assert b"Connection: close" in response
             assert upstream.requests == []
-            assert status(await it.ask(request())) == 200
+            assert status(await running.send_request(request())) == 200
 
     run(test)
 
 
 def test_connection_serves_first_and_rejects_next_when_requests_are_pipelined() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
-        async with sidecar(upstream) as it:
-            reader, writer = await it.connect()
-            writer.write(request(ident="1") + request(ident="2"))
-            answers = await reader.read()
+        upstream = Upstream(respond_with(OK))
+        async with sidecar(upstream) as running:
+            reader, writer = await running.connect()
+            writer.write(request(request_id="1") + request(request_id="2"))
+            responses = await reader.read()
             writer.close()
-        assert [part[:3] for part in answers.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
+        assert [part[:3] for part in responses.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
         assert len(upstream.requests) == 1
 
     run(test)
 
 
-@pytest.mark.parametrize(("sent", "answer"), [(b"", b""), (b"GET /read HTTP/1.1\r\n", b"HTTP/1.1 408 ")])
-def test_connection_times_out_when_first_request_stays_incomplete(sent: bytes, answer: bytes) -> None:
+@pytest.mark.parametrize(("sent", "response"), [(b"", b""), (b"GET /read HTTP/1.1\r\n", b"HTTP/1.1 408 ")])
+def test_connection_times_out_when_first_request_stays_incomplete(sent: bytes, response: bytes) -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            reader, writer = await it.connect()
+        async with sidecar(Upstream(respond_with(OK))) as running:
+            reader, writer = await running.connect()
             writer.write(sent)
-            assert (await reader.read()).startswith(answer)
+            assert (await reader.read()).startswith(response)
             writer.close()
 
     run(test)
@@ -84,11 +84,11 @@
             client.data_received(data)
             if client.has_open_request:
                 client.send_response(FinalResponse(Disposition.FAILED))
-        since_us = client.reader.message_started_us or client.arrival_times.accepted_us
-        client.check_timeouts(since_us + 2_400_000)
+        started_us = client.reader.message_started_us or client.arrival_times.accepted_us
+        client.check_timeouts(started_us + 2_400_000)
         assert not client.closing
-        client.check_timeouts(since_us + 2_900_000)
-        for _ in range(2):  # rounds of the loop, in which a request that is here after all would be read
+        client.check_timeouts(started_us + 2_900_000)
+        for _ in range(2):  # the event loop iterations in which a pending request would be read
             await asyncio.sleep(0)
         assert client.closing
 
@@ -108,17 +108,17 @@
 
 def test_server_closes_unproven_connections_first_when_at_limit() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
-            reader, writer = await it.connect()
+        async with sidecar(Upstream(respond_with(OK))) as running:  # limited to 200 descriptors
+            reader, writer = await running.connect()
             writer.write(request())
             assert status(await read_message(reader)) == 200
-            strangers = [await it.connect() for _ in range(150)]
-            for _, stranger in strangers:
-                stranger.write(b"GET /read HT")
+            unproven_clients = [await running.connect() for _ in range(150)]
+            for _, unproven_writer in unproven_clients:
+                unproven_writer.write(b"GET /read HT")
             writer.write(request())
             assert status(await read_message(reader)) == 200
-            for _, stranger in strangers:
-                stranger.close()
+            for _, unproven_writer in unproven_clients:
+                unproven_writer.close()
             writer.close()
 
     run(test)
@@ -126,11 +126,11 @@
 
 def test_server_closes_oldest_idle_connection_when_at_limit() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
-            idle = [await it.connect() for _ in range(150)]
-            assert status(await it.ask(request())) == 200
-            assert await idle[0][0].read() == b""
-            for _, writer in idle:
+        async with sidecar(Upstream(respond_with(OK))) as running:  # limited to 200 descriptors
+            idle_clients = [await running.connect() for _ in range(150)]
+            assert status(await running.send_request(request())) == 200
+            assert await idle_clients[0][0].read() == b""
+            for _, writer in idle_clients:
                 writer.close()
 
     run(test)
@@ -138,13 +138,13 @@
 
 def test_connection_sends_continue_when_client_expects_it() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(NOT_RUN, OK))
-        async with sidecar(upstream, Upstream(answering(OK))) as it:
-            reader, writer = await it.connect()
-            whole = request("pay", body=b"wait", extra="Expect: \t100-Continue \t\r\n")
-            writer.write(whole[:-4])
+        upstream = Upstream(respond_with(NOT_RUN, OK))
+        async with sidecar(upstream, Upstream(respond_with(OK))) as running:
+            reader, writer = await running.connect()
+            data = request("pay", body=b"wait", extra="Expect: \t100-Continue \t\r\n")
+            writer.write(data[:-4])
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
-            writer.write(whole[-4:])
+            writer.write(data[-4:])
             assert status(await read_message(reader)) == 200
             writer.write(request("gone", extra="Expect: 100-continue\r\n"))
             assert status(await read_message(reader)) == 404
@@ -156,8 +156,8 @@
 
 def test_connection_reads_request_when_it_comes_in_single_bytes() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            reader, writer = await it.connect()
+        async with sidecar(Upstream(respond_with(OK))) as running:
+            reader, writer = await running.connect()
             for byte in upload_request(b"abc", 1):
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
@@ -169,22 +169,22 @@
 
 def test_connection_keeps_first_head_when_another_request_follows() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            reader, writer = await it.connect()
+        async with sidecar(Upstream(respond_with(OK))) as running:
+            reader, writer = await running.connect()
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + request("pay", body=b"x"))
-            answers = await reader.read()
+            responses = await reader.read()
             writer.close()
-            assert [part[:3] for part in answers.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
+            assert [part[:3] for part in responses.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
 
     run(test)
 
 
 def test_connection_forwards_path_when_target_is_absolute() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
-        async with sidecar(upstream) as it:
-            whole = request().replace(b"GET /read", b"GET HTTP://api.internal:80/read")
-            assert status(await it.ask(whole)) == 200
+        upstream = Upstream(respond_with(OK))
+        async with sidecar(upstream) as running:
+            data = request().replace(b"GET /read", b"GET HTTP://api.internal:80/read")
+            assert status(await running.send_request(data)) == 200
         assert upstream.requests[0][0].startswith(b"GET /read/it?x=1 HTTP/1.1\r\n")
 
     run(test)
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -8,24 +8,24 @@
 from garnetusher.sidecar.discovery.endpoint_list import EndpointList
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from tests.fake_loop import FakeEventLoop
-from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listing, request, sidecar
+from tests.net import OK, TEST_TIMEOUT_S, Discovery, Upstream, entry, listing, request, respond_with, sidecar
 from tests.runner import run, status
 
 
 def test_sidecar_uses_cached_endpoints_at_once_and_applies_updates_on_arrival() -> None:
     async def test() -> None:
-        old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
+        old, new, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
         await new.start()
         async with sidecar(old, discovery=discovery) as it:
-            assert status(await it.ask(request())) == 200
+            assert status(await it.send_request(request())) == 200
             assert len(old.requests) == 1
-            await discovery.watched()
-            assert b"follow=1&since=1 " in discovery.calls[0]
+            await discovery.wait_for_watch()
+            assert b"follow=1&since=1 " in discovery.watch_requests[0]
             changes = [entry("u0", old.port, "leaving"), entry("u1", new.port)]
-            discovery.line(listing(*changes, rev=2, full=False))
+            discovery.send_update(listing(*changes, rev=2, full=False))
 
             async def new_upstream_is_used() -> bool:
-                assert status(await it.ask(request())) == 200
+                assert status(await it.send_request(request())) == 200
                 return bool(new.requests)
 
             while not await new_upstream_is_used():
@@ -35,8 +35,8 @@
                 await new_upstream_is_used()
             assert len(old.requests) == earlier_count
             discovery.writers[-1].transport.abort()
-            await discovery.watched()
-            assert b"since=2 " in discovery.calls[1]
+            await discovery.wait_for_watch()
+            assert b"since=2 " in discovery.watch_requests[1]
         new.stop()
 
     run(test)
@@ -44,19 +44,19 @@
 
 def test_sidecar_keeps_watch_open_when_updates_are_pushed() -> None:
     async def test() -> None:
-        old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
+        old, new, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
         await new.start()
         async with sidecar(old, discovery=discovery, poll_endpoints=False) as it:
-            await discovery.watched()
-            discovery.line(listing(entry("u0", old.port, "left"), entry("u1", new.port), rev=2, full=False))
+            await discovery.wait_for_watch()
+            discovery.send_update(listing(entry("u0", old.port, "left"), entry("u1", new.port), rev=2, full=False))
             while not new.requests:
-                assert status(await it.ask(request())) == 200
+                assert status(await it.send_request(request())) == 200
             earlier_count = len(old.requests)
-            assert status(await it.ask(request())) == 200
+            assert status(await it.send_request(request())) == 200
             assert len(old.requests) == earlier_count
             discovery.writers[-1].transport.abort()  # the watch fails, and the sidecar reconnects
-            await discovery.watched()
-            assert b"follow=1&since=2 " in discovery.calls[1]
+            await discovery.wait_for_watch()
+            assert b"follow=1&since=2 " in discovery.watch_requests[1]
         new.stop()
 
     run(test)
@@ -64,12 +64,12 @@
 
 def test_watcher_keeps_old_list_and_ends_watch_when_update_is_malformed() -> None:
     async def test() -> None:
-        upstream, discovery = Upstream(answering(OK)), Discovery()
+        upstream, discovery = Upstream(respond_with(OK)), Discovery()
         async with sidecar(upstream, discovery=discovery) as it:
-            await discovery.watched()
-            discovery.line({"rev": 2, "all": True, "targets": [{"uid": "u0"}]})
-            await discovery.watched()
-            assert status(await it.ask(request())) == 200
+            await discovery.wait_for_watch()
+            discovery.send_update({"rev": 2, "all": True, "targets": [{"uid": "u0"}]})
+            await discovery.wait_for_watch()
+            assert status(await it.send_request(request())) == 200
 
     run(test)
 
@@ -77,17 +77,17 @@
 def test_watcher_polls_when_cached_endpoints_are_malformed() -> None:
     async def test() -> None:
         probe = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-        upstream, discovery = Upstream(answering(OK)), Discovery()
+        upstream, discovery = Upstream(respond_with(OK)), Discovery()
         known = {"rev": 7, "all": True, "targets": [{"uid": "u0", "state": "unheard of"}]}
         async with sidecar(upstream, discovery=discovery, known=known) as it:
-            assert status(await it.ask(probe)) == 503
-            await discovery.watched()
-            assert b"since=0 " in discovery.calls[0]
-            discovery.line(listing(entry("u0", upstream.port), rev=8))
-            async with asyncio.timeout(PATIENCE_S):
-                while status(await it.ask(probe)) != 200:
+            assert status(await it.send_request(probe)) == 503
+            await discovery.wait_for_watch()
+            assert b"since=0 " in discovery.watch_requests[0]
+            discovery.send_update(listing(entry("u0", upstream.port), rev=8))
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while status(await it.send_request(probe)) != 200:
                     pass
-            assert status(await it.ask(request())) == 200
+            assert status(await it.send_request(request())) == 200
 
     run(test)
 
@@ -95,11 +95,11 @@
 def test_watcher_reconnects_when_watch_is_silent() -> None:
     async def test() -> None:
         discovery = Discovery()
-        async with sidecar(Upstream(answering(OK)), discovery=discovery):
-            await discovery.watched()
-            discovery.line(listing(rev=2, full=False))
-            await discovery.watched()
-            assert len(discovery.calls) == 2
+        async with sidecar(Upstream(respond_with(OK)), discovery=discovery):
+            await discovery.wait_for_watch()
+            discovery.send_update(listing(rev=2, full=False))
+            await discovery.wait_for_watch()
+            assert len(discovery.watch_requests) == 2
 
     run(test)
 
--- a/tests/test_crossing_clients.py
+++ b/tests/test_interleaving_clients.py
@@ -1,4 +1,4 @@
-"""Crossings with a client that leaves, or ends only its sending side."""
+"""Interleavings with a client that disconnects or closes only its sending side."""
 
 from __future__ import annotations
 
@@ -7,46 +7,46 @@
 import pytest
 
 from garnetusher.sidecar.streaming import UPLOAD_MEMORY_SIZE, BodyMemory
-from tests.net import OK, Upstream, answering, entry, listing, read_message, request, sidecar, until
+from tests.net import OK, Upstream, entry, listing, read_message, request, respond_with, sidecar, until
 from tests.runner import run, status
 from tests.streams import upload_request
 from tests.test_crossing_stop import never_up
 
-NOT_SENT_AFTER_S = 0.3  # what waits is not sent on later than this after its client has left
+MAX_FORWARD_DELAY_S = 0.3  # a waiting request would be forwarded within this time
 
 
-async def total(upstream: Upstream, count: int) -> None:
+async def wait_for_requests(upstream: Upstream, count: int) -> None:
     await until(lambda: len(upstream.requests) == count)
 
 
 def test_buffered_request_is_shed_when_client_half_closes() -> None:
     async def test() -> None:
-        go = asyncio.Event()
+        respond = asyncio.Event()
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await go.wait()
+            await respond.wait()
             writer.write(OK)
 
         upstream = Upstream(script)
-        async with sidecar(upstream) as it:
-            out = [await it.connect() for _ in range(3)]
-            for number, (_, writer) in enumerate(out):
+        async with sidecar(upstream) as running:
+            outstanding_clients = [await running.connect() for _ in range(3)]
+            for number, (_, writer) in enumerate(outstanding_clients):
                 writer.write(request("pay", str(number), b"b"))
-            await total(upstream, 3)  # its slots
-            reader, writer = await it.connect()
+            await wait_for_requests(upstream, 3)  # these requests take all slots of the upstream
+            reader, writer = await running.connect()
             writer.write(request("pay", "waits", b"b"))
             await asyncio.sleep(0.1)
             writer.write_eof()
             assert status(await read_message(reader)) == 503
             assert await reader.read() == b""
-            go.set()
-            for each, _ in out:
-                assert status(await read_message(each)) == 200
+            respond.set()
+            for client_reader, _ in outstanding_clients:
+                assert status(await read_message(client_reader)) == 200
             assert len(upstream.requests) == 3
-            for _, each_writer in (*out, (reader, writer)):
-                each_writer.close()
+            for _, client_writer in (*outstanding_clients, (reader, writer)):
+                client_writer.close()
 
     run(test)
 
@@ -54,8 +54,8 @@
 def test_unwritten_attempt_is_withdrawn_when_client_half_closes() -> None:
     async def test() -> None:
         with never_up() as port:
-            async with sidecar(known=listing(entry("u", port)), connect_timeout_us=60_000_000) as it:
-                reader, writer = await it.connect()
+            async with sidecar(known=listing(entry("u", port)), connect_timeout_us=60_000_000) as running:
+                reader, writer = await running.connect()
                 writer.write(request("pay", body=b"b"))
                 await asyncio.sleep(0.1)
                 writer.write_eof()
@@ -65,28 +65,28 @@
     run(test)
 
 
-@pytest.mark.parametrize("answer", [OK, b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70_000])
-def test_outstanding_request_gets_response_when_client_half_closes(answer: bytes) -> None:
+@pytest.mark.parametrize("response", [OK, b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70_000])
+def test_outstanding_request_gets_response_when_client_half_closes(response: bytes) -> None:
     async def test() -> None:
-        go = asyncio.Event()
+        respond = asyncio.Event()
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            writer.write(answer[:-1])
-            await go.wait()
-            writer.write(answer[-1:])
+            writer.write(response[:-1])
+            await respond.wait()
+            writer.write(response[-1:])
 
         upstream = Upstream(script)
-        async with sidecar(upstream) as it:
-            reader, writer = await it.connect()
+        async with sidecar(upstream) as running:
+            reader, writer = await running.connect()
             writer.write(request("pay", body=b"b"))
-            await total(upstream, 1)
+            await wait_for_requests(upstream, 1)
             await asyncio.sleep(0.1)
             writer.write_eof()
             await asyncio.sleep(0.1)
-            go.set()
-            assert (await read_message(reader))[1] == answer.partition(b"\r\n\r\n")[2]
+            respond.set()
+            assert (await read_message(reader))[1] == response.partition(b"\r\n\r\n")[2]
             assert await reader.read() == b""
             writer.close()
 
@@ -95,23 +95,23 @@
 
 def test_outstanding_request_is_not_retried_when_client_half_closes() -> None:
     async def test() -> None:
-        go = asyncio.Event()
+        respond = asyncio.Event()
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await go.wait()
+            await respond.wait()
             writer.transport.abort()
             raise ConnectionResetError
 
         upstreams = [Upstream(script), Upstream(script)]
-        async with sidecar(*upstreams) as it:
-            reader, writer = await it.connect()
+        async with sidecar(*upstreams) as running:
+            reader, writer = await running.connect()
             writer.write(request())
             await until(lambda: sum(len(each.requests) for each in upstreams) == 1)
             writer.write_eof()
             await asyncio.sleep(0.1)
-            go.set()
+            respond.set()
             assert status(await read_message(reader)) == 503
             assert sum(len(each.requests) for each in upstreams) == 1
             assert await reader.read() == b""
@@ -120,26 +120,26 @@
     run(test)
 
 
-def test_waiting_body_frees_its_place_when_client_disconnects(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_waiting_body_releases_memory_when_client_disconnects(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("garnetusher.sidecar.downstream.server.BodyMemory", lambda size: BodyMemory(UPLOAD_MEMORY_SIZE))
 
     async def test() -> None:
-        upstream = Upstream(answering(OK))
-        async with sidecar(upstream) as it:
-            _, first = await it.connect()
+        upstream = Upstream(respond_with(OK))
+        async with sidecar(upstream) as running:
+            _, first = await running.connect()
             first.write(upload_request(b"x" * 200_000)[:-1])
             await asyncio.sleep(0.2)
-            _, second = await it.connect()
+            _, second = await running.connect()
             second.write(upload_request(b"y" * 180_000))
             await second.drain()
             await asyncio.sleep(0.2)
             second.close()
-            await asyncio.sleep(3 * NOT_SENT_AFTER_S)
+            await asyncio.sleep(3 * MAX_FORWARD_DELAY_S)
             first.transport.abort()
             await asyncio.sleep(0.3)
             assert not upstream.requests
-            answer = await it.ask(upload_request(b"z" * 180_000))  # there is room again
-            assert status(answer) == 200
+            response = await running.send_request(upload_request(b"z" * 180_000))  # memory for this body is free again
+            assert status(response) == 200
             assert len(upstream.requests) == 1
 
     run(test)
--- a/tests/test_interleaving_retries.py
+++ b/tests/test_interleaving_retries.py
@@ -19,12 +19,12 @@
     OK,
     Discovery,
     Upstream,
-    answering,
     attempt_at,
     entry,
     listing,
     read_message,
     request,
+    respond_with,
     sidecar,
     until,
 )
@@ -36,17 +36,17 @@
 
 def test_attempt_waiting_for_a_connection_is_sent_to_another_upstream_when_its_upstream_drains() -> None:
     async def test() -> None:
-        other, discovery = Upstream(answering(OK)), Discovery()
+        other, discovery = Upstream(respond_with(OK)), Discovery()
         await other.start()
         with never_up() as port:
             async with sidecar(
                 known=listing(entry("u0", port)), discovery=discovery, connect_timeout_us=60_000_000
             ) as running:
-                await discovery.watched()
+                await discovery.wait_for_watch()
                 reader, writer = await running.connect()
                 writer.write(request("pay", body=b"b"))
                 await asyncio.sleep(0.1)
-                discovery.line(listing(entry("u0", port, "leaving"), entry("u1", other.port), rev=2, full=False))
+                discovery.send_update(listing(entry("u0", port, "leaving"), entry("u1", other.port), rev=2, full=False))
                 assert status(await read_message(reader)) == 200
                 writer.close()
         assert len(other.requests) == 1
@@ -59,7 +59,7 @@
     """The policy chose a warm upstream, but the connection would be to a new process that is warming up."""
 
     async def test() -> None:
-        other, discovery = Upstream(answering(OK)), Discovery()
+        other, discovery = Upstream(respond_with(OK)), Discovery()
         await other.start()
         with never_up() as port:
             async with sidecar(
@@ -68,12 +68,12 @@
                 warm_up_us=60_000_000,
                 connect_timeout_us=60_000_000,
             ) as running:
-                await discovery.watched()
+                await discovery.wait_for_watch()
                 reader, writer = await running.connect()
                 writer.write(request("pay", body=b"b"))
                 await asyncio.sleep(0.1)
                 restarted = entry("u0", port, boot_ms=int(time.time() * 1000))
-                discovery.line(listing(restarted, entry("u1", other.port), rev=2, full=False))
+                discovery.send_update(listing(restarted, entry("u1", other.port), rev=2, full=False))
                 assert status(await read_message(reader)) == 200
                 writer.close()
         assert len(other.requests) == 1
@@ -85,21 +85,21 @@
 @pytest.mark.parametrize("moved", [True, False])
 def test_attempt_is_sent_once_when_withdrawn_in_the_event_loop_round_that_chose_it(moved: bool) -> None:
     async def test() -> None:
-        old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
+        old, new, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
         await old.start()
         await new.start()
         async with sidecar(known=listing(entry("u0", old.port)), discovery=discovery) as running:
-            await discovery.watched()
+            await discovery.wait_for_watch()
             reader, writer = await running.connect()
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert status(await read_message(reader)) == 200  # the client connection and the watch are established
             # Both arrive in one round of the loop: the sidecar reads the request, then the list, and then connects.
             writer.write(request("pay", body=b"b"))
             updated = entry("u0", new.port) if moved else entry("u0", old.port, "leaving")
-            discovery.line(listing(updated, entry("u1", new.port), rev=3, full=False))
+            discovery.send_update(listing(updated, entry("u1", new.port), rev=3, full=False))
             assert status(await read_message(reader)) == 200
             # When this response arrives, a connection for the withdrawn attempt would have been established.
-            await running.ask(request("pay", "2", b"b"))
+            await running.send_request(request("pay", "2", b"b"))
             writer.close()
         assert (len(old.requests), len(new.requests)) == (0, 2)
         old.stop()
@@ -115,11 +115,11 @@
             async with sidecar(
                 known=listing(entry("u0", port)), discovery=discovery, connect_timeout_us=60_000_000
             ) as running:
-                await discovery.watched()
+                await discovery.wait_for_watch()
                 reader, writer = await running.connect()
                 writer.write(request("pay", body=b"b", deadline_ms=60_000))
                 await asyncio.sleep(0.1)
-                discovery.line(listing(rev=2))
+                discovery.send_update(listing(rev=2))
                 async with asyncio.timeout(10):  # the class sets a deadline of 20 s
                     assert status(await read_message(reader)) == 503
                 writer.close()
@@ -159,10 +159,10 @@
                 classes=[request_class],
                 connect_timeout_us=60_000_000,
             ) as running:
-                await discovery.watched()
-                response = asyncio.create_task(running.ask(request("mark", body=b"b")))
+                await discovery.wait_for_watch()
+                response = asyncio.create_task(running.send_request(request("mark", body=b"b")))
                 await until(lambda: len(first.requests) == 1)
-                discovery.line(listing(entry("u1", port), rev=2, full=False))
+                discovery.send_update(listing(entry("u1", port), rev=2, full=False))
                 reader, writer = await running.connect()
                 writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                 await read_message(reader)  # the sidecar has applied the list by then
@@ -211,8 +211,8 @@
 
         upstream = Upstream(script)
         async with sidecar(upstream) as running:
-            assert await running.ask(request("pay", "1", b"b")) == (ANY, b"done")
-            second = asyncio.create_task(running.ask(request("pay", "2", b"b")))
+            assert await running.send_request(request("pay", "1", b"b")) == (ANY, b"done")
+            second = asyncio.create_task(running.send_request(request("pay", "2", b"b")))
             await asyncio.sleep(0.3)  # the request is written by then, unless it waits for the response grace
             if strays:
                 writers[0].write(OK.replace(b"done", b"late"))
@@ -322,9 +322,9 @@
 
         upstream = Upstream(script)
         async with sidecar(upstream) as running:
-            assert status(await running.ask(request("pay", "1", b"b"))) == 200
+            assert status(await running.send_request(request("pay", "1", b"b"))) == 200
             await closed.wait()
-            assert status(await running.ask(request("pay", "2", b"b"))) == 200
+            assert status(await running.send_request(request("pay", "2", b"b"))) == 200
         assert upstream.connections == 2
 
     run(test)
@@ -348,7 +348,9 @@
 
         async with sidecar(*upstreams) as running:
             body = b"b" if class_name == "pay" else b""
-            statuses = [status(await running.ask(request(class_name, str(number), body))) for number in range(3)]
+            statuses = [
+                status(await running.send_request(request(class_name, str(number), body))) for number in range(3)
+            ]
             assert statuses == ([200, 500, 200] if class_name == "pay" else [200, 200, 200])
             assert total() == (3 if class_name == "pay" else 4)
 
--- a/tests/test_interleaving_watch.py
+++ b/tests/test_interleaving_watch.py
@@ -13,7 +13,7 @@
 from garnetusher.sidecar.discovery.endpoint_list import BATCH_SIZE, EndpointList
 from garnetusher.sidecar.discovery.watch import EndpointWatcher, WatchConnection
 from tests.fake_loop import FakeEventLoop
-from tests.net import OK, Discovery, Upstream, answering, entry, listing, request, sidecar, until
+from tests.net import OK, Discovery, Upstream, entry, listing, request, respond_with, sidecar, until
 from tests.runner import run, status
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -228,16 +228,16 @@
 
 def test_endpoint_watcher_applies_a_drain_at_once_when_it_is_the_first_change_after_a_reconnect() -> None:
     async def test() -> None:
-        upstreams, discovery = [Upstream(answering(OK)), Upstream(answering(OK))], Discovery()
+        upstreams, discovery = [Upstream(respond_with(OK)), Upstream(respond_with(OK))], Discovery()
         async with sidecar(*upstreams, discovery=discovery) as it:
-            await discovery.watched()
+            await discovery.wait_for_watch()
             discovery.writers[-1].transport.abort()
-            await discovery.watched()
-            discovery.line(listing(entry("u0", upstreams[0].port, "leaving"), rev=2, full=False))
-            discovery.line(listing(rev=3, full=False))
+            await discovery.wait_for_watch()
+            discovery.send_update(listing(entry("u0", upstreams[0].port, "leaving"), rev=2, full=False))
+            discovery.send_update(listing(rev=3, full=False))
             await asyncio.sleep(0.1)
             for number in range(6):
-                assert status(await it.ask(request(ident=str(number)))) == 200
+                assert status(await it.send_request(request(request_id=str(number)))) == 200
             assert len(upstreams[1].requests) == 6
 
     run(test)
@@ -255,7 +255,7 @@
         unresolvable = entry("u0", 1) | {"endpoint": f"{host}:1"}
         async with sidecar(known=listing(unresolvable), connect_timeout_us=60_000_000) as it:
             async with asyncio.timeout(10):  # the request's own deadline is 15 s
-                assert status(await it.ask(request("pay", body=b"b"))) == 503
+                assert status(await it.send_request(request("pay", body=b"b"))) == 503
         update_kinds: list[UpdateKind] = []
         watcher = EndpointWatcher(
             (host, 1), EndpointList(["a"], ["m"]), lambda event, addresses: update_kinds.append(event.update_kind)
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -17,7 +17,18 @@
 
 from garnetusher.lab.syscall_faults import Call
 from tests.machine import machine
-from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listening, listing, read_message, request
+from tests.net import (
+    OK,
+    TEST_TIMEOUT_S,
+    Discovery,
+    Upstream,
+    entry,
+    listing,
+    read_message,
+    request,
+    respond_with,
+    wait_for_listener,
+)
 from tests.processes import SETTINGS, configuration, program
 from tests.runner import run, status
 from tests.test_crossing_stop import never_up
@@ -68,7 +79,7 @@
                 with contextlib.suppress(BlockingIOError):
                     listener.accept()[0].close()  # no more than is there: the next to come is the sidecar's
                 filler.close()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 head = b""
                 while not head:
                     sock, _ = await loop.sock_accept(listener)
@@ -98,7 +109,7 @@
         with never_up() as port:
             async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", port))) as running:
                 sent_at_s = time.monotonic()
-                assert await running.ask(request("pay", "1", b"x" * 150_000, 1500)) == 503
+                assert await running.send_request(request("pay", "1", b"x" * 150_000, 1500)) == 503
                 assert time.monotonic() - sent_at_s < 1.5 + 0.05
 
     run(test)
@@ -109,7 +120,7 @@
     tmp_path: Path, class_name: str
 ) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
             async with running.held_up(0.3):
@@ -118,7 +129,10 @@
                         request(class_name, f"left-{number}", b"b" if class_name == "pay" else b"", 1500)
                     )
             await asyncio.sleep(0.2)
-            assert await running.ask(request(class_name, "stays", b"b" if class_name == "pay" else b"", 1500)) == 200
+            assert (
+                await running.send_request(request(class_name, "stays", b"b" if class_name == "pay" else b"", 1500))
+                == 200
+            )
         assert [b"left-" in head for head, _ in upstream.requests] == [False]
         upstream.stop()
 
@@ -127,14 +141,14 @@
 
 async def time_to_serve_s(folder: Path, error: int) -> float:
     """How long clients wait, of which the first comes when accept fails once."""
-    upstream = Upstream(answering(OK))
+    upstream = Upstream(respond_with(OK))
     await upstream.start()
     async with machine(folder, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
         await asyncio.sleep(0.1)  # the loop has looked once more at the listener since it was found up
         running.faults.inject(Call.ACCEPT, error, count=1)
         sent_at_s = time.monotonic()
         for number in range(2):  # an event loop's own listener takes the first and then pauses for a second
-            assert await running.ask(request("read", str(number), deadline_ms=1500)) == 200
+            assert await running.send_request(request("read", str(number), deadline_ms=1500)) == 200
         assert running.faults.hits(Call.ACCEPT) == 1
     upstream.stop()
     return time.monotonic() - sent_at_s
@@ -156,7 +170,7 @@
 
 def test_clients_are_answered_when_accept_fails_at_the_end_of_the_process(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
             running.faults.inject(Call.ACCEPT, errno.ENFILE, for_s=0.7)
@@ -168,7 +182,7 @@
                 await asyncio.sleep(0.1)
             for number, (_, writer) in enumerate(clients):
                 writer.write(request("read", str(number), deadline_ms=1500))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 answers = [status(await read_message(reader)) for reader, _ in clients]
             assert set(answers) <= {200, 503}
             assert await asyncio.to_thread(running.process.wait) == 0
@@ -200,7 +214,7 @@
     tmp_path: Path, step_s: float
 ) -> None:
     async def test() -> None:
-        warm, cold = Upstream(answering(OK)), Upstream(answering(OK))
+        warm, cold = Upstream(respond_with(OK)), Upstream(respond_with(OK))
         await warm.start()
         await cold.start()
         known = listing(
@@ -221,8 +235,8 @@
 
 
 async def watch_answered_by(discovery: Discovery) -> None:
-    async with asyncio.timeout(PATIENCE_S):
-        await discovery.watched()
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        await discovery.wait_for_watch()
 
 
 @pytest.mark.parametrize("fault_kind", ["half written", "no descriptor left"])
@@ -255,13 +269,13 @@
     """Its answer has been written; the upstream's slot is free again, and so is the end of the process."""
 
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
             running.faults.inject(Call.SHUTDOWN, errno.ENOTCONN)
             for number in range(8):  # more than an upstream has slots
                 asked = request("read", str(number), deadline_ms=1500, extra="Connection: close\r\n")
-                assert await running.ask(asked) == 200, number
+                assert await running.send_request(asked) == 200, number
         upstream.stop()
 
     run(test)
@@ -272,10 +286,10 @@
     tmp_path: Path, body: bytes
 ) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
-            assert await running.ask(request("pay", "first", b"b", 1500)) == 200
+            assert await running.send_request(request("pay", "first", b"b", 1500)) == 200
             for number in range(5):
                 async with running.held_up(0.3):
                     reader, writer = await running.connect()
@@ -291,12 +305,12 @@
 
 async def deadline_header_ms_after(folder: Path, call: Call, error: int) -> int:
     """What an upstream is told of a request with 1,500 ms, which a call that fails for 400 ms holds back."""
-    upstream = Upstream(answering(OK))
+    upstream = Upstream(respond_with(OK))
     await upstream.start()
     async with machine(folder, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
-        assert await running.ask(request("pay", "first", b"b", 1500)) == 200
+        assert await running.send_request(request("pay", "first", b"b", 1500)) == 200
         running.faults.inject(call, error, for_s=0.4)
-        assert await running.ask(request("pay", "second", b"b", 1500)) == 200
+        assert await running.send_request(request("pay", "second", b"b", 1500)) == 200
     upstream.stop()
     return deadline_header_ms(upstream.requests[1][0])
 
@@ -323,12 +337,12 @@
 
 async def assert_process_starts(folder: Path, call: Call, error: int) -> None:
     """The program serves, though a call fails ten times at its start."""
-    upstream = Upstream(answering(OK))
+    upstream = Upstream(respond_with(OK))
     await upstream.start()
     async with machine(
         folder, failing=(call, error, 10), settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))
     ) as running:
-        assert await running.ask(request("pay", "1", b"b", 1500)) == 200
+        assert await running.send_request(request("pay", "1", b"b", 1500)) == 200
         assert running.faults.hits(call) == 10
     upstream.stop()
 
@@ -349,7 +363,7 @@
     """Its pipe holds 64 KiB; what does not fit is left out."""
 
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
             whole = json.loads(running.config.read_text())
@@ -359,7 +373,7 @@
                 running.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.21)  # five lines a second are logged
                 async with asyncio.timeout(5):
-                    assert await running.ask(request("pay", str(number), b"b", 1500)) == 200
+                    assert await running.send_request(request("pay", str(number), b"b", 1500)) == 200
         upstream.stop()
 
     run(test)
@@ -376,18 +390,18 @@
         with program(path) as process:
             await asyncio.sleep(0.5)
             path.write_text(text)
-            await listening(int(json.loads(text)["listen"].split(":")[1]), lambda: process.poll() is None)
+            await wait_for_listener(int(json.loads(text)["listen"].split(":")[1]), lambda: process.poll() is None)
 
     run(test)
 
 
 def test_connections_are_added_to_the_event_loop_when_epoll_is_short_of_memory(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with machine(tmp_path, settings=PATIENT_SETTINGS, known=listing(entry("u", upstream.port))) as running:
             running.faults.inject(Call.EPOLL_CTL, errno.ENOMEM, for_s=0.2)
-            assert await running.ask(request("pay", "1", b"b", 1500)) == 200
+            assert await running.send_request(request("pay", "1", b"b", 1500)) == 200
             assert running.faults.hits(Call.EPOLL_CTL) > 1
         upstream.stop()
 
--- a/tests/test_readiness_and_shutdown.py
+++ b/tests/test_readiness_and_shutdown.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from tests.net import OK, Upstream, listing, read_message, request, sidecar, silent, until
+from tests.net import OK, Upstream, listing, never_respond, read_message, request, sidecar, until
 from tests.runner import run, status
 
 
@@ -12,9 +12,9 @@
     async def test() -> None:
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         async with sidecar(known=listing()) as it:
-            assert status(await it.ask(up)) == 503
-        async with sidecar(Upstream(silent)) as it:
-            assert status(await it.ask(up)) == 200
+            assert status(await it.send_request(up)) == 503
+        async with sidecar(Upstream(never_respond)) as it:
+            assert status(await it.send_request(up)) == 200
 
     run(test)
 
@@ -39,12 +39,12 @@
             idle_writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")  # a new one is given time for its first request
             assert status(await read_message(idle_reader)) == 200
             reader, writer = await it.connect()
-            writer.write(request(ident="1"))
+            writer.write(request(request_id="1"))
             await until(lambda: total() == 1)
             it.stop.set()
             assert await idle_reader.read() == b""
             late_reader, late_writer = await it.connect()
-            late_writer.write(request(ident="2"))
+            late_writer.write(request(request_id="2"))
             await until(lambda: total() == 2)
             held.set()
             for each in (reader, late_reader):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -15,16 +15,16 @@
 from garnetusher.sidecar.sidecar import Sidecar
 from tests.net import (
     OK,
-    PATIENCE_S,
+    TEST_TIMEOUT_S,
     Discovery,
     Upstream,
-    answering,
     entry,
-    listening,
     listing,
     read_message,
     request,
+    respond_with,
     until,
+    wait_for_listener,
 )
 from tests.processes import SETTINGS, configuration, program, with_value, without
 
@@ -156,8 +156,8 @@
             return int(answer[0].split(b" ")[1])
 
         with program(path) as process:
-            async with asyncio.timeout(PATIENCE_S):
-                await listening(int(port))
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await wait_for_listener(int(port))
                 assert await ask("read") == 404
                 under_way = asyncio.create_task(ask("pay"))
                 await until(lambda: len(upstream.requests) == 1)
@@ -179,18 +179,18 @@
 
 def test_program_moves_its_watch_when_sighup_comes_with_another_address(tmp_path: Path) -> None:
     async def test() -> None:
-        old, new, upstream = Discovery(), Discovery(), Upstream(answering(OK))
+        old, new, upstream = Discovery(), Discovery(), Upstream(respond_with(OK))
         for peer in (old, new, upstream):
             await peer.start()
         path = configuration(tmp_path, discovery=f"127.0.0.1:{old.port}")
         whole = json.loads(path.read_text())
         with program(path) as process:
-            async with asyncio.timeout(PATIENCE_S):
-                await old.watched()
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await old.wait_for_watch()
                 path.write_text(json.dumps(whole | {"discovery": f"127.0.0.1:{new.port}"}))
                 process.send_signal(signal.SIGHUP)
-                await new.watched()
-                new.line(listing(entry("moved", upstream.port), rev=2))
+                await new.wait_for_watch()
+                new.send_update(listing(entry("moved", upstream.port), rev=2))
                 host, port = whole["listen"].split(":")
                 while not upstream.requests:
                     reader, writer = await asyncio.open_connection(host, int(port))
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -17,15 +17,15 @@
 from garnetusher.sidecar.configuration import inherited_socket
 from tests.net import (
     OK,
-    PATIENCE_S,
+    TEST_TIMEOUT_S,
     Discovery,
     Upstream,
-    answering,
     entry,
     free_ports,
     listing,
     read_message,
     request,
+    respond_with,
     sidecar,
 )
 from tests.processes import configuration, program
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("text", ["seven", "0"])
 def test_program_exits_with_one_line_when_the_socket_is_not_inheritable(tmp_path: Path, text: str) -> None:
     with program(configuration(tmp_path), BALANCER_SOCKET_FD=text) as process:
-        _, errors = process.communicate(timeout=PATIENCE_S)
+        _, errors = process.communicate(timeout=TEST_TIMEOUT_S)
         assert process.returncode == 2
         assert len(errors.splitlines()) == 1
         assert b"BALANCER_SOCKET_FD" in errors
@@ -64,18 +64,18 @@
 
 def test_successor_accepts_clients_when_discovery_has_answered() -> None:
     async def test() -> None:
-        gone, upstream, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
+        gone, upstream, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
         await upstream.start()
         with held_socket() as held:
             async with sidecar(gone, discovery=discovery, inherited=held) as it:
-                await discovery.watched()
-                waiting = asyncio.create_task(it.ask(request()))
-                assert await it.call("GET", "/_ready") == 503
+                await discovery.wait_for_watch()
+                waiting = asyncio.create_task(it.send_request(request()))
+                assert await it.call_admin("GET", "/_ready") == 503
                 assert not waiting.done()
                 assert not gone.requests
-                discovery.line(listing(entry("u9", upstream.port), rev=2))
+                discovery.send_update(listing(entry("u9", upstream.port), rev=2))
                 assert status(await waiting) == 200
-                assert await it.call("GET", "/_ready") == 200
+                assert await it.call_admin("GET", "/_ready") == 200
                 assert len(upstream.requests) == 1
                 assert not gone.requests
         upstream.stop()
@@ -88,40 +88,40 @@
 
     async def test() -> None:
         with held_socket() as held:
-            async with sidecar(Upstream(answering(OK)), inherited=held) as it:
-                assert status(await it.ask(request())) == 200
-                assert await it.call("GET", "/_ready") == 200
+            async with sidecar(Upstream(respond_with(OK)), inherited=held) as it:
+                assert status(await it.send_request(request())) == 200
+                assert await it.call_admin("GET", "/_ready") == 200
 
     run(test)
 
 
 def test_predecessor_serves_a_last_request_per_connection_when_it_stops() -> None:
     async def test() -> None:
-        upstream, second = Upstream(answering(OK)), Upstream(answering(OK))
+        upstream, second = Upstream(respond_with(OK)), Upstream(respond_with(OK))
         old_discovery, new_discovery = Discovery(), Discovery()
         with held_socket() as held:
             async with (
                 sidecar(upstream, discovery=old_discovery, inherited=held) as old,
                 sidecar(second, discovery=new_discovery, inherited=held) as new,
             ):
-                await old_discovery.watched()
-                old_discovery.line(listing(rev=1, full=False))
+                await old_discovery.wait_for_watch()
+                old_discovery.send_update(listing(rev=1, full=False))
                 reader, writer = await old.connect()
                 idle_reader, idle_writer = await old.connect()
                 for each_reader, each_writer in ((reader, writer), (idle_reader, idle_writer)):
                     each_writer.write(request())
                     assert b"close" not in (await read_message(each_reader))[0]
-                await new_discovery.watched()
-                new_discovery.line(listing(rev=1, full=False))
-                while await new.call("GET", "/_ready") != 200:
+                await new_discovery.wait_for_watch()
+                new_discovery.send_update(listing(rev=1, full=False))
+                while await new.call_admin("GET", "/_ready") != 200:
                     pass
                 old.stop.set()
                 await asyncio.sleep(0.05)
                 for number in range(20):  # whoever comes now is let in, and by the new process
-                    assert status(await new.ask(request(ident=f"n{number}"))) == 200
+                    assert status(await new.send_request(request(request_id=f"n{number}"))) == 200
                 assert len(second.requests) == 20
                 await asyncio.sleep(0.5)
-                writer.write(request(ident="last"))
+                writer.write(request(request_id="last"))
                 head, body = await read_message(reader)
                 assert body == b"done"
                 assert b"Connection: close" in head
@@ -130,14 +130,14 @@
                 writer.close()
                 idle_writer.close()
                 await old.task
-                assert status(await new.ask(request(ident="after"))) == 200
+                assert status(await new.send_request(request(request_id="after"))) == 200
 
     run(test)
 
 
 def test_predecessor_alone_ends_when_sigterm_comes_to_it(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream, discovery = Upstream(answering(OK)), Discovery()
+        upstream, discovery = Upstream(respond_with(OK)), Discovery()
         await upstream.start()
         await discovery.start()
         known = listing(entry("u0", upstream.port))
@@ -169,13 +169,13 @@
                 program(path, (keep,), BALANCER_SOCKET_FD=str(keep), BALANCER_ADMIN=f"127.0.0.1:{first}") as old,
                 program(path, (keep,), BALANCER_SOCKET_FD=str(keep), BALANCER_ADMIN=f"127.0.0.1:{second}") as new,
             ):
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while not (await ready(first) and await ready(second)):  # noqa: ASYNC110 - polls two processes
                         await asyncio.sleep(0.02)
                     assert await ask(port, "0") == 200
                     old.send_signal(signal.SIGTERM)
                     assert [await ask(port, str(number)) for number in range(1, 60)] == [200] * 59
-                    assert await asyncio.to_thread(old.wait, PATIENCE_S) == 0
+                    assert await asyncio.to_thread(old.wait, TEST_TIMEOUT_S) == 0
                     assert [await ask(port, str(number)) for number in range(60, 70)] == [200] * 10
                     assert new.poll() is None
         upstream.stop()
@@ -188,9 +188,9 @@
     async def test() -> None:
         discovery = Discovery()
         with held_socket() as held:
-            async with sidecar(Upstream(answering(OK)), discovery=discovery, inherited=held) as it:
-                await discovery.watched()
-                discovery.line(listing(rev=1, full=False))
+            async with sidecar(Upstream(respond_with(OK)), discovery=discovery, inherited=held) as it:
+                await discovery.wait_for_watch()
+                discovery.send_update(listing(rev=1, full=False))
                 clients = [await it.connect() for _ in range(200 // 3)]
                 for reader, writer in clients:
                     writer.write(request())
@@ -204,8 +204,8 @@
     async def test() -> None:
         discovery = Discovery()
         with held_socket() as held:
-            async with sidecar(Upstream(answering(OK)), discovery=discovery, inherited=held) as it:
-                await discovery.watched()
+            async with sidecar(Upstream(respond_with(OK)), discovery=discovery, inherited=held) as it:
+                await discovery.wait_for_watch()
                 _, writer = await it.connect()
                 it.stop.set()
                 await it.task
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -9,7 +9,7 @@
 
 from garnetusher.policy.balancer import Balancer
 from garnetusher.policy.events import Event
-from tests.net import ERROR, NOT_RUN, OK, Upstream, answering, entry, listing, request, sidecar, silent, until
+from tests.net import ERROR, NOT_RUN, OK, Upstream, entry, listing, never_respond, request, respond_with, sidecar, until
 from tests.runner import run, status
 
 BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -18,10 +18,10 @@
 def test_sidecar_forwards_request_and_response_unchanged() -> None:
     async def test() -> None:
         upstream = Upstream(
-            answering(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
+            respond_with(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
         )
         async with sidecar(upstream) as running:
-            head, body = await running.ask(request("mark", "77", b"\x00body\r\n"))
+            head, body = await running.send_request(request("mark", "77", b"\x00body\r\n"))
         assert status((head, body)) == 200
         assert body == b"\x00\xff\r\n\r\n"
         assert b"Content-Type: a/b" in head
@@ -74,7 +74,7 @@
             return sum(len(upstream.requests) for upstream in upstreams)
 
         async with sidecar(*upstreams) as running:
-            response = await running.ask(request("pay", body=b"b"))
+            response = await running.send_request(request("pay", body=b"b"))
         assert (status(response), total()) == (expected, attempts)
 
     run(test)
@@ -83,9 +83,9 @@
 def test_sidecar_does_not_retry_when_upstream_rejects_request() -> None:
     async def test() -> None:
         rejected = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
-        upstreams = [Upstream(answering(rejected)) for _ in range(3)]
+        upstreams = [Upstream(respond_with(rejected)) for _ in range(3)]
         async with sidecar(*upstreams) as running:
-            assert status(await running.ask(request())) == 500
+            assert status(await running.send_request(request())) == 500
         assert sum(len(upstream.requests) for upstream in upstreams) == 1
 
     run(test)
@@ -93,12 +93,12 @@
 
 def test_sidecar_sheds_with_retry_after_when_connecting_fails() -> None:
     async def test() -> None:
-        stopped = Upstream(silent)
+        stopped = Upstream(never_respond)
         await stopped.start()
         stopped.stop()
         endpoint_list = listing(entry("u0", stopped.port))
         async with sidecar(known=endpoint_list) as running:
-            response = await running.ask(request("pay"))
+            response = await running.send_request(request("pay"))
         assert status(response) == 503
         assert 0.0 < float(response[0].split(b"Retry-After: ")[1].split(b"\r\n")[0]) <= 1.0
 
@@ -107,9 +107,9 @@
 
 def test_sidecar_responds_before_deadline_when_upstream_is_silent() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(silent)) as running:
+        async with sidecar(Upstream(never_respond)) as running:
             started = asyncio.get_running_loop().time()
-            response = await running.ask(request("pay", deadline_ms=400))
+            response = await running.send_request(request("pay", deadline_ms=400))
             elapsed_s = asyncio.get_running_loop().time() - started
         assert status(response) == 500
         assert elapsed_s >= 0.3
@@ -132,10 +132,10 @@
     monkeypatch.setattr(Balancer, "handle", faulty_handle)
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as running:
-            assert status(await running.ask(request(extra="X-Key: 5\r\n"))) == 500
-            assert status(await running.ask(request(deadline_ms=300, extra="X-Retry: 1\r\n"))) == 500
-            assert status(await running.ask(request())) == 200
+        async with sidecar(Upstream(respond_with(OK))) as running:
+            assert status(await running.send_request(request(extra="X-Key: 5\r\n"))) == 500
+            assert status(await running.send_request(request(deadline_ms=300, extra="X-Retry: 1\r\n"))) == 500
+            assert status(await running.send_request(request())) == 200
 
     run(test)
 
@@ -162,7 +162,7 @@
             await writer.wait_closed()
             await asyncio.sleep(0.05)
             release_response.set()
-            assert status(await running.ask(request(ident="2"))) == 200
+            assert status(await running.send_request(request(request_id="2"))) == 200
         assert [b"X-Request-Id: 2" in head for head, _ in upstream.requests] == [False, True]
 
     run(test)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -14,13 +14,13 @@
 
 from tests.net import (
     OK,
-    PATIENCE_S,
+    TEST_TIMEOUT_S,
     Upstream,
     entry,
-    listening,
     listing,
     read_message,
     request,
+    wait_for_listener,
 )
 from tests.processes import configuration, program
 
@@ -29,18 +29,18 @@
     path = configuration(tmp_path)
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
     with program(path) as process:
-        answer, ends = b"", time.monotonic() + PATIENCE_S
+        answer, ends = b"", time.monotonic() + TEST_TIMEOUT_S
         while not answer and time.monotonic() < ends:
             assert process.poll() is None
             try:
-                with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as sock:
+                with socket.create_connection(("127.0.0.1", port), timeout=TEST_TIMEOUT_S) as sock:
                     sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                     answer = sock.recv(100)
             except ConnectionRefusedError:
                 time.sleep(0.02)
         assert answer.startswith(b"HTTP/1.1 200 ")
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE_S) == 0
+        assert process.wait(TEST_TIMEOUT_S) == 0
 
 
 def test_program_answers_all_that_ran_when_sigterm_comes_under_load(tmp_path: Path) -> None:
@@ -74,15 +74,15 @@
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         stopped, answered = asyncio.Event(), set[str]()
         with program(path) as process:
-            async with asyncio.timeout(PATIENCE_S):
-                await listening(port)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await wait_for_listener(port)
                 async with asyncio.TaskGroup() as group:
                     for name in range(8):
                         group.create_task(client(name, port, stopped, answered))
                     await asyncio.sleep(0.5)
                     stopped.set()
                     process.send_signal(signal.SIGTERM)
-                assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
+                assert await asyncio.to_thread(process.wait, TEST_TIMEOUT_S) == 0
         for upstream in upstreams:
             upstream.stop()
         ran = {
@@ -99,6 +99,6 @@
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
 def test_program_exits_with_one_line_when_the_file_is_malformed(tmp_path: Path, changes: dict[str, Any]) -> None:
     with program(configuration(tmp_path, **changes)) as process:
-        _, errors = process.communicate(timeout=PATIENCE_S)
+        _, errors = process.communicate(timeout=TEST_TIMEOUT_S)
         assert process.returncode == 2
         assert len(errors.splitlines()) == 1
--- a/tests/test_streamed_bodies.py
+++ b/tests/test_streamed_bodies.py
@@ -1,4 +1,4 @@
-"""Request bodies that are longer than what is buffered, and the framings that HTTP/1.1 gives them."""
+"""Request bodies that exceed the buffer limit, and the HTTP/1.1 body framings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.streaming import Upload
 from tests.downstream import new_connection
-from tests.net import OK, PATIENCE_S, read_message, request, sidecar, until
+from tests.net import OK, TEST_TIMEOUT_S, read_message, request, sidecar, until
 from tests.runner import run, status
 from tests.streams import LONG_BODY, FunctionUpstream, read_body, upload_request
 
@@ -20,42 +20,42 @@
 @pytest.mark.parametrize("size", [10, 70_000, len(LONG_BODY)])
 def test_sidecar_forwards_body_unchanged_in_every_length_and_framing(size: int, chunks: int) -> None:
     async def test() -> None:
-        found = []
+        received = []
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                found.append(await read_body(reader))
+                received.append(await read_body(reader))
                 writer.write(OK)
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
             for _ in range(2):
                 writer.write(upload_request(LONG_BODY[:size], chunks, "X-Mine: 1\r\n"))
                 assert await read_message(reader) != (b"", b"")
-                assert found.pop()[1] == LONG_BODY[:size]
+                assert received.pop()[1] == LONG_BODY[:size]
             writer.close()
 
     run(test)
 
 
-def test_sidecar_streams_long_body_and_starts_its_deadline_at_the_end() -> None:
+def test_sidecar_streams_long_body_and_starts_its_deadline_at_the_end_of_body() -> None:
     async def test() -> None:
-        first = asyncio.Event()
+        first_part_received = asyncio.Event()
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(100_000)
-            first.set()
+            first_part_received.set()
             await reader.readexactly(len(LONG_BODY) - 100_000)
             writer.write(OK)
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
-            whole = request("pay", body=LONG_BODY, deadline_ms=1500)
-            writer.write(whole[:200_000])
-            await first.wait()
-            await asyncio.sleep(1.6)  # longer than its client would wait for an answer
-            writer.write(whole[200_000:])
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
+            data = request("pay", body=LONG_BODY, deadline_ms=1500)
+            writer.write(data[:200_000])
+            await first_part_received.wait()
+            await asyncio.sleep(1.6)  # longer than the client's deadline
+            writer.write(data[200_000:])
             assert status(await read_message(reader)) == 200
             writer.close()
 
@@ -64,32 +64,32 @@
 
 def test_sidecar_retries_long_body_only_while_it_is_buffered() -> None:
     async def test() -> None:
-        tries = []
+        attempts = []
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            tries.append(await reader.readuntil(b"\r\n\r\n"))
-            if len(tries) == 1:
-                return  # it breaks before it has had more than what is held
-            if len(tries) == 3:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            attempts.append(await reader.readuntil(b"\r\n\r\n"))
+            if len(attempts) == 1:
+                return  # the connection closes while the whole body is still buffered
+            if len(attempts) == 3:
                 await reader.readexactly(300_000)
                 return
             await reader.readexactly(len(LONG_BODY))
             writer.write(OK)
 
-        async with sidecar(FunctionUpstream(play), FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
-            whole = request("pay", body=LONG_BODY)
-            writer.write(whole[:66_000])
-            await until(lambda: len(tries) == 2)
-            writer.write(whole[66_000:])
+        async with sidecar(FunctionUpstream(handle), FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
+            data = request("pay", body=LONG_BODY)
+            writer.write(data[:66_000])
+            await until(lambda: len(attempts) == 2)
+            writer.write(data[66_000:])
             assert status(await read_message(reader)) == 200
-            writer.write(whole)
+            writer.write(data)
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 503 ")
             assert b"Retry-After" in head
             assert b"Connection: close" in head
             writer.close()
-        assert len(tries) == 3
+        assert len(attempts) == 3
 
     run(test)
 
@@ -99,40 +99,40 @@
     monkeypatch.setattr(request_reader, "MAX_DEADLINE_AHEAD_US", 500_000)
 
     async def test() -> None:
-        ended = asyncio.Event()
+        body_ended = asyncio.Event()
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             assert len(await reader.read(len(LONG_BODY))) < len(LONG_BODY)
             while await reader.read(65536):
                 pass
-            ended.set()
+            body_ended.set()
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
             writer.write(upload_request(LONG_BODY)[:200_000])
             assert status(await read_message(reader)) == 408
-            await ended.wait()
+            await body_ended.wait()
             writer.close()
 
     run(test)
 
 
-@pytest.mark.parametrize("bad", [b"zz\r\n", b"-1\r\n", b"ffffffffffffffffff\r\n"])
-def test_sidecar_responds_400_when_framing_of_long_body_breaks(bad: bytes) -> None:
+@pytest.mark.parametrize("invalid_framing", [b"zz\r\n", b"-1\r\n", b"ffffffffffffffffff\r\n"])
+def test_sidecar_responds_400_when_framing_of_long_body_breaks(invalid_framing: bytes) -> None:
     async def test() -> None:
-        ended = asyncio.Event()
+        body_ended = asyncio.Event()
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             assert not (await reader.read()).endswith(b"0\r\n\r\n")
-            ended.set()
+            body_ended.set()
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
-            whole = upload_request(LONG_BODY, 4000)
-            writer.write(whole[: whole.index(b"fa0;x", 200_000)] + bad)
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
+            data = upload_request(LONG_BODY, 4000)
+            writer.write(data[: data.index(b"fa0;x", 200_000)] + invalid_framing)
             assert status(await read_message(reader)) == 400
-            await ended.wait()
+            await body_ended.wait()
             writer.close()
 
     run(test)
@@ -140,74 +140,74 @@
 
 def test_sidecar_responds_413_when_chunked_body_exceeds_limit() -> None:
     async def test() -> None:
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while await reader.read(1 << 20):
                 pass
 
-        async with sidecar(FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
             writer.write(request("pay").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked"))
-            answer = asyncio.create_task(read_message(reader))
-            piece = b"10000\r\n" + b"x" * 65536 + b"\r\n"
-            while not answer.done():
-                writer.write(piece)
+            response = asyncio.create_task(read_message(reader))
+            chunk = b"10000\r\n" + b"x" * 65536 + b"\r\n"
+            while not response.done():
+                writer.write(chunk)
                 await writer.drain()
-            assert status(await answer) == 413
+            assert status(await response) == 413
             writer.close()
 
     run(test)
 
 
-def test_upload_reads_on_only_while_an_attempt_takes_it() -> None:
+def test_upload_reads_body_only_while_an_attempt_is_attached() -> None:
     class RecordingSink:
         def __init__(self) -> None:
-            self.got = b""
+            self.received = b""
 
         def write_body_chunk(self, data: bytes) -> None:
-            self.got += data
+            self.received += data
 
         def end_body(self) -> None:
-            self.got += b"."
+            self.received += b"."
 
     class RecordingSource:
         def __init__(self) -> None:
-            self.flows = list[bool]()
-            self.passed = list[bool]()
+            self.reading_states = list[bool]()
+            self.not_replayable_calls = list[bool]()
 
         def pause_body(self) -> None:
-            self.flows.append(False)
+            self.reading_states.append(False)
 
         def resume_body(self) -> None:
-            self.flows.append(True)
+            self.reading_states.append(True)
 
         def body_not_replayable(self) -> None:
-            self.passed.append(True)
+            self.not_replayable_calls.append(True)
 
     source = RecordingSource()
-    flows, passed = source.flows, source.passed
+    reading_states, not_replayable_calls = source.reading_states, source.not_replayable_calls
     body = Upload(b"held", None, source)
     first, second = RecordingSink(), RecordingSink()
     assert body.attach(first) == b"held"
     body.detach(first)
-    assert flows == [True, False]
-    assert not passed
+    assert reading_states == [True, False]
+    assert not not_replayable_calls
     assert body.attach(second) == b"held"
-    body.detach(first)  # another attempt has it
+    body.detach(first)  # no effect, because another attempt is attached
     body.feed(b"more")
     body.finish()
-    assert second.got == b"more."
-    assert passed == [True]
+    assert second.received == b"more."
+    assert not_replayable_calls == [True]
     assert body.buffered == b""
-    assert flows[-1]
+    assert reading_states[-1]
 
 
-def test_connection_rejects_body_when_its_class_is_removed_meanwhile() -> None:
+def test_connection_rejects_body_when_its_class_is_removed_before_the_end() -> None:
     async def test() -> None:
         client = new_connection()
-        whole = request("pay", body=LONG_BODY)
-        client.data_received(whole[:1000])
+        data = request("pay", body=LONG_BODY)
+        client.data_received(data[:1000])
         client.server.router = RequestRouter(Settings([RequestClass("read", 1_000_000, 2_000_000)]))
-        client.data_received(whole[1000:70_000])
+        client.data_received(data[1000:70_000])
         assert client.closing
         assert not client.has_open_request
 
@@ -218,21 +218,21 @@
     monkeypatch.setattr(connection, "STALL_TIMEOUT_US", 500_000)
 
     async def test() -> None:
-        tries, over = [], asyncio.Event()
+        attempts, finished = [], asyncio.Event()
 
-        async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            tries.append(await reader.readuntil(b"\r\n\r\n"))
-            await over.wait()
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            attempts.append(await reader.readuntil(b"\r\n\r\n"))
+            await finished.wait()
 
-        async with sidecar(FunctionUpstream(play), FunctionUpstream(play)) as it:
-            reader, writer = await it.connect()
+        async with sidecar(FunctionUpstream(handle), FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
             writer.write(request("pay", body=24 * LONG_BODY))
-            async with asyncio.timeout(PATIENCE_S / 2):
+            async with asyncio.timeout(TEST_TIMEOUT_S / 2):
                 head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 503 ")
             assert b"Retry-After" in head
             writer.transport.abort()
-            over.set()
-        assert len(tries) == 1
+            finished.set()
+        assert len(attempts) == 1
 
     run(test)
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -10,7 +10,7 @@
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, Head, Source
 from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US
 from garnetusher.sidecar.upstream.pool import ConnectionPool
-from tests.net import OK, Upstream, allowed, answering, read_message, request, sidecar, until
+from tests.net import OK, Upstream, permit_write, read_message, request, respond_with, sidecar, until
 from tests.runner import run, status
 from tests.streams import CHUNKED, LONG_BODY, FunctionUpstream, chunked, read_body
 
@@ -131,7 +131,7 @@
                 await writer.drain()
                 sent[0] += 65536
 
-        async with sidecar(FunctionUpstream(play), Upstream(answering(OK))) as it:
+        async with sidecar(FunctionUpstream(play), Upstream(respond_with(OK))) as it:
             reader, writer = await asyncio.open_connection("127.0.0.1", it.port, limit=4096)
             writer.write(request())
             await until(lambda: sent[0] > 0)
@@ -158,7 +158,7 @@
             await reader.read()
 
         async with sidecar(FunctionUpstream(play)) as it:
-            assert status(await it.ask(request("pay"))) == 500
+            assert status(await it.send_request(request("pay"))) == 500
 
     run(test)
 
@@ -205,7 +205,7 @@
             return Nowhere()
 
         call = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
-        flight = pool.start_attempt(("127.0.0.1", upstream.port), call, allowed, results.append, began)
+        flight = pool.start_attempt(("127.0.0.1", upstream.port), call, permit_write, results.append, began)
         await until(lambda: bool(source))
         assert len(pool.streaming) == 1
         flight.abandon()
--- a/tests/test_streaming_memory.py
+++ b/tests/test_streaming_memory.py
@@ -1,4 +1,4 @@
-"""The memory that long bodies and responses take."""
+"""Memory use of long request bodies and responses."""
 
 from __future__ import annotations
 
@@ -10,61 +10,61 @@
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.streaming import BodyMemory
 from tests.downstream import NullTransport, new_connection
-from tests.net import PATIENCE_S, classes, entry, listening, listing, request
+from tests.net import TEST_TIMEOUT_S, classes, entry, listing, request, wait_for_listener
 from tests.processes import configuration, program
 from tests.runner import run
 from tests.streams import LONG_BODY, FunctionUpstream
 
 
-def test_body_memory_begins_bodies_in_turn_when_memory_is_short() -> None:
-    room, begun = BodyMemory(2 * 256 * 1024), list[int]()
-    entries = [lambda number=number: begun.append(number) for number in range(5)]
-    for each in entries:
-        room.acquire(each)
-    assert begun == [0, 1]
-    room.release(entries[2])  # its client has gone
-    room.release(entries[0])
-    assert begun == [0, 1, 3]
+def test_body_memory_starts_bodies_in_order_when_memory_is_short() -> None:
+    memory, started = BodyMemory(2 * 256 * 1024), list[int]()
+    start_callbacks = [lambda number=number: started.append(number) for number in range(5)]
+    for each in start_callbacks:
+        memory.acquire(each)
+    assert started == [0, 1]
+    memory.release(start_callbacks[2])  # the client of this waiting body has disconnected
+    memory.release(start_callbacks[0])
+    assert started == [0, 1, 3]
     for number in (1, 3, 4):
-        room.release(entries[number])
-    assert begun == [0, 1, 3, 4]
-    assert room.free == 2
+        memory.release(start_callbacks[number])
+    assert started == [0, 1, 3, 4]
+    assert memory.free == 2
 
 
 def test_sidecar_bounds_memory_when_hundreds_of_peers_are_slow(tmp_path: Path) -> None:
-    """The limit on the operators' days is 80 MB; each of these answers and bodies alone is 4 MB."""
-    size, many = 4 * 1024 * 1024, 100
+    """The operators' memory limit is 80 MB, and each of the 100 responses and 100 bodies has 4 MB."""
+    size, peer_count = 4 * 1024 * 1024, 100
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         if head.startswith(b"POST"):
-            await asyncio.sleep(PATIENCE_S)  # it takes nothing
+            await asyncio.sleep(TEST_TIMEOUT_S)  # the upstream reads none of the body
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size // 65536):
             writer.write(b"x" * 65536)
             await writer.drain()
 
     async def test() -> None:
-        upstreams = [FunctionUpstream(play) for _ in range(40)]
+        upstreams = [FunctionUpstream(handle) for _ in range(40)]
         for upstream in upstreams:
             await upstream.start()
         known = listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
         path = configuration(tmp_path, known=known, limits={"cores": 1.0, "memory_mb": 80, "sockets": 1024})
-        whole = json.loads(path.read_text())
-        whole["settings"]["request-classes"] = [
+        config = json.loads(path.read_text())
+        config["settings"]["request-classes"] = [
             {"name": name, "aim": 9_000_000, "deadline": 19_000_000, "effect": effect, "worth": 1.0}
             for name, effect in (("read", "idempotent"), ("pay", "at_most_once"))
         ]
-        path.write_text(json.dumps(whole))
-        host, port = whole["listen"].split(":")
+        path.write_text(json.dumps(config))
+        host, port = config["listen"].split(":")
         writers = []
         with program(path) as process:
-            await listening(int(port))
-            for number in range(2 * many):
+            await wait_for_listener(int(port))
+            for number in range(2 * peer_count):
                 _reader, writer = await asyncio.open_connection(host, int(port), limit=1024)
                 writers.append(writer)
-                kind = "pay" if number % 2 else "read"
-                writer.write(request(kind, str(number), b"x" * size if number % 2 else b""))
+                class_name = "pay" if number % 2 else "read"
+                writer.write(request(class_name, str(number), b"x" * size if number % 2 else b""))
             await asyncio.sleep(2.0)
             status_file = Path(f"/proc/{process.pid}/status")
             lines = status_file.read_text().splitlines()  # noqa: ASYNC240 - procfs does not block
@@ -80,7 +80,7 @@
 
 
 def test_connection_sheds_with_retry_after_when_body_memory_stays_short() -> None:
-    class Wire(NullTransport):
+    class RecordingTransport(NullTransport):
         sent = b""
 
         def write(self, data: object) -> None:
@@ -88,17 +88,17 @@
             self.sent += data
 
     async def test() -> None:
-        wire = Wire()
-        client = new_connection(wire)
+        transport = RecordingTransport()
+        client = new_connection(transport)
         client.server.body_memory.free = 0
         client.server.router = RequestRouter(Settings(classes(), max_retry_after_us=2_000_000))
         client.data_received(request("pay", body=LONG_BODY)[:70_000])
         assert not client.has_open_request
         client.check_timeouts(client.arrival_times.paused_since_us + 4_000_000)
-        assert not wire.sent
+        assert not transport.sent
         client.check_timeouts(client.arrival_times.paused_since_us + 6_000_000)
-        assert wire.sent.startswith(b"HTTP/1.1 503 ")
-        assert b"Retry-After: 2.000\r\n" in wire.sent
+        assert transport.sent.startswith(b"HTTP/1.1 503 ")
+        assert b"Retry-After: 2.000\r\n" in transport.sent
         assert not client.server.body_memory.waiting
 
     run(test)
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -13,17 +13,17 @@
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
 from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US, IdleReuseEstimator
 from garnetusher.sidecar.upstream.pool import ConnectionPool
-from tests.net import OK, Upstream, answering, attempt_at, request, sidecar, until
+from tests.net import OK, Upstream, attempt_at, request, respond_with, sidecar, until
 from tests.runner import run
 
 
 def test_pool_reuses_connection_except_when_it_has_ended_or_sent_extra_bytes() -> None:
     async def test() -> None:
         more, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
-        upstream = Upstream(answering(OK, more, OK, closing, OK))
+        upstream = Upstream(respond_with(OK, more, OK, closing, OK))
         async with sidecar(upstream) as it:
             for number in range(5):
-                assert (await it.ask(request(ident=str(number))))[1] == b"done"
+                assert (await it.send_request(request(request_id=str(number))))[1] == b"done"
                 await asyncio.sleep(2 * RESPONSE_GRACE_US / 1e6)  # sooner, a second answer may be on its way
         assert upstream.connections == 3
 
@@ -90,8 +90,8 @@
                 ended.set()
             raise ConnectionResetError
 
-        async with sidecar(Upstream(script), idle_us=400_000) as it:
-            await it.ask(request())
+        async with sidecar(Upstream(script), idle_timeout_us=400_000) as it:
+            await it.send_request(request())
             await ended.wait()
 
     run(test)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -16,7 +16,7 @@
 from garnetusher.policy.zone import FailedAttempt, Zone, ZoneState
 from garnetusher.policy.zones import SILENCE_US, Zones
 from tests.experiment import ROOT
-from tests.net import OK, Upstream, answering, request, sidecar
+from tests.net import OK, Upstream, request, respond_with, sidecar
 from tests.runner import run
 from tests.world import World as Stand
 from tests.world import settings, upstreams
@@ -255,17 +255,19 @@
 
 def test_admin_address_reports_and_overrides_zones_when_asked() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         async with sidecar(upstream) as it:
-            await it.ask(request())
-            _, body = await it.ask(b"GET /_zones HTTP/1.1\r\nHost: x\r\n\r\n", it.admin_port)
+            await it.send_request(request())
+            _, body = await it.send_request(b"GET /_zones HTTP/1.1\r\nHost: x\r\n\r\n", it.admin_port)
             assert [(z["zone"], z["state"], z["upstreams"]) for z in json.loads(body)] == [("a", "near", 1)]
             for path, status, words in (
                 ("leave?zone=a", 503, b"last zone"),
                 ("leave?zone=x", 503, b"one of a"),
                 ("return?zone=a", 200, b"returned to"),
             ):
-                head, body = await it.ask(f"POST /_zone/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), it.admin_port)
+                head, body = await it.send_request(
+                    f"POST /_zone/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), it.admin_port
+                )
                 assert int(head.split()[1]) == status
                 assert words in body
 
