--- a/garnetusher/sidecar/shutdown.py
+++ b/garnetusher/sidecar/shutdown.py
@@ -85,7 +85,7 @@
     while _has_open_work(server, schedule):
         server.close_idle(monotonic_us())
         if server.lifecycle.closing_for_s >= schedule.final_responses_s:
-            server.shed_unread()
+            server.shed_incomplete_requests()
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/tests/faulty_host.py
+++ b/tests/faulty_host.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from garnetusher.lab.syscall_faults import Call, FaultBoard
-from tests.net import PATIENCE_S, listening, read_message
+from tests.net import TEST_TIMEOUT_S, read_message, wait_for_listener
 from tests.processes import program, write_configuration
 from tests.runner import status
 
@@ -31,12 +31,12 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self.address)
 
-    async def ask(self, data: bytes) -> int:
+    async def send_request(self, data: bytes) -> int:
         """Return the status of the response to a request that is sent on a new connection."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 return status(await read_message(reader))
         finally:
             writer.close()
@@ -76,5 +76,5 @@
         call, error, count = failing
         faults.inject(call, error, count=count)
     with program(path, (), **faults.environment()) as process:
-        await listening(int(port), lambda: process.poll() is None)
+        await wait_for_listener(int(port), lambda: process.poll() is None)
         yield FaultyHostProgram(process, faults, (host, int(port)), path)
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from tests.net import PATIENCE_S
+from tests.net import TEST_TIMEOUT_S
 
 
 def status(response: tuple[bytes, bytes]) -> int:
@@ -17,7 +17,7 @@
     """Run a test on a new event loop, with a timeout that ends a test that hangs."""
 
     async def run_with_timeout() -> None:
-        async with asyncio.timeout(3 * PATIENCE_S):
+        async with asyncio.timeout(3 * TEST_TIMEOUT_S):
             await test()
 
     asyncio.run(run_with_timeout())
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -11,7 +11,7 @@
 from garnetusher.sidecar.admin import server as admin_server
 from garnetusher.sidecar.configuration import load
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
-from tests.net import OK, Upstream, answering, read_message, request, sidecar
+from tests.net import OK, Upstream, read_message, request, respond_with, sidecar
 from tests.processes import write_configuration
 from tests.runner import run, status
 
@@ -57,31 +57,31 @@
 
 def test_sidecar_serves_on_and_returns_when_it_is_drained() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as instance:
-            assert await instance.call("GET", "/_ready") == 200
-            assert status(await instance.ask(UP)) == 200
+        async with sidecar(Upstream(respond_with(OK))) as instance:
+            assert await instance.call_admin("GET", "/_ready") == 200
+            assert status(await instance.send_request(UP)) == 200
             open_reader, open_writer = await instance.connect()
             open_writer.write(request())
             assert b"close" not in (await read_message(open_reader))[0]
             idle_reader, idle_writer = await instance.connect()
             for _ in range(2):
-                assert await instance.call("POST", "/_lameduck/on") == 200
-                assert status(await instance.ask(UP)) == 503
-                assert await instance.call("GET", "/_ready") == 503
-            open_writer.write(request(ident="2"))  # the last request on this connection
+                assert await instance.call_admin("POST", "/_lameduck/on") == 200
+                assert status(await instance.send_request(UP)) == 503
+                assert await instance.call_admin("GET", "/_ready") == 503
+            open_writer.write(request(request_id="2"))  # the last request on this connection
             head, body = await read_message(open_reader)
             assert body == b"done"
             assert b"Connection: close" in head
             # A client may send a request before it sees the failed readiness check.
-            assert (await instance.ask(request(ident="3")))[1] == b"done"
+            assert (await instance.send_request(request(request_id="3")))[1] == b"done"
             async with asyncio.timeout(3.5):
                 assert await open_reader.read() == b""
                 assert await idle_reader.read() == b""
             for _ in range(2):
-                assert await instance.call("POST", "/_lameduck/off") == 200
-                assert status(await instance.ask(UP)) == 200
-                assert await instance.call("GET", "/_ready") == 200
-            head, body = await instance.ask(request(ident="4"))
+                assert await instance.call_admin("POST", "/_lameduck/off") == 200
+                assert status(await instance.send_request(UP)) == 200
+                assert await instance.call_admin("GET", "/_ready") == 200
+            head, body = await instance.send_request(request(request_id="4"))
             assert body == b"done"
             assert b"Connection: close" not in head
             for writer in (open_writer, idle_writer):
@@ -92,12 +92,12 @@
 
 def test_sidecar_stays_not_ready_when_a_drain_ends_after_sigterm() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as instance:
-            assert await instance.call("POST", "/_lameduck/on") == 200
+        async with sidecar(Upstream(respond_with(OK))) as instance:
+            assert await instance.call_admin("POST", "/_lameduck/on") == 200
             instance.stop.set()
             await asyncio.sleep(0)
-            assert await instance.call("POST", "/_lameduck/off") == 200
-            assert status(await instance.ask(UP)) == 503
+            assert await instance.call_admin("POST", "/_lameduck/off") == 200
+            assert status(await instance.send_request(UP)) == 503
             await instance.task
 
     run(test)
@@ -120,14 +120,14 @@
 )
 def test_admin_server_answers_with_an_error_when_a_call_is_malformed(data: bytes, expected: int) -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as instance:
+        async with sidecar(Upstream(respond_with(OK))) as instance:
             reader, writer = await asyncio.open_connection("127.0.0.1", instance.admin_port)
             writer.write(data)
             response = await reader.read()
             writer.close()
             assert int(response.split(b" ")[1]) == expected
             assert b"Connection: close" in response
-            assert status(await instance.ask(UP)) == 200
+            assert status(await instance.send_request(UP)) == 200
 
     run(test)
 
@@ -136,16 +136,16 @@
     monkeypatch.setattr(admin_server, "REQUEST_TIMEOUT_S", 0.5)
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as instance:
+        async with sidecar(Upstream(respond_with(OK))) as instance:
             stalled = [await asyncio.open_connection("127.0.0.1", instance.admin_port) for _ in range(40)]
             for _, writer in stalled:
                 writer.write(b"POST /_lameduck/on HT")
-            assert await instance.call("GET", "/_ready") == 200
+            assert await instance.call_admin("GET", "/_ready") == 200
             responses = [await reader.read() for reader, _ in stalled[-3:]]
             assert all(response.startswith(b"HTTP/1.1 408 ") for response in responses)
             for _, writer in stalled:
                 writer.close()
-            assert status(await instance.ask(UP)) == 200
+            assert status(await instance.send_request(UP)) == 200
 
     run(test)
 
--- a/tests/test_host_faults.py
+++ b/tests/test_host_faults.py
@@ -17,7 +17,18 @@
 
 from garnetusher.lab.syscall_faults import Call
 from tests.faulty_host import program_on_faulty_host
-from tests.net import OK, PATIENCE_S, Discovery, Upstream, answering, entry, listening, listing, read_message, request
+from tests.net import (
+    OK,
+    TEST_TIMEOUT_S,
+    Discovery,
+    Upstream,
+    entry,
+    listing,
+    read_message,
+    request,
+    respond_with,
+    wait_for_listener,
+)
 from tests.processes import SETTINGS, program, write_configuration
 from tests.runner import run, status
 from tests.test_interleaving_stop import full_backlog_port
@@ -70,7 +81,7 @@
                 with contextlib.suppress(BlockingIOError):
                     listener.accept()[0].close()  # accepts only the fillers; the next connection is the sidecar's
                 filler.close()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 head = b""
                 while not head:
                     sock, _ = await loop.sock_accept(listener)
@@ -102,7 +113,7 @@
                 tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", port))
             ) as running:
                 sent_at_s = time.monotonic()
-                assert await running.ask(request("pay", "1", b"x" * 150_000, 1500)) == 503
+                assert await running.send_request(request("pay", "1", b"x" * 150_000, 1500)) == 503
                 assert time.monotonic() - sent_at_s < 1.5 + 0.05
 
     run(test)
@@ -113,7 +124,7 @@
     tmp_path: Path, class_name: str
 ) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with program_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
@@ -124,7 +135,10 @@
                         request(class_name, f"left-{number}", b"b" if class_name == "pay" else b"", 1500)
                     )
             await asyncio.sleep(0.2)
-            assert await running.ask(request(class_name, "stays", b"b" if class_name == "pay" else b"", 1500)) == 200
+            assert (
+                await running.send_request(request(class_name, "stays", b"b" if class_name == "pay" else b"", 1500))
+                == 200
+            )
         assert [b"left-" in head for head, _ in upstream.requests] == [False]
         upstream.stop()
 
@@ -133,7 +147,7 @@
 
 async def time_for_two_requests_s(folder: Path, error: int) -> float:
     """Return how long two requests take in turn, when accept fails once for the first of them."""
-    upstream = Upstream(answering(OK))
+    upstream = Upstream(respond_with(OK))
     await upstream.start()
     async with program_on_faulty_host(
         folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
@@ -142,7 +156,7 @@
         running.faults.inject(Call.ACCEPT, error, count=1)
         sent_at_s = time.monotonic()
         for number in range(2):  # the listener of asyncio would accept the first connection and then pause for 1 s
-            assert await running.ask(request("read", str(number), deadline_ms=1500)) == 200
+            assert await running.send_request(request("read", str(number), deadline_ms=1500)) == 200
         assert running.faults.hits(Call.ACCEPT) == 1
     upstream.stop()
     return time.monotonic() - sent_at_s
@@ -164,7 +178,7 @@
 
 def test_clients_are_answered_when_accept_fails_at_the_end_of_the_process(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with program_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
@@ -178,7 +192,7 @@
                 await asyncio.sleep(0.1)
             for number, (_, writer) in enumerate(clients):
                 writer.write(request("read", str(number), deadline_ms=1500))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 answers = [status(await read_message(reader)) for reader, _ in clients]
             assert set(answers) <= {200, 503}
             assert await asyncio.to_thread(running.process.wait) == 0
@@ -210,7 +224,7 @@
     tmp_path: Path, step_s: float
 ) -> None:
     async def test() -> None:
-        warm, cold = Upstream(answering(OK)), Upstream(answering(OK))
+        warm, cold = Upstream(respond_with(OK)), Upstream(respond_with(OK))
         await warm.start()
         await cold.start()
         known = listing(
@@ -231,8 +245,8 @@
 
 
 async def wait_for_watch(discovery: Discovery) -> None:
-    async with asyncio.timeout(PATIENCE_S):
-        await discovery.watched()
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        await discovery.wait_for_watch()
 
 
 @pytest.mark.parametrize("fault_kind", ["half written", "no descriptor left"])
@@ -265,7 +279,7 @@
     """A failing shutdown of a client connection after its response must not occupy a slot or delay the process exit."""
 
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with program_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
@@ -273,7 +287,7 @@
             running.faults.inject(Call.SHUTDOWN, errno.ENOTCONN)
             for number in range(8):  # more requests than an upstream has slots
                 closing_request = request("read", str(number), deadline_ms=1500, extra="Connection: close\r\n")
-                assert await running.ask(closing_request) == 200, number
+                assert await running.send_request(closing_request) == 200, number
         upstream.stop()
 
     run(test)
@@ -284,12 +298,12 @@
     tmp_path: Path, body: bytes
 ) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with program_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
         ) as running:
-            assert await running.ask(request("pay", "first", b"b", 1500)) == 200
+            assert await running.send_request(request("pay", "first", b"b", 1500)) == 200
             for number in range(5):
                 async with running.paused(0.3):
                     reader, writer = await running.connect()
@@ -305,14 +319,14 @@
 
 async def deadline_header_ms_after(folder: Path, call: Call, error: int) -> int:
     """Return the X-Deadline-Ms of a request with a deadline of 1,500 ms that a failing system call delays by 400 ms."""
-    upstream = Upstream(answering(OK))
+    upstream = Upstream(respond_with(OK))
     await upstream.start()
     async with program_on_faulty_host(
         folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
     ) as running:
-        assert await running.ask(request("pay", "first", b"b", 1500)) == 200
+        assert await running.send_request(request("pay", "first", b"b", 1500)) == 200
         running.faults.inject(call, error, for_s=0.4)
-        assert await running.ask(request("pay", "second", b"b", 1500)) == 200
+        assert await running.send_request(request("pay", "second", b"b", 1500)) == 200
     upstream.stop()
     return deadline_header_ms(upstream.requests[1][0])
 
@@ -339,12 +353,12 @@
 
 async def assert_process_starts(folder: Path, call: Call, error: int) -> None:
     """Assert that the program serves requests although a system call fails ten times at its start."""
-    upstream = Upstream(answering(OK))
+    upstream = Upstream(respond_with(OK))
     await upstream.start()
     async with program_on_faulty_host(
         folder, failing=(call, error, 10), settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
     ) as running:
-        assert await running.ask(request("pay", "1", b"b", 1500)) == 200
+        assert await running.send_request(request("pay", "1", b"b", 1500)) == 200
         assert running.faults.hits(call) == 10
     upstream.stop()
 
@@ -365,7 +379,7 @@
     """The log pipe holds 64 KiB; the program must drop log lines that do not fit, and must not block."""
 
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with program_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
@@ -377,7 +391,7 @@
                 running.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.21)  # the program logs at most five lines per second
                 async with asyncio.timeout(5):
-                    assert await running.ask(request("pay", str(number), b"b", 1500)) == 200
+                    assert await running.send_request(request("pay", str(number), b"b", 1500)) == 200
         upstream.stop()
 
     run(test)
@@ -394,20 +408,20 @@
         with program(path) as process:
             await asyncio.sleep(0.5)
             path.write_text(text)
-            await listening(int(json.loads(text)["listen"].split(":")[1]), lambda: process.poll() is None)
+            await wait_for_listener(int(json.loads(text)["listen"].split(":")[1]), lambda: process.poll() is None)
 
     run(test)
 
 
 def test_connections_are_added_to_the_event_loop_when_epoll_is_short_of_memory(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         await upstream.start()
         async with program_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
         ) as running:
             running.faults.inject(Call.EPOLL_CTL, errno.ENOMEM, for_s=0.2)
-            assert await running.ask(request("pay", "1", b"b", 1500)) == 200
+            assert await running.send_request(request("pay", "1", b"b", 1500)) == 200
             assert running.faults.hits(Call.EPOLL_CTL) > 1
         upstream.stop()
 
--- a/tests/test_interleaving_stop.py
+++ b/tests/test_interleaving_stop.py
@@ -16,16 +16,16 @@
 
 from tests.net import (
     OK,
-    PATIENCE_S,
+    TEST_TIMEOUT_S,
     Upstream,
-    answering,
     entry,
-    listening,
     listing,
+    never_respond,
     read_message,
     request,
-    silent,
+    respond_with,
     until,
+    wait_for_listener,
 )
 from tests.processes import SETTINGS, program, write_configuration
 from tests.runner import run, status
@@ -62,7 +62,7 @@
 
     async def status(self) -> int:
         """Return the status of a complete response; a connection that ends without one fails the test."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             response = await read_message(self.reader)
         assert b"Connection: close" in response[0]
         self.writer.close()
@@ -83,17 +83,17 @@
         return Client(reader, writer)
 
     with program(path) as process:
-        await listening(port, lambda: process.poll() is None)
+        await wait_for_listener(port, lambda: process.poll() is None)
         yield process, send
 
 
 async def wait_for_exit(process: Popen[bytes]) -> int:
-    return await asyncio.to_thread(process.wait, PATIENCE_S)
+    return await asyncio.to_thread(process.wait, TEST_TIMEOUT_S)
 
 
 def test_stop_responds_before_exit_when_request_outlasts_process(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Upstream(silent)
+        upstream = Upstream(never_respond)
         await upstream.start()
         async with run_sidecar(tmp_path, upstream.port) as (process, send):
             outstanding = [await send(request("pay", f"p{n}", b"b")) for n in range(2)]
@@ -193,7 +193,7 @@
                 process.send_signal(signal_number)
             await asyncio.sleep(0.2)
             release.set()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert status(await read_message(client.reader)) == 200
             client.writer.close()
             assert await wait_for_exit(process) == 0
@@ -220,7 +220,7 @@
     }
 
     async def test() -> None:
-        upstream = Upstream(answering(b"never"))
+        upstream = Upstream(respond_with(b"never"))
         await upstream.start()
         async with run_sidecar(tmp_path, upstream.port, settings=short) as (process, send):
             incomplete = await send(request("pay", body=b"four")[:-2])
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -10,7 +10,7 @@
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, Head, Source
 from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US
 from garnetusher.sidecar.upstream.pool import ConnectionPool
-from tests.net import OK, Upstream, allowed, answering, read_message, request, sidecar, until
+from tests.net import OK, Upstream, permit_write, read_message, request, respond_with, sidecar, until
 from tests.runner import run, status
 from tests.streams import CHUNKED, LONG_BODY, FunctionUpstream, chunked, read_body
 
@@ -131,7 +131,7 @@
                 await writer.drain()
                 sent_size[0] += 65536
 
-        async with sidecar(FunctionUpstream(handle), Upstream(answering(OK))) as running:
+        async with sidecar(FunctionUpstream(handle), Upstream(respond_with(OK))) as running:
             reader, writer = await asyncio.open_connection("127.0.0.1", running.port, limit=4096)
             writer.write(request())
             await until(lambda: sent_size[0] > 0)
@@ -158,7 +158,7 @@
             await reader.read()
 
         async with sidecar(FunctionUpstream(handle)) as running:
-            assert status(await running.ask(request("pay"))) == 500
+            assert status(await running.send_request(request("pay"))) == 500
 
     run(test)
 
@@ -206,7 +206,7 @@
 
         http_request = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
         attempt = pool.start_attempt(
-            ("127.0.0.1", upstream.port), http_request, allowed, results.append, on_response_started
+            ("127.0.0.1", upstream.port), http_request, permit_write, results.append, on_response_started
         )
         await until(lambda: bool(sources))
         assert len(pool.streaming) == 1
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -16,7 +16,7 @@
 from garnetusher.policy.zone import FailedAttempt, Zone, ZoneState
 from garnetusher.policy.zones import SILENCE_US, Zones
 from tests.experiment import ROOT
-from tests.net import OK, Upstream, answering, request, sidecar
+from tests.net import OK, Upstream, request, respond_with, sidecar
 from tests.policy_host import PolicyHost, settings, upstreams
 from tests.runner import run
 
@@ -256,17 +256,17 @@
 
 def test_admin_address_reports_and_overrides_zones_when_asked() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_with(OK))
         async with sidecar(upstream) as balancer:
-            await balancer.ask(request())
-            _, body = await balancer.ask(b"GET /_zones HTTP/1.1\r\nHost: x\r\n\r\n", balancer.admin_port)
+            await balancer.send_request(request())
+            _, body = await balancer.send_request(b"GET /_zones HTTP/1.1\r\nHost: x\r\n\r\n", balancer.admin_port)
             assert [(z["zone"], z["state"], z["upstreams"]) for z in json.loads(body)] == [("a", "near", 1)]
             for path, status, text in (
                 ("leave?zone=a", 503, b"last zone"),
                 ("leave?zone=x", 503, b"one of a"),
                 ("return?zone=a", 200, b"returned to"),
             ):
-                head, body = await balancer.ask(
+                head, body = await balancer.send_request(
                     f"POST /_zone/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), balancer.admin_port
                 )
                 assert int(head.split()[1]) == status
