--- a/garnetusher/simulator/__init__.py
+++ b/garnetusher/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's protocol round the same policy."""
+"""Runs the balancer policy behind the simulator's protocol."""
--- a/garnetusher/simulator/__main__.py
+++ b/garnetusher/simulator/__main__.py
@@ -1,6 +1,6 @@
-"""Hosts many balancer instances behind the simulator's protocol: `python -m garnetusher.simulator`.
+"""Run many balancer instances behind the simulator's protocol: `python -m garnetusher.simulator`.
 
-Frames are read from standard input; each is answered by one reply frame on standard output.
+The process reads frames from standard input and answers each of them with one reply frame on standard output.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from garnetusher.policy.settings_text import SettingsTextError, parse_settings
 from garnetusher.simulator import protocol
 
-EXIT_MALFORMED = 2
-EXIT_READER_GONE = 3
+EXIT_MALFORMED_INPUT = 2
+EXIT_BROKEN_PIPE = 3
 
 
 def read_exactly(source: BinaryIO, size: int) -> bytes:
@@ -30,37 +30,37 @@
 
 
 class InstanceHost:
-    """The running instances; they share nothing but the decoder's endpoint lists."""
+    """The running balancer instances, which share only the endpoint lists of the decoder."""
 
     def __init__(self) -> None:
         self.decoder = protocol.Decoder()
         self.instances: dict[int, Balancer] = {}
 
-    def batch(self, now_us: int, count: int, body: bytes) -> bytes:
-        """Hand the records of one frame to their instances and return the reply frame.
+    def handle_frame(self, now_us: int, count: int, body: bytes) -> bytes:
+        """Pass the records of one frame to their instances and return the reply frame.
 
         Raises:
-            ProtocolError: where the frame, its settings or a class index is malformed.
+            ProtocolError: the frame or its settings are malformed, or a class index is out of range.
         """
         replies: list[bytes] = []
-        for instance, record in self.decoder.batch(body, count):
+        for instance, record in self.decoder.decode_records(body, count):
             if isinstance(record, protocol.InstanceStarted):
-                self.instances[instance] = Balancer(_settings(record.options), record.seed, now_us)
+                self.instances[instance] = Balancer(_settings(record.settings_text), record.seed, now_us)
             elif isinstance(record, protocol.InstanceStopped):
                 self.instances.pop(instance, None)
             elif instance in self.instances:
                 replies.extend(self._handle(now_us, instance, record))
-        return protocol.reply(replies)
+        return protocol.encode_reply(replies)
 
     def _handle(self, now_us: int, instance: int, event: Event) -> list[bytes]:
         balancer = self.instances[instance]
         class_count = len(balancer.settings.classes)
         if isinstance(event, RequestArrived) and event.class_index >= class_count:
-            message = f"instance {instance}: request class {event.class_index} of {class_count}"
+            message = f"instance {instance}: expected a class index below {class_count}, got {event.class_index}"
             raise protocol.ProtocolError(message)
         try:
             return [protocol.encode(instance, action) for action in balancer.handle(now_us, event)]
-        except Exception as error:  # a fault of the policy is told to the simulator and doesn't end the others
+        except Exception as error:  # reported to the simulator, so that the other instances keep running
             text = f"{type(error).__name__}: {error}"
             return [protocol.encode(instance, protocol.InternalError(text))]
 
@@ -76,7 +76,7 @@
     """Answer frames until the input ends.
 
     Raises:
-        ProtocolError: where a frame is malformed; the message has its number.
+        ProtocolError: a frame is malformed; the message has the number of the frame, counted from 0.
     """
     host = InstanceHost()
     frame_number = 0
@@ -85,11 +85,11 @@
         if not header:
             return
         try:
-            answer = _answer_frame(host, header, source)
+            reply_frame = _answer_frame(host, header, source)
         except protocol.ProtocolError as error:
             message = f"batch {frame_number}: {error}"
             raise protocol.ProtocolError(message) from error
-        sink.write(answer)
+        sink.write(reply_frame)
         sink.flush()
         frame_number += 1
 
@@ -103,19 +103,19 @@
     if len(body) < size:
         message = f"truncated body: {len(body)} of {size} bytes"
         raise protocol.ProtocolError(message)
-    return host.batch(now_us, count, body)
+    return host.handle_frame(now_us, count, body)
 
 
 def main() -> int:
-    """Serve standard input; return the exit status."""
+    """Answer the frames of standard input and return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except protocol.ProtocolError as error:
         print(f"garnetusher: {error}", file=sys.stderr)
-        return EXIT_MALFORMED
+        return EXIT_MALFORMED_INPUT
     except BrokenPipeError:
-        print("garnetusher: the reader of our replies is gone", file=sys.stderr)
-        return EXIT_READER_GONE
+        print("garnetusher: standard output was closed by its reader", file=sys.stderr)
+        return EXIT_BROKEN_PIPE
     return 0
 
 
--- a/garnetusher/simulator/protocol.py
+++ b/garnetusher/simulator/protocol.py
@@ -1,7 +1,7 @@
-"""The simulator's binary protocol: frames to events, actions to frames.
+"""The binary protocol of the simulator: decodes frames into events and encodes actions into frames.
 
-A frame is a header and a number of records; a record is a code, the number of a balancer instance and fields of fixed
-layout. Nothing is decided here.
+A frame is a header followed by records. A record is a code, the number of a balancer instance and the fields of that
+code; an endpoint list has no instance number. This module makes no balancing decisions.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
     UpdateKind,
 )
 
-HEADER = struct.Struct("<IIQ")  # size of the body, number of records, time in us
-REPLY_HEADER = struct.Struct("<II")  # size of the body, number of records
+HEADER = struct.Struct("<IIQ")  # body size in bytes, number of records, time in us
+REPLY_HEADER = struct.Struct("<II")  # body size in bytes, number of records
 
-# Layouts of records behind their code and instance number.
+# Layouts of the fields that follow the code and the instance number of a record.
 _ENDPOINT = struct.Struct("<IBBHBfQ")
 _ENDPOINT_LIST_HEADER = struct.Struct("<II")
 _INSTANCE_STARTED = struct.Struct("<QI")
@@ -59,12 +59,12 @@
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
 _U32_MAX = 0xFFFFFFFF
-_LONGEST_TEXT = 0xFFFF  # bytes: a text's length is a u16
+_MAX_TEXT_BYTES = 0xFFFF  # the length field of a text is a u16
 
 _ENDPOINT_LIST_CODE = 110
 
-# Flags of an arrived request.
-_WORK_IS_KNOWN = 1
+# Bits in the flags field of a request arrival.
+_EXPECTED_WORK_KNOWN = 1
 _CLIENT_RETRY = 2
 _WRITES = 4
 
@@ -84,25 +84,25 @@
 
 
 class ProtocolError(GarnetusherError):
-    """A frame that cannot be read; the message says what is malformed and where."""
+    """A frame cannot be decoded; the message says what is malformed and where."""
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """An instance comes up with no state."""
+    """Event: an instance starts with no state."""
 
     seed: int
-    options: str
+    settings_text: str
 
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """The instance has been killed."""
+    """Event: an instance was killed."""
 
 
 @dataclass(slots=True)
 class InternalError:
-    """Action: the policy has raised an exception; the text says which."""
+    """Action: the policy raised an exception; `text` has its type and message."""
 
     text: str
 
@@ -112,18 +112,18 @@
 
 
 class Decoder:
-    """Reads the bodies of frames; keeps the numbered endpoint lists, which later records refer to."""
+    """Decodes frame bodies and stores the numbered endpoint lists to which later records refer."""
 
     def __init__(self) -> None:
         self.endpoint_lists: dict[int, list[Endpoint]] = {}
         self._data = b""
         self._offset = 0
 
-    def batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
-        """Yield the (instance, event) pairs of a frame's body, in order.
+    def decode_records(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
+        """Yield the (instance number, record) pairs of a frame body, in order.
 
         Raises:
-            ProtocolError: where a record is malformed; the message has its index and offset.
+            ProtocolError: a record is malformed; the message has its index and its offset in the body.
         """
         self._data, self._offset = data, 0
         for index in range(count):
@@ -140,7 +140,7 @@
             raise ProtocolError(message)
 
     def _read_record(self) -> tuple[int, Record] | None:
-        """Read one record; None for an endpoint list, which is kept."""
+        """Read one record; store an endpoint list and return None for it."""
         code = self.read_bytes(1)[0]
         if code == _ENDPOINT_LIST_CODE:
             self._read_endpoint_list()
@@ -153,24 +153,32 @@
         return instance, reader(self)
 
     def read_bytes(self, size: int) -> bytes:
-        """Return the next bytes; raises ProtocolError where fewer are left."""
+        """Return the next `size` bytes.
+
+        Raises:
+            ProtocolError: fewer bytes are left.
+        """
         end = self._offset + size
         if end > len(self._data):
-            message = f"truncated: {size} bytes wanted, {len(self._data) - self._offset} left"
+            message = f"truncated: expected {size} bytes, {len(self._data) - self._offset} left"
             raise ProtocolError(message)
-        piece = self._data[self._offset : end]
+        chunk = self._data[self._offset : end]
         self._offset = end
-        return piece
+        return chunk
 
     def read_fields(self, layout: struct.Struct) -> tuple[int, ...]:
-        """Return the next fields."""
+        """Return the values of the next fields, which have this layout."""
         return layout.unpack(self.read_bytes(layout.size))
 
     def read_floats(self, count: int) -> list[float]:
-        """Return the values of a load report; raises ProtocolError where one is not finite."""
+        """Return the next `count` values, which belong to a load report.
+
+        Raises:
+            ProtocolError: a value is not finite, or fewer values are left.
+        """
         values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
-            message = "a load report value that is not a finite number"
+            message = "a load report value is not a finite number"
             raise ProtocolError(message)
         return values
 
@@ -186,14 +194,14 @@
         message = f"upstream {endpoint_id} has a weight that is not a finite number"
         raise ProtocolError(message)
     return Endpoint(
-        endpoint_id, _look_up(_STATUSES, status, "upstream condition"), zone, machine_type, cell, weight, started_us
+        endpoint_id, _look_up(_STATUSES, status, "upstream status"), zone, machine_type, cell, weight, started_us
     )
 
 
-def _look_up(table: dict[int, _Value], code: int, meaning: str) -> _Value:
+def _look_up(table: dict[int, _Value], code: int, field_name: str) -> _Value:
     value = table.get(code)
     if value is None:
-        message = f"unknown {meaning} {code}"
+        message = f"unknown {field_name} {code}"
         raise ProtocolError(message)
     return value
 
@@ -209,7 +217,7 @@
 
 def _endpoints_updated(decoder: Decoder) -> Record:
     kind_code, version, list_number = decoder.read_fields(_ENDPOINTS_UPDATED)
-    update_kind = _look_up(_UPDATE_KINDS, kind_code, "list kind")
+    update_kind = _look_up(_UPDATE_KINDS, kind_code, "update kind")
     if update_kind is UpdateKind.FAILED:
         return EndpointsUpdated(update_kind, [], version)
     if list_number not in decoder.endpoint_lists:
@@ -227,7 +235,7 @@
         class_index,
         tenant_index,
         affinity_key,
-        expected_work_us=work_us if flags & _WORK_IS_KNOWN else 0,
+        expected_work_us=work_us if flags & _EXPECTED_WORK_KNOWN else 0,
         client_retry=bool(flags & _CLIENT_RETRY),
         writes=bool(flags & _WRITES),
     )
@@ -286,7 +294,7 @@
 
 
 def _packer(code: int, layout: str) -> Callable[..., bytes]:
-    """Return a function that packs a record: its code, the instance's number and these fields."""
+    """Return a function that packs a record of this code from an instance number and the fields of this layout."""
     record = struct.Struct("<BH" + layout)
     return lambda instance, *fields: record.pack(code, instance, *fields)
 
@@ -306,7 +314,7 @@
 
 
 def _pack_text(pack: Callable[..., bytes], instance: int, text: str) -> bytes:
-    raw = text.encode()[:_LONGEST_TEXT]
+    raw = text.encode()[:_MAX_TEXT_BYTES]
     return pack(instance, len(raw)) + raw
 
 
@@ -332,11 +340,11 @@
 
 
 def encode(instance: int, action: Reply) -> bytes:
-    """Return the record of one action."""
+    """Return the encoded record of an action."""
     return _WRITERS[type(action)](instance, action)
 
 
-def reply(records: list[bytes]) -> bytes:
-    """Return the reply frame that carries these records."""
+def encode_reply(records: list[bytes]) -> bytes:
+    """Return the reply frame that carries these encoded records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/tests/options.py
+++ b/tests/options.py
@@ -1,4 +1,4 @@
-"""The start-up settings of one instance, as they stand on the wire."""
+"""Settings text of one balancer instance, in the format of the simulator's protocol."""
 
 OPTIONS = """\
 accounts.count=2
