--- a/garnetusher/__init__.py
+++ b/garnetusher/__init__.py
@@ -1,1 +1,1 @@
-"""garnetusher: a sidecar fleet, the laboratory that breaks it, and the command that runs both."""
+"""garnetusher: a sidecar load balancer, a lab that injects faults into a fleet of sidecars, and their command line."""
--- a/garnetusher/__main__.py
+++ b/garnetusher/__main__.py
@@ -1,4 +1,4 @@
-"""The command `garnetusher`. Each group of commands is imported only when it is called."""
+"""The command line `garnetusher`, which imports a group of commands only when that group is called."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     """A group of commands.
 
     Attributes:
-        name: its word on the command line.
-        module: what has its Typer application, as `app`.
-        summary: its line in the help.
+        name: the name of the group on the command line.
+        module: the module whose `app` is the Typer application of the group.
+        summary: the line that describes the group in the help.
     """
 
     name: str
@@ -30,27 +30,29 @@
 
 
 GROUPS = (
-    CommandGroup("lab", "garnetusher.lab.commands", "Experiments on real processes, with faults between them."),
+    CommandGroup("lab", "garnetusher.lab.commands", "Run experiments with injected faults on real processes."),
     CommandGroup(
         "model",
         "garnetusher.cli.model_commands",
-        "The same experiments in virtual time, with the real decisions.",
+        "Run the same experiments in virtual time, with the policy that sidecars use.",
+    ),
+    CommandGroup(
+        "zones", "garnetusher.cli.zones", "Show the state of each zone at a sidecar; evacuate or restore a zone."
     ),
-    CommandGroup("zones", "garnetusher.cli.zones", "What a sidecar believes of each zone; leave one, or return to it."),
     CommandGroup(
         "members",
         "garnetusher.cli.members",
-        "Whom a process holds for present, and whether the others agree.",
+        "Show the members that a process considers present, and whether the others agree.",
     ),
-    CommandGroup("config", "garnetusher.cli.config_commands", "Check files without running anything."),
+    CommandGroup("config", "garnetusher.cli.config_commands", "Check experiment files without running them."),
 )
 
 
 def application(called_group: str) -> typer.Typer:
-    """Build the whole command; only the group called is imported, the others are only names in the help.
+    """Build the application; import only the group that is called and list the others by name and summary.
 
     Args:
-        called_group: the name of a group; any other word for none.
+        called_group: the name of a group; any other text imports no group.
     """
     app = typer.Typer(
         name=PROGRAM,
@@ -59,7 +61,7 @@
         rich_markup_mode=None,
         pretty_exceptions_enable=False,
         epilog="Example: garnetusher lab run experiments/calm.toml",
-        help="A fleet of sidecars through failures: run it, break it, see what holds.",
+        help="Run a fleet of sidecars, inject faults, and check which expectations and rules hold.",
     )
     for group in GROUPS:
         commands = importlib.import_module(group.module).app if group.name == called_group else _placeholder()
@@ -68,7 +70,7 @@
 
 
 def _placeholder() -> typer.Typer:
-    """Stand for a group that is not called."""
+    """Return an application without commands for a group that is not called."""
     group = typer.Typer()
     group.callback(invoke_without_command=True)(_do_nothing)
     return group
@@ -82,11 +84,11 @@
     """Run the command line.
 
     Returns:
-        The exit status; see `garnetusher.cli.ExitStatus`.
+        The exit status, as `garnetusher.cli.ExitStatus` defines it.
     """
-    words = [word for word in sys.argv[1:] if not word.startswith("-")]
+    arguments = [argument for argument in sys.argv[1:] if not argument.startswith("-")]
     try:
-        status = application(words[0] if words else "")(prog_name=PROGRAM, standalone_mode=False)
+        status = application(arguments[0] if arguments else "")(prog_name=PROGRAM, standalone_mode=False)
     except Exit as error:
         status = error.exit_code
     except Abort:
@@ -94,7 +96,7 @@
     except CommandError as error:
         status = _report(str(error), error.status)
     except TyperException as error:
-        status = _report_wrong_call(error.format_message())
+        status = _report_usage_error(error.format_message())
     except KeyboardInterrupt:
         status = _report("stopped; nothing was left running", ExitStatus.NOT_HELD)
     return int(status or ExitStatus.HELD)
@@ -105,12 +107,12 @@
     return status
 
 
-def _report_wrong_call(message: str) -> ExitStatus:
-    """Print Typer's message in one line; the help page, for a call without arguments, as it stands."""
+def _report_usage_error(message: str) -> ExitStatus:
+    """Print a message of Typer on one line; print the help page of a call without arguments unchanged."""
     if message.startswith("Usage:"):
         print(message, file=sys.stderr)
-        return ExitStatus.WRONG_CALL
-    return _report(" ".join(message.split()), ExitStatus.WRONG_CALL)
+        return ExitStatus.USAGE_ERROR
+    return _report(" ".join(message.split()), ExitStatus.USAGE_ERROR)
 
 
 if __name__ == "__main__":
--- a/garnetusher/cli/__init__.py
+++ b/garnetusher/cli/__init__.py
@@ -1,16 +1,16 @@
-"""What all commands share: exit statuses, output, progress and arguments."""
+"""Exit statuses, output and progress, which all commands share."""
 
 from garnetusher.cli.console import Progress, progress, say, say_json
 from garnetusher.cli.errors import CommandError, ExitStatus, fail, finish
 
 HELD = ExitStatus.HELD
 NOT_HELD = ExitStatus.NOT_HELD
-WRONG = ExitStatus.WRONG_CALL
+USAGE_ERROR = ExitStatus.USAGE_ERROR
 
 __all__ = [
     "HELD",
     "NOT_HELD",
-    "WRONG",
+    "USAGE_ERROR",
     "CommandError",
     "ExitStatus",
     "Progress",
--- a/garnetusher/cli/admin_client.py
+++ b/garnetusher/cli/admin_client.py
@@ -10,29 +10,29 @@
 
 from garnetusher import cli
 
-TIMEOUT_S = 2.0  # a sidecar answers at once
+TIMEOUT_S = 2.0  # a running sidecar answers immediately
 ADDRESS_VARIABLE = "BALANCER_ADMIN"
 
-AdminAddress = Annotated[str, typer.Option(help=f"The sidecar's admin address; else ${ADDRESS_VARIABLE}.")]
+AdminAddress = Annotated[str, typer.Option(help=f"Admin address of the sidecar; ${ADDRESS_VARIABLE} if not given.")]
 
 
 class AdminResponse(NamedTuple):
-    """The answer to a call."""
+    """The status and the body of a response from the admin address."""
 
     status: int
     text: str
 
 
 def call(at: str, method: str, path: str) -> AdminResponse:
-    """Call a sidecar.
+    """Send a request to the admin address of a sidecar and return the response.
 
     Args:
-        at: its admin address as `host:port`; empty for the one in `$BALANCER_ADMIN`.
-        method: of HTTP.
-        path: with the query.
+        at: the admin address as `host:port`; if empty, the address in `$BALANCER_ADMIN`.
+        method: the HTTP method.
+        path: the path with its query.
 
     Raises:
-        CommandError: the address is malformed, or nothing answers there in time.
+        CommandError: the address is malformed, or the sidecar does not answer in time.
     """
     address = at or os.environ.get(ADDRESS_VARIABLE, "")
     host, _, port = address.rpartition(":")
--- a/garnetusher/cli/argument_checks.py
+++ b/garnetusher/cli/argument_checks.py
@@ -1,4 +1,4 @@
-"""Checks of arguments; each ends the command with one line where an argument is wrong."""
+"""Checks of command-line arguments; a failed check ends the command with a message of one line."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SeedRangeError(GarnetusherError, ValueError):
-    """A range of seeds is not of the form `A:B`, with A at most B."""
+    """A range of seeds does not have the form `A:B` with A at most B."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"expected A:B, as in 1:20, got {text!r}")
@@ -35,7 +35,7 @@
     """Parse the value of `--seeds`.
 
     Raises:
-        CommandError: it is no range of seeds.
+        CommandError: the value is not a range of seeds.
     """
     try:
         return parse_seed_range(text)
@@ -44,10 +44,10 @@
 
 
 def experiment_or_fail(file: Path) -> Experiment:
-    """Read an experiment.
+    """Read an experiment file.
 
     Raises:
-        CommandError: the file can't be read or is not in order.
+        CommandError: the file cannot be read or is invalid.
     """
     try:
         return experiment.load(file)
@@ -61,10 +61,10 @@
     Args:
         value: the value given.
         choices: the values allowed.
-        option: the option it was given to; empty for an argument.
+        option: the option that has the value; empty for a positional argument.
 
     Raises:
-        CommandError: it is none of them.
+        CommandError: the value is not one of the choices.
     """
     allowed = list(choices)
     if value not in allowed:
--- a/garnetusher/cli/config_commands.py
+++ b/garnetusher/cli/config_commands.py
@@ -1,4 +1,4 @@
-"""`garnetusher config`: files checked without running anything."""
+"""`garnetusher config`: checks experiment files without running them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from garnetusher.cli.options import JsonFlag
 from garnetusher.model import experiment
 
-app = typer.Typer(no_args_is_help=True, help="Check files without running anything.")
+app = typer.Typer(no_args_is_help=True, help="Check experiment files without running them.")
 
 
 class ValidFile(Struct):
-    """The JSON document for a file that is in order."""
+    """The JSON document for a valid file."""
 
     file: str
     ok: bool
@@ -24,7 +24,7 @@
 
 
 class InvalidFile(Struct):
-    """The JSON document for a file that is not."""
+    """The JSON document for an invalid file."""
 
     file: str
     ok: bool
@@ -33,12 +33,12 @@
 
 @app.callback()
 def config_group() -> None:
-    """Check files without running anything."""
+    """Check experiment files without running them."""
 
 
 @app.command(epilog="Example: garnetusher config check experiments/calm.toml")
-def check(file: Annotated[Path, typer.Argument(help="An experiment, in TOML.")], *, as_json: JsonFlag = False) -> None:
-    """Say whether a file holds; if not, which key, where, and what was expected."""
+def check(file: Annotated[Path, typer.Argument(help="The experiment, in TOML.")], *, as_json: JsonFlag = False) -> None:
+    """Report whether an experiment file is valid; if not, name the invalid key and the expected value."""
     try:
         checked = experiment.load(file)
     except config.FileError as error:
@@ -50,5 +50,5 @@
     else:
         cli.say(
             f"{file}: experiment {checked.name}, {sum(checked.upstreams.per_zone.values())} upstreams, "
-            f"{sum(checked.sidecars.per_zone.values())} sidecars, {len(checked.faults)} faults: good"
+            f"{sum(checked.sidecars.per_zone.values())} sidecars, {len(checked.faults)} faults: valid"
         )
--- a/garnetusher/cli/console.py
+++ b/garnetusher/cli/console.py
@@ -1,4 +1,4 @@
-"""Output of commands: lines or one JSON document on standard output, progress on a terminal."""
+"""Output of commands: lines or one JSON document on standard output, and a progress bar on a terminal."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from rich.progress import BarColumn, TextColumn, TimeElapsedColumn
 
 Progress = Callable[[str, float], None]
-"""Called with what is being done and the share, from 0 to 1, that is complete."""
+"""A function that receives the current activity and the completed share, from 0 to 1."""
 
 _error_console = Console(stderr=True, highlight=False)
 
 
 def say(text: str) -> None:
-    """Print text for people on standard output."""
+    """Print human-readable text on standard output."""
     print(text, flush=True)
 
 
 def say_json(document: object) -> None:
-    """Print the one JSON document of a call with `--json`."""
+    """Print the JSON document of a command that is called with `--json`."""
     sys.stdout.buffer.write(msgspec.json.encode(document) + b"\n")
     sys.stdout.flush()
 
 
 @contextmanager
 def progress(title: str) -> Iterator[Progress]:
-    """Show a progress bar on a terminal, and nothing in a pipe.
+    """Show a progress bar if standard error is a terminal.
 
     Args:
-        title: what the command does, in front of the bar.
+        title: the text in front of the bar, which says what the command does.
 
     Yields:
         A function that updates the bar.
--- a/garnetusher/cli/curves.py
+++ b/garnetusher/cli/curves.py
@@ -1,4 +1,4 @@
-"""`garnetusher model curve`: what a fleet costs as it grows, as a table and as plots."""
+"""`garnetusher model curve`: figures by the size of the fleet, as a table and as plots."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 GROW_FLEET, GROW_SIDECARS = "fleet", "sidecars"
 GROWTH_MODES = (GROW_FLEET, GROW_SIDECARS)
 RULES_BROKEN = "rules_broken"
-PLOTS = {  # the figures that are drawn, with their titles
+PLOTS = {  # titles of the plotted figures, by the name of the figure
     "served_worth.whole": "worth served",
     "retries": "retries a request",
     "crossings": "crossings a request",
@@ -32,7 +32,7 @@
 
 
 class CurvePoint(Struct):
-    """One policy at one size of the fleet; `figures` are means over the runs."""
+    """The figures of one policy at one fleet size, as means over the runs."""
 
     policy: str
     sidecars: int
@@ -66,15 +66,15 @@
 ) -> list[CurvePoint]:
     """Run the experiment under each policy at each size with each seed.
 
-    The largest fleets run first, so that no core waits for one of them at the end.
+    The largest fleets run first, so that no core stays idle at the end while another core runs a large fleet.
 
     Args:
-        experiment: what to run.
+        experiment: the experiment to run.
         sizes: numbers of sidecars.
-        policies: names out of `garnetusher.model.baselines.NAMES`.
-        grow: one of `GROWTH_MODES`: whether upstreams and load grow along.
-        seeds: one run of each case for each.
-        progress: called for each run that has ended.
+        policies: policy names from `garnetusher.model.baselines.NAMES`.
+        grow: one of `GROWTH_MODES`; it decides whether upstreams and load grow with the sidecars.
+        seeds: seeds of the runs; each policy runs at each size once per seed.
+        progress: a function that is called after each run.
 
     Returns:
         The points, by policy and then by size.
@@ -106,7 +106,7 @@
 
 
 def _figures(run: CompletedRun, sidecars: int) -> dict[str, float]:
-    """The figures of a run, with those that only a curve has."""
+    """Return the figures of a run and the additional figures of a curve."""
     figures = run.result.figures
     return figures | {
         "retries": figures["attempts_per_request"] - 1,
@@ -116,7 +116,7 @@
 
 
 def table(points: Sequence[CurvePoint]) -> str:
-    """Format a table in Markdown: a row for each point."""
+    """Return a Markdown table with a row for each point."""
     titles = ("sidecars", "upstreams", "requests a second", *PLOTS.values(), "rules broken")
     columns = [Column("policy"), *map(number_column, titles)]
     return markdown.table(columns, map(_cells, points))
@@ -134,16 +134,16 @@
 
 
 def draw(name: str, grow: str, points: Sequence[CurvePoint], folder: Path) -> list[Path]:
-    """Draw an SVG plot of each figure in `PLOTS`, a line for each policy over the size of the fleet.
+    """Draw an SVG plot of each figure in `PLOTS` by the size of the fleet, with a line for each policy.
 
     Args:
-        name: the experiment's.
-        grow: as in `measure`.
-        points: what to draw.
-        folder: where the files go; made where it is missing.
+        name: the name of the experiment.
+        grow: one of `GROWTH_MODES`.
+        points: the points to draw.
+        folder: the folder of the files; it is created if it does not exist.
 
     Returns:
-        The files' paths.
+        The paths of the files.
     """
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
@@ -155,10 +155,10 @@
 
 
 def _draw_figure(name: str, grow: str, points: Sequence[CurvePoint], figure_name: str, path: Path) -> None:
-    import matplotlib  # noqa: PLC0415 -- slow to import, and few commands draw
+    import matplotlib  # noqa: PLC0415 -- the import is slow and few commands need it
 
     matplotlib.use("svg")
-    from matplotlib import pyplot as plt  # noqa: PLC0415 -- only after the backend is chosen
+    from matplotlib import pyplot as plt  # noqa: PLC0415 -- the backend must be chosen before this import
 
     figure, axes = plt.subplots(figsize=(5.2, 3.4))
     policies = list(dict.fromkeys(point.policy for point in points))
--- a/garnetusher/cli/decision_cost.py
+++ b/garnetusher/cli/decision_cost.py
@@ -13,9 +13,9 @@
 
 LIST_LENGTHS = (10, 100, 1000, 10_000)
 SEED = 1
-ROUNDS = 7  # the median of these counts
+ROUNDS = 7  # measured rounds, of which the median is reported
 REQUESTS_PER_ROUND = 400
-CHANGES = 50  # changes of one entry each, of which the longest counts
+CHANGES = 50  # measured changes of one entry each, of which the slowest is reported
 
 COLUMNS = (
     number_column("upstreams"),
@@ -29,16 +29,16 @@
 
 
 class DecisionCost(Struct):
-    """What one endpoint list costs, in CPU time of this process.
+    """The CPU time that the policy takes with one endpoint list.
 
     Attributes:
-        upstreams: the length of the list.
-        all_warming: whether all its endpoints are warming up.
-        request_us: the decisions on one request.
-        list_ms: taking the complete list.
-        same_list_ms: taking it again with nothing changed.
-        change_ms: taking a change of one entry; the longest of `CHANGES`.
-        sent_share: the share of requests that were forwarded.
+        upstreams: the number of endpoints in the list.
+        all_warming: whether all endpoints are warming up.
+        request_us: CPU time of the decisions on one request.
+        list_ms: CPU time to process the complete list.
+        same_list_ms: CPU time to process the same list again.
+        change_ms: CPU time to process a change of one entry; the maximum of `CHANGES` changes.
+        sent_share: the share of requests that the policy forwarded.
     """
 
     upstreams: int
@@ -51,12 +51,12 @@
 
 
 def measure(upstreams: int, *, all_warming: bool) -> DecisionCost:
-    """Send a steady stream of requests through one balancer, and measure it."""
+    """Send a steady stream of requests through one balancer and measure its CPU time."""
     steady = Steady(SEED)
     complete_list = listing(upstreams, all_warming)
     list_ms = _event_ms(steady, complete_list)
     same_list_ms = _event_ms(steady, listing(upstreams, all_warming))
-    _round_us(steady)  # the first round fills caches and is not counted
+    _round_us(steady)  # the first round fills caches and is not measured
     request_us = statistics.median([_round_us(steady) for _ in range(ROUNDS)])
     sent_share = steady.sent / steady.requests
     change_ms = max(_event_ms(steady, change(complete_list, index, CHANGES)) for index in range(CHANGES))
@@ -72,7 +72,7 @@
 
 
 def _round_us(steady: Steady) -> float:
-    """Microseconds for one request, as the mean of a round."""
+    """Return the mean CPU time of one request in a round, in microseconds."""
     started_ns = time.process_time_ns()
     for _ in range(REQUESTS_PER_ROUND):
         steady.ask()
@@ -86,7 +86,7 @@
 
 
 def table(costs: list[DecisionCost]) -> str:
-    """Format a table in Markdown: a row for each list."""
+    """Return a Markdown table with a row for each list."""
     rows = [
         [
             str(cost.upstreams),
--- a/garnetusher/cli/errors.py
+++ b/garnetusher/cli/errors.py
@@ -1,4 +1,4 @@
-"""How a command ends: its exit status, and the error that carries a message and a status to `garnetusher.__main__`."""
+"""Exit statuses of commands, and the error from which `garnetusher.__main__` takes a message and an exit status."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 class ExitStatus(enum.IntEnum):
     """The exit statuses of every command."""
 
-    HELD = 0  # every expectation and rule held
-    NOT_HELD = 1  # an expectation or rule did not hold, or a process could not be reached
-    WRONG_CALL = 2  # an argument or a file is wrong
+    HELD = 0  # every expectation and rule holds
+    NOT_HELD = 1  # an expectation or rule does not hold, or a process cannot be reached
+    USAGE_ERROR = 2  # an argument or a file is invalid
 
 
 class CommandError(GarnetusherError):
-    """A command can't go on.
+    """A command cannot continue.
 
     Attributes:
         status: the exit status of the process.
@@ -30,11 +30,11 @@
         self.status = status
 
 
-def fail(message: str, status: ExitStatus = ExitStatus.WRONG_CALL) -> NoReturn:
+def fail(message: str, status: ExitStatus = ExitStatus.USAGE_ERROR) -> NoReturn:
     """End the command with an error message.
 
     Args:
-        message: printed on standard error; one line, unless it quotes the last lines of a process.
+        message: the text for standard error; one line, unless it quotes the last output lines of a process.
         status: the exit status.
 
     Raises:
@@ -44,7 +44,7 @@
 
 
 def finish(*, held: bool) -> NoReturn:
-    """End the command after its output, with the status that says whether everything held.
+    """End the command after its output, with the exit status for whether all expectations and rules hold.
 
     Raises:
         typer.Exit: always.
--- a/garnetusher/cli/fidelity.py
+++ b/garnetusher/cli/fidelity.py
@@ -1,4 +1,4 @@
-"""`garnetusher model fidelity`: whether virtual time gives the figures that real processes give."""
+"""`garnetusher model fidelity`: compares the figures in virtual time with those on real processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.result import Result
 
-TOLERANCE = 0.05  # of the weight served, between real processes and virtual time
+TOLERANCE = 0.05  # largest accepted difference of the served weight between real processes and virtual time
 SERVED_WEIGHT = "served_worth.whole"
 FIGURES = (
     SERVED_WEIGHT,
@@ -33,14 +33,14 @@
 
 
 class Row(Struct):
-    """Mean figures of one experiment's runs.
+    """Mean figures of the runs of one experiment.
 
     Attributes:
-        name: the experiment's.
-        seeds: of its runs.
-        real: means on real processes; figures that no run has are left out.
-        virtual: means in virtual time.
-        rules_broken: how often a rule was broken in virtual time.
+        name: the name of the experiment.
+        seeds: the seeds of the runs.
+        real: means on real processes, without the figures that no run has.
+        virtual: means in virtual time, without the figures that no run has.
+        rules_broken: the number of broken rules in virtual time.
     """
 
     name: str
@@ -50,27 +50,27 @@
     rules_broken: int = field(name="broken")
 
     @property
-    def close(self) -> bool:
-        """Whether both served the same weight, within `TOLERANCE`."""
+    def within_tolerance(self) -> bool:
+        """Whether the served weights differ by at most `TOLERANCE`."""
         return abs(self.served_weight_difference) <= TOLERANCE
 
     @property
     def served_weight_difference(self) -> float:
-        """The weight served in virtual time less that on real processes."""
+        """The weight served in virtual time minus the weight served on real processes."""
         return self.virtual[SERVED_WEIGHT] - self.real[SERVED_WEIGHT]
 
 
-def pairs(folders: Sequence[Path], library: Path) -> list[tuple[Result, Experiment]]:
-    """Read results of the lab, each with its experiment; leave out runs in which the lab itself was late.
+def read_lab_runs(folders: Sequence[Path], library: Path) -> list[tuple[Result, Experiment]]:
+    """Read results of the lab with their experiments, except for runs in which the lab was behind its schedule.
 
     Args:
-        folders: what `lab run` has filled.
-        library: the folder of the experiments' files.
+        folders: output folders of `lab run`.
+        library: the folder with the experiment files.
 
     Raises:
-        FileError: an experiment can't be read or is not in order.
-        OSError: a result can't be read.
-        msgspec.MsgspecError: a result is not in order.
+        FileError: an experiment cannot be read or is invalid.
+        OSError: a result cannot be read.
+        msgspec.MsgspecError: a result is invalid.
     """
     results = [result.read(folder / "result.json") for folder in folders]
     names = sorted({real.name for real in results})
@@ -79,7 +79,7 @@
 
 
 def measure(lab_runs: Sequence[tuple[Result, Experiment]], progress: Progress) -> list[Row]:
-    """Run each experiment again in virtual time, with the seed that it had on real processes."""
+    """Run each experiment in virtual time with the seed of its run on real processes."""
     virtual_by_name: dict[str, list[Result]] = {}
     with ProcessPoolExecutor() as pool:
         runs = pool.map(run_experiment, [experiment for _, experiment in lab_runs], [real.seed for real, _ in lab_runs])
@@ -103,7 +103,7 @@
 
 
 def table(rows: Sequence[Row]) -> str:
-    """Format a table in Markdown: real and virtual figures, a row for each experiment."""
+    """Return a Markdown table of real and virtual figures with a row for each experiment."""
     columns = [Column("experiment"), *map(number_column, ("plays", *FIGURES, "worth apart"))]
     return markdown.table(columns, map(_cells, rows))
 
@@ -113,5 +113,5 @@
         f"{row.real[name]:.4g} / {row.virtual[name]:.4g}" if name in row.real and name in row.virtual else "-"
         for name in FIGURES
     ]
-    mark = "" if row.close else " !"
+    mark = "" if row.within_tolerance else " !"
     return [row.name, str(len(row.seeds)), *figures, f"{row.served_weight_difference:+.4f}{mark}"]
--- a/garnetusher/cli/markdown.py
+++ b/garnetusher/cli/markdown.py
@@ -1,4 +1,4 @@
-"""Tables in Markdown."""
+"""Formats tables in Markdown."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 
 class Column(NamedTuple):
-    """The head of a column and how its cells are aligned."""
+    """The title and the alignment of a column."""
 
     title: str
     alignment: str = "---"
 
 
 def number_column(title: str) -> Column:
-    """Make a column of numbers, which are aligned to the right."""
+    """Return a right-aligned column for numbers."""
     return Column(title, "---:")
 
 
 def table(columns: Sequence[Column], rows: Iterable[Sequence[str]]) -> str:
-    """Format a table.
+    """Return a Markdown table.
 
     Args:
-        columns: the heads.
-        rows: the cells, as many in each row as there are columns.
+        columns: the title and the alignment of each column.
+        rows: the cells of each row, one for each column.
     """
-    head = [_row([column.title for column in columns]), _row([column.alignment for column in columns])]
-    return "\n".join(head + [_row(cells) for cells in rows])
+    header = [_row([column.title for column in columns]), _row([column.alignment for column in columns])]
+    return "\n".join(header + [_row(cells) for cells in rows])
 
 
 def _row(cells: Sequence[str]) -> str:
--- a/garnetusher/cli/members.py
+++ b/garnetusher/cli/members.py
@@ -1,4 +1,4 @@
-"""`garnetusher members`: which members a running process believes present, whether the others agree, and why."""
+"""`garnetusher members`: the members that a running process considers present, and whether the others agree."""
 
 from __future__ import annotations
 
@@ -11,18 +11,21 @@
 from garnetusher import cli
 from garnetusher.cli.zones import At, call
 
-app = typer.Typer(help="Whom a running process holds for present, and whether the others agree.")
+app = typer.Typer(help="Show the members that a process considers present, and whether the others agree.")
 
 
 @app.callback(invoke_without_command=True, epilog="Example: garnetusher members --at 127.0.0.1:9100")
 def members(
     at: At = "",
-    json: Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")] = False,  # noqa: FBT002  typer makes a flag of it
+    json: Annotated[bool, typer.Option("--json", help="Print one JSON document on standard output.")] = False,  # noqa: FBT002  typer makes a flag of it
 ) -> None:
-    """Each member's state and since when; agreed, or in dispute with whom and on what."""
+    """Show the state of each member, its duration, and the members whose views differ from this one."""
     status, text = call(at, "GET", "/_members")
     if status == HTTPStatus.NOT_FOUND:
-        cli.fail("membership is not switched on there: fleet.membership in the sidecar's file", cli.NOT_HELD)
+        cli.fail(
+            "membership is not switched on at this sidecar; see fleet.membership in its configuration file",
+            cli.NOT_HELD,
+        )
     if status != HTTPStatus.OK:
         cli.fail(f"the sidecar answered {status}: {text.strip()}", cli.NOT_HELD)
     document: dict[str, Any] = json_module.loads(text)
@@ -33,7 +36,7 @@
 
 
 def format_lines(document: dict[str, Any]) -> list[str]:
-    """Return the lines for a terminal."""
+    """Return the lines that the command prints for the answer to `GET /_members`."""
     if document["phase"] != "present":
         return [f"{document['phase']} {document.get('why', '')}".strip()]
     lines = [_summary_line(document)]
@@ -47,12 +50,12 @@
 
 def _summary_line(document: dict[str, Any]) -> str:
     agreement = "agreed" if document["agreed"] else "in dispute"
-    held = "" if document["trusted"] else ", the count is held"
-    return f"{document['cluster']}: one part in {document['instances']}, {agreement}{held}"
+    count_note = "" if document["trusted"] else ", the count is held"
+    return f"{document['cluster']}: limits are divided by {document['instances']}, {agreement}{count_note}"
 
 
 def _dispute_line(dispute: dict[str, Any]) -> str:
-    names = f", of late on {', '.join(dispute['on'])}" if dispute["on"] else ""
+    names = f", recently about {', '.join(dispute['on'])}" if dispute["on"] else ""
     return f"  in dispute with {dispute['with']} for {dispute['for_s']:.1f} s{names}"
 
 
--- a/garnetusher/cli/model_commands.py
+++ b/garnetusher/cli/model_commands.py
@@ -1,4 +1,4 @@
-"""`garnetusher model`: experiments in virtual time."""
+"""`garnetusher model`: runs experiments in virtual time."""
 
 from __future__ import annotations
 
@@ -34,29 +34,35 @@
 from garnetusher.model.clock import Stall
 from garnetusher.model.experiment import Experiment
 
-app = typer.Typer(no_args_is_help=True, help="The same experiments in virtual time, with the real decisions.")
+app = typer.Typer(
+    no_args_is_help=True, help="Run the same experiments in virtual time, with the policy that sidecars use."
+)
 
 
 @app.callback()
 def model() -> None:
-    """The same experiments in virtual time, with the real decisions."""
+    """Run the same experiments in virtual time, with the policy that sidecars use."""
 
 
 @app.command(epilog="Example: garnetusher model run experiments/zone-silent.toml --sidecars 100 --seeds 1:8")
 def run(  # noqa: PLR0913 -- a parameter for each option of the command
     file: ExperimentFile,
     *,
-    seed: Annotated[int | None, typer.Option(min=0, help="Of all random draws; else the file's.")] = None,
-    seeds: Annotated[str | None, typer.Option(help="Several plays, A:B, spread over the cores.")] = None,
-    sidecars: Annotated[int | None, typer.Option(min=1, help="So many, with all else in proportion.")] = None,
+    seed: Annotated[
+        int | None, typer.Option(min=0, help="Seed of all random draws; the seed in the file if not given.")
+    ] = None,
+    seeds: Annotated[str | None, typer.Option(help="Seeds of several runs, A:B, spread over the cores.")] = None,
+    sidecars: Annotated[
+        int | None, typer.Option(min=1, help="Number of sidecars; all else scales in proportion.")
+    ] = None,
     disabled: Annotated[
         list[str] | None,
-        typer.Option("--without", help=f"A part of the decisions to do without: {', '.join(ABLATIONS)}."),
+        typer.Option("--without", help=f"A part of the policy to disable: {', '.join(ABLATIONS)}."),
     ] = None,
-    tree: Annotated[Path | None, typer.Option(help="A checkout whose decisions are played; else these.")] = None,
+    tree: Annotated[Path | None, typer.Option(help="A checkout whose policy replaces this one.")] = None,
     as_json: JsonFlag = False,
 ) -> None:
-    """Play an experiment in virtual time; print its figures against their bounds."""
+    """Run an experiment in virtual time; print its figures and their bounds."""
     if tree is not None:
         raise typer.Exit(other_tree.run_command(tree, sys.argv[1:]))
     experiment = experiment_or_fail(file)
@@ -71,7 +77,7 @@
 
 
 def _run_seeds(experiment: Experiment, seeds: Sequence[int], disabled: Sequence[str]) -> list[CompletedRun]:
-    """Run an experiment with each seed, spread over the cores."""
+    """Run an experiment once per seed, on all cores."""
     completed: list[CompletedRun] = []
     try:
         with (
@@ -81,7 +87,7 @@
             count = len(seeds)
             for run in pool.map(run_experiment, repeat(experiment, count), seeds, repeat(disabled, count)):
                 completed.append(run)
-                progress("playing", len(completed) / count)
+                progress("running", len(completed) / count)
     except Stall as error:
         cli.fail(str(error), cli.NOT_HELD)
     return completed
@@ -100,11 +106,11 @@
 @app.command(epilog="Example: garnetusher model baselines experiments/crash.toml --seeds 1:8")
 def baselines(
     file: ExperimentFile,
-    seeds: Annotated[str, typer.Option(help="Plays of each policy, A:B.")] = "1:8",
+    seeds: Annotated[str, typer.Option(help="Seeds of the runs of each policy, A:B.")] = "1:8",
     *,
     as_json: JsonFlag = False,
 ) -> None:
-    """Lay the product's policy beside plain ones on the same draws: means, a row each."""
+    """Compare the policy with baseline policies on the same random draws; print the means, a row for each policy."""
     experiment = experiment_or_fail(file)
     run_seeds = seeds_or_fail(seeds)
     with cli.progress(f"{experiment.name} by policy") as progress:
@@ -117,11 +123,13 @@
 
 @app.command(epilog="Example: garnetusher model cost --upstreams 10 --upstreams 10000")
 def cost(
-    list_lengths: Annotated[list[int] | None, typer.Option("--upstreams", min=1, help="A length of the list.")] = None,
+    list_lengths: Annotated[
+        list[int] | None, typer.Option("--upstreams", min=1, help="Number of endpoints in the list.")
+    ] = None,
     *,
     as_json: JsonFlag = False,
 ) -> None:
-    """Measure what one request's decisions cost this machine, by the length of the list, warm and all cold."""
+    """Measure the CPU time of decisions on one request by the length of the endpoint list, warm and all cold."""
     lengths = list_lengths or decision_cost.LIST_LENGTHS
     cases = [(length, all_warming) for all_warming in (False, True) for length in lengths]
     costs: list[decision_cost.DecisionCost] = []
@@ -137,14 +145,14 @@
 
 @app.command(epilog="Example: garnetusher model explore module --seeds 1:20000")
 def explore(
-    part: Annotated[str, typer.Argument(help=f"What to explore: {', '.join(schedule_search.PARTS)}.")],
-    seeds: Annotated[str, typer.Option(help="A schedule each, A:B.")] = "1:2000",
-    max_steps: Annotated[int, typer.Option("--steps", min=4, help="In a schedule, at the most.")] = 120,
-    out: Annotated[Path, typer.Option(help="Where what breaks is kept.")] = Path("found"),
+    part: Annotated[str, typer.Argument(help=f"The part to explore: {', '.join(schedule_search.PARTS)}.")],
+    seeds: Annotated[str, typer.Option(help="Seeds, each of one schedule, A:B.")] = "1:2000",
+    max_steps: Annotated[int, typer.Option("--steps", min=4, help="Maximum number of steps in a schedule.")] = 120,
+    out: Annotated[Path, typer.Option(help="Folder for the failing schedules.")] = Path("found"),
     *,
     as_json: JsonFlag = False,
 ) -> None:
-    """Play seeded schedules of events against a core; shrink and keep those that break a rule."""
+    """Run random schedules of events against a part; shrink and save those that break a rule."""
     require_choice(part, schedule_search.PARTS)
     schedule_seeds = seeds_or_fail(seeds)
     with cli.progress(f"exploring {part}") as progress:
@@ -154,24 +162,28 @@
     if as_json:
         cli.say_json(result)
     else:
-        cli.say("\n".join([*result.lines, *(f"kept: {path}" for path in paths)]))
+        cli.say("\n".join([*result.lines, *(f"saved: {path}" for path in paths)]))
     cli.finish(held=not result.failures)
 
 
 @app.command(epilog="Example: garnetusher model replay found/module-slots-17.json")
-def replay(file: Annotated[Path, typer.Argument(help="What `model explore` has kept.")]) -> None:
-    """Play a schedule that broke a rule once more; tell it step by step."""
+def replay(file: Annotated[Path, typer.Argument(help="A schedule that `model explore` saved.")]) -> None:
+    """Run a failing schedule again; print it step by step."""
     try:
         failure = exploration.load(file)
     except (OSError, msgspec.MsgspecError) as error:
-        cli.fail(f"{file}: expected a schedule that `model explore` has kept: {error}")
+        cli.fail(f"{file}: expected a schedule that `model explore` saved: {error}")
     schedule, parts = failure.schedule, schedule_search.PARTS
     if schedule.part not in parts:
         cli.fail(f"{file}: part: expected one of {', '.join(parts)}, got {schedule.part!r}")
     part = parts[schedule.part]
     broken = part.play(schedule)
     cli.say("\n".join(part.tell(schedule)))
-    cli.say(f"broke {broken.text}" if broken is not None else f"holds now; it broke {failure.broken.text}")
+    cli.say(
+        f"broke {broken.text}"
+        if broken is not None
+        else f"no rule was broken; the saved schedule broke {failure.broken.text}"
+    )
     cli.finish(held=broken is None)
 
 
@@ -179,18 +191,20 @@
 def curve(  # noqa: PLR0913 -- a parameter for each option of the command
     file: ExperimentFile,
     *,
-    sizes: Annotated[list[int] | None, typer.Option("--sidecars", min=1, help="A size of the fleet.")] = None,
+    sizes: Annotated[
+        list[int] | None, typer.Option("--sidecars", min=1, help="Number of sidecars in the fleet.")
+    ] = None,
     policies: Annotated[
         list[str] | None, typer.Option("--policy", help=f"One of {', '.join(baseline_policies.NAMES)}.")
     ] = None,
     grow: Annotated[
-        str, typer.Option(help="What grows: `fleet` with upstreams and load, or `sidecars` alone.")
+        str, typer.Option(help="What grows: `fleet`, with upstreams and load, or `sidecars` alone.")
     ] = curves.GROW_FLEET,
-    seeds: Annotated[str, typer.Option(help="Plays of each, A:B.")] = "1:2",
-    out: Annotated[Path, typer.Option(help="Where plots and figures go.")] = Path("found/curve"),
+    seeds: Annotated[str, typer.Option(help="Seeds of the runs of each size, A:B.")] = "1:2",
+    out: Annotated[Path, typer.Option(help="Folder for the plots.")] = Path("found/curve"),
     as_json: JsonFlag = False,
 ) -> None:
-    """Play a fleet of growing size; a table, and a plot for each of worth, retries, crossings and other costs."""
+    """Run a fleet at several sizes; print a table and plot served worth, retries, crossings and other figures."""
     experiment = experiment_or_fail(file)
     run_seeds = seeds_or_fail(seeds)
     for name in policies or []:
@@ -208,15 +222,17 @@
 
 @app.command(epilog="Example: garnetusher model members --size 10 --size 1000 --loss 0.1 --starved 0.1")
 def members(
-    sizes: Annotated[list[int] | None, typer.Option("--size", min=2, help="Members of a fleet.")] = None,
-    loss: Annotated[float, typer.Option(min=0, max=1, help="Part of the datagrams that are lost.")] = 0.0,
-    starved: Annotated[float, typer.Option(min=0, max=1, help="Part whose turns come 0.3 s late.")] = 0.0,
-    seeds: Annotated[str, typer.Option(help="Plays of each, A:B.")] = "1:2",
-    out: Annotated[Path, typer.Option(help="Where the plot goes.")] = Path("found/members.svg"),
+    sizes: Annotated[list[int] | None, typer.Option("--size", min=2, help="Number of members in the fleet.")] = None,
+    loss: Annotated[float, typer.Option(min=0, max=1, help="Share of the datagrams that are lost.")] = 0.0,
+    starved: Annotated[
+        float, typer.Option(min=0, max=1, help="Share of the members that handle each event 0.3 s late.")
+    ] = 0.0,
+    seeds: Annotated[str, typer.Option(help="Seeds of the runs of each size, A:B.")] = "1:2",
+    out: Annotated[Path, typer.Option(help="File of the plot.")] = Path("found/members.svg"),
     *,
     as_json: JsonFlag = False,
 ) -> None:
-    """Membership by the size of the fleet: joins, a kill, a split that heals, and what it costs in calm."""
+    """Measure membership by fleet size: joins, a kill, a network split that heals, and the cost without faults."""
     run_seeds = seeds_or_fail(seeds)
     fleet_sizes = sorted(set(sizes or presence.SIZES))
     with cli.progress("members") as progress:
@@ -231,23 +247,23 @@
 
 @app.command(epilog="Example: garnetusher model fidelity found/calm-1 found/crash-1")
 def fidelity(
-    folders: Annotated[list[Path], typer.Argument(help="Folders that `lab run` has filled.")],
-    library: Annotated[Path, typer.Option(help="Where the experiments' files are.")] = Path("experiments"),
-    tree: Annotated[Path | None, typer.Option(help="A checkout whose decisions are played.")] = None,
+    folders: Annotated[list[Path], typer.Argument(help="Output folders of `lab run`.")],
+    library: Annotated[Path, typer.Option(help="Folder with the experiment files.")] = Path("experiments"),
+    tree: Annotated[Path | None, typer.Option(help="A checkout whose policy replaces this one.")] = None,
     *,
     as_json: JsonFlag = False,
 ) -> None:
-    """Lay plays of the lab beside the same experiments and seeds in virtual time: means by experiment."""
+    """Compare runs of the lab with runs of the same experiments and seeds in virtual time; print means."""
     if tree is not None:
         raise typer.Exit(other_tree.run_command(tree, sys.argv[1:]))
     try:
-        pairs = fidelity_check.pairs(folders, library)
+        lab_runs = fidelity_check.read_lab_runs(folders, library)
     except (config.FileError, OSError, msgspec.MsgspecError) as error:
         cli.fail(str(error))
     with cli.progress("fidelity") as progress:
-        rows = fidelity_check.measure(pairs, progress)
+        rows = fidelity_check.measure(lab_runs, progress)
     if as_json:
         cli.say_json(rows)
     else:
         cli.say(fidelity_check.table(rows))
-    cli.finish(held=all(row.close for row in rows))
+    cli.finish(held=all(row.within_tolerance for row in rows))
--- a/garnetusher/cli/options.py
+++ b/garnetusher/cli/options.py
@@ -8,4 +8,4 @@
 import typer
 
 ExperimentFile = Annotated[Path, typer.Argument(help="The experiment, in TOML.")]
-JsonFlag = Annotated[bool, typer.Option("--json", help="One JSON document on standard output.")]
+JsonFlag = Annotated[bool, typer.Option("--json", help="Print one JSON document on standard output.")]
--- a/garnetusher/cli/other_tree.py
+++ b/garnetusher/cli/other_tree.py
@@ -1,4 +1,4 @@
-"""Run the same command with the policy of another checkout in place of this one's."""
+"""Runs the same command with the policy of another checkout instead of the policy of this one."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def run_command(tree: Path, arguments: Sequence[str]) -> int:
-    """Run `garnetusher` with the policy of a checkout, in a process of its own.
+    """Run `garnetusher` with the policy of a checkout in a child process.
 
-    A checkout that has the command but no `garnetusher.policy` is an older one, whose policy has another interface: its
-    whole command is run.
+    A checkout that has the command but no `garnetusher.policy` is older, and its policy has another interface. The
+    function then runs the command of that checkout instead.
 
     Args:
         tree: the checkout.
-        arguments: the command line, from which `--tree` is left out.
+        arguments: the arguments of the command line; `--tree` and its value are removed.
 
     Returns:
         The exit status.
@@ -46,17 +46,17 @@
 
 def _without_tree_option(arguments: Sequence[str]) -> list[str]:
     remaining = []
-    words = iter(arguments)
-    for word in words:
-        if word == TREE_OPTION:
-            next(words, None)  # its value
-        elif not word.startswith(f"{TREE_OPTION}="):
-            remaining.append(word)
+    iterator = iter(arguments)
+    for argument in iterator:
+        if argument == TREE_OPTION:
+            next(iterator, None)  # skips the value of the option
+        elif not argument.startswith(f"{TREE_OPTION}="):
+            remaining.append(argument)
     return remaining
 
 
 def _link_package(folder: Path, policy: Path) -> None:
-    """Make a package `garnetusher` of links to this one's parts, but to the other policy."""
+    """Create a package `garnetusher` of links to the parts of this package, except for the other policy."""
     package = folder / "garnetusher"
     package.mkdir()
     for part in Path(garnetusher.__file__).resolve().parent.iterdir():
--- a/garnetusher/cli/policy_comparison.py
+++ b/garnetusher/cli/policy_comparison.py
@@ -1,4 +1,4 @@
-"""`garnetusher model baselines`: the product's policy beside plain ones on the same random draws."""
+"""`garnetusher model baselines`: compares the policy with baseline policies on the same random draws."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
     """Mean figures of each policy over the same seeds.
 
     Attributes:
-        name: the experiment's.
-        seeds: one run of each policy for each.
-        policies: by the policy's name, the means of those `FIGURES` that its runs have.
+        name: the name of the experiment.
+        seeds: the seeds, with each of which every policy runs once.
+        policies: the means of the `FIGURES` that the runs of a policy have, by the name of the policy.
     """
 
     name: str
@@ -65,7 +65,7 @@
 
 
 def table(comparison: PolicyComparison) -> str:
-    """Format a table in Markdown: a row for each policy."""
+    """Return a Markdown table with a row for each policy."""
     columns = [Column(comparison.name), *map(number_column, FIGURES)]
     rows = [
         [policy, *(f"{means[name]:g}" if name in means else "-" for name in FIGURES)]
--- a/garnetusher/cli/presence.py
+++ b/garnetusher/cli/presence.py
@@ -1,4 +1,4 @@
-"""`garnetusher model members`: membership by the size of the fleet, as a table and a plot."""
+"""`garnetusher model members`: membership figures by the size of the fleet, as a table and a plot."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
 def measure(
     sizes: list[int], loss: float, starved: float, seeds: range, progress: Callable[[str, float], None]
 ) -> list[Presence]:
-    """Run the scenario for each size and seed, the largest first, on all cores.
+    """Run the scenario for each size and seed on all cores, with the largest sizes first.
 
     Args:
-        sizes: members of a fleet.
-        loss: share of datagrams that are lost.
-        starved: share of members that are starved.
-        seeds: of the runs.
-        progress: is given a text and the share that is done.
+        sizes: numbers of members in a fleet.
+        loss: the share of datagrams that are lost.
+        starved: the share of members that handle each event late.
+        seeds: the seeds of the runs.
+        progress: a function that receives the current activity and the completed share.
 
     Returns:
-        The results by size and seed.
+        The results, sorted by size and seed.
     """
     cases = [(size, seed) for size in sorted(sizes, reverse=True) for seed in seeds]
     run_sizes = [size for size, _ in cases]
@@ -68,18 +68,18 @@
 
 
 def draw(results: list[Presence], path: Path) -> None:
-    """Plot times and bytes over the size of the fleet."""
-    import matplotlib  # noqa: PLC0415  it takes long to import, and only this command needs it
+    """Plot times and traffic by the size of the fleet."""
+    import matplotlib  # noqa: PLC0415  the import is slow and only this command needs it
 
     matplotlib.use("svg")
-    from matplotlib import pyplot as plt  # noqa: PLC0415  after the choice of the backend
+    from matplotlib import pyplot as plt  # noqa: PLC0415  the backend must be chosen before this import
 
     figure, (times, costs) = plt.subplots(1, 2, figsize=(9.5, 3.4))
     sizes = [result.members for result in results]
     for name, label in (
-        ("noticed_p50_s", "a kill noticed, median"),
+        ("noticed_p50_s", "kill detected, median"),
         ("noticed_p99_s", "99th"),
-        ("joined_s", "joins of all at once"),
+        ("joined_s", "join of all members at once"),
         ("healed_s", "views equal after a split"),
     ):
         times.plot(sizes, [getattr(result, name) for result in results], "o", ms=4, label=label)
--- a/garnetusher/cli/run_table.py
+++ b/garnetusher/cli/run_table.py
@@ -1,4 +1,4 @@
-"""`garnetusher model run --seeds`: runs of one experiment as a table, with the mean of each figure."""
+"""`garnetusher model run --seeds`: formats the runs of one experiment as a table with the mean of each figure."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def table(results: Sequence[Result]) -> str:
-    """Format a table in Markdown: a row for each run, and one of means."""
+    """Return a Markdown table with a row for each run and a row of means."""
     columns = [Column("seed"), Column("held"), *map(number_column, FIGURES), Column("digest")]
     means = ["mean", "", *(_mean(results, name) for name in FIGURES), ""]
     return markdown.table(columns, [*map(_cells, results), means])
--- a/garnetusher/cli/runs.py
+++ b/garnetusher/cli/runs.py
@@ -1,4 +1,4 @@
-"""One run of an experiment in virtual time, in a form that commands can spread over processes."""
+"""Runs an experiment in virtual time; worker processes can call the function and return its result."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class CompletedRun(Struct):
-    """The result of one run and what it cost this machine.
+    """The result of one run and the time that it took on this machine.
 
     Attributes:
         result: figures, expectations and broken rules.
-        elapsed_s: the time that the run took.
-        decision_cpu_us: CPU time of the policy's decisions for one request.
+        elapsed_s: wall-clock time of the run.
+        decision_cpu_us: mean CPU time of the decisions on one request.
     """
 
     result: result.Result
@@ -29,7 +29,7 @@
 
     @property
     def document(self) -> dict[str, object]:
-        """The run in the JSON document of `model run`."""
+        """The entry for this run in the JSON document of `model run`."""
         return self.result.document | {
             "digest": self.result.digest,
             "events": self.result.events,
@@ -41,12 +41,12 @@
     """Run an experiment once.
 
     Args:
-        experiment: what to run.
-        seed: of all random draws.
-        disabled: names of the ablations: parts of the policy that are switched off.
+        experiment: the experiment to run.
+        seed: the seed of all random draws.
+        disabled: names of the ablations, which are parts of the policy to disable.
 
     Raises:
-        Stall: virtual time stands still.
+        Stall: virtual time does not advance.
     """
     started_s = time.perf_counter()
     plan = plans.make(experiment, seed)
@@ -54,7 +54,7 @@
         simulation = Simulation(experiment, plan, time.thread_time_ns)
         records = simulation.run()
     not_asked = sum(sidecar.clients.skipped_requests for sidecar in simulation.sidecars.values())
-    judged, _ = result.judge(experiment, plan, records, simulation.clock.events, not_asked=not_asked)
-    judged.digest = simulation.clock.digest
-    requests = max(1.0, judged.figures["requests"])
-    return CompletedRun(judged, time.perf_counter() - started_s, simulation.decision_cpu_ns / 1000 / requests)
+    run_result, _ = result.judge(experiment, plan, records, simulation.clock.events, not_asked=not_asked)
+    run_result.digest = simulation.clock.digest
+    requests = max(1.0, run_result.figures["requests"])
+    return CompletedRun(run_result, time.perf_counter() - started_s, simulation.decision_cpu_ns / 1000 / requests)
--- a/garnetusher/cli/schedule_search.py
+++ b/garnetusher/cli/schedule_search.py
@@ -1,4 +1,4 @@
-"""`garnetusher model explore`: search schedules for broken rules over all cores, and save those found."""
+"""`garnetusher model explore`: searches schedules for broken rules on all cores and saves the failing ones."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from garnetusher.model.explore.module import Module
 
 PARTS: dict[str, Part] = {part.name: part for part in (Module(), Membership())}
-SEEDS_PER_TASK = 250  # that a process runs in one go
-SHOWN_STEPS = 40  # the last of a schedule that are printed; the file has all
+SEEDS_PER_TASK = 250  # seeds in one task of a worker process
+SHOWN_STEPS = 40  # printed steps at the end of a schedule; the file has all steps
 
 
 class SearchResult(Struct):
-    """What a search has found so far.
+    """The current result of a search.
 
     Attributes:
-        part: what is explored; a key of `PARTS`.
+        part: the explored part, which is a key of `PARTS`.
         seeds: the first and the last seed.
-        schedules: how many have been run.
-        max_steps: in each schedule, at the most.
-        failures: the schedules that broke a rule, shrunk.
+        schedules: the number of schedules that have run.
+        max_steps: the maximum number of steps in a schedule.
+        failures: the schedules that broke a rule, after shrinking.
     """
 
     part: str
@@ -40,9 +40,9 @@
 
     @property
     def lines(self) -> list[str]:
-        """The result for people: a summary, and the first failure of each rule."""
+        """The result as lines of text: a summary and the first failure of each rule."""
         counts = Counter(failure.broken.rule for failure in self.failures)
-        summary = ", ".join(f"{count} broke {rule}" for rule, count in counts.items()) or "nothing broke"
+        summary = ", ".join(f"{count} broke {rule}" for rule, count in counts.items()) or "no rule was broken"
         lines = [
             f"{self.part}: {self.schedules} schedules of up to {self.max_steps} steps, seeds {self.seeds[0]} to "
             f"{self.seeds[1]}: {summary}"
@@ -64,15 +64,15 @@
 
 
 def search(part: str, seeds: range, max_steps: int) -> Iterator[SearchResult]:
-    """Run the schedule of each seed, spread over all cores.
+    """Run the schedule of each seed on all cores.
 
     Args:
-        part: a key of `PARTS`.
-        seeds: a schedule for each.
-        max_steps: in each schedule, at the most.
+        part: the part to explore, which is a key of `PARTS`.
+        seeds: the seeds, each of which determines a schedule.
+        max_steps: the maximum number of steps in a schedule.
 
     Yields:
-        The result so far after each group of seeds, in their order; always the same object.
+        The current result after each group of seeds, in the order of the seeds; always the same object.
     """
     result = SearchResult(part, [seeds[0], seeds[-1]], max_steps=max_steps)
     groups = [seeds[start : start + SEEDS_PER_TASK] for start in range(0, len(seeds), SEEDS_PER_TASK)]
@@ -89,10 +89,10 @@
 
 
 def save_smallest(result: SearchResult, folder: Path) -> list[Path]:
-    """Write the smallest failure of each rule to a file of its own.
+    """Write the smallest failure of each rule to a separate file.
 
     Returns:
-        The files' paths; none, and no folder, where no rule was broken.
+        The paths of the files. If no rule was broken, there are no files and the folder is not created.
     """
     paths = []
     for rule, failure in _smallest_by_rule(result.failures).items():
--- a/garnetusher/cli/zones.py
+++ b/garnetusher/cli/zones.py
@@ -1,4 +1,4 @@
-"""`garnetusher zones`: the states of the zones at a running sidecar, and an operator's orders on them."""
+"""`garnetusher zones`: shows the states of the zones at a running sidecar, and evacuates or restores a zone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 __all__ = ["At", "app", "call"]  # `cli.members` imports `At` and `call` from here
 
-app = typer.Typer(help="What a sidecar believes of each zone; leave one, or return to it.")
+app = typer.Typer(help="Show the state of each zone at a sidecar; evacuate or restore a zone.")
 
 At = AdminAddress
 
@@ -25,11 +25,11 @@
     """One zone in the answer to `GET /_zones`.
 
     Attributes:
-        zone: its name.
-        state: one of active, suspected, evacuated and restoring, in the words of the admin interface.
-        decided_by: evidence or an operator.
-        for_s: how long it has been in this state.
-        upstreams: how many endpoints it has.
+        zone: the name of the zone.
+        state: active, suspected, evacuated or restoring, under the name that the admin interface uses.
+        decided_by: the origin of the state, which is evidence or an operator.
+        for_s: the time in this state, in seconds.
+        upstreams: the number of endpoints in the zone.
         why: the reason for this state.
     """
 
@@ -42,7 +42,7 @@
 
 
 class ZoneOrder(enum.Enum):
-    """An operator's order; the value is its name in the path."""
+    """An order of an operator; the value is its name in the path of the admin interface."""
 
     EVACUATE = "leave"
     RESTORE = "return"
@@ -50,7 +50,7 @@
 
 @app.callback(invoke_without_command=True, epilog="Example: garnetusher zones --at 127.0.0.1:9100")
 def zones(context: typer.Context, at: AdminAddress = "", *, as_json: JsonFlag = False) -> None:
-    """Each zone's state, since when, and why."""
+    """Show the state of each zone, its duration and its reason."""
     if context.invoked_subcommand is not None:
         return
     response = call(at, "GET", "/_zones")
@@ -68,13 +68,13 @@
 
 @app.command(epilog="Example: garnetusher zones leave ezeiza --at 127.0.0.1:9100")
 def leave(name: str, at: AdminAddress = "") -> None:
-    """Send nothing to a zone until it is returned to, whatever its upstreams answer."""
+    """Evacuate a zone: send it no requests until `zones return`, whatever its upstreams answer."""
     _send_order(at, ZoneOrder.EVACUATE, name)
 
 
 @app.command(name="return", epilog="Example: garnetusher zones return ezeiza --at 127.0.0.1:9100")
-def return_to(name: str, at: AdminAddress = "") -> None:
-    """Use a zone again that an operator had left, by steps."""
+def restore(name: str, at: AdminAddress = "") -> None:
+    """Restore a zone that an operator evacuated, in steps."""
     _send_order(at, ZoneOrder.RESTORE, name)
 
 
--- a/garnetusher/config.py
+++ b/garnetusher/config.py
@@ -1,6 +1,7 @@
-"""TOML files checked against typed models, with one line that says what is wrong.
+"""Reads TOML files into typed models and reports an invalid file in one line.
 
-A model is a `msgspec.Struct` with ``forbid_unknown_fields=True``. Keys that Python reserves are renamed in the struct.
+A model is a `msgspec.Struct` with ``forbid_unknown_fields=True``. A struct renames a field whose key is a reserved word
+of Python.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 
 Model = TypeVar("Model", bound=msgspec.Struct)
 
-# messages of msgspec: what is wrong, and the place in the document
+# Error messages of msgspec: each has the reason and the location in the document.
 _UNKNOWN_KEY = re.compile(r"Object contains unknown field `(?P<key>[^`]*)`(?: - at `\$(?P<path>[^`]*)`)?")
 _MISSING_KEY = re.compile(r"Object missing required field `(?P<key>[^`]*)`(?: - at `\$(?P<path>[^`]*)`)?")
-_PLACE = re.compile(r" - at `\$(?P<path>[^`]*)`$")
+_LOCATION = re.compile(r" - at `\$(?P<path>[^`]*)`$")
 
 
 class FileError(GarnetusherError, ValueError):
-    """A file can't be read or does not fit its model.
+    """A file cannot be read or does not fit its model.
 
     The message is one line with the file, the key, what was expected and, for an unknown key, the nearest known one.
 
     Attributes:
-        key: the dotted key; empty where the whole file is meant.
+        key: the dotted key; empty if the error concerns the whole file.
     """
 
     def __init__(self, path: Path | str, key: str, reason: str) -> None:
@@ -42,7 +43,7 @@
     """Read a TOML file into a model.
 
     Raises:
-        FileError: the file can't be read, is no TOML, or does not fit the model.
+        FileError: the file cannot be read, is not valid TOML, or does not fit the model.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -59,12 +60,12 @@
     """Parse TOML text into a model.
 
     Args:
-        text: the TOML.
+        text: the TOML text.
         model: the type of the result.
-        path: the name of the text in errors.
+        path: the name of the text in error messages.
 
     Raises:
-        FileError: the text is no TOML or does not fit the model.
+        FileError: the text is not valid TOML or does not fit the model.
     """
     try:
         document = tomllib.loads(text)
@@ -77,7 +78,7 @@
 
 
 def _file_error(path: Path | str, model: type[msgspec.Struct], message: str) -> FileError:
-    """Translate a message of msgspec into an error with the key as it stands in the file."""
+    """Convert a message of msgspec to an error that has the dotted key of the file."""
     unknown = _UNKNOWN_KEY.match(message)
     if unknown is not None:
         table = _dotted(unknown["path"] or "")
@@ -86,20 +87,23 @@
     if missing is not None:
         table = _dotted(missing["path"] or "")
         return FileError(path, _join(table, missing["key"]), "expected this key, which is missing")
-    place = _PLACE.search(message)
-    reason = message if place is None else message[: place.start()]
-    return FileError(path, _dotted(place["path"]) if place is not None else "", reason[:1].lower() + reason[1:])
+    location = _LOCATION.search(message)
+    reason = message if location is None else message[: location.start()]
+    return FileError(path, _dotted(location["path"]) if location is not None else "", reason[:1].lower() + reason[1:])
 
 
 def _hint(model: type[msgspec.Struct], table: str, key: str) -> str:
-    """Name the known key that is nearest to an unknown one; all known keys where none is near."""
+    """Return a hint with the known key that is closest to an unknown key, or with all known keys if none is close."""
     known = sorted(_known_keys(model, table))
     nearest = difflib.get_close_matches(key, known, 1)
     return f"did you mean `{nearest[0]}`?" if nearest else f"known here: {', '.join(known)}"
 
 
 def _dotted(path: str) -> str:
-    """Convert a path of msgspec, as `.fault[2].at_s`, to a dotted key: `fault.2.at_s`; `[...]` is any key: `*`."""
+    """Convert a path of msgspec such as `.fault[2].at_s` to a dotted key such as `fault.2.at_s`.
+
+    The part `[...]`, by which msgspec means any key, becomes `*`.
+    """
     return path.replace("[...]", ".*").replace("[", ".").replace("]", "").lstrip(".")
 
 
@@ -108,7 +112,7 @@
 
 
 def _known_keys(model: type[msgspec.Struct], table: str) -> Iterator[str]:
-    """Yield the keys that the table at a dotted place may have."""
+    """Yield the keys that the table with this dotted key may have."""
     struct: Any = model
     for part in table.split(".") if table else []:
         if part.isdigit() or part == "*":
@@ -124,7 +128,7 @@
 
 
 def _find_struct(annotation: Any) -> Any:
-    """Find the first struct within an annotation such as `list[Fault]` or `Place | None`; None without one."""
+    """Return the first struct within an annotation such as `list[Fault]` or `Place | None`, or None."""
     if isinstance(annotation, type) and issubclass(annotation, msgspec.Struct):
         return annotation
     candidates = (_find_struct(argument) for argument in get_args(annotation))
--- a/garnetusher/errors.py
+++ b/garnetusher/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that this project raises on purpose."""
+"""The base class of the errors that this project defines."""
 
 
 class GarnetusherError(Exception):
-    """An error whose message a person can act on; each part of the project derives its own classes."""
+    """An error whose message tells a person what to correct; each package derives its own classes."""
--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -281,7 +281,7 @@
             began_ms = int(time.time() * 1000)
             played = asyncio.run(run_experiment(experiment, plan, tree, folder, progress))
         except LabError as error:
-            cli.fail(str(error), cli.WRONG)
+            cli.fail(str(error), cli.USAGE_ERROR)
         except (asyncio.CancelledError, KeyboardInterrupt):
             cli.fail("stopped; nothing was left running", cli.NOT_HELD)
         found, requests = result.judge(
--- a/garnetusher/logs.py
+++ b/garnetusher/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one JSON object a line, with a stable event name from `EVENTS`.
+"""Structured logs: one JSON object per line, with a stable event name from `EVENTS`.
 
-`docs/logs.md` lists the same names; a test holds the two together. Every line has `at` (UTC, ISO 8601), `level`,
-`event`, and the fields that the event's entry in `EVENTS` names.
+`docs/logs.md` lists the same names, which a test compares. Every line has `at` (UTC, ISO 8601), `level`,
+`event`, and the fields that `EVENTS` lists for the event.
 """
 
 from __future__ import annotations
@@ -20,35 +20,37 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """What a log event says, and the names of its fields."""
+    """The meaning of a log event and the names of its fields."""
 
     summary: str
     fields: tuple[str, ...]
 
 
 EVENTS: dict[str, LogEvent] = {
-    "lab.play.begins": LogEvent("an experiment starts", ("experiment", "seed", "out", "sidecars", "upstreams")),
-    "lab.play.ends": LogEvent("its figures are there", ("experiment", "seed", "held", "broken", "late")),
-    "lab.tree.builds": LogEvent("the tree under test is built", ("tree",)),
-    "lab.sidecar.started": LogEvent("a sidecar process runs", ("sidecar", "pid")),
-    "lab.sidecar.ready": LogEvent("it has answered `GET /up` with 200", ("sidecar", "after_s")),
-    "lab.sidecar.died": LogEvent("it ended though nobody asked it to", ("sidecar", "status", "last_lines")),
+    "lab.play.begins": LogEvent("an experiment has started", ("experiment", "seed", "out", "sidecars", "upstreams")),
+    "lab.play.ends": LogEvent(
+        "the figures of an experiment are available", ("experiment", "seed", "held", "broken", "late")
+    ),
+    "lab.tree.builds": LogEvent("the build of the tree under test has started", ("tree",)),
+    "lab.sidecar.started": LogEvent("a sidecar process has started", ("sidecar", "pid")),
+    "lab.sidecar.ready": LogEvent("a sidecar has answered `GET /up` with 200", ("sidecar", "after_s")),
+    "lab.sidecar.died": LogEvent("a sidecar process ended unexpectedly", ("sidecar", "status", "last_lines")),
     "lab.fault.applied": LogEvent("a process fault has been carried out", ("sidecar", "what", "late_ms")),
-    "lab.worker.died": LogEvent("a process of the lab itself ended early", ("worker", "status", "last_lines")),
-    "lab.late": LogEvent("the lab ran behind its own schedule", ("worker", "events", "late")),
-    "lab.cleaned": LogEvent("all that the play started has ended", ("processes",)),
+    "lab.worker.died": LogEvent("a worker process of the lab ended early", ("worker", "status", "last_lines")),
+    "lab.late": LogEvent("the lab ran behind its schedule", ("worker", "events", "late")),
+    "lab.cleaned": LogEvent("all processes that the run started have ended", ("processes",)),
 }
 
 
 class UnknownEventError(GarnetusherError, ValueError):
-    """A log line has an event name that is not in `EVENTS`."""
+    """The event name of a log line is not in `EVENTS`."""
 
     def __init__(self, event: object) -> None:
         super().__init__(f"expected an event name listed in garnetusher.logs.EVENTS, got {event!r}")
 
 
 def _require_known_event(_logger: object, _method: str, fields: Any) -> Any:
-    """Check the event's name; a processor of structlog."""
+    """Raise an error for an unknown event name; this function is a processor of structlog."""
     if fields["event"] not in EVENTS:
         raise UnknownEventError(fields["event"])
     return fields
@@ -58,8 +60,8 @@
     """Configure all loggers to write JSON lines.
 
     Args:
-        stream: where to; standard error without one.
-        level: the lowest that is written; a key of `LEVELS`.
+        stream: the output stream; None means standard error.
+        level: the lowest level that is written; a key of `LEVELS`.
     """
     structlog.configure(
         processors=[
@@ -76,5 +78,5 @@
 
 
 def logger(**fields: object) -> Any:
-    """Make a logger whose lines all carry these fields."""
+    """Return a logger that adds these fields to each line."""
     return structlog.get_logger(**fields)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,8 @@
-"""Runs the tests that KNOWN-RED.txt lists as strict expected failures, and prints them at the end; and fails a test in
-which the sidecar's gate counts a violation."""
+"""Configures pytest for all tests.
+
+The tests that KNOWN-RED.txt lists run as strict expected failures and are printed at the end. A test also fails
+if the write gate of a sidecar records a violation that the test does not expect.
+"""
 
 from __future__ import annotations
 
@@ -9,47 +12,50 @@
 
 from tests import known_red
 
-REDS = pytest.StashKey[list[known_red.KnownRed]]()
+KNOWN_FAILURES = pytest.StashKey[list[known_red.KnownRed]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    config.addinivalue_line("markers", "violates: the test asks the gate for what breaks a rule")
+    config.addinivalue_line("markers", "violates: the test makes the write gate record a violation")
     try:
-        config.stash[REDS] = known_red.read(config.rootpath / "KNOWN-RED.txt")
+        config.stash[KNOWN_FAILURES] = known_red.read(config.rootpath / "KNOWN-RED.txt")
     except known_red.KnownRedError as error:
         raise pytest.UsageError(str(error)) from None
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    reds = config.stash[REDS]
-    whole_run = config.args_source is pytest.Config.ArgsSource.TESTPATHS
-    strangers = known_red.unknown(reds, [item.nodeid for item in items])
-    if strangers and whole_run:
-        raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {strangers[0].test}")
+    known_failures = config.stash[KNOWN_FAILURES]
+    is_full_run = config.args_source is pytest.Config.ArgsSource.TESTPATHS
+    unmatched = known_red.select_unmatched(known_failures, [item.nodeid for item in items])
+    if unmatched and is_full_run:
+        raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {unmatched[0].test}")
     for item in items:
-        for red in reds:
-            if red.covers(item.nodeid):
-                item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
+        for known_failure in known_failures:
+            if known_failure.covers(item.nodeid):
+                item.add_marker(pytest.mark.xfail(reason=f"{known_failure.cause} ({known_failure.issue})", strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for red in config.stash[REDS]:
-        terminalreporter.write_line(f"KNOWN RED {red.test}: {red.cause} ({red.issue})")
+    for known_failure in config.stash[KNOWN_FAILURES]:
+        terminalreporter.write_line(f"KNOWN RED {known_failure.test}: {known_failure.cause} ({known_failure.issue})")
 
 
 @pytest.fixture(autouse=True)
 def no_violations(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Of a sidecar in this process; those of other processes are in their logs."""
-    from garnetusher.sidecar.requests.trace import Trace  # noqa: PLC0415 - the copy of this file in the test of the list has no sidecar
+    """Fail a test that records a violation without the marker `violates`, or has the marker and records none.
+
+    The fixture sees only sidecars in this process; the violations of other processes are in their logs.
+    """
+    from garnetusher.sidecar.requests.trace import Trace  # noqa: PLC0415 - test_known_red.py copies this file to a folder without the sidecar
 
-    found: list[str] = []
-    violated = Trace.record_violation
+    violated_rules: list[str] = []
+    record_violation = Trace.record_violation
 
-    def noted(self: Trace, rule: str, ident: int, attempt: int = -1, upstream: int = -1) -> None:
-        found.append(rule)
-        violated(self, rule, ident, attempt, upstream)
+    def record_and_collect(self: Trace, rule: str, request_id: int, attempt: int = -1, upstream: int = -1) -> None:
+        violated_rules.append(rule)
+        record_violation(self, rule, request_id, attempt, upstream)
 
-    monkeypatch.setattr(Trace, "record_violation", noted)
+    monkeypatch.setattr(Trace, "record_violation", record_and_collect)
     yield
-    assert bool(found) == (request.node.get_closest_marker("violates") is not None), found
+    assert bool(violated_rules) == (request.node.get_closest_marker("violates") is not None), violated_rules
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault that is not fixed yet.
 
-One line a test: `path::test | cause | issue`. These run as strict expected failures; everything else about the run
-stays as it is. Three lines at most, so that the file can't become a place to put failures.
+The list has one line per test, `path::test | cause | issue`. The listed tests run as strict expected failures, and the
+other tests run as usual. The list has at most three lines, so that failures cannot accumulate in it.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 
 class KnownRedError(ValueError):
-    """The list is malformed."""
+    """The list of known failures is malformed."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
     """One test that is expected to fail."""
 
-    test: str  # its node id, with or without a parameter
+    test: str  # node id of the test, with or without a parameter
     cause: str
     issue: str
 
     def covers(self, node_id: str) -> bool:
-        """Tell whether the line names this test, with all its parameters or with this one."""
+        """Return whether the entry names this test, either with this parameter or with all parameters."""
         return node_id == self.test or node_id.startswith(self.test + "[")
 
 
 def read(path: Path) -> list[KnownRed]:
-    """Read the list; an absent file is an empty list.
+    """Read the list; a missing file means an empty list.
 
     Raises:
         KnownRedError: a line is malformed, or there are more than `MAX_LINES`.
@@ -52,7 +52,7 @@
     return KnownRed(*fields)
 
 
-def unknown(entries: Iterable[KnownRed], node_ids: Iterable[str]) -> list[KnownRed]:
-    """Select the entries that name none of these tests."""
+def select_unmatched(entries: Iterable[KnownRed], node_ids: Iterable[str]) -> list[KnownRed]:
+    """Return the entries that name none of these tests."""
     existing = list(node_ids)
     return [entry for entry in entries if not any(entry.covers(node_id) for node_id in existing)]
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -57,7 +57,7 @@
 
 
 def test_deploy_file_lists_every_policy_module_that_decides() -> None:
-    # These modules define types and state but make no decisions; state.py describes classes, tenants, requests and attempts.
+    # These modules define types and state without decisions; state.py covers classes, tenants, requests and attempts.
     without_decisions = {"__init__.py", "actions.py", "events.py", "settings.py", "settings_text.py", "state.py"}
     modules = {path.name for path in (ROOT / "garnetusher" / "policy").glob("*.py")}
     assert {Path(name).name for name in DEPLOY["policy"]} == modules - without_decisions
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,4 @@
-"""Bad files and calls give one clear line and status 2; the logs' names are those of their page."""
+"""Checks that an invalid file or call prints one line and exits with status 2, and that log event names are listed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 import pytest
 
-from garnetusher import __main__ as command
+from garnetusher import __main__ as garnetusher_main
 from garnetusher import config, logs
 from garnetusher.model import experiment
 from tests.experiment import ROOT, text
 
 FAULT = "[[fault]]\nat_s = 1\n"
 
-# the text replaced, its replacement, and the words that the error message must have
+# the replaced text, its replacement, and the words that the error message must contain
 INVALID_FILES: list[tuple[str, str, list[str]]] = [
     ("seconds = 3", "secnds = 3", ["secnds", "did you mean `seconds`"]),
     ("seconds = 3", "seconds = 0", ["seconds", "> 0"]),
@@ -49,11 +49,11 @@
 ]
 
 
-def call(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, *words: str) -> tuple[int, str, str]:
-    monkeypatch.setattr(sys, "argv", ["garnetusher", *words])
-    status = command.main()
-    out = capsys.readouterr()
-    return status, out.out, out.err
+def call(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, *arguments: str) -> tuple[int, str, str]:
+    monkeypatch.setattr(sys, "argv", ["garnetusher", *arguments])
+    status = garnetusher_main.main()
+    output = capsys.readouterr()
+    return status, output.out, output.err
 
 
 @pytest.mark.parametrize(("old", "new", "words"), INVALID_FILES)
@@ -98,7 +98,7 @@
     assert len(err.splitlines()) == 1
 
 
-def test_config_check_accepts_every_experiment_of_the_library(
+def test_config_check_accepts_every_experiment_file(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     files = sorted((ROOT / "experiments").glob("*.toml"))
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -58,8 +58,8 @@
         folders[-1].mkdir()
         result.write(found, folders[-1] / "result.json")
     for which, apart in ((folders[:1], False), (folders[::2], False), (folders, True)):
-        (row,) = fidelity.measure(fidelity.pairs(which, tmp_path), lambda what, part: None)
-        assert row.close != apart
+        (row,) = fidelity.measure(fidelity.read_lab_runs(which, tmp_path), lambda what, part: None)
+        assert row.within_tolerance != apart
         assert row.seeds == ([1, 2] if apart else [1])
         assert row.real["refused"] == row.virtual["refused"]
     done = call("fidelity", *map(str, folders), "--library", str(tmp_path))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures lets a run pass over just what it names, and over nothing else."""
+"""Checks that the list of known failures excuses only the failing tests that it names."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def run_suite(folder: Path, *lines: str) -> subprocess.CompletedProcess[str]:
-    """Run a small suite with these lines in its list of known failures."""
+    """Run a small test suite with these lines in its list of known failures."""
     tests = folder / "tests"
     tests.mkdir()
-    here = Path(__file__).parent
+    source_folder = Path(__file__).parent
     for name in ("conftest.py", "known_red.py", "__init__.py"):
-        shutil.copy(here / name, tests / name)
+        shutil.copy(source_folder / name, tests / name)
     (tests / "test_it.py").write_text(TESTS)
     (folder / "pytest.ini").write_text(
         "[pytest]\ntestpaths = tests\npythonpath = .\naddopts = -q -p no:cacheprovider\n"
@@ -56,17 +56,17 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "complaint"),
+    ("line", "message"),
     [
         ("tests/test_it.py::test_good | a cause | issue 1", "XPASS(strict)"),
         ("tests/test_it.py::test_gone | a cause | issue 1", "no such test: tests/test_it.py::test_gone"),
         ("tests/test_it.py::test_bad | no issue", "expected 'path::test | cause | issue'"),
     ],
 )
-def test_run_fails_when_a_line_is_wrong(tmp_path: Path, line: str, complaint: str) -> None:
+def test_run_fails_when_a_line_is_wrong(tmp_path: Path, line: str, message: str) -> None:
     completed = run_suite(tmp_path, *ALL_FAILURES_LISTED[1:], line)
     assert completed.returncode != 0
-    assert complaint in completed.stdout + completed.stderr
+    assert message in completed.stdout + completed.stderr
 
 
 def test_run_fails_when_there_are_four_lines(tmp_path: Path) -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Dependencies point down, as docs/design.md draws them, and `run` is what it was."""
+"""Checks the dependencies between packages, as docs/design.md draws them, and what the sidecar imports and opens."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 from tests.net import listing
 from tests.processes import configuration, program
 
-# what a part may import of the project; a deeper name goes before its parent's
-ALLOWED = {
+# Project modules that each package or module may import. A subpackage comes before its parent, because the first match
+# applies.
+ALLOWED_IMPORTS = {
     "garnetusher.policy": {"garnetusher.policy"},
-    # imported where the file switches it on
+    # The sidecar imports this module only if its configuration file enables membership.
     "garnetusher.sidecar.membership": {"garnetusher.membership", "garnetusher.sidecar"},
     "garnetusher.sidecar": {"garnetusher.policy", "garnetusher.sidecar"},
     "garnetusher.simulator": {"garnetusher.policy", "garnetusher.simulator"},
@@ -34,9 +35,9 @@
         "garnetusher.lab",
     },
 }
-EVERYWHERE = {"garnetusher", "garnetusher.errors", "garnetusher.errors.GarnetusherError"}
-BUILT_IN = {"cython_runtime", "_cython_3_3_0"}  # modules that httptools makes for itself
-NOT_IN_A_CORE = {"asyncio", "socket", "threading", "subprocess", "time", "os", "selectors"}
+ALLOWED_EVERYWHERE = {"garnetusher", "garnetusher.errors", "garnetusher.errors.GarnetusherError"}
+CYTHON_MODULES = {"cython_runtime", "_cython_3_3_0"}  # modules that httptools creates when it is imported
+FORBIDDEN_WITHOUT_IO = {"asyncio", "socket", "threading", "subprocess", "time", "os", "selectors"}
 
 
 def modules() -> Iterator[tuple[str, Path]]:
@@ -44,7 +45,7 @@
         yield ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"), path
 
 
-def imported(path: Path) -> set[str]:
+def imported_names(path: Path) -> set[str]:
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -54,46 +55,49 @@
     return names
 
 
-def below(name: str, part: str) -> bool:
-    return name == part or name.startswith(part + ".")
+def is_within(name: str, package: str) -> bool:
+    return name == package or name.startswith(package + ".")
 
 
-def test_dependencies_point_down() -> None:
-    wrong = []
+def test_packages_import_only_allowed_packages() -> None:
+    violations = []
     for module, path in modules():
-        part = next((p for p in ALLOWED if below(module, p)), None)
-        for name in imported(path):
-            ours = below(name, "garnetusher")
+        package = next((p for p in ALLOWED_IMPORTS if is_within(module, p)), None)
+        for name in imported_names(path):
+            is_own = is_within(name, "garnetusher")
             if (
-                part is not None
-                and ours
-                and name not in EVERYWHERE
-                and not any(below(name, allowed) or below(allowed, name) for allowed in ALLOWED[part])
+                package is not None
+                and is_own
+                and name not in ALLOWED_EVERYWHERE
+                and not any(
+                    is_within(name, allowed) or is_within(allowed, name) for allowed in ALLOWED_IMPORTS[package]
+                )
             ):
-                wrong.append(f"{module} imports {name}")
-    assert wrong == []
+                violations.append(f"{module} imports {name}")
+    assert violations == []
 
 
-def test_a_core_has_no_clock_and_no_socket() -> None:
-    wrong = [
+def test_model_and_membership_import_no_clock_and_no_io() -> None:
+    violations = [
         f"{module} imports {name}"
         for module, path in modules()
-        if below(module, "garnetusher.model") or (below(module, "garnetusher.membership") and path.stem != "transport")
-        for name in imported(path) & NOT_IN_A_CORE
+        if is_within(module, "garnetusher.model")
+        or (is_within(module, "garnetusher.membership") and path.stem != "transport")
+        for name in imported_names(path) & FORBIDDEN_WITHOUT_IO
     ]
-    assert wrong == []
+    assert violations == []
 
 
-def test_run_imports_what_it_did() -> None:
+def test_sidecar_imports_only_httptools_beyond_the_standard_library() -> None:
     code = (
         "import sys; before = set(sys.modules); import garnetusher.sidecar.__main__; "
         "print(*sorted({'.'.join(m.split('.')[:2]) if m.startswith('garnetusher.') else m.split('.')[0]"
         " for m in set(sys.modules) - before}))"
     )
-    found = subprocess.run(
+    imported = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
     ).stdout.split()
-    assert set(found) - set(sys.stdlib_module_names) - BUILT_IN == {
+    assert set(imported) - set(sys.stdlib_module_names) - CYTHON_MODULES == {
         "garnetusher",
         "garnetusher.policy",
         "garnetusher.errors",
@@ -104,7 +108,7 @@
 
 
 @pytest.mark.parametrize("admin", [False, True])
-def test_run_opens_what_it_did(tmp_path: Path, admin: bool) -> None:
+def test_sidecar_opens_only_the_expected_descriptors(tmp_path: Path, admin: bool) -> None:
     path = configuration(tmp_path, known=listing(), **({"admin": "127.0.0.1:0"} if admin else {}))
     before = {p.name for p in tmp_path.iterdir()}
     with program(path, TMPDIR=str(tmp_path)) as process:
@@ -113,7 +117,7 @@
             assert process.poll() is None
             kinds, listening = descriptors(process.pid)
         assert len(listening) == 1 + admin
-        # the loop's own: an epoll, and the pair of sockets that signals wake it by
+        # The event loop has an epoll descriptor and a pair of sockets by which signals wake it.
         assert kinds.count("anon_inode") == 1
         assert kinds.count("unix") == 2
         assert kinds.count("file") == 0
@@ -121,16 +125,16 @@
 
 
 def descriptors(pid: int) -> tuple[list[str], set[str]]:
-    """What each descriptor above the three usual ones is, and which TCP sockets listen."""
+    """Return the kind of each descriptor except the standard streams, and the listening TCP sockets."""
     inodes = {}
     for table in ("tcp", "unix"):
         lines = Path(f"/proc/{pid}/net/{table}").read_text().splitlines()[1:]
         for line in lines:
-            words = line.split()
+            fields = line.split()
             if table == "tcp":
-                inodes[words[9]] = "listening" if words[3] == "0A" else "tcp"
+                inodes[fields[9]] = "listening" if fields[3] == "0A" else "tcp"
             else:
-                inodes[words[6]] = "unix"
+                inodes[fields[6]] = "unix"
     kinds = []
     for link in Path(f"/proc/{pid}/fd").iterdir():
         try:
@@ -143,5 +147,5 @@
             kinds.append(inodes.get(target[8:-1], "unix") + target[8:-1])
         else:
             kinds.append("anon_inode" if target.startswith("anon_inode") else "file")
-    plain = ["unix" if k.startswith("unix") else k for k in kinds]
-    return plain, {k for k in kinds if k.startswith("listening")}
+    kinds_without_inode = ["unix" if k.startswith("unix") else k for k in kinds]
+    return kinds_without_inode, {k for k in kinds if k.startswith("listening")}
