--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -311,7 +311,7 @@
             return True
         return self._sock is not None and self._sock.peer_has_ended()
 
-    def body_complete_since_us(self) -> int:
+    def earliest_body_end_us(self) -> int:
         """Return since when a body that has not been read completely may have been sent completely, at the earliest.
 
         Its last bytes may be in the client's kernel. While it is read as it comes that is about now.
--- a/garnetusher/sidecar/requests/attempts.py
+++ b/garnetusher/sidecar/requests/attempts.py
@@ -1,4 +1,8 @@
-"""Starts, withdraws, abandons and ends the attempts of requests."""
+"""Starts and ends the attempts of requests.
+
+An attempt that still waits for a connection can be withdrawn, so that nothing of it is ever written. Any attempt can be
+abandoned: the sidecar no longer waits for its response, even though the upstream may already execute it.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,7 @@
         """Handle the first bytes of a streamed response; return the sink for it, or None if nobody needs it."""
 
     def on_client_half_closed(self, request_id: int) -> None:
-        """Handle a client that has closed its sending side, as the write gate has found."""
+        """Handle a client that, according to the write gate, has closed its connection or its sending side."""
 
 
 class AttemptController:
@@ -86,7 +90,7 @@
             self._deadlines.call_at(action.latest_start_us, self.withdraw, request, attempt_index)
 
     def withdraw(self, request: PendingRequest, attempt_index: int) -> None:
-        """End an attempt if none of its bytes have been written because it still waits for a connection."""
+        """End an attempt that still waits for a connection; do nothing if any byte of it has been written."""
         handle = request.attempts[attempt_index].handle
         if handle is not None and not handle.written:
             handle.abandon()
@@ -98,10 +102,10 @@
             self.withdraw(request, attempt_index)
 
     def withdraw_stale(self, request: PendingRequest) -> None:
-        """Withdraw the attempts that wait for a connection to an endpoint that has changed since it was chosen.
+        """Withdraw the waiting attempts whose endpoints have changed since the policy chose them.
 
         The connection may be established long after the endpoint was reported as draining. An endpoint that has
-        restarted in the meantime is warming up, which the policy did not know when it chose the endpoint.
+        restarted in the meantime is warming up, but the policy chose it as a warm endpoint.
         """
         for attempt_index, attempt in enumerate(request.attempts):
             if self._write_gate.endpoint_has_changed(attempt):
@@ -144,9 +148,9 @@
 
     def _authorize_write(self, request: PendingRequest, attempt_index: int) -> WritePermit | Denial:
         now_us = monotonic_us()
-        permission = self._write_gate.authorize_write(request, attempt_index, now_us)
-        if isinstance(permission, WritePermit):
+        decision = self._write_gate.authorize_write(request, attempt_index, now_us)
+        if isinstance(decision, WritePermit):
             request.attempts[attempt_index].written_us = now_us
-        elif permission is Denial.CLIENT_LEFT:
+        elif decision is Denial.CLIENT_LEFT:
             self._loop.call_soon(self._listener.on_client_half_closed, request.request_id)
-        return permission
+        return decision
--- a/garnetusher/sidecar/requests/deadlines.py
+++ b/garnetusher/sidecar/requests/deadlines.py
@@ -8,7 +8,7 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Attempt, HttpRequest, PendingRequest
 
-# The policy responds by the deadline; the timer of the dispatcher fires this much later, in case the policy did not.
+# The policy responds by the deadline. If it does not, a timer fails the request this long after the deadline.
 OVERDUE_DELAY_US = 5_000
 MICROSECONDS_PER_SECOND = 1e6
 
@@ -36,7 +36,7 @@
         return self._loop.call_later(delay_us / MICROSECONDS_PER_SECOND, callback, *args)
 
     def request_deadline_us(self, http_request: HttpRequest) -> int:
-        """Return the time by which a request needs its response: before the client times out and this process ends."""
+        """Return the time by which a request needs its response: before the client times out or the process ends."""
         deadline_us = http_request.arrived_us + max(1, http_request.client_timeout_us - RESPONSE_MARGIN_US)
         if self.process_deadline_us:
             return min(deadline_us, self.process_deadline_us)
--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -66,14 +66,14 @@
 
 
 class RequestDispatcher:
-    """Holds one `Balancer`, and the requests and attempts on which it decides.
+    """Passes events to one `Balancer`, executes its actions, and holds the requests in progress.
 
     Attributes:
         settings: the current settings.
         balancer: the policy.
         trace: the most recent events, and the counters.
         write_gate: checks the protocol rules.
-        watch_endpoints: called with whether to watch the endpoint list, when the policy starts or stops the watch.
+        watch_endpoints: a callback that starts (`True`) or stops (`False`) the watch of the endpoint list.
     """
 
     def __init__(self, settings: Settings, seed: int, transport: UpstreamTransport, trace: Trace | None = None) -> None:
@@ -92,10 +92,10 @@
         self._attempts = AttemptController(transport, self.write_gate, self._endpoints, self._deadlines, self)
         self._responses = ResponseSender(self._requests, self._attempts, self._deadlines, self.write_gate)
 
-    # The process
+    # Start, settings and shutdown
 
     def start(self) -> None:
-        """Let the policy request its first actions, such as to watch the endpoint list."""
+        """Let the policy request its first actions, such as watching the endpoint list."""
         self._dispatch_event(TimerFired(0))
 
     @property
@@ -213,7 +213,7 @@
         self._dispatch_event(ClientDisconnected(request_id))
 
     def on_client_half_closed(self, request_id: int) -> None:
-        """Handle a client that has closed its sending side: it has disconnected, or it still waits for its response."""
+        """Handle a client that has closed its sending side; it may have disconnected or still wait for its response."""
         request = self._requests.get(request_id)
         if request is not None and request.is_response_awaited:
             self.trace.record_event(EventName.CLIENT_HALF_CLOSED, request_id)
@@ -236,7 +236,7 @@
             for request in self._requests.snapshot():
                 self._attempts.withdraw_stale(request)
 
-    # Operators
+    # Zone reports and overrides for operators
 
     def zone_reports(self, names: list[str]) -> list[dict[str, object]]:
         """Return the state of each zone in the policy, with the keys that the admin address uses."""
@@ -248,10 +248,10 @@
         ]
 
     def override_zone(self, zone: int, *, evacuate: bool) -> OverrideRejection | None:
-        """Evacuate or restore a zone by an operator's order; return a rejection if it is not possible, else None."""
-        objection = self.balancer.zones.objection(zone) if evacuate else ""
-        if objection:
-            return OverrideRejection(objection)
+        """Evacuate or restore a zone at an operator's request; return a rejection if the zone can't be evacuated."""
+        rejection_reason = self.balancer.zones.objection(zone) if evacuate else ""
+        if rejection_reason:
+            return OverrideRejection(rejection_reason)
         self._dispatch_event(ZoneOverridden(zone, evacuate))
         return None
 
@@ -351,7 +351,7 @@
 
     def _forward(self, action: Forward) -> None:
         request = self._requests.get(action.request_id)
-        if request is not None:  # if it is None, the request has ended, and an event for the policy is queued
+        if request is not None:  # None = the request has ended, but the policy has yet to handle that event
             self._attempts.start(request, action)
 
     def _complete(self, request_id: int, response: FinalResponse) -> None:
--- a/garnetusher/sidecar/requests/endpoints.py
+++ b/garnetusher/sidecar/requests/endpoints.py
@@ -41,7 +41,8 @@
             addresses: the addresses on which the endpoints of the update listen, by endpoint id.
 
         Returns:
-            The addresses that are no longer in use, in the order of the update.
+            The addresses that are no longer in use: first those of endpoints that a complete list lacks, in any order,
+            then those of the listed endpoints in the order of the update.
         """
         released: list[Address] = []
         if event.update_kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -103,12 +103,26 @@
     def client_has_closed(self) -> bool:
         """Return whether the kernel reports that the client has closed its connection or its sending side."""
 
-    def body_complete_since_us(self) -> int:
-        """Return the earliest time at which the client may have written the last byte of a body that is being read."""
+    def earliest_body_end_us(self) -> int:
+        """Return the earliest time at which the client may have sent the last byte of a body that is being read."""
 
 
 class Denial(enum.Enum):
-    """Why an attempt may not be written now; the member names are part of counter names and are trace reasons."""
+    """Why an attempt may not be written now.
+
+    The member names are trace reasons and parts of counter names; the values are the texts of violations.
+
+    Attributes:
+        REQUEST_OVER: the final response has been sent, or the client has disconnected.
+        ANSWER_BEGUN: the response of another attempt is being streamed to the client.
+        CLIENT_LEFT: the client has closed its connection or its sending side.
+        TIME_OVER: the client timeout or the timeout of the attempt has expired.
+        WINDOW_OVER: the deduplication window of an earlier attempt has ended.
+        ENDPOINT_CHANGED: the endpoint is draining, was removed, has a new address or has restarted.
+        MAY_HAVE_RUN: an earlier attempt may have run, and the request class forbids a second execution.
+        STILL_OUT: another attempt is in flight, and hedging is disabled.
+        TOO_MANY: the request has reached its maximum number of attempts.
+    """
 
     REQUEST_OVER = "the request has its final answer, or its client has gone"
     ANSWER_BEGUN = "another attempt's answer has begun to go to the client"
@@ -132,11 +146,11 @@
     remaining_us: int
 
 
-WritePermission = Callable[[], WritePermit | Denial]
+WriteAuthorizer = Callable[[], WritePermit | Denial]
 
 
 class AttemptHandle(Protocol):
-    """An attempt in flight, as the dispatcher controls it on the upstream side."""
+    """The interface through which the dispatcher controls an attempt in flight on the upstream side."""
 
     @property
     def written(self) -> bool:
@@ -153,7 +167,7 @@
         self,
         address: Address,
         http_request: HttpRequest,
-        permission: WritePermission,
+        authorize_write: WriteAuthorizer,
         on_ended: Callable[[AttemptResult], None],
         on_response_started: Callable[[Head, Source], Sink | None],
     ) -> AttemptHandle:
@@ -162,7 +176,7 @@
         Args:
             address: the address of the endpoint.
             http_request: the request to send.
-            permission: called immediately before the first byte is written; returns a permit or a denial.
+            authorize_write: called immediately before the first byte is written; returns a permit or a denial.
             on_ended: called once after this method has returned, unless the attempt is abandoned first.
             on_response_started: called before `on_ended` if the response is streamed; returns the sink for the
                 response, or None if nobody needs the response any more.
@@ -235,7 +249,7 @@
         response_state: the progress of the response.
         streaming_attempt_index: the index of the attempt whose response is streamed to the client; None = no attempt.
         attempts: the attempts in the order in which the policy requested them.
-        deadline_timer: the timer that ends the request soon after its deadline.
+        deadline_timer: the timer that fails the request soon after its deadline if the policy has not responded.
     """
 
     request_id: int
@@ -268,7 +282,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideRejection:
-    """The reason why an operator's order to evacuate a zone is rejected."""
+    """The rejection of an operator's request to evacuate a zone, with the reason."""
 
     reason: str
 
--- a/garnetusher/sidecar/requests/responses.py
+++ b/garnetusher/sidecar/requests/responses.py
@@ -60,8 +60,8 @@
     def _call_sink(self, send: Callable[..., None], *args: object) -> None:
         """Call the response sink, and log its errors.
 
-        An error must not prevent the notification of the policy that the attempt has ended, because the slot of the
-        attempt would never be freed.
+        If an error propagated, the policy would not be notified that the attempt has ended, and would never free the
+        slot of the attempt.
         """
         try:
             send(*args)
--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -12,8 +12,8 @@
 
 log = logging.getLogger(__name__)
 
-TRACE_CAPACITY = 1024  # events of a few seconds in a busy sidecar; they take 150 KB
-MAX_LOGGED_EVENTS = 24  # events of one request in a log line, which has to fit into a single write to a pipe
+TRACE_CAPACITY = 1024  # holds a few seconds of events of a busy sidecar in 150 KB
+MAX_LOGGED_EVENTS = 24  # limits the length of a log line, so that a single write to a pipe can hold it
 
 NO_REQUEST = 0
 NO_ATTEMPT = -1
@@ -86,7 +86,7 @@
         self.events.append(TraceEvent(monotonic_us(), name, request_id, attempt_index, endpoint_id, reason))
 
     def count(self, counter: str) -> None:
-        """Increment a counter; the set of counter names is bounded."""
+        """Increment a counter; callers may only pass names from a bounded set."""
         self.counts[counter] += 1
 
     def events_of_request(self, request_id: int) -> list[TraceEvent]:
@@ -105,7 +105,7 @@
     def record_violation(
         self, rule: str, request_id: int, attempt_index: int = NO_ATTEMPT, endpoint_id: int = NO_ENDPOINT
     ) -> None:
-        """Count and log the violation of a rule, whether or not it was prevented, with the events of its request."""
+        """Count a rule violation, prevented or not, and log it with the last events of its request."""
         self.record_event(EventName.VIOLATION, request_id, attempt_index, endpoint_id, rule)
         self.count(f"violation: {rule}")
         events = [event.to_dict() for event in self.events_of_request(request_id)[-MAX_LOGGED_EVENTS:]]
--- a/garnetusher/sidecar/requests/write_gate.py
+++ b/garnetusher/sidecar/requests/write_gate.py
@@ -22,7 +22,7 @@
 )
 from garnetusher.sidecar.requests.trace import EventName, Trace
 
-# A response is late this long after its deadline: the settings allow 20 ms, and the sockets may take another 50 ms.
+# A response counts as late from this long after its deadline: 20 ms that the settings allow, and 50 ms for sockets.
 LATE_RESPONSE_US = 70_000
 
 # Only a fault in the policy leads to these denials at the start of an attempt.
@@ -44,7 +44,7 @@
         self.endpoints = endpoints if endpoints is not None else ReadyEndpoints()
 
     def may_start(self, request: PendingRequest, attempt_index: int, now_us: int) -> bool:
-        """Return whether an attempt that the policy has just requested may start; a faulty request is a violation."""
+        """Return whether an attempt that the policy has just requested may start; record a fault of the policy."""
         attempt = request.attempts[attempt_index]
         denial = self.denial(request, attempt_index, now_us)
         self.trace.record_event(EventName.CHOSEN, request.request_id, attempt_index, attempt.endpoint_id)
@@ -77,7 +77,7 @@
         )
 
     def endpoint_has_changed(self, attempt: Attempt) -> bool:
-        """Return whether the chosen endpoint is draining, was removed, has a new address or has restarted since."""
+        """Return whether the endpoint has drained, moved, restarted or been removed since the policy chose it."""
         current = self.endpoints.get(attempt.endpoint_id)
         chosen = attempt.target
         if current is None or chosen is None:
@@ -99,7 +99,7 @@
             return Denial.MAY_HAVE_RUN
         if now_us >= possibly_executed.written_us + request.request_class.deduplication_window_us:
             return Denial.WINDOW_OVER
-        if _deduplicated_together(request.request_class.deduplication_scope, possibly_executed, attempt):
+        if _in_same_deduplication_scope(request.request_class.deduplication_scope, possibly_executed, attempt):
             return None
         return Denial.MAY_HAVE_RUN
 
@@ -109,9 +109,7 @@
         While the request body is still arriving, the client timeout counts from the latest read of the body.
         """
         if not request.body_complete:
-            client_timeout_at_us = (
-                request.response_sink.body_complete_since_us() + request.http_request.client_timeout_us
-            )
+            client_timeout_at_us = request.response_sink.earliest_body_end_us() + request.http_request.client_timeout_us
             remaining_us = client_timeout_at_us - RESPONSE_MARGIN_US - now_us
             return min(attempt.timeout_us or remaining_us, remaining_us)
         timeout_at_us = request.deadline_us
@@ -179,8 +177,8 @@
     return None
 
 
-def _deduplicated_together(scope: str, earlier: Attempt, retry: Attempt) -> bool:
-    """Return whether the endpoints of two attempts share the deduplication of requests."""
+def _in_same_deduplication_scope(scope: str, earlier: Attempt, retry: Attempt) -> bool:
+    """Return whether the endpoints of two attempts are in the same deduplication scope."""
     if scope not in ("zone", "cell"):
         return True
     if earlier.target is None or retry.target is None:
--- a/garnetusher/sidecar/upstream/attempt.py
+++ b/garnetusher/sidecar/upstream/attempt.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from garnetusher.policy.events import Outcome
-from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermission, WritePermit
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WriteAuthorizer, WritePermit
 from garnetusher.sidecar.streaming import Head, Sink, Source
 from garnetusher.sidecar.upstream import request_writer
 from garnetusher.sidecar.upstream.request_writer import Address
@@ -31,9 +31,9 @@
     """
 
     __slots__ = (
+        "_authorize_write",
         "_loop",
         "_on_ended",
-        "_permission",
         "abandoned",
         "address",
         "connection",
@@ -48,14 +48,14 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         request: HttpRequest,
-        permission: WritePermission,
+        authorize_write: WriteAuthorizer,
         on_ended: Callable[[AttemptResult], None],
         on_response_started: Callable[[Head, Source], Sink | None],
     ) -> None:
         self._loop = loop
         self.address = address
         self.request = request
-        self._permission = permission
+        self._authorize_write = authorize_write
         self._on_ended = on_ended
         self.on_response_started = on_response_started
         self.connection: UpstreamConnection | None = None
@@ -69,7 +69,7 @@
         Returns:
             The head and a buffered body. None if the attempt may not be written; it then ends as NOT_WRITTEN.
         """
-        permit = self._permission()
+        permit = self._authorize_write()
         if isinstance(permit, WritePermit):
             head = request_writer.request_head(self.request, self.address, permit.remaining_us)
             return head + self.request.body
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from garnetusher.sidecar.clock import monotonic_us
-from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WritePermission
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WriteAuthorizer
 from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.sockets import RETRY_INTERVAL_S
 from garnetusher.sidecar.streaming import STALL_TIMEOUT_US, Head, Sink, Source
@@ -52,7 +52,7 @@
         self,
         address: Address,
         http_request: HttpRequest,
-        permission: WritePermission,
+        authorize_write: WriteAuthorizer,
         on_ended: Callable[[AttemptResult], None],
         on_response_started: Callable[[Head, Source], Sink | None],
     ) -> UpstreamAttempt:
@@ -61,12 +61,12 @@
         Args:
             address: the address of the upstream.
             http_request: the client's request.
-            permission: called just before the first byte is written.
+            authorize_write: called just before the first byte is written.
             on_ended: called once with the result after this method returns, unless the attempt is abandoned first.
             on_response_started: called before `on_ended` if the response is streamed; returns the sink for its body, or
                 None if no client waits for the response.
         """
-        attempt = UpstreamAttempt(self.loop, address, http_request, permission, on_ended, on_response_started)
+        attempt = UpstreamAttempt(self.loop, address, http_request, authorize_write, on_ended, on_response_started)
         now_us = monotonic_us()
         oldest_us = now_us - self.idle_reuse.limit_us()
         connections_in_grace = []
--- a/tests/interleaving_driver.py
+++ b/tests/interleaving_driver.py
@@ -1,7 +1,7 @@
-"""Stand-ins on plain sockets that take the steps of a seed against a real sidecar in the same event loop.
+"""Runs a real sidecar against clients and upstreams that take random steps on plain sockets in the same event loop.
 
-Between two steps the event loop runs only as many rounds as the seed chooses. The seed therefore decides what the
-sidecar finds in one round of the loop and in which order; no race decides it.
+Between two steps the event loop runs only as many rounds as the seed chooses. The seed, and not a race, therefore
+determines which events the sidecar handles in one round of the loop, and in which order.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 from tests.net import PATIENCE_S, Discovery, Sidecar, entry, listing, request, sidecar
 
 SETTLE_ROUNDS = 40  # loop rounds in which the sidecar applies an update and a loopback connection is established
+# The states of a response. `BROKEN` means that the upstream has reset the connection.
 OPEN, SERVED, STARTED, FAILED, NOT_RUN, BROKEN = "open", "served", "started", "failed", "not run", "broken"
 RESPONSE_PREFIXES = {
     SERVED: b"HTTP/1.1 200 OK\r\n",
@@ -89,7 +90,7 @@
         unsent: the part of the request that has not been sent.
         response_data: the bytes of the response that have arrived.
         closed_by_sidecar: whether the sidecar has closed the connection.
-        left_round: the loop round in which the client closed the connection or its sending side; -1 = it did not.
+        disconnected_round: the loop round in which the client closed its connection or its sending side; -1 = none.
         reuses_connection: whether the connection carried a request before; if the sidecar closes such a connection
             before it reads the request, a client sends the request again on another connection.
         superseded: whether the response has arrived and the connection carries another request.
@@ -101,7 +102,7 @@
     unsent: bytes
     response_data: bytes = b""
     closed_by_sidecar: bool = False
-    left_round: int = -1
+    disconnected_round: int = -1
     reuses_connection: bool = False
     superseded: bool = False
 
@@ -120,7 +121,7 @@
 
 
 class InterleavingDriver:
-    """Takes the random steps of one seed, and checks the invariants after each of them and at the end."""
+    """Takes random steps generated from a seed, and checks the invariants after each step and at the end."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -131,7 +132,7 @@
         self.discovery = Discovery()
         self.step_log: list[str] = []
         self.stopped = False
-        self.stop_step = self.rng.randrange(300)  # most runs end before this step
+        self.stop_step = self.rng.randrange(300)  # most runs take fewer steps, so the sidecar is not stopped
 
     def create_upstream(self, uid: str) -> StandInUpstream:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -157,7 +158,7 @@
                     for _ in range(self.rng.choice((0, 0, 0, 1, 1, 2, 3, SETTLE_ROUNDS))):
                         await self.run_loop_round()
                     if self.rng.random() < 0.05:
-                        await asyncio.sleep(0.015)  # pending connections are established
+                        await asyncio.sleep(0.015)  # gives pending connections time to be established
                         self.poll_sockets()
                 await self.finish()
             finally:
@@ -181,7 +182,7 @@
         give_up_at = time.monotonic() + PATIENCE_S
         for client_request in self.client_requests:
             self.send_bytes(client_request, len(client_request.unsent))
-        while time.monotonic() < give_up_at and any(not self.is_done(each) for each in self.client_requests):
+        while time.monotonic() < give_up_at and any(not self.is_done(sent) for sent in self.client_requests):
             for upstream in self.upstreams:
                 for received in upstream.requests:
                     if received.state == STARTED or (received.state == OPEN and not self.stopped):
@@ -205,21 +206,25 @@
         ]
 
     def is_done(self, client_request: ClientRequest) -> bool:
-        """Return whether a client has its response, or may do without one."""
+        """Return whether a client has its response or does not have to get one.
+
+        The sidecar may close a connection without a complete response in two cases: it has not read the request from a
+        reused connection, or an upstream has reset its connection after the response started.
+        """
         if (
             client_request.superseded
-            or client_request.left_round >= 0
+            or client_request.disconnected_round >= 0
             or split_message(client_request.response_data) is not None
         ):
             return True
         if not client_request.closed_by_sidecar:
             return False
-        unread = (
+        closed_before_read = (
             client_request.reuses_connection
             and not client_request.response_data
             and not self.received_copies(client_request.request_id)
         )
-        return unread or (
+        return closed_before_read or (
             b" 200 " in client_request.response_data[:16]
             and any(copy.state == BROKEN for copy in self.received_copies(client_request.request_id))
         )
@@ -258,7 +263,7 @@
         idle = [
             client_request
             for client_request in self.client_requests
-            if client_request.left_round < 0
+            if client_request.disconnected_round < 0
             and not client_request.superseded
             and not client_request.closed_by_sidecar
             and split_message(client_request.response_data) is not None
@@ -281,7 +286,7 @@
 
     def send_bytes(self, client_request: ClientRequest, size: int) -> None:
         """Send the next bytes of a request."""
-        if client_request.unsent and client_request.left_round < 0:
+        if client_request.unsent and client_request.disconnected_round < 0:
             with contextlib.suppress(OSError):
                 client_request.sock.send(client_request.unsent[:size])
             self.log_step(f"{client_request.request_id} sends {size} of {len(client_request.unsent)}")
@@ -297,10 +302,10 @@
         """Close or reset the connection of a waiting client, or close only its sending side."""
         waiting = [client_request for client_request in self.client_requests if not self.is_done(client_request)]
         if waiting:
-            client_request, action = self.rng.choice(waiting), self.rng.choice(("ends", "resets", "closes"))
-            client_request.left_round = self.round
+            client_request, action = self.rng.choice(waiting), self.rng.choice(("half-closes", "resets", "closes"))
+            client_request.disconnected_round = self.round
             self.log_step(f"{client_request.request_id} {action}")
-            if action == "ends":
+            if action == "half-closes":
                 with contextlib.suppress(OSError):
                     client_request.sock.shutdown(socket.SHUT_WR)
                 return
@@ -309,7 +314,7 @@
             client_request.sock.close()
 
     def open_requests(self) -> list[tuple[StandInUpstream, ReceivedRequest]]:
-        """Return the requests at upstreams that do not have their complete response."""
+        """Return the requests that have arrived at an upstream and have no complete response yet."""
         return [
             (upstream, received)
             for upstream in self.upstreams
@@ -326,7 +331,7 @@
             self.respond(upstream, received, self.rng.choice(next_states))
 
     def respond(self, upstream: StandInUpstream, received: ReceivedRequest, new_state: str) -> None:
-        """Bring the response to a request into a state: send all of it, send a part of it, or reset the connection."""
+        """Change the state of a response: send all of it, send a part of it, or reset the connection."""
         self.log_step(f"{upstream.uid}: {received.request_id} is {new_state}")
         was_started, received.state = received.state == STARTED, new_state
         if new_state == BROKEN:
@@ -432,7 +437,7 @@
 
     def check_received(self, upstream: StandInUpstream, received: ReceivedRequest, body: bytes) -> None:
         """Check that a request may be at this upstream now, has the right body, and does not run twice."""
-        client_request = next(each for each in self.client_requests if each.request_id == received.request_id)
+        client_request = next(sent for sent in self.client_requests if sent.request_id == received.request_id)
         self.check(
             client_request.class_name == "read"
             or body in (make_body(client_request.request_id, False), make_body(client_request.request_id, True)),
@@ -441,14 +446,15 @@
         is_long = len(body) > LONG_BODY_SIZE // 2  # the first byte of a long request may have arrived much earlier
         self.check(
             is_long or upstream.drained_round < 0 or received.round <= upstream.drained_round + SETTLE_ROUNDS,
-            f"{received.request_id} arrived at {upstream.uid}, which drains",
+            f"{received.request_id} arrived at {upstream.uid}, which is draining",
         )
         self.check(
-            client_request.left_round < 0 or received.round <= client_request.left_round + SETTLE_ROUNDS,
-            f"{received.request_id} was forwarded after its client had left",
+            client_request.disconnected_round < 0
+            or received.round <= client_request.disconnected_round + SETTLE_ROUNDS,
+            f"{received.request_id} was forwarded after its client had disconnected",
         )
         possible_runs = [copy.state for copy in self.received_copies(received.request_id) if copy.state != NOT_RUN]
         self.check(
             client_request.class_name != "pay" or len(possible_runs) == 1,
-            f"{received.request_id} has run twice: {possible_runs}",
+            f"{received.request_id} may have run twice: {possible_runs}",
         )
--- a/tests/test_interleaving_retries.py
+++ b/tests/test_interleaving_retries.py
@@ -98,7 +98,7 @@
             updated = entry("u0", new.port) if moved else entry("u0", old.port, "leaving")
             discovery.line(listing(updated, entry("u1", new.port), rev=3, full=False))
             assert status(await read_message(reader)) == 200
-            # When this response arrives, a connection for the withdrawn attempt would have been established.
+            # Until this response arrives, a connection for the withdrawn attempt would have had time to be established.
             await running.ask(request("pay", "2", b"b"))
             writer.close()
         assert (len(old.requests), len(new.requests)) == (0, 2)
@@ -180,20 +180,20 @@
     for max_attempts, expected in ((4, 2), (1, 1)):
         host = PolicyHost(settings(max_attempts=max_attempts, hedging=False))
         host.update_endpoints(upstreams(2))
-        ident = host.arrive(class_index=1)
-        first = host.request_records[ident].attempts[0].upstream
-        removed = next(each for each in upstreams(2) if each.id == first)
+        request_id = host.arrive(class_index=1)
+        first = host.request_records[request_id].attempts[0].upstream
+        removed = next(endpoint for endpoint in upstreams(2) if endpoint.id == first)
         removed.status = EndpointStatus.REMOVED
         host.update_endpoints([removed], UpdateKind.DELTA)
-        host.end(ident, 0, Outcome.NOT_WRITTEN)
-        tries = host.request_records[ident].attempts
-        assert len(tries) == expected
-        assert all(each.upstream != first for each in tries[1:])
+        host.end(request_id, 0, Outcome.NOT_WRITTEN)
+        attempts = host.request_records[request_id].attempts
+        assert len(attempts) == expected
+        assert all(attempt.upstream != first for attempt in attempts[1:])
 
 
-@pytest.mark.parametrize("strays", [True, False])
+@pytest.mark.parametrize("has_stray_response", [True, False])
 def test_connection_does_not_use_a_late_stray_response_for_the_next_request(
-    monkeypatch: pytest.MonkeyPatch, strays: bool
+    monkeypatch: pytest.MonkeyPatch, has_stray_response: bool
 ) -> None:
     monkeypatch.setattr(idle_reuse, "RESPONSE_GRACE_US", 3_000_000)  # long enough for a busy machine
 
@@ -214,11 +214,11 @@
             assert await running.ask(request("pay", "1", b"b")) == (ANY, b"done")
             second = asyncio.create_task(running.ask(request("pay", "2", b"b")))
             await asyncio.sleep(0.3)  # the request is written by then, unless it waits for the response grace
-            if strays:
+            if has_stray_response:
                 writers[0].write(OK.replace(b"done", b"late"))
             release_response.set()
             assert await second == (ANY, b"done")
-        assert upstream.connections == (2 if strays else 1)
+        assert upstream.connections == (2 if has_stray_response else 1)
 
     run(test)
 
@@ -231,14 +231,14 @@
             sidecar_end, upstream_end = socket.socketpair()
             with sidecar_end, upstream_end:
                 sidecar_end.setblocking(False)
-                connection, wire = UpstreamConnection(pool, address, sidecar_end), FakeTransport()
-                connection.connection_made(wire)
+                connection, transport = UpstreamConnection(pool, address, sidecar_end), FakeTransport()
+                connection.connection_made(transport)
                 pool.remove_idle(connection)
                 attempt = attempt_at(pool, address, lambda result: None)
                 if abandoned:
                     attempt.abandon()
                 pool.send_after_grace(connection, attempt)
-                assert wire.sent[:9] == (b"" if abandoned else b"POST /pay")
+                assert transport.sent[:9] == (b"" if abandoned else b"POST /pay")
                 assert pool.idle == ({address: [connection]} if abandoned else {})
                 pool.idle.clear()
 
@@ -295,11 +295,11 @@
         with socket.socket() as sock:
             results: list[object] = []
             attempt = attempt_at(pool, address, results.append)
-            connection, wire = UpstreamConnection(pool, address, sock), FakeTransport()
+            connection, transport = UpstreamConnection(pool, address, sock), FakeTransport()
             connection.attempt, attempt.connection = attempt, connection
             attempt.abandon()
-            connection.connection_made(wire)
-            assert wire.sent == b""
+            connection.connection_made(transport)
+            assert transport.sent == b""
             assert not results
             assert pool.idle == {address: [connection]}
 
@@ -336,20 +336,20 @@
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            if total() == 2:
+            if total_requests() == 2:
                 writer.transport.abort()  # the upstream closes the connection while the sidecar reuses it
                 raise ConnectionResetError
             writer.write(OK)
 
         upstreams = [Upstream(script), Upstream(script)]
 
-        def total() -> int:
-            return sum(len(each.requests) for each in upstreams)
+        def total_requests() -> int:
+            return sum(len(server.requests) for server in upstreams)
 
         async with sidecar(*upstreams) as running:
             body = b"b" if class_name == "pay" else b""
             statuses = [status(await running.ask(request(class_name, str(number), body))) for number in range(3)]
             assert statuses == ([200, 500, 200] if class_name == "pay" else [200, 200, 200])
-            assert total() == (3 if class_name == "pay" else 4)
+            assert total_requests() == (3 if class_name == "pay" else 4)
 
     run(test)
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -12,7 +12,8 @@
 from tests.net import ERROR, NOT_RUN, OK, Upstream, answering, entry, listing, request, sidecar, silent, until
 from tests.runner import run, status
 
-BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+# Without `X-Not-Run`, this response does not prove that the request never ran.
+SERVICE_UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
 def test_sidecar_forwards_request_and_response_unchanged() -> None:
@@ -41,7 +42,7 @@
     [
         (NOT_RUN, 200, 2),  # the request never ran, so it may be retried although it is not idempotent
         (ERROR, 500, 1),
-        (BARE_503, 500, 1),  # the request may have run, but a 503 would tell the client that it did not
+        (SERVICE_UNAVAILABLE, 500, 1),  # the request may have run; a 503 from the sidecar would promise that it did not
         (b"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", 200, 2),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 500, 1),
         (b"", 500, 1),
@@ -59,7 +60,7 @@
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            if total() > 1:
+            if total_requests() > 1:
                 writer.write(OK)
                 return
             if first:
@@ -70,12 +71,12 @@
 
         upstreams = [Upstream(script), Upstream(script)]
 
-        def total() -> int:
+        def total_requests() -> int:
             return sum(len(upstream.requests) for upstream in upstreams)
 
         async with sidecar(*upstreams) as running:
             response = await running.ask(request("pay", body=b"b"))
-        assert (status(response), total()) == (expected, attempts)
+        assert (status(response), total_requests()) == (expected, attempts)
 
     run(test)
 
--- a/tests/test_write_gate.py
+++ b/tests/test_write_gate.py
@@ -1,4 +1,4 @@
-"""Each rule of the write gate on its own: what it lets the sidecar write, shed and close; and the trace."""
+"""Tests each rule of the write gate for writes, shed responses and closed connections, and tests the trace."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
 ADDRESS = ("127.0.0.1", 1)
 
 
-class Client:
-    """A downstream connection that is open or closed."""
+class FakeResponseSink:
+    """A stand-in for the downstream connection of a request; tests set whether the client has closed it."""
 
     closed = False
-    body_complete_at_us = NOW_US
+    body_end_us = NOW_US
 
     def client_has_closed(self) -> bool:
         return self.closed
 
-    def body_complete_since_us(self) -> int:
-        return self.body_complete_at_us
+    def earliest_body_end_us(self) -> int:
+        return self.body_end_us
 
     def send_response(self, response: FinalResponse) -> None: ...
     def begin_response(self, head: Head, source: Source) -> None: ...
@@ -64,9 +64,9 @@
         for endpoint_id in range(4):
             self.update(Endpoint(endpoint_id, cell=endpoint_id // 2))
         self.gate = WriteGate(Trace(), Settings(list(CLASSES.values()), max_attempts=3, hedging=True), self.endpoints)
-        self.client = Client()
+        self.response_sink = FakeResponseSink()
         http_request = HttpRequest(b"POST", b"/x", [], b"", NOW_US, 1_000_000, 0)
-        self.request = PendingRequest(1, http_request, NOW_US + 800_000, self.client, True, CLASSES[effect], 3)
+        self.request = PendingRequest(1, http_request, NOW_US + 800_000, self.response_sink, True, CLASSES[effect], 3)
         self.add_attempt(0)
 
     def update(self, endpoint: Endpoint, address: tuple[str, int] = ADDRESS) -> None:
@@ -96,7 +96,7 @@
     assert case.authorize_write() == WritePermit(800_000)
     case.request.attempts[0].timeout_us = 300_000
     assert case.authorize_write() == WritePermit(300_000)
-    case.request.body_complete, case.client.body_complete_at_us = False, NOW_US - 400_000
+    case.request.body_complete, case.response_sink.body_end_us = False, NOW_US - 400_000
     case.request.attempts[0].timeout_us = 0
     assert case.authorize_write() == WritePermit(1_000_000 - 400_000 - 10_000)
     assert not case.gate.trace.counts
@@ -123,7 +123,7 @@
     elif denial is Denial.ANSWER_BEGUN:
         case.request.response_state = ResponseState.STREAMING
     elif denial is Denial.CLIENT_LEFT:
-        case.client.closed = True
+        case.response_sink.closed = True
     elif denial is Denial.TIME_OVER:
         case.request.deadline_us = NOW_US
     elif denial is Denial.WINDOW_OVER:
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "upstream", "outcome"),
+    ("effect", "endpoint_id", "outcome"),
     [
         ("idempotent", 3, Outcome.RESET),
         ("at_most_once", 1, Outcome.OVERLOADED),
@@ -161,15 +161,15 @@
         ("deduplicated", 3, Outcome.OVERLOADED),
     ],
 )
-def test_write_gate_permits_a_retry_when_the_class_allows_it(effect: str, upstream: int, outcome: Outcome) -> None:
+def test_write_gate_permits_a_retry_when_the_class_allows_it(effect: str, endpoint_id: int, outcome: Outcome) -> None:
     case = WriteGateCase(effect)
-    case.add_earlier_attempt(upstream, outcome)
+    case.add_earlier_attempt(endpoint_id, outcome)
     assert isinstance(case.authorize_write(), WritePermit)
 
 
 @pytest.mark.violates
 @pytest.mark.parametrize(
-    ("effect", "upstream", "outcome"),
+    ("effect", "endpoint_id", "outcome"),
     [
         ("at_most_once", 1, Outcome.RESET),
         ("at_most_once", 1, Outcome.TIMEOUT),
@@ -179,10 +179,10 @@
     ],
 )
 def test_write_gate_records_a_violation_when_a_retry_may_run_twice(
-    effect: str, upstream: int, outcome: Outcome | None
+    effect: str, endpoint_id: int, outcome: Outcome | None
 ) -> None:
     case = WriteGateCase(effect)
-    case.add_earlier_attempt(upstream, outcome)
+    case.add_earlier_attempt(endpoint_id, outcome)
     assert case.authorize_write() is Denial.MAY_HAVE_RUN
     assert case.gate.trace.counts[f"violation: {Denial.MAY_HAVE_RUN.value}"] == 1
 
