--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -351,7 +351,7 @@
 
     def _forward(self, action: Forward) -> None:
         request = self._requests.get(action.request_id)
-        if request is not None:  # None = the request has ended, but the policy has yet to handle that event
+        if request is not None:  # None = the request has ended, and the event for the policy is still queued
             self._attempts.start(request, action)
 
     def _complete(self, request_id: int, response: FinalResponse) -> None:
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -117,9 +117,9 @@
         ANSWER_BEGUN: the response of another attempt is being streamed to the client.
         CLIENT_LEFT: the client has closed its connection or its sending side.
         TIME_OVER: the client timeout or the timeout of the attempt has expired.
-        WINDOW_OVER: the deduplication window of an earlier attempt has ended.
+        WINDOW_OVER: the deduplication window of an earlier attempt or the latest start of this attempt has passed.
         ENDPOINT_CHANGED: the endpoint is draining, was removed, has a new address or has restarted.
-        MAY_HAVE_RUN: an earlier attempt may have run, and the request class forbids a second execution.
+        MAY_HAVE_RUN: an earlier attempt may have run, and the request class does not permit this one to run as well.
         STILL_OUT: another attempt is in flight, and hedging is disabled.
         TOO_MANY: the request has reached its maximum number of attempts.
     """
--- a/garnetusher/sidecar/requests/write_gate.py
+++ b/garnetusher/sidecar/requests/write_gate.py
@@ -22,7 +22,8 @@
 )
 from garnetusher.sidecar.requests.trace import EventName, Trace
 
-# A response counts as late from this long after its deadline: 20 ms that the settings allow, and 50 ms for sockets.
+# A response counts as late if it is sent more than this long after its deadline. The settings allow 20 ms, and the
+# sockets may take another 50 ms.
 LATE_RESPONSE_US = 70_000
 
 # Only a fault in the policy leads to these denials at the start of an attempt.
@@ -77,7 +78,7 @@
         )
 
     def endpoint_has_changed(self, attempt: Attempt) -> bool:
-        """Return whether the endpoint has drained, moved, restarted or been removed since the policy chose it."""
+        """Return whether the endpoint is draining, was removed, has moved or has restarted since the policy chose it."""
         current = self.endpoints.get(attempt.endpoint_id)
         chosen = attempt.target
         if current is None or chosen is None:
