--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -13,9 +13,7 @@
 log = logging.getLogger(__name__)
 
 TRACE_CAPACITY = 1024  # holds a few seconds of events of a busy sidecar in 150 KB
-MAX_LOGGED_EVENTS = (
-    24  # limits the events of a request in a log line, so that a single write to a pipe can hold the line
-)
+MAX_LOGGED_EVENTS = 24  # limits the events in a log line, so that a single write to a pipe can hold the line
 
 NO_REQUEST = 0
 NO_ATTEMPT = -1
--- a/garnetusher/sidecar/requests/write_gate.py
+++ b/garnetusher/sidecar/requests/write_gate.py
@@ -78,7 +78,7 @@
         )
 
     def endpoint_has_changed(self, attempt: Attempt) -> bool:
-        """Return whether the endpoint is draining, was removed, has moved or has restarted since the policy chose it."""
+        """Return whether the endpoint is draining, was removed, has moved or has restarted since it was chosen."""
         current = self.endpoints.get(attempt.endpoint_id)
         chosen = attempt.target
         if current is None or chosen is None:
