--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -316,7 +316,7 @@
             return True
         return self._sock is not None and self._sock.peer_has_ended()
 
-    def body_complete_since_us(self) -> int:
+    def earliest_body_end_us(self) -> int:
         """Return the earliest time at which the client may have sent all of a body that is not read completely.
 
         The last bytes may still be in the client's kernel. While the body is not paused, this is the arrival time of
