--- a/garnetusher/sidecar/upstream/attempt.py
+++ b/garnetusher/sidecar/upstream/attempt.py
@@ -31,9 +31,9 @@
     """
 
     __slots__ = (
+        "_authorize_write",
         "_loop",
         "_on_ended",
-        "_authorize_write",
         "abandoned",
         "address",
         "connection",
