--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -19,7 +19,7 @@
 
 
 def _leaving() -> None:
-    """Never evacuate a zone by evidence."""
+    """Do not evacuate zones because of evidence."""
     Zones.evaluate = lambda self, zone: None  # type: ignore[method-assign]
 
 
--- a/garnetusher/policy/admission.py
+++ b/garnetusher/policy/admission.py
@@ -199,8 +199,8 @@
             pool.exhausted_us = self._context.now_us
             if pool.slow_start.cohorts and not pool.slow_start.all_warming():
                 credit = pool.admitted_fraction * max(0.0, 1.0 - 2.0 * self._unsent_fraction)
-                credit = min(credit, pool.unserved)
-                pool.unserved -= credit
+                credit = min(credit, pool.unserved_credit)
+                pool.unserved_credit -= credit
                 pool.slow_start.served += credit
 
     def _may_take_buffer(self, request: RequestState) -> bool:
--- a/garnetusher/policy/endpoint_state.py
+++ b/garnetusher/policy/endpoint_state.py
@@ -10,7 +10,8 @@
     from garnetusher.policy.slots import Pool
     from garnetusher.policy.slow_start import SlowStartCohort
 
-# With one slot for each endpoint, a busy sidecar would fill all slots right after its start and shed until more open.
+# With one slot for each endpoint, a busy sidecar would fill all slots right after its start and shed requests until
+# more slots open.
 INITIAL_SLOTS = 3.0
 
 BucketKey = tuple[int, bool, bool, int]  # zone, in use, warming up, exponent of the weight
@@ -30,13 +31,14 @@
         consecutive_failures: number of immediate failures since the last attempt that did not fail immediately.
         latency_ratio: smoothed ratio of the endpoint's response times to the mean response time of the request class.
         logged_as_ejected: whether the last log line about the endpoint reported an ejection.
-        listed: whether the endpoint list contains the endpoint; after its removal, outstanding attempts still end.
+        listed: whether the endpoint list contains the endpoint; attempts that are outstanding at its removal still
+            update this state.
         in_use: whether the endpoint belongs to the subset that this sidecar's traffic needs.
         cohort: the endpoint's slow-start cohort; None once it has warmed up.
-        send_due: whether a send is due while the endpoint is warming up.
+        send_due: whether a warming endpoint may receive its next attempt now.
         due_at_accrual: value of the cohort's `accrued` at which the next send comes due.
-        open_fraction: fraction of the slots that was open, according to the warm-up, when the send came due.
-        weight: weight of the free slots in draws.
+        open_fraction: fraction of the slots that the warm-up permits to open; updated each time a send comes due.
+        weight: weight of the endpoint in draws, computed from its free slots and its latency ratio.
         bucket: bucket that contains the endpoint; None while it has no free slot.
         bucket_index: index of the endpoint in the bucket.
         bucket_key: key of the bucket.
--- a/garnetusher/policy/endpoints.py
+++ b/garnetusher/policy/endpoints.py
@@ -10,14 +10,14 @@
 from garnetusher.policy.zone import Zone, ZoneState
 from garnetusher.policy.zones import Zones
 
-TIERS = 3  # this zone, the region's other zones, other regions
+TIER_COUNT = 3  # the tiers are this zone, the region's other zones, and other regions
 
 
 class EndpointRegistry:
     """The ready endpoints, each in the pool of its tier.
 
     Attributes:
-        endpoints: the endpoints by id, in the order in which the list named them.
+        endpoints: the endpoints by id, in the order in which they first appeared in the endpoint list.
         pools: one pool per tier, the nearest tier first; a pool may be empty.
         zones: the states of the zones; this registry applies their changes to the endpoints of the zone.
         zones_to_evacuate: zones that the current event has evacuated and whose endpoints are still in use.
@@ -26,12 +26,12 @@
     def __init__(self, context: PolicyContext, seed: int) -> None:
         self._context = context
         self.endpoints: dict[int, EndpointState] = {}
-        self.pools = [Pool(context.settings, context.now_us) for _ in range(TIERS)]
+        self.pools = [Pool(context.settings, context.now_us) for _ in range(TIER_COUNT)]
         self.zones = Zones(context.settings, seed, context.now_us, self._on_zone_changed)
         self.zones_to_evacuate: list[Zone] = []
 
     def apply_settings(self) -> None:
-        """Pass the new settings on; endpoints stay in their pools."""
+        """Pass the new settings to the zones and the pools; endpoints stay in their pools."""
         self.zones.settings = self._context.settings
         for pool in self.pools:
             pool.slow_start.settings = self._context.settings
@@ -43,7 +43,7 @@
                 pool.readmit(self._context.now_us)
 
     def readmissions_us(self) -> list[int]:
-        """Return the time at which the next ejection of each pool ends, for pools with ejected endpoints."""
+        """Return the earliest end of an ejection in each pool that has ejected endpoints."""
         return [at_us for pool in self.pools if (at_us := pool.next_readmission_us())]
 
     def on_update(self, event: EndpointsUpdated) -> None:
@@ -52,12 +52,12 @@
             return
         if event.update_kind is not UpdateKind.DELTA:
             self._remove_all_but({endpoint.id for endpoint in event.endpoints})
-        zones_with_starts: set[int] = set()
+        zones_with_started_endpoints: set[int] = set()
         for endpoint in event.endpoints:
             if self._update_endpoint(endpoint) and endpoint.started_us:
-                zones_with_starts.add(endpoint.zone)
+                zones_with_started_endpoints.add(endpoint.zone)
         counts = {zone: len(members) for pool in self.pools for zone, members in pool.zones.items()}
-        self.zones.update_endpoint_counts(counts, zones_with_starts, self._context.now_us)
+        self.zones.update_endpoint_counts(counts, zones_with_started_endpoints, self._context.now_us)
 
     def members(self, zone: Zone) -> list[EndpointState]:
         """Return the ready endpoints of a zone."""
@@ -70,7 +70,7 @@
             if state.in_use:
                 state.pool.set_in_use(state, self._context.now_us, in_use=False)
                 self._context.actions.append(CloseIdleConnections(state.endpoint.id))
-            # otherwise the timeouts of the lost endpoints would lower the fraction admitted to the other endpoints
+            # the timeouts of the lost endpoints must not lower the fraction admitted to the pool's other endpoints
             state.pool.admitted_fraction, state.pool.load = 1.0, 0.0
         return zone
 
@@ -87,7 +87,7 @@
         state: EndpointState | None = self.endpoints.get(endpoint.id)
         is_ready = endpoint.status is EndpointStatus.READY
         if state is not None and (not is_ready or endpoint.zone != state.endpoint.zone):
-            self._remove(state)  # rule 3: from now on, no new attempts go to this entry
+            self._remove(state)  # a draining or removed endpoint receives no new attempts (rule 3)
             state = None
         if not is_ready:
             return False
@@ -99,7 +99,8 @@
         return has_started
 
     def _start(self, endpoint: Endpoint, state: EndpointState | None) -> EndpointState:
-        # all sidecars learn of a start almost simultaneously; without a random offset, their first sends are a burst
+        # all sidecars learn of a start almost simultaneously; without a random offset, their first sends would
+        # form a burst
         first_send_accrued = self._context.random.random()
         if state is not None:
             state.started_us = endpoint.started_us
--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -174,7 +174,7 @@
         if outcome is Outcome.OK:
             pool = attempt.endpoint_state.pool
             pool.slow_start.served += 1.0
-            pool.unserved = min(pool.unserved + UNSERVED_SHARE, MAX_UNSERVED)
+            pool.unserved_credit = min(pool.unserved_credit + UNSERVED_SHARE, MAX_UNSERVED)
         if outcome in (Outcome.OK, Outcome.TIMEOUT):
             # Timeouts count too: otherwise the mean of a slow fleet would include only its few quick responses
             mean_us = class_state.mean_response_us
--- a/garnetusher/policy/outlier.py
+++ b/garnetusher/policy/outlier.py
@@ -14,21 +14,25 @@
 
 # This many immediate failures in a row distinguish a failing endpoint from a single broken connection or response.
 CONSECUTIVE_FAILURES = 2
-# Change of the slot limit over one round of responses, per unit of distance from the target load; 0.8 overreacts.
+# Change of the slot limit over one round of responses, per unit of difference between the target load and their load.
 SLOT_GROWTH = 0.4
-# A pool below this load has spare capacity: requests that find no free slot in it raise its slot limits.
+# A pool below this load has spare capacity: its slot limits also rise after a request found no free slot in it but
+# found one in a farther tier.
 SPARE_CAPACITY_LOAD = TARGET_LOAD / 2
-MAX_LOAD = 2.0  # load of a response that takes longer or never arrives
+MAX_LOAD = 2.0  # upper bound of one response's load; a response that never arrives counts as this
 MAX_LATENCY_RATIO = 4.0  # upper bound of one response's latency ratio; an immediate failure counts as this
 MIN_LATENCY_RATIO = 0.1  # lower bound of one response's latency ratio
 LATENCY_RATIO_WINDOW = 4  # number of responses over which an endpoint's latency ratio is smoothed
 POOL_WINDOW = 8  # number of responses over which a pool's load and latency ratio are smoothed
-# One second of slow responses cuts the admitted fraction to a tenth; with a slower cut, queues fill up first.
+# One second of slow responses cuts the admitted fraction to a tenth; with a slower reduction, queues fill up first.
 ADMISSION_GAIN = 2.4
-MIN_SLOW_ANSWERS = 8.0  # it takes at least this many slow responses to cut the admitted fraction to a tenth
-MIN_ADMISSION_STEP = 0.3  # one response leaves at least this fraction of the admitted fraction
-MIN_ADMITTED = 0.1  # admitting less does not help if requests themselves have become slower to process
-SHORTAGE_FACTOR = 4  # responses raise slot limits for this many half-objectives after slots were exhausted
+MIN_SLOW_RESPONSES = 8.0  # minimum number of slow responses that it takes to cut the admitted fraction to a tenth
+MIN_ADMISSION_STEP = 0.3  # lower bound of the factor by which one response changes the admitted fraction
+# Lower bound of the admitted fraction: admitting less does not help if the requests themselves take longer to process.
+MIN_ADMITTED = 0.1
+# Responses raise slot limits only if a request found no free slot shortly before the attempt was sent: at most this
+# many times half the latency objective.
+SHORTAGE_FACTOR = 4
 EJECTION_LOG_LIMIT = 0.25  # an endpoint is logged as ejected if its slot limit is below this
 
 
@@ -58,7 +62,12 @@
         self._log_ejection(state)
 
     def record_overdue(self, attempt: AttemptState, *, repeated: bool) -> None:
-        """Count an overdue attempt against its zone; `repeated`: an earlier attempt of the request was overdue too."""
+        """Count an overdue attempt against its zone.
+
+        Args:
+            attempt: the attempt, which is still outstanding.
+            repeated: whether an earlier attempt of the same request was overdue too.
+        """
         attempt.overdue = True
         endpoint = attempt.endpoint
         self._zones.record_overdue(endpoint.zone, endpoint.id, attempt.sent_us, self._context.now_us, repeated=repeated)
@@ -81,13 +90,13 @@
         """Lower the admitted fraction of a pool while its responses are slow, and raise it again afterwards.
 
         A sidecar with little traffic never fills its slots, so slot limits do not reduce its load when all endpoints
-        are slow. The admitted fraction does. It falls quickly, because queues last for seconds, but a single slow
-        response among fast ones does not lower it.
+        are slow. The admitted fraction reduces this load. It falls quickly, because queues last for seconds, but a
+        single slow response among fast ones does not lower it.
         """
         pool.load += (load - pool.load) / POOL_WINDOW
         is_slow = load >= TARGET_LOAD
         # a sidecar that gets a response only every second or two must not stop sending after a single slow one
-        responses = MIN_SLOW_ANSWERS if is_slow else 1.0
+        responses = MIN_SLOW_RESPONSES if is_slow else 1.0
         gain = ADMISSION_GAIN / max(responses, pool.send_rate_per_s) if not is_slow or pool.load > 0.5 else 0.0
         pool.admitted_fraction *= max(MIN_ADMISSION_STEP, 1.0 + gain * (TARGET_LOAD - load))
         pool.admitted_fraction = min(1.0, max(pool.admitted_fraction, MIN_ADMITTED))
@@ -99,7 +108,8 @@
         failed_immediately = outcome in IMMEDIATE_FAILURES
         state.consecutive_failures = state.consecutive_failures + 1 if failed_immediately else 0
         if outcome is Outcome.OVERLOADED or state.consecutive_failures >= CONSECUTIVE_FAILURES:
-            # an immediate failure frees its slot immediately, so the endpoint would attract more and more requests
+            # an immediate failure frees its slot immediately; without this reduction, a failing endpoint would attract
+            # more and more requests
             state.slot_limit /= 2
         elif failed_immediately:
             pass  # if single broken connections counted, they would close the slots of all endpoints
@@ -130,7 +140,7 @@
             ejected_us = busy_us * (1.0 / state.slot_limit - 1.0) * (0.5 + self._context.random.random())
             state.pool.eject(state, self._context.now_us + int(ejected_us))
         if state.slot_limit < 0.5 and state.in_use:
-            # another endpoint replaces it in the subset in use; it may be used again after the ejection
+            # another endpoint replaces this one in the subset in use; after its ejection, this one may be used again
             state.pool.set_in_use(state, self._context.now_us, in_use=False)
             self._context.actions.append(CloseIdleConnections(state.endpoint.id))
 
--- a/garnetusher/policy/selection.py
+++ b/garnetusher/policy/selection.py
@@ -4,7 +4,7 @@
 
 from garnetusher.policy.context import PolicyContext
 from garnetusher.policy.endpoint_state import EndpointState
-from garnetusher.policy.endpoints import TIERS, EndpointRegistry
+from garnetusher.policy.endpoints import TIER_COUNT, EndpointRegistry
 from garnetusher.policy.retry import RetryPolicy
 from garnetusher.policy.slots import TARGET_LOAD, Pool
 from garnetusher.policy.state import RequestState
@@ -14,7 +14,7 @@
 # One more endpoint is used for each 1.5 sends per second. With fewer sends, the sidecar learns nothing about an
 # endpoint; more sends overload it.
 SENDS_PER_S_PER_ENDPOINT = 1.5
-# Client retries are not admitted below this admitted fraction; a single slow response lowers the fraction by less.
+# Client retries are not admitted below this admitted fraction; a single slow response does not lower it so far.
 CLIENT_RETRY_ADMITTED = 0.9
 
 
@@ -51,7 +51,8 @@
         """Return sets of zones to avoid if another zone has a free slot, in the order in which to try them."""
         avoided_sets = []
         if request.class_state.rules.effect == "at_most_once" and (suspected := self._zones.suspected()):
-            # a request that is lost with the zone can't be retried, and idempotent requests provide evidence as well
+            # a request that is lost with the zone can't be retried; idempotent requests still go to the zone and show
+            # whether it answers
             avoided_sets.append(suspected)
         if request.attempts:
             silent = {
@@ -61,21 +62,22 @@
             }
             if silent:
                 # with little traffic, all attempts of a request would fail in a lost zone, and this sidecar would never
-                # learn that other zones answer; the silent zone is compared with the zone of the retry
+                # learn that other zones answer, which is a condition for evacuating the silent zone
                 avoided_sets.append(silent)
         return avoided_sets
 
     def _select_free_slot(self, request: RequestState, excluded: set[int]) -> EndpointState | None:
-        hedged_tier = TIERS
+        hedged_tier = TIER_COUNT
         if request.attempts and request.outstanding():
             hedged_tier = self._pools.index(request.attempts[-1].endpoint_state.pool)
         for tier, pool in enumerate(self._pools):
             if tier > hedged_tier and self.hedge_stays_in_tier(request):
                 continue
-            if tier == TIERS - 1 and not self._responds_in_time(request, pool):
+            if tier == TIER_COUNT - 1 and not self._responds_in_time(request, pool):
                 continue
             if request.event.client_retry and not request.attempts and pool.admitted_fraction < CLIENT_RETRY_ADMITTED:
-                continue  # its client has already waited: served late, it would take the slot of a timely request
+                # the client has already waited; a retry that is served late would take the slot of a timely request
+                continue
             selected = self._select_from_tier(request, pool, excluded)
             if selected is not None:
                 return selected
@@ -134,10 +136,17 @@
         """
         last = request.attempts[-1]
         zone = self._zones.get(last.endpoint.zone)
-        return zone.state is ZoneState.ACTIVE and not zone.suspects and last.endpoint_state.pool.load < TARGET_LOAD
+        return (
+            zone.state is ZoneState.ACTIVE
+            and not zone.failing_endpoints
+            and last.endpoint_state.pool.load < TARGET_LOAD
+        )
 
     def _select_for_health_check(self, request: RequestState) -> EndpointState | None:
-        """Return an endpoint of an evacuated zone if a check is due and the request is a first, idempotent attempt."""
+        """Return an endpoint of an evacuated zone if a health check is due and the request can serve as one.
+
+        Only the first attempt of an idempotent request serves as a health check.
+        """
         if request.attempts or request.class_state.rules.effect != "idempotent" or self._zones.all_in_use:
             return None
         zone = self._zones.take_due_health_check(self._context.now_us)
--- a/garnetusher/policy/slots.py
+++ b/garnetusher/policy/slots.py
@@ -18,20 +18,23 @@
 from garnetusher.policy.slow_start import SlowStart
 
 MAX_SLOTS = 8  # maximum number of slots that one sidecar opens at an endpoint, however fast the endpoint responds
-MIN_SLOT_LIMIT = 1 / 64  # a failing endpoint receives about one attempt in 64 mean response times
+MIN_SLOT_LIMIT = 1 / 64  # a failing endpoint receives about one attempt per 64 mean response times
 # Slot limits settle where responses take this fraction of half the latency objective. A higher target overloads the
-# endpoints; a lower one sheds too early.
+# endpoints; with a lower one, requests are shed too early.
 TARGET_LOAD = 0.85
 
 
 class Pool:
-    """The endpoints of one tier: this zone, the region's other zones or other regions; one tier if crossing is free.
+    """The endpoints of one tier: this zone, the region's other zones or other regions.
+
+    If crossing zones is free, all endpoints are in one tier.
 
     Attributes:
         admitted_fraction: fraction of the draws that may take a slot; it falls while the whole pool responds slowly.
         admission_credit: number of admitted draws that are not used yet.
         load: smoothed response time; 1 = half the latency objective.
-        unserved: credit left for counting requests without a free slot towards the sends to warming endpoints.
+        unserved_credit: upper limit on how many requests without a free slot count as responses when sends to warming
+            endpoints accrue; responses raise it.
         send_rate_per_s: recent rate of attempts per second.
         send_rate_updated_us: time at which the rate was last computed.
         last_arrival_us: time at which the last request arrived.
@@ -49,7 +52,7 @@
         self.admitted_fraction = 1.0
         self.admission_credit = 1.0
         self.load = 0.0
-        self.unserved = 0.0
+        self.unserved_credit = 0.0
         self.send_rate_per_s = 0.0
         self.send_rate_updated_us = now_us
         self.last_arrival_us = now_us
@@ -70,7 +73,7 @@
         self.slow_start.begin(state, now_us, first_send_accrued)
 
     def remove(self, state: EndpointState) -> None:
-        """Remove an endpoint; its outstanding attempts still end later."""
+        """Remove an endpoint; its outstanding attempts continue."""
         self.slow_start.change_size(-1)
         state.listed = False
         self.set_in_use(state, 0, in_use=False)
@@ -95,11 +98,11 @@
     # Slots
 
     def open_slots(self, state: EndpointState, now_us: int) -> int:
-        """Return how many attempts of this sidecar an endpoint may have now, given its health and its warm-up."""
+        """Return how many concurrent attempts this sidecar may have at an endpoint, given its health and warm-up."""
         if now_us < state.ejected_until_us or (state.cohort is not None and not state.send_due):
             return 0
-        # slots open with the warm-up: with a single slot until the warm-up ends, an endpoint would be partly idle while
-        # requests find no free slot
+        # the number of open slots grows during the warm-up: with a single slot until the end, an endpoint would be
+        # partly idle while requests find no free slot
         return max(1, int(state.slot_limit * state.open_fraction))
 
     def update_weight(self, state: EndpointState, now_us: int) -> None:
@@ -135,7 +138,7 @@
         heapq.heappush(self.ejections, (until_us, state.endpoint.id, state))
 
     def next_readmission_us(self) -> int:
-        """Return the time at which the next ejection ends; 0 = no endpoint is ejected."""
+        """Return the earliest end of an ejection; 0 = no endpoint is ejected."""
         while self.ejections and self.ejections[0][2].ejected_until_us != self.ejections[0][0]:
             heapq.heappop(self.ejections)
         return self.ejections[0][0] if self.ejections else 0
--- a/garnetusher/policy/slow_start.py
+++ b/garnetusher/policy/slow_start.py
@@ -15,21 +15,25 @@
 
 # A warming endpoint is loaded up to this fraction of its overload factor, because its work arrives unevenly.
 WARMING_SHARE = 0.45
-COHORTS_PER_WARM_UP = 64  # an endpoint's warm-up is counted from the end of its cohort's interval
+# The warm-up time is divided into this many intervals. Endpoints that started in the same interval form a cohort, and
+# their warm-up is counted from the end of that interval.
+COHORTS_PER_WARM_UP = 64
 SHARE_UPDATE_INTERVAL_US = 10_000  # during a warm-up of seconds, a share changes by less than 1% between updates
-MAX_WARMED_UP_PER_EVENT = 256  # one event releases at most this many endpoints, so that it does not take too long
+# Maximum number of endpoints of a cohort that one event marks as warmed up, so that the event does not take too long.
+MAX_WARMED_UP_PER_EVENT = 256
 
 
 class SlowStartCohort:
     """Endpoints that started at about the same time.
 
-    Endpoints count as warmed up only when all members of the cohort have warmed up for certain. Earlier, all sidecars
-    would open their slots at the same time and overload the endpoints, which rule 4 forbids.
+    Endpoints count as warmed up only when all members of the cohort have warmed up for certain. If they counted as
+    warmed up before that, all sidecars would open their slots at the same time and overload the endpoints, which rule 4
+    forbids.
 
     Attributes:
         started_us: latest possible start time of a member.
         members: the endpoints by id.
-        share: share of one member relative to a warmed-up endpoint, as of the last update of the shares.
+        share: traffic of one member relative to that of a warmed-up endpoint, as of the last update of the shares.
         accrued: number of sends that each member has accrued since the cohort was created.
     """
 
@@ -96,7 +100,7 @@
         warm_up_us = self.settings.warm_up_us
         if state.started_us > 0 and now_us - state.started_us < warm_up_us:
             if self.served > self._distributed:
-                self.accrue(now_us)  # responses before the endpoint joined do not count for it
+                self.accrue(now_us)  # responses from before the endpoint joined are distributed without it
             interval_us = max(1, warm_up_us // COHORTS_PER_WARM_UP)
             cohort_start_us = -(-state.started_us // interval_us) * interval_us
             state.cohort = self.cohorts.setdefault(cohort_start_us, SlowStartCohort(cohort_start_us))
@@ -114,7 +118,7 @@
                 del self.cohorts[cohort.started_us]
 
     def all_warming(self) -> bool:
-        """Return whether every endpoint of the pool is warming up, so that none determines the rate of sends."""
+        """Return whether every endpoint of the pool is warming up: no warmed-up endpoint then determines the rate."""
         return 0 < self.size == sum(len(cohort.members) for cohort in self.cohorts.values())
 
     def accrue(self, now_us: int) -> None:
@@ -136,7 +140,7 @@
                 self._update_weight(state, now_us)
 
     def _update_shares(self, now_us: int) -> None:
-        """Compute the current shares and release endpoints that have warmed up."""
+        """Compute the current shares and end the slow start of endpoints that have warmed up."""
         settings = self.settings
         self._total_share, self._next_share_update_us = float(self.size), now_us + SHARE_UPDATE_INTERVAL_US
         growth_per_us = (1.0 - settings.warm_up_initial_fraction) / max(1, settings.warm_up_us)
--- a/garnetusher/policy/zone.py
+++ b/garnetusher/policy/zone.py
@@ -1,4 +1,7 @@
-"""State of one zone and the evidence that attempts provide about it. `zones.py` decides when the state changes."""
+"""State of one zone and the evidence that attempts provide about it. `zones.py` decides when the state changes.
+
+A miss is an attempt that failed or is overdue: evidence that the zone may be lost.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +9,19 @@
 import math
 from dataclasses import dataclass
 
-# This fraction of a zone's endpoints must fail without an answer in between; a zone that lost half of them is not lost.
+# A zone counts as lost when this fraction of its endpoints fail without an answer in between. A zone in which half of
+# the endpoints fail is not lost.
 LOST_FRACTION = 0.75
 # Failures of this many different endpoints are enough in a zone of any size: if 75% of the endpoints fail, eight
 # different ones fail in a row with a probability of one in ten (0.75 ** 8).
-MAX_SUSPECTS_NEEDED = 8
-MISS_EXPIRY_US = 5_000_000  # after a gap this long between two misses, the earlier ones no longer count
-# Evidence of a miss that follows another miss at the same endpoint or of the same request: probability one in three.
+MAX_FAILING_ENDPOINTS_NEEDED = 8
+MISS_EXPIRY_US = 5_000_000  # after a gap this long between two misses, the earlier misses no longer count
+# Evidence of a repeated miss: the same endpoint or the same request has already had one. In a healthy zone, a repeated
+# miss has a probability of about one in three (10 ** -0.5).
 REPEATED_MISS_EVIDENCE = 0.5
 OUTCOME_WINDOW = 20  # number of outcomes over which a zone's latency ratio is smoothed
 INITIAL_BACKOFF_US = 500_000  # delay from the evacuation to the first health check
-# Fraction of the draws in which a zone that is being restored takes part, step by step.
+# Fractions of the draws in which a zone takes part while it is being restored, one fraction per step.
 RECOVERY_STEPS: tuple[float, ...] = (0.1, 0.25, 0.5, 1.0)
 MICROSECONDS_PER_S = 1_000_000
 
@@ -25,7 +30,7 @@
     """How much traffic a zone receives."""
 
     ACTIVE = "near"  # takes part in all draws
-    SUSPECTED = "doubted"  # takes part in all draws, although there is some evidence for its evacuation
+    SUSPECTED = "doubted"  # takes part in all draws; its evidence is not sufficient for an evacuation
     EVACUATED = "left"  # receives only health checks
     RESTORING = "returning"  # takes part in a fraction of the draws, which grows step by step
 
@@ -57,9 +62,9 @@
     Attributes:
         number: index of the zone in the settings.
         state: how much traffic the zone receives.
-        overridden: whether an operator evacuated the zone; evidence then changes nothing.
+        overridden: whether an operator evacuated the zone; if so, evidence does not change its state.
         endpoint_count: number of endpoints listed as ready.
-        suspects: ids of the endpoints with a miss (a failed or overdue attempt) since the zone's last answer.
+        failing_endpoints: ids of the endpoints with a miss since the zone's last answer.
         misses: number of misses since the zone's last answer.
         evidence: negative decimal logarithm of the probability that a healthy zone has all these misses by chance.
         refused_connections: number of misses that were immediate connection failures.
@@ -73,8 +78,8 @@
         evacuated_us: time of the last evacuation by evidence; 0 = never.
         state_changed_us: time of the last change of the state or of the recovery step.
         next_health_check_us: earliest time of the next health check.
-        refused_when_evacuated: whether the zone was evacuated because connections were refused; its endpoints have then
-            restarted by the time the zone answers again.
+        refused_when_evacuated: whether the zone was evacuated because connections were refused. If so, its endpoints
+            must have restarted when the zone answers again.
         recovery_step: index in `RECOVERY_STEPS` while the zone is being restored.
         consecutive_failures: number of failures in a row while the zone is being restored.
         reason: why the zone is in its state, as text for logs and for the admin address.
@@ -85,7 +90,7 @@
         self.state = ZoneState.ACTIVE
         self.overridden = False
         self.endpoint_count = 0
-        self.suspects: set[int] = set()
+        self.failing_endpoints: set[int] = set()
         self.misses = 0
         self.evidence = 0.0
         self.refused_connections = 0
@@ -114,9 +119,11 @@
         """Whether the latency ratio covers enough outcomes to be compared with other zones."""
         return self.outcome_count >= OUTCOME_WINDOW
 
-    def suspects_needed(self) -> int:
+    def failing_endpoints_needed(self) -> int:
         """Return how many different endpoints must fail, without an answer in between, for the zone to be lost."""
-        return min(self.endpoint_count, max(2, math.ceil(LOST_FRACTION * self.endpoint_count)), MAX_SUSPECTS_NEEDED)
+        return min(
+            self.endpoint_count, max(2, math.ceil(LOST_FRACTION * self.endpoint_count)), MAX_FAILING_ENDPOINTS_NEEDED
+        )
 
     def report(self, now_us: int) -> dict[str, object]:
         """Return the zone's state, its duration and the evidence for it, under the keys of the admin address."""
@@ -139,9 +146,9 @@
             self.clear_evidence()
         self.last_miss_us = max(self.last_miss_us, sent_us)
         self.first_miss_us = min(self.first_miss_us or sent_us, sent_us)
-        if endpoint_id in self.suspects:
+        if endpoint_id in self.failing_endpoints:
             evidence = min(evidence, REPEATED_MISS_EVIDENCE)
-        self.suspects.add(endpoint_id)
+        self.failing_endpoints.add(endpoint_id)
         self.misses += 1
         self.evidence += evidence
 
@@ -152,6 +159,6 @@
 
     def clear_evidence(self) -> None:
         """Discard all misses and their evidence."""
-        self.suspects.clear()
+        self.failing_endpoints.clear()
         self.misses = self.refused_connections = self.first_miss_us = 0
         self.evidence = 0.0
--- a/garnetusher/policy/zones.py
+++ b/garnetusher/policy/zones.py
@@ -24,19 +24,22 @@
     ZoneState,
 )
 
-EVACUATION_EVIDENCE = 6.0  # a zone is evacuated if a healthy one has such misses with a probability of 10 ** -6
+# Evidence from which a zone is evacuated. A healthy zone has such misses with a probability of 10 ** -6.
+EVACUATION_EVIDENCE = 6.0
 SUSPICION_EVIDENCE = 4.0  # evidence from which a zone is suspected, on the same scale
-SILENCE_US = 300_000  # a zone is silent after this long without an answer; an overloaded zone still answers some
-# Evidence of one refused or broken attempt: one attempt in thirty fails like this while connections break often.
+# A zone is silent after this long without an answer. An overloaded zone still answers some attempts within this time.
+SILENCE_US = 300_000
+# Evidence of one failed attempt: in a healthy zone, about one attempt in thirty (10 ** -1.5) fails while connections
+# break often.
 FAILURE_EVIDENCE = 1.5
 MIN_LATE_FRACTION = 0.05  # lower bound of the learned fraction of answers that are late in a healthy zone
-MAX_LATE_FRACTION = 0.5  # upper bound of the same fraction
-LATE_FRACTION_WINDOW = 64  # number of answers over which that fraction is smoothed
+MAX_LATE_FRACTION = 0.5  # upper bound of the learned fraction of late answers
+LATE_FRACTION_WINDOW = 64  # number of answers over which the fraction of late answers is smoothed
 # A zone is slow if its latency ratio is this multiple of the fastest other zone's; it is evacuated after being slow for
 # SLOW_DURATION_US.
 SLOW_FACTOR = 2.5
 SLOW_DURATION_US = 2_000_000
-MIN_COMPARED_RATIO = 0.5  # a smaller latency ratio of another zone counts as this in the comparison
+MIN_COMPARED_RATIO = 0.5  # lower bound of another zone's latency ratio in the comparison
 MAX_BACKOFF_US = 16_000_000  # upper limit of the backoff, which doubles each time the zone flaps
 FLAP_WINDOW_US = 60_000_000  # the backoff is reset if the last evacuation is at least this long ago
 HEALTH_CHECKS_PER_S_PER_ENDPOINT = 2.0  # limit for the health checks of the whole fleet at an evacuated zone
@@ -81,7 +84,7 @@
         return self.zones[number]
 
     def tier(self, number: int) -> int:
-        """Return 0 for this sidecar's zone, 1 for others in its region, 2 for other regions; 0 if crossing is free."""
+        """Return 0 for this sidecar's zone, 1 for others in its region, 2 for the rest; 0 if crossing zones is free."""
         settings = self.settings
         if number == settings.zone or settings.cross_zone_cost <= 0:
             return 0
@@ -112,7 +115,7 @@
             self.evaluate(zone)
 
     def record_lateness(self, *, late: bool) -> None:
-        """Update the fraction of attempts that are late by chance, after an answer or a race lost to a hedge."""
+        """Update the fraction of attempts that are late by chance, after an attempt was answered or lost to a hedge."""
         self._late_fraction += (float(late) - self._late_fraction) / LATE_FRACTION_WINDOW
 
     def record_failure(self, attempt: FailedAttempt, now_us: int) -> None:
@@ -153,7 +156,9 @@
         if not zone.in_use or zone.overridden or not zone.endpoint_count:
             return
         others = [other for other in self.zones.values() if other is not zone and other.in_use and other.endpoint_count]
-        answering = [other for other in others if other.last_answer_us > zone.first_miss_us and not other.suspects]
+        answering = [
+            other for other in others if other.last_answer_us > zone.first_miss_us and not other.failing_endpoints
+        ]
         if self._is_lost(zone) and answering:
             self._evacuate(zone, self._describe_misses(zone))
             return
@@ -170,7 +175,7 @@
     def is_silent(self, number: int, now_us: int) -> bool:
         """Return whether a zone has misses and has not answered for `SILENCE_US`."""
         zone = self.get(number)
-        return bool(zone.suspects) and now_us - zone.last_answer_us >= SILENCE_US
+        return bool(zone.failing_endpoints) and now_us - zone.last_answer_us >= SILENCE_US
 
     def _passes_health_check(self, zone: Zone, sent_us: int, latency_ratio: float) -> bool:
         return (
@@ -181,22 +186,22 @@
         )
 
     def _is_lost(self, zone: Zone) -> bool:
-        if len(zone.suspects) < zone.suspects_needed() or zone.evidence < EVACUATION_EVIDENCE:
+        if len(zone.failing_endpoints) < zone.failing_endpoints_needed() or zone.evidence < EVACUATION_EVIDENCE:
             return False
-        # under overload many attempts are late for one common reason, but the zone still answers some
+        # an overloaded zone has many late attempts with one common cause, but it still answers some attempts
         return 2 * zone.refused_connections >= zone.misses or self._now_us - zone.last_answer_us >= SILENCE_US
 
     def _is_suspicious(self, zone: Zone) -> bool:
         return (
             zone.state is ZoneState.ACTIVE
-            and 2 * len(zone.suspects) >= zone.suspects_needed()
+            and 2 * len(zone.failing_endpoints) >= zone.failing_endpoints_needed()
             and zone.evidence >= SUSPICION_EVIDENCE
         )
 
     def _describe_misses(self, zone: Zone) -> str:
         return (
-            f"{zone.misses} attempts at {len(zone.suspects)} of {zone.endpoint_count} upstreams failed in a row, "
-            f"{zone.refused_connections} refused; one in 10^{zone.evidence:.1f} by chance"
+            f"{zone.misses} attempts at {len(zone.failing_endpoints)} of {zone.endpoint_count} upstreams "
+            f"failed in a row, {zone.refused_connections} refused; one in 10^{zone.evidence:.1f} by chance"
         )
 
     # Evacuating and restoring
@@ -238,7 +243,7 @@
         zone.next_health_check_us = self._now_us + self._jittered(wait_us)
 
     def health_check_gap_us(self, zone: Zone) -> int:
-        """Return the gap between this sidecar's health checks that keeps the fleet at its rate for each endpoint."""
+        """Return the gap between this sidecar's health checks that keeps the fleet within its limit per endpoint."""
         checks_per_s = max(1, zone.endpoint_count) * HEALTH_CHECKS_PER_S_PER_ENDPOINT
         return max(MIN_HEALTH_CHECK_GAP_US, int(MICROSECONDS_PER_S * self.fleet_size / checks_per_s))
 
@@ -248,7 +253,7 @@
     # Draws
 
     def excluded(self) -> set[int]:
-        """Return the zones that one draw leaves out."""
+        """Return the numbers of the zones that the next draw leaves out; the choice is random for restoring zones."""
         if self.all_in_use:
             return set()
         excluded = {
@@ -257,12 +262,12 @@
             if not zone.in_use and zone.endpoint_count and self._is_excluded_from_draw(zone)
         }
         if excluded and not any(z.endpoint_count and z.number not in excluded for z in self.zones.values()):
-            # one zone with endpoints must remain: only zones that an operator evacuated are left out
+            # no zone with endpoints would remain, so only the zones that an operator evacuated are left out
             return {zone.number for zone in self.zones.values() if zone.overridden}
         return excluded
 
     def suspected(self) -> set[int]:
-        """Return the suspected zones, which requests that must not be retried avoid if possible."""
+        """Return the numbers of the suspected zones. Requests that must not be retried avoid them if possible."""
         if not self._any_suspected:
             return set()
         return {zone.number for zone in self.zones.values() if zone.state is ZoneState.SUSPECTED}
@@ -274,28 +279,36 @@
 
     # The endpoint list and the operator
 
-    def update_endpoint_counts(self, counts: dict[int, int], zones_with_starts: set[int], now_us: int) -> None:
-        """Update the number of ready endpoints in each zone; `zones_with_starts` have endpoints that just started."""
+    def update_endpoint_counts(
+        self, counts: dict[int, int], zones_with_started_endpoints: set[int], now_us: int
+    ) -> None:
+        """Update the number of ready endpoints in each zone.
+
+        Args:
+            counts: number of ready endpoints by zone.
+            zones_with_started_endpoints: numbers of the zones with endpoints that are new or have restarted.
+            now_us: current time.
+        """
         self._now_us = now_us
         for number in counts.keys() | self.zones.keys():
             zone = self.get(number)
             zone.endpoint_count = counts.get(number, 0)
-            has_starts = number in zones_with_starts
-            if not zone.endpoint_count or has_starts:
+            has_started_endpoints = number in zones_with_started_endpoints
+            if not zone.endpoint_count or has_started_endpoints:
                 zone.clear_evidence()  # the endpoints that failed are gone or have restarted
-            if has_starts and zone.state is ZoneState.EVACUATED and not zone.overridden:
+            if has_started_endpoints and zone.state is ZoneState.EVACUATED and not zone.overridden:
                 zone.recovery_step = 0  # slow start already limits these endpoints, as the list reports their start
                 self.change_state(zone, ZoneState.RESTORING, "the list tells of upstreams that have started")
 
-    def objection(self, number: int) -> str:
+    def evacuation_rejection(self, number: int) -> str:
         """Return the reason why an operator can't evacuate a zone; "" if they can."""
         others = [z for z in self.zones.values() if z.number != number and z.endpoint_count and not z.overridden]
         return "" if others else "it is the last zone in use"
 
     def override(self, number: int, now_us: int, *, evacuate: bool) -> None:
-        """Evacuate or restore a zone by an operator's order; evidence does not undo an ordered evacuation."""
+        """Evacuate or restore a zone on an operator's order; evidence does not undo such an evacuation."""
         zone, self._now_us = self.get(number), now_us
-        if evacuate and not self.objection(number):
+        if evacuate and not self.evacuation_rejection(number):
             zone.overridden = True
             self.change_state(zone, ZoneState.EVACUATED, "an operator's order")
         elif not evacuate and zone.overridden:
--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -249,7 +249,7 @@
 
     def override_zone(self, zone: int, *, evacuate: bool) -> OverrideRejection | None:
         """Evacuate or restore a zone by an operator's order; return a rejection if it is not possible, else None."""
-        objection = self.balancer.zones.objection(zone) if evacuate else ""
+        objection = self.balancer.zones.evacuation_rejection(zone) if evacuate else ""
         if objection:
             return OverrideRejection(objection)
         self._dispatch_event(ZoneOverridden(zone, evacuate))
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -1,4 +1,4 @@
-"""Weighted draws from buckets have the probabilities of a scan of all endpoints, at a cost that does not grow."""
+"""Weighted draws from buckets have the same probabilities as a scan of all endpoints, at a fixed cost."""
 
 from __future__ import annotations
 
@@ -61,9 +61,9 @@
         event_draw = rng.random()
         outstanding = [
             (request_id, n)
-            for request_id, owed in host.request_records.items()
-            if not owed.response_started
-            for n in owed.outstanding_indexes()
+            for request_id, record in host.request_records.items()
+            if not record.response_started
+            for n in record.outstanding_indexes()
         ]
         if event_draw < 0.45:
             host.arrive(rng.randrange(3))
@@ -183,5 +183,5 @@
 
 
 @pytest.mark.parametrize("warming", [False, True])
-def test_request_costs_the_same_when_the_fleet_is_large(warming: bool) -> None:
+def test_request_costs_the_same_when_there_are_many_endpoints(warming: bool) -> None:
     assert lines_per_request(5000, warming) <= 2 * lines_per_request(10, warming)
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
-def test_outlier_draws_no_more_requests_when_it_fails_immediately(outcome: Outcome) -> None:
+def test_outlier_receives_few_requests_when_it_fails_immediately(outcome: Outcome) -> None:
     host = ready_host(5)
     run_traffic(host, 200, 100, outcome)
     assert sum(1 for s in host.forward_actions() if s.endpoint_id == 100) < 20
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("class_index", [READ, PAY])
-def test_outlier_detection_ignores_an_endpoint_when_it_rejects_requests(class_index: int) -> None:
+def test_outlier_detection_closes_no_slot_when_an_endpoint_rejects_requests(class_index: int) -> None:
     host = host_with_grown_slots()
     before = available_slots(host)
     run_traffic(host, 1)  # ends the attempts that are still outstanding
@@ -84,7 +84,7 @@
     assert available_slots(host) >= before
 
 
-def test_outlier_detection_closes_no_slot_when_one_request_is_heavy() -> None:
+def test_outlier_detection_closes_no_slot_when_one_request_is_expensive() -> None:
     host = host_with_grown_slots()
     before = available_slots(host)
     run_traffic(host, 1, response_time_us=170_000)  # longer than half the latency objective
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -23,7 +23,7 @@
     assert [s.endpoint_id in host.known for s in host.forward_actions(request)] == [True]
 
 
-def test_selection_spreads_over_all_endpoints_when_all_are_well() -> None:
+def test_selection_spreads_over_all_endpoints_when_all_are_healthy() -> None:
     host = ready_host(6)
     for _ in range(60):
         host.end(host.arrive(READ), 0, Outcome.OK)
@@ -38,7 +38,7 @@
     assert not host.forward_actions(request)
 
 
-def test_selection_prefers_this_zone_when_crossing_costs() -> None:
+def test_selection_prefers_this_zone_when_crossing_zones_has_a_cost() -> None:
     host = ready_host(8, zone=1, cross_zone_cost=0.03)
     first = [host.arrive(READ) for _ in range(2 * INITIAL_SLOT_LIMIT)]
     assert {host.known[host.forward_actions(r)[0].endpoint_id].zone for r in first} == {1}
@@ -46,13 +46,13 @@
     assert host.known[host.forward_actions(overflow)[0].endpoint_id].zone != 1
 
 
-def test_selection_ignores_zones_when_crossing_is_free() -> None:
+def test_selection_ignores_zones_when_crossing_zones_is_free() -> None:
     host = ready_host(8, zone=1)
     run_traffic(host, 100)
     assert {host.known[s.endpoint_id].zone for s in host.forward_actions()} == {0, 1, 2, 3}
 
 
-def test_selection_crosses_zones_when_this_zone_admits_little() -> None:
+def test_selection_crosses_zones_when_this_zone_admits_few_requests() -> None:
     host = ready_host(8, zone=1, cross_zone_cost=0.2, fleet_size=400)
     run_traffic(host, 30, class_index=PAY)
     assert {host.known[s.endpoint_id].zone for s in host.forward_actions()} == {1}
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_slots_stay_when_requests_find_one_free() -> None:
+def test_slot_limits_do_not_rise_when_requests_find_a_free_slot() -> None:
     host = ready_host(4)
     run_traffic(host, 100)
     assert available_slots(host) == 4 * INITIAL_SLOT_LIMIT
@@ -24,10 +24,10 @@
 def test_slots_open_when_needed_and_close_when_responses_are_slow() -> None:
     host = ready_host(4)
 
-    def run_rounds(count: int, took_us: int) -> None:
+    def run_rounds(count: int, response_time_us: int) -> None:
         for _ in range(count):
             fill_slots(host)
-            run_traffic(host, 1, response_time_us=took_us)
+            run_traffic(host, 1, response_time_us=response_time_us)
 
     run_rounds(60, 20_000)
     run_traffic(host, 1)
@@ -38,7 +38,7 @@
     assert available_slots(host) < grown / 2
 
 
-def test_slots_open_when_responses_take_three_quarters_of_the_slow_time() -> None:
+def test_slots_open_when_responses_take_three_quarters_of_half_the_objective() -> None:
     host = ready_host(1, hedging=False)
     sent = [request for request in fill_slots(host) if host.forward_actions(request)]
     host.advance(112_000)  # half the latency objective is 150 ms
@@ -53,12 +53,12 @@
     assert len(fill_slots(large)) == len(fill_slots(small)) == 4 * INITIAL_SLOT_LIMIT + 1
 
 
-def test_slots_shed_nothing_when_a_sidecar_starts_busy() -> None:
+def test_slots_suffice_for_all_requests_when_a_sidecar_starts_under_load() -> None:
     host = ready_host(10)
     assert all(host.forward_actions(host.arrive(READ)) for _ in range(30))
 
 
-def test_slots_stay_when_there_is_no_need() -> None:
+def test_slot_limits_do_not_rise_when_there_are_more_endpoints_than_needed() -> None:
     host = ready_host(40, fleet_size=24)
     run_traffic(host, 400)
     assert all(state.slot_limit <= INITIAL_SLOT_LIMIT for state in host.balancer.endpoints.values())
@@ -82,11 +82,11 @@
 
 def test_slots_open_faster_when_responses_are_quicker() -> None:
     counts = []
-    for took_us in (10_000, 120_000):
+    for response_time_us in (10_000, 120_000):
         host = ready_host(4)
         for _ in range(6):
             fill_slots(host)
-            run_traffic(host, 1, response_time_us=took_us)
-        run_traffic(host, 1, response_time_us=took_us)
+            run_traffic(host, 1, response_time_us=response_time_us)
+        run_traffic(host, 1, response_time_us=response_time_us)
         counts.append(available_slots(host))
     assert counts[0] > counts[1]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -36,12 +36,12 @@
     assert 0 < warming_sends < 190  # an even share would be 250
 
 
-def test_slow_start_share_grows_when_a_light_sidecar_waits() -> None:
+def test_slow_start_share_grows_when_a_sidecar_has_little_traffic() -> None:
     sent = 0
     for seed in range(60):
         host = PolicyHost(settings(warm_up_initial_fraction=0.1), seed)
         host.update_endpoints([Endpoint(1, started_us=host.now_us), *upstreams(10)])
-        for _ in range(20):  # two a second: at its initial share, the endpoint's next send is a minute away
+        for _ in range(20):  # two requests a second: at its initial share, the endpoint would wait a minute for a send
             host.end(host.arrive(READ), 0, Outcome.OK)
             host.advance(500_000)
         fill_slots(host)
@@ -62,9 +62,9 @@
             host.end(request, 0, Outcome.OK)
         host.advance(20_000)
         due = [
-            (owed.event.request_id, number)
-            for owed in host.request_records.values()
-            for number, attempt in enumerate(owed.attempts)
+            (record.event.request_id, number)
+            for record in host.request_records.values()
+            for number, attempt in enumerate(record.attempts)
             if attempt.outcome is None and host.now_us >= attempt.sent_us + 280_000
         ]
         for request_id, number in due:
@@ -91,17 +91,17 @@
         host.advance(every_us)
         due = [
             (request_id, number)
-            for request_id, owed in host.request_records.items()
-            for number in owed.outstanding_indexes()
-            if host.now_us >= owed.attempts[number].sent_us + 100_000
+            for request_id, record in host.request_records.items()
+            for number in record.outstanding_indexes()
+            if host.now_us >= record.attempts[number].sent_us + 100_000
         ]
         for request_id, number in due:
             host.end(request_id, number, Outcome.OK)
     return len(host.forward_actions())
 
 
-def test_slow_start_opens_with_the_load_when_the_whole_pool_is_warming() -> None:
-    assert sends_to_warming_pool(every_us=50_000) >= 74  # 64 if a tenth of the arrivals count
+def test_slow_start_sends_follow_the_load_when_the_whole_pool_is_warming() -> None:
+    assert sends_to_warming_pool(every_us=50_000) >= 74  # 64 if only a tenth of the arrivals count
 
 
 def test_slow_start_stays_within_the_quota_when_a_warming_pool_is_overloaded() -> None:
@@ -111,21 +111,22 @@
 def test_slow_start_counts_unserved_requests_when_no_slot_is_free() -> None:
     host = PolicyHost(settings(fleet_size=4, hedging=False))
     host.update_endpoints([*upstreams(2), *(Endpoint(n, started_us=START_US - 6_000_000) for n in range(1, 11))])
-    for _ in range(240):  # forty requests a second: the two warm endpoints take six at a time
+    for _ in range(240):  # forty requests a second; the two warm endpoints have six slots
         host.arrive(READ)
         host.advance(25_000)
         due = [
             (request_id, number)
-            for request_id, owed in host.request_records.items()
-            for number in owed.outstanding_indexes()
-            if host.now_us >= owed.attempts[number].sent_us + 140_000
+            for request_id, record in host.request_records.items()
+            for number in record.outstanding_indexes()
+            if host.now_us >= record.attempts[number].sent_us + 140_000
         ]
         for request_id, number in due:
             host.end(request_id, number, Outcome.OK)
-    assert sum(send.endpoint_id < 100 for send in host.forward_actions()) >= 62  # 70; 54 if only responses count
+    # 70 attempts are sent; 54 if only responses count
+    assert sum(send.endpoint_id < 100 for send in host.forward_actions()) >= 62
 
 
-def test_slow_start_opens_slots_by_the_warm_up_when_an_endpoint_is_warming() -> None:
+def test_slow_start_opens_more_slots_when_an_endpoint_has_warmed_up_longer() -> None:
     max_concurrent = {}
     for age_us in (1_000_000, 16_000_000):  # the warm-up takes 20 s
         host = PolicyHost(settings(fleet_size=4, hedging=False))
@@ -134,16 +135,16 @@
         for _ in range(100):
             host.arrive(READ)
             host.advance(30_000)
-            out = [
+            outstanding = [
                 (request_id, number)
-                for request_id, owed in host.request_records.items()
-                for number in owed.outstanding_indexes()
+                for request_id, record in host.request_records.items()
+                for number in record.outstanding_indexes()
             ]
-            for request_id, number in out:
+            for request_id, number in outstanding:
                 if host.now_us >= host.request_records[request_id].attempts[number].sent_us + 140_000:
                     host.end(request_id, number, Outcome.OK)
             concurrent = Counter(
-                host.request_records[request_id].attempts[number].upstream for request_id, number in out
+                host.request_records[request_id].attempts[number].upstream for request_id, number in outstanding
             )
             max_concurrent[age_us] = max(max_concurrent[age_us], *(concurrent[n] for n in range(1, 4)))
     assert max_concurrent[1_000_000] == 1 < max_concurrent[16_000_000]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zone evacuation and restoration, by evidence or by an operator, in unit tests and in fleets in virtual time."""
+"""Evacuation and restoration of zones by evidence or by an operator, in unit tests and in fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -33,61 +33,63 @@
     return zones, changes
 
 
-def fail(zones: Zones, zone: int, count: int, at_us: int, refused: bool = True, endpoint_count: int = 9) -> None:
+def record_failures(
+    zones: Zones, zone: int, count: int, at_us: int, refused: bool = True, endpoint_count: int = 9
+) -> None:
     for number in range(count):
         attempt = FailedAttempt(zone, number % endpoint_count, at_us + number, connection_refused=refused)
         zones.record_failure(attempt, at_us + number + 100)
 
 
-def answer(zones: Zones, zone: int, at_us: int, sent_us: int | None = None) -> None:
+def record_answer(zones: Zones, zone: int, at_us: int, sent_us: int | None = None) -> None:
     zones.record_answer(zone, at_us - 50 if sent_us is None else sent_us, 1.0, at_us)
 
 
 def test_zone_is_evacuated_when_different_endpoints_fail_in_a_row_and_others_answer() -> None:
     zones, changes = make_zones()
-    fail(zones, 0, 4, SECOND)
+    record_failures(zones, 0, 4, SECOND)
     assert changes == []  # no other zone has answered in the meantime: the fault may be at this sidecar
-    answer(zones, 1, SECOND + 200)
-    fail(zones, 0, 1, SECOND + 300)
+    record_answer(zones, 1, SECOND + 200)
+    record_failures(zones, 0, 1, SECOND + 300)
     assert changes == ["0 left"]
     assert zones.excluded() == {0}
     assert zones.get(0).refused_when_evacuated
 
 
-def test_zone_is_kept_when_half_of_it_fails_and_cleared_when_it_answers() -> None:
+def test_zone_is_kept_when_half_of_it_fails_and_its_misses_are_cleared_when_it_answers() -> None:
     zones, changes = make_zones()
     for at_s in range(1, 60):
-        answer(zones, 1, at_s * SECOND)
-        fail(zones, 0, 12, at_s * SECOND, endpoint_count=2)  # repeated failures of two of the four endpoints
+        record_answer(zones, 1, at_s * SECOND)
+        record_failures(zones, 0, 12, at_s * SECOND, endpoint_count=2)  # repeated failures of two of the four endpoints
     assert "0 left" not in changes
-    answer(zones, 0, 61 * SECOND)
-    assert zones.get(0).suspects == set()
+    record_answer(zones, 0, 61 * SECOND)
+    assert zones.get(0).failing_endpoints == set()
     assert zones.get(0).state is ZoneState.ACTIVE
 
 
-def test_zone_is_kept_when_it_is_the_last() -> None:
+def test_zone_is_kept_when_it_is_the_last_in_use() -> None:
     zones, _ = make_zones()
     for number in (0, 1, 2):
         for other in range(3):
             if other != number:
-                answer(zones, other, SECOND * (number + 1))
-        fail(zones, number, 6, SECOND * (number + 1) - 10)
-        answer(zones, 2, SECOND * (number + 1) + 200)
-        fail(zones, number, 6, SECOND * (number + 1) + 10)
+                record_answer(zones, other, SECOND * (number + 1))
+        record_failures(zones, number, 6, SECOND * (number + 1) - 10)
+        record_answer(zones, 2, SECOND * (number + 1) + 200)
+        record_failures(zones, number, 6, SECOND * (number + 1) + 10)
     assert zones.get(2).in_use
     assert zones.excluded() == {0, 1}
 
 
 def zones_with_one_lost() -> tuple[Zones, list[str], Zone]:
     zones, changes = make_zones()
-    fail(zones, 0, 6, SECOND)
-    answer(zones, 1, SECOND + 200)
-    fail(zones, 0, 6, SECOND + 300)
+    record_failures(zones, 0, 6, SECOND)
+    record_answer(zones, 1, SECOND + 200)
+    record_failures(zones, 0, 6, SECOND + 300)
     changes.clear()
     return zones, changes, zones.get(0)
 
 
-def test_zone_is_restored_by_steps_and_its_backoff_doubles_when_it_flaps() -> None:
+def test_zone_is_restored_in_steps_and_its_backoff_doubles_when_it_flaps() -> None:
     zones, changes, zone = zones_with_one_lost()
     at_us, backoffs = SECOND + 300, []
     for _ in range(7):
@@ -96,12 +98,12 @@
         assert zones.take_due_health_check(at_us - 1) is None
         assert zones.take_due_health_check(at_us) is zone
         assert zones.take_due_health_check(at_us) is None
-        answer(zones, 0, at_us + 100, sent_us=at_us)
+        record_answer(zones, 0, at_us + 100, sent_us=at_us)
         assert (zone.state.value, zone.recovery_step) == ("returning", 0)
         share = sum(0 not in zones.excluded() for _ in range(1000)) / 1000
         assert 0.05 < share < 0.16
-        answer(zones, 1, at_us + 200)
-        fail(zones, 0, 3, at_us + 300)
+        record_answer(zones, 1, at_us + 200)
+        record_failures(zones, 0, 3, at_us + 300)
         assert zone.state.value == "left"
     assert backoffs == sorted(backoffs)
     assert backoffs[-1] == 16 * SECOND
@@ -109,7 +111,7 @@
     at_us = zone.next_health_check_us
     zones.take_due_health_check(at_us)
     for step in range(20):
-        answer(zones, 0, at_us + 100 + step * 300_000, sent_us=at_us + step * 300_000)
+        record_answer(zones, 0, at_us + 100 + step * 300_000, sent_us=at_us + step * 300_000)
     assert zone.state.value == "near"
     assert changes.count("0 near") == 1
     assert zones.excluded() == set()
@@ -125,17 +127,17 @@
     assert 200 * checks / 60 / zone.endpoint_count < 2.5  # checks of the whole fleet per endpoint and second
 
 
-def test_zone_follows_the_operator_when_overridden_unless_it_is_the_last() -> None:
+def test_zone_follows_the_operator_when_overridden_unless_it_is_the_last_in_use() -> None:
     zones, changes = make_zones(2)
     zones.override(0, SECOND, evacuate=True)
     assert zones.excluded() == {0}
     assert zones.get(0).report(SECOND)["by"] == "operator"
-    answer(zones, 0, 2 * SECOND)
+    record_answer(zones, 0, 2 * SECOND)
     zones.update_endpoint_counts({0: 4, 1: 4}, {0}, 3 * SECOND)
     assert zones.excluded() == {0}
     assert zones.take_due_health_check(99 * SECOND) is None
-    assert zones.objection(1)
-    assert not zones.objection(0)
+    assert zones.evacuation_rejection(1)
+    assert not zones.evacuation_rejection(0)
     zones.override(1, 4 * SECOND, evacuate=True)
     zones.override(0, 5 * SECOND, evacuate=False)
     assert changes == ["0 left", "0 returning"]
@@ -201,7 +203,7 @@
     assert run_fleet("calm")[1]["crossings"] < 0.03  # 0.32 if near slots open only when no slot is free anywhere
 
 
-def test_hedge_stays_in_its_tier_when_nothing_is_wrong_there() -> None:
+def test_hedge_stays_in_its_tier_when_that_tier_is_healthy() -> None:
     for has_miss in (False, True):
         host = PolicyHost(settings(cross_zone_cost=0.02, cancel_attempts=False))
         host.update_endpoints(upstreams(4))  # two endpoints in this zone, two in the next
@@ -222,14 +224,14 @@
     host = PolicyHost(settings(cross_zone_cost=0.02, max_attempts=3))
     host.update_endpoints(upstreams(6))
     host.advance(SILENCE_US)
-    request_id, ended = host.arrive(0), 0
-    while len(host.forward_actions(request_id)) > ended:  # every attempt in this zone fails to connect
+    request_id, ended_count = host.arrive(0), 0
+    while len(host.forward_actions(request_id)) > ended_count:  # every attempt in this zone fails to connect
         if zone_answers:
             host.balancer.zones.record_answer(0, host.now_us, 1.0, host.now_us)
-        is_near = host.forward_actions(request_id)[ended].endpoint_id < 102
-        host.end(request_id, ended, Outcome.CONNECT_FAILED if is_near else Outcome.OK)
-        ended += 1
-    assert ended == (3 if zone_answers else 2)
+        is_near = host.forward_actions(request_id)[ended_count].endpoint_id < 102
+        host.end(request_id, ended_count, Outcome.CONNECT_FAILED if is_near else Outcome.OK)
+        ended_count += 1
+    assert ended_count == (3 if zone_answers else 2)
     assert (host.forward_actions(request_id)[-1].endpoint_id < 102) == zone_answers
 
 
