--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -249,7 +249,7 @@
 
     def override_zone(self, zone: int, *, evacuate: bool) -> OverrideRejection | None:
         """Evacuate or restore a zone at an operator's request; return a rejection if the zone can't be evacuated."""
-        rejection_reason = self.balancer.zones.objection(zone) if evacuate else ""
+        rejection_reason = self.balancer.zones.evacuation_rejection(zone) if evacuate else ""
         if rejection_reason:
             return OverrideRejection(rejection_reason)
         self._dispatch_event(ZoneOverridden(zone, evacuate))
