--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -168,9 +168,9 @@
     try:
         with cli.progress("soak") as progress:
             if replay is not None:
-                found = campaigns.summary([soak_run.play(soak_plan.load(replay), folder, tree.resolve())])
+                found = campaigns.summarize([soak_run.run_plan(soak_plan.load(replay), folder, tree.resolve())])
             else:
-                found = campaigns.campaign(_range(seeds), sidecars, jobs, folder, tree.resolve(), progress)
+                found = campaigns.run_campaign(_range(seeds), sidecars, jobs, folder, tree.resolve(), progress)
     except (LabError, CompilerError, OSError, msgspec.MsgspecError) as error:
         cli.fail(str(error))
     (folder / "summary.json").write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n")
--- a/garnetusher/lab/soak/excuses.py
+++ b/garnetusher/lab/soak/allowances.py
@@ -1,4 +1,7 @@
-"""What excuses a sidecar in the oracle: pauses and ends of its process, and lags of the process that records."""
+"""Time allowances and exemptions that the oracle grants a sidecar.
+
+The reasons for them are pauses and ends of the sidecar's process, and lags of the process that makes the records.
+"""
 
 from __future__ import annotations
 
@@ -7,33 +10,35 @@
 
 from garnetusher.lab.soak.records import Attempt, End, ProcessEvent, ProcessEventKind, Records, Request
 
-ALLOWED_STALL_S = 0.15  # between a sidecar's look at the clock and its write
-PAUSE_AFTERMATH_S = 0.05  # a pause still explains what is seen so long after it
-RECORDING_DELAY_S = 0.06  # all records are made in one process: so much of a delay is its own, without any lag seen
-NEW_CONNECTIONS_AFTER_TERMINATE_S = 0.45  # a terminating sidecar accepts for up to 0.4 s; later the address is closed
-RESPONSES_AFTER_TERMINATE_S = 0.7  # SIGKILL may cut off what is sent later than this after SIGTERM
-RESTART_S = 5.0  # a new process has taken over so long after SIGTERM
-KILL_BEFORE_REQUEST_S = 0.3  # a request may be written to a connection of a process that was killed so long before
-KILL_AFTER_RESPONSE_S = 0.1
-END_BEFORE_CONNECTION_S = 5.0  # a malformed connection is not judged if its process ended so long before it
-END_AFTER_CONNECTION_S = 4.0  # or so long after it was made
+ALLOWED_STALL_S = 0.15  # a sidecar may stall this long between reading the clock and writing
+PAUSE_AFTERMATH_S = 0.05  # a pause still explains a delay that is recorded this long after the pause
+RECORDING_DELAY_S = 0.06  # one process makes all records and may make them this late without a measured lag
+NEW_CONNECTIONS_AFTER_TERMINATE_S = 0.45  # a terminating sidecar accepts for up to 0.4 s and then closes its listener
+RESPONSES_AFTER_TERMINATE_S = 0.7  # SIGKILL may cut off the response to a request sent later than this after SIGTERM
+RESTART_S = 5.0  # this long after SIGTERM, a new process has replaced the old one
+KILL_BEFORE_REQUEST_S = 0.3  # a request may be written to a connection whose process was killed this long before
+KILL_AFTER_RESPONSE_S = 0.1  # a kill recorded up to this long after the end of a request may have caused that end
+# A malformed connection is exempt if a SIGTERM or SIGKILL hit its process in the interval from END_BEFORE_CONNECTION_S
+# before to END_AFTER_CONNECTION_S after the client connected.
+END_BEFORE_CONNECTION_S = 5.0
+END_AFTER_CONNECTION_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """A time in which a sidecar's process was stopped."""
+    """An interval in which a sidecar's process was stopped."""
 
     start_s: float
     end_s: float
 
     @property
     def duration_s(self) -> float:
-        """How long the process was stopped."""
+        """The length of the pause in seconds."""
         return self.end_s - self.start_s
 
 
-class Excuses:
-    """The pauses, ends and lags of one run."""
+class Allowances:
+    """The pauses, process ends and recording lags of one run."""
 
     def __init__(self, records: Records) -> None:
         self._lags = records.lags
@@ -43,7 +48,10 @@
         self._pauses = {sidecar: _pauses(events) for sidecar, events in self._events.items()}
 
     def recording_slack_s(self, recorded_s: float) -> float:
-        """Return how late a record of this time may have been made: lags that ended just then count."""
+        """Return how late a record with this time may have been made.
+
+        A lag counts if it covers the time or ended shortly before it.
+        """
         durations = [
             lag.duration_s
             for lag in self._lags
@@ -52,9 +60,10 @@
         return RECORDING_DELAY_S + max(durations, default=0.0)
 
     def stall_slack_s(self, request: Request, attempt: Attempt) -> float:
-        """Return by how much a pause exceeded the allowed stall between a look at the clock and the write.
+        """Return by how much a pause exceeded the allowed stall between reading the clock and writing.
 
-        Only a pause can explain the attempt that began after the request was sent and ended as the attempt was written.
+        A pause can delay an attempt only if it began after the client sent the request and ended just before the
+        upstream received the attempt.
         """
         durations = [
             pause.duration_s
@@ -65,7 +74,7 @@
         return max(0.0, max(durations, default=0.0) - ALLOWED_STALL_S)
 
     def pause_s(self, sidecar: int, at_s: float) -> float:
-        """Return how long the pause lasted that a time lies in or just after; 0 without one."""
+        """Return the duration of the pause during which, or just after which, a time lies; 0 without such a pause."""
         durations = [
             pause.duration_s
             for pause in self._pauses.get(sidecar, [])
@@ -73,8 +82,8 @@
         ]
         return max(durations, default=0.0)
 
-    def excuses_missing_response(self, request: Request) -> bool:
-        """Return whether the end of the sidecar's process explains that a request had no response."""
+    def allows_missing_response(self, request: Request) -> bool:
+        """Return whether the end of the sidecar's process explains why a request had no response."""
         return any(_explains_missing_response(event, request) for event in self._events[request.sidecar])
 
     def ended_near_connection(self, sidecar: int, connected_s: float) -> bool:
@@ -86,7 +95,7 @@
         )
 
     def last_start_s(self, sidecar: int, before_s: float) -> float | None:
-        """Return when the process was last started up to a time, or None if it was not."""
+        """Return the time of the last process start up to a time, or None without a start."""
         starts_s = [
             event.at_s
             for event in self._events[sidecar]
--- a/garnetusher/lab/soak/campaign.py
+++ b/garnetusher/lab/soak/campaign.py
@@ -1,4 +1,4 @@
-"""Runs many plans of the soak at once, and summarises their results."""
+"""Runs many soak plans in parallel, and summarizes their results."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from msgspec import Struct, field
 
 from garnetusher.lab.soak.plan import ALL_FAULTS, Plan, draw, save
-from garnetusher.lab.soak.reduce import reduced
-from garnetusher.lab.soak.run import RunResult, play
+from garnetusher.lab.soak.reduce import reduce_plan
+from garnetusher.lab.soak.run import RunResult, run_plan
 
-MAX_REDUCING_RUNS = 24
+MAX_REDUCTION_RUNS = 24
 REPORTED_RAREST_PAIRS = 5
 PAIRS = tuple(itertools.combinations(sorted(ALL_FAULTS), 2))
 
 
 class Summary(Struct):
-    """All runs of a campaign; summary.json has it."""
+    """The summary of all runs of a campaign, as it is written to summary.json."""
 
     seeds: list[int]
     minutes: float
@@ -30,21 +30,21 @@
     attempts: int
     ends: dict[str, int]
     faults: dict[str, int] = field(name="troubles")
-    fewest_pairs: int  # how often the rarest pair of kinds overlapped
+    fewest_pairs: int  # the number of runs in which the rarest pair of kinds overlapped
     rarest_pairs: list[str]
     failed: list[dict[str, Any]]
     worst_lag_s: float
 
     @property
     def held(self) -> bool:
-        """Whether no run broke a rule."""
+        """Whether all runs kept all rules."""
         return not self.failed
 
 
-def campaign(
+def run_campaign(
     seeds: Iterable[int], sidecars: int, jobs: int, folder: Path, tree: Path, progress: Callable[[str, float], None]
 ) -> Summary:
-    """Run the plans of all seeds, `jobs` at once."""
+    """Run the plans of all seeds, `jobs` of them in parallel, and return the summary."""
     all_seeds = list(seeds)
     results: list[RunResult] = []
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
@@ -52,13 +52,13 @@
         for future in as_completed(futures):
             results.append(future.result())
             failures = sum(bool(result.breaches) for result in results)
-            text = f"{len(results)} of {len(all_seeds)} played, {failures} broke a rule"
+            text = f"{len(results)} of {len(all_seeds)} runs completed, {failures} broke a rule"
             progress(text, len(results) / len(all_seeds))
-    return summary(results)
+    return summarize(results)
 
 
-def summary(results: list[RunResult]) -> Summary:
-    """Summarise the results of all runs."""
+def summarize(results: list[RunResult]) -> Summary:
+    """Return the summary of the results of all runs."""
     results = sorted(results, key=lambda result: result.seed)
     ends = Counter[str]()
     faults = Counter[str]()
@@ -79,31 +79,31 @@
         rarest_pairs=[
             f"{first} and {second}: {pairs[first, second]}" for first, second in rarest[:REPORTED_RAREST_PAIRS]
         ],
-        failed=[_failure(result) for result in results if result.breaches],
+        failed=[_failure_entry(result) for result in results if result.breaches],
         worst_lag_s=max((result.worst_lag_s for result in results), default=0.0),
     )
 
 
 def reduce_and_save(plan: Plan, rules: set[str], folder: Path, tree: Path) -> Path:
-    """Save the smallest plan that was found to break one of these rules; return its file."""
+    """Save the smallest plan found that breaks one of the rules, and return its path."""
     run_numbers = itertools.count()
 
-    def broken_rules(smaller: Plan) -> set[str]:
+    def find_broken_rules(candidate: Plan) -> set[str]:
         run_folder = folder / f"reduce-{plan.seed}-{next(run_numbers)}"
-        return {breach.rule for breach in play(smaller, run_folder, tree).breaches}
+        return {breach.rule for breach in run_plan(candidate, run_folder, tree).breaches}
 
     path = folder / f"failing-{plan.seed}.json"
-    save(reduced(plan, rules, broken_rules, MAX_REDUCING_RUNS), path)
+    save(reduce_plan(plan, rules, find_broken_rules, MAX_REDUCTION_RUNS), path)
     return path
 
 
 def _run_seed(seed: int, sidecars: int, folder: str, tree: str) -> RunResult:
-    """Run the plan of a seed; called in a process of its own."""
-    return play(draw(seed, sidecars), Path(folder) / f"seed-{seed}", Path(tree))
+    """Run the plan of a seed in a worker process."""
+    return run_plan(draw(seed, sidecars), Path(folder) / f"seed-{seed}", Path(tree))
 
 
-def _failure(result: RunResult) -> dict[str, Any]:
-    """Return a failed run as summary.json has it."""
+def _failure_entry(result: RunResult) -> dict[str, Any]:
+    """Return the entry of a failed run in summary.json."""
     return {
         "seed": result.seed,
         "folder": result.folder,
--- a/garnetusher/lab/soak/client.py
+++ b/garnetusher/lab/soak/client.py
@@ -174,7 +174,7 @@
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> bool:
         """Write a request; return whether it was written completely."""
-        if self._draw_fault(FaultKind.HALF_REQUESTS, HALF_REQUEST_SHARE):
+        if self._draw_fault(FaultKind.TRUNCATED_REQUESTS, HALF_REQUEST_SHARE):
             writer.write(data[: self._random.randrange(1, len(data))])
             await asyncio.sleep(self._random.random())
             writer.transport.abort()
--- a/garnetusher/lab/soak/faults.py
+++ b/garnetusher/lab/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan, each at its time, on the processes and simulated nodes of a run."""
+"""Injects the faults of a plan into the processes and simulated nodes of a run, each at its time."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from garnetusher.lab.soak.upstream import SimulatedUpstream
 from garnetusher.lab.syscall_faults import SHORT_TRANSFER, Call, FaultBoard
 
-DRAIN_S = 1.5  # from the announced drain of an upstream until it is removed, beside the fault's own duration
-REPLACEMENT_S = 1.0  # from the removal until it is listed again, restarted
+DRAIN_S = 1.5  # an upstream is removed this long, plus the duration of the fault, after its drain is announced
+REPLACEMENT_S = 1.0  # a removed upstream is restarted and listed again after this time
 RELOADS_IN_BURST = 3
-BURST_GAP_S = 0.05  # between the reloads of a burst
-TRUNCATED_FILE_S = 0.12  # a configuration stays truncated so long
+BURST_GAP_S = 0.05  # the pause after each reload of a burst
+TRUNCATED_FILE_S = 0.12  # a configuration file stays truncated for this time
 LONGEST_SYSCALL_FAULT_S = 0.3
 LARGEST_INTERRUPT_SHARE = 0.3
 PER_MILLE = 1000
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Nodes:
-    """All nodes of a run; sidecars, agents and clients by the sidecar's number."""
+    """All nodes of a run; agents, sidecars and clients are indexed by the number of the sidecar."""
 
     upstreams: list[SimulatedUpstream] = field(default_factory=list)
     agents: list[DiscoveryAgent] = field(default_factory=list)
@@ -43,25 +43,25 @@
     clients: list[ClientGroup] = field(default_factory=list)
 
     def write_configuration(self, number: int, *, truncated: bool = False) -> None:
-        """Write a sidecar's configuration with the present address and list of its agent."""
+        """Write a sidecar's configuration with the current address and endpoint list of its discovery agent."""
         agent = self.agents[number]
         self.sidecars[number].write_configuration(agent.port, agent.snapshot(), truncated=truncated)
 
 
 class FaultInjector:
-    """Carries out faults on the nodes of one run."""
+    """Injects faults into the nodes of one run."""
 
     def __init__(self, plan: Plan, nodes: Nodes) -> None:
         self._nodes = nodes
         self._longest_deadline_s = max(request_class.deadline_ms for request_class in plan.classes) / 1000
 
     async def apply_at(self, fault: Fault, at_s: float) -> None:
-        """Wait for a time, and carry out a fault."""
+        """Wait until a time, inject a fault, and return when it is over."""
         await asyncio.sleep(max(0.0, at_s - now_s()))
         await self.apply(fault)
 
     async def apply(self, fault: Fault) -> None:
-        """Carry out a fault on all its targets; return when it is over."""
+        """Inject a fault into all its targets, and return when it is over."""
         nodes = self._nodes
         if fault.kind in UPSTREAM_FAULTS:
             await asyncio.gather(*(self._apply_to_upstream(fault, nodes.upstreams[n]) for n in fault.targets))
@@ -77,7 +77,7 @@
             await self._replace(fault, upstream)
         elif fault.kind == FaultKind.RESET:
             upstream.reset_connections(fault.value)
-        elif fault.kind == FaultKind.LATE:
+        elif fault.kind == FaultKind.SUSPENDED_ACCEPT:
             for listener in upstream.listeners.values():
                 listener.suspend()
             await asyncio.sleep(fault.duration_s)
@@ -89,7 +89,7 @@
             upstream.active_faults.pop(fault.kind, None)
 
     async def _replace(self, fault: Fault, upstream: SimulatedUpstream) -> None:
-        """Drain an upstream, or lose it, and list it again under its name after a restart."""
+        """Drain and remove an upstream, or remove it at once; then restart it and list it again under its name."""
         if upstream.being_replaced:
             return
         upstream.being_replaced = True
@@ -109,18 +109,18 @@
 
     async def _apply_to_sidecar(self, fault: Fault, number: int) -> None:
         sidecar = self._nodes.sidecars[number]
-        if fault.kind == FaultKind.HOLD_UP:
+        if fault.kind == FaultKind.PAUSE:
             await sidecar.pause(fault.duration_s)
         elif fault.kind in (FaultKind.RESTART, FaultKind.KILL):
             signal_number = signal.SIGTERM if fault.kind == FaultKind.RESTART else signal.SIGKILL
             self._nodes.write_configuration(number)
             await sidecar.restart(signal_number, self._longest_deadline_s)
-        elif fault.kind in (FaultKind.RELOAD, FaultKind.RELOAD_BURST, FaultKind.HALF_FILE):
+        elif fault.kind in (FaultKind.RELOAD, FaultKind.RELOAD_BURST, FaultKind.TRUNCATED_FILE):
             await self._reload(fault, number)
         elif sidecar.board is not None and fault.kind == FaultKind.WALL_CLOCK:
             sidecar.board.step_wall_clock(fault.value)
         elif sidecar.board is not None:
-            _fail_syscall(fault, sidecar.board)
+            _inject_syscall_fault(fault, sidecar.board)
 
     async def _reload(self, fault: Fault, number: int) -> None:
         sidecar = self._nodes.sidecars[number]
@@ -128,13 +128,13 @@
             if sidecar.restarting:
                 return
             await self._nodes.agents[number].change_address()
-            if fault.kind == FaultKind.HALF_FILE:
+            if fault.kind == FaultKind.TRUNCATED_FILE:
                 self._nodes.write_configuration(number, truncated=True)
                 sidecar.send_signal(signal.SIGHUP)
                 sidecar.record(ProcessEventKind.RELOAD, "half a file")
                 await asyncio.sleep(TRUNCATED_FILE_S)
             self._nodes.write_configuration(number)
-            if fault.kind != FaultKind.HALF_FILE:
+            if fault.kind != FaultKind.TRUNCATED_FILE:
                 sidecar.send_signal(signal.SIGHUP)
                 sidecar.record(ProcessEventKind.RELOAD)
             await asyncio.sleep(BURST_GAP_S)
@@ -159,12 +159,12 @@
         client.active_faults.discard(fault.kind)
 
 
-def _fail_syscall(fault: Fault, board: FaultBoard) -> None:
+def _inject_syscall_fault(fault: Fault, board: FaultBoard) -> None:
     error = fault.error or SHORT_TRANSFER
     once = fault.value == 0.0
     share = fault.value
     if error == errno.EINTR:
-        # The interpreter retries an interrupted call, so it would never return if every call were interrupted.
+        # The interpreter retries an interrupted call, which would never return if every call were interrupted.
         share = min(share, LARGEST_INTERRUPT_SHARE)
     board.inject(
         Call(fault.call),
--- a/garnetusher/lab/soak/oracle.py
+++ b/garnetusher/lab/soak/oracle.py
@@ -1,4 +1,7 @@
-"""Judges a run of the soak: checks the rules of the protocol on what clients, upstreams and discovery recorded."""
+"""Checks the rules of the protocol on the records of one soak run.
+
+The simulated clients, upstreams and discovery agents make these records while the run lasts.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from garnetusher.lab.soak.excuses import RECORDING_DELAY_S, Excuses
+from garnetusher.lab.soak.allowances import RECORDING_DELAY_S, Allowances
 from garnetusher.lab.soak.plan import Plan, RequestClass, cell_of, zone_of
 from garnetusher.lab.soak.records import (
     Attempt,
@@ -21,21 +24,26 @@
     Request,
 )
 
-LATE_RESPONSE_S = 0.5  # a response up to so long after its deadline is late, but not lost
-ATTEMPT_AFTER_DISCONNECT_S = 0.1  # an attempt may begin so long after its client closed
-ANNOUNCED_TIME_SLACK_S = 0.15  # of the remaining time announced to an upstream
-DEDUPLICATION_SLACK_S = 0.2  # a stall of 0.15 s between the look at the clock and the write, and 50 ms in sockets
-DRAIN_GRACE_S = 1.05  # after the sidecar knows of the drain; the 50 ms are for sockets
-FIRST_POLL_S = 6.0  # a started process that polls the list knows it so long after its start at the latest
-MALFORMED_CONNECTION_S = 3.0  # a connection without a proper request is closed within this time
-TOLERATED_MALFORMED_DIVISOR = 10  # one in ten may miss it: the rule is priced by its share
+LATE_RESPONSE_S = 0.5  # a response is late, but not lost, up to this long after its deadline
+ATTEMPT_AFTER_DISCONNECT_S = 0.1  # an attempt may begin up to this long after its client closed the connection
+ANNOUNCED_TIME_SLACK_S = 0.15  # the announced remaining time may exceed the actual remaining time by this much
+# The sidecar may stall for 0.15 s between reading the clock and writing, and data may spend 50 ms in sockets.
+DEDUPLICATION_SLACK_S = 0.2
+DRAIN_GRACE_S = 1.05  # attempts may begin up to this long after the sidecar knows of the drain, 50 ms for sockets
+FIRST_POLL_S = 6.0  # a new process that polls the endpoint list has received it at most this long after its start
+MALFORMED_CONNECTION_S = 3.0  # the sidecar closes a connection without a valid request within this time
+# One malformed connection in ten may stay open for longer, because the rule is scored by the share that does.
+TOLERATED_MALFORMED_DIVISOR = 10
 READY_S = 10.0
 EXPECTED_EXIT_CODES = ("0", "-9", "-15")
-LOG_LINE_LENGTH = 300  # of a log's line that is reported
+LOG_LINE_LENGTH = 300  # a breach quotes at most this many characters of a log line
 
 
 class Rule(enum.StrEnum):
-    """The rules; their values stand in saved plans and in summary.json."""
+    """The rules that the oracle checks.
+
+    The values are stored in saved plans, breaches.json and summary.json.
+    """
 
     LOST = "lost"
     DUPLICATE = "duplicate"
@@ -51,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One broken rule, and what shows it."""
+    """One broken rule, with the time and the evidence."""
 
     rule: Rule
     at_s: float
@@ -59,7 +67,7 @@
 
 
 class Oracle:
-    """Judges the records of one run."""
+    """Checks all rules on the records of one run."""
 
     def __init__(self, plan: Plan, records: Records, logs: list[Path]) -> None:
         self._plan = plan
@@ -70,10 +78,10 @@
         self._attempts: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in records.attempts:
             self._attempts[attempt.request_id].append(attempt)
-        self._excuses = Excuses(records)
+        self._allowances = Allowances(records)
 
-    def judge(self) -> list[Breach]:
-        """Check all rules; return the breaches in the order in which they were found."""
+    def check(self) -> list[Breach]:
+        """Return the breaches of all rules in the order in which the checks find them."""
         for request in self._records.requests.values():
             self._check_response(request)
             self._check_execution(request, self._classes[request.class_name])
@@ -89,16 +97,16 @@
         self._breaches.append(Breach(rule, round(at_s, 3), text))
 
     def _check_response(self, request: Request) -> None:
-        """Check for one final response by the deadline.
+        """Check that a request has one final response by its deadline.
 
-        A reused connection that closes just as a request is sent leaves the retry to the client, unless an attempt was
-        made for it.
+        The sidecar may close a reused connection while the client sends a request on it. The client then retries the
+        request, so this is a breach only if the sidecar made an attempt for it.
         """
-        if request.disconnected_s or self._excuses.excuses_missing_response(request):
+        if request.disconnected_s or self._allowances.allows_missing_response(request):
             return
         late_s = request.ended_s - request.sent_s - request.deadline_s
         description = f"{request.request_id} {request.class_name}"
-        if request.end is End.SILENT or late_s > LATE_RESPONSE_S + self._excuses.recording_slack_s(request.ended_s):
+        if request.end is End.SILENT or late_s > LATE_RESPONSE_S + self._allowances.recording_slack_s(request.ended_s):
             text = f"{description}: {request.end} after its time and {late_s:.3f} s"
             self._report(Rule.LOST, request.sent_s, text)
             return
@@ -111,7 +119,10 @@
             self._report(Rule.LOST, request.sent_s, text)
 
     def _check_execution(self, request: Request, request_class: RequestClass) -> None:
-        """Check that a request which may have run is repeated only as its class allows, and is never shed."""
+        """Check that a request that may have run is retried only as its class allows.
+
+        Such a request may be shed only if its class may be repeated at any upstream.
+        """
         attempts = self._attempts[request.request_id]
         executed = [attempt for attempt in attempts if attempt.body_complete_s and not attempt.rejected]
         executed.sort(key=lambda attempt: attempt.first_byte_s)
@@ -121,51 +132,54 @@
         if request_class.effect == "deduplicated":
             for repeated in executed[1:]:
                 self._check_deduplication(request_class, executed[0], repeated)
-        if executed and not _repeatable_anywhere(request_class) and request.end is End.REFUSED:
+        if executed and not _is_repeatable_anywhere(request_class) and request.end is End.REFUSED:
             self._report(Rule.DUPLICATE, request.ended_s, f"{request.request_id}: refused though it had run")
         if len(attempts) > self._plan.max_attempts:
             self._report(Rule.ATTEMPTS, request.sent_s, f"{request.request_id}: {len(attempts)} attempts")
 
     def _check_deduplication(self, request_class: RequestClass, first: Attempt, repeated: Attempt) -> None:
-        """Check that a repeated request reached the upstreams that still recognise it."""
+        """Check that a repeated attempt reaches an upstream that still recognizes the request as a duplicate.
+
+        Upstreams do so within the deduplication window and within the group of the request class.
+        """
         after_s = repeated.first_byte_s - first.first_byte_s
         window_ms = self._plan.deduplication_window_ms
         if after_s > window_ms / 1000 + DEDUPLICATION_SLACK_S:
             text = f"{first.request_id}: repeated after {after_s:.3f} s, the memory is {window_ms} ms"
             self._report(Rule.DUPLICATE, repeated.first_byte_s, text)
-        if not _same_deduplication_scope(request_class, first, repeated):
+        if not _in_same_deduplication_scope(request_class, first, repeated):
             text = f"{first.request_id}: repeated outside its {request_class.group}"
             self._report(Rule.DUPLICATE, repeated.first_byte_s, text)
 
     def _check_disconnect(self, request: Request) -> None:
-        """Check that no attempt begins for a client that has closed."""
+        """Check that no attempt begins after the client closed its connection."""
         if not request.disconnected_s:
             return
-        for attempt in self._dated_attempts(request):
+        for attempt in self._timed_attempts(request):
             after_s = attempt.first_byte_s - request.disconnected_s
             if after_s > ATTEMPT_AFTER_DISCONNECT_S + self._attempt_slack_s(request, attempt):
                 text = f"{request.request_id}: an attempt began {after_s:.3f} s after its client closed"
                 self._report(Rule.DISCONNECTED, attempt.first_byte_s, text)
 
     def _check_announced_time(self, request: Request) -> None:
-        """Check that the remaining time announced to an upstream is no more than the client has."""
-        for attempt in self._dated_attempts(request):
+        """Check that the remaining time announced to an upstream does not exceed the time until the deadline."""
+        for attempt in self._timed_attempts(request):
             remaining_s = request.sent_s + request.deadline_s - attempt.first_byte_s
             slack_s = ANNOUNCED_TIME_SLACK_S + self._attempt_slack_s(request, attempt)
             if attempt.announced_remaining_s > remaining_s + slack_s:
                 text = f"{request.request_id}: told {attempt.announced_remaining_s:.3f} s with {remaining_s:.3f} s left"
                 self._report(Rule.ANNOUNCED_TIME, attempt.first_byte_s, text)
 
-    def _dated_attempts(self, request: Request) -> list[Attempt]:
-        """Return the attempts of which it is known when they were written."""
+    def _timed_attempts(self, request: Request) -> list[Attempt]:
+        """Return the attempts whose first byte has a known time."""
         return [attempt for attempt in self._attempts[request.request_id] if not attempt.queued]
 
     def _attempt_slack_s(self, request: Request, attempt: Attempt) -> float:
-        recording_slack_s = self._excuses.recording_slack_s(attempt.first_byte_s)
-        return recording_slack_s + self._excuses.stall_slack_s(request, attempt)
+        recording_slack_s = self._allowances.recording_slack_s(attempt.first_byte_s)
+        return recording_slack_s + self._allowances.stall_slack_s(request, attempt)
 
     def _check_drains(self) -> None:
-        """Check that no attempt goes to an upstream that drains or is removed."""
+        """Check that no attempt goes to an upstream that is draining or removed."""
         changes: dict[tuple[int, int], list[EndpointChange]] = defaultdict(list)
         for change in self._records.endpoint_changes:
             changes[change.sidecar, change.upstream].append(change)
@@ -174,42 +188,42 @@
                 self._check_drain(attempt, changes[attempt.sidecar, attempt.upstream])
 
     def _check_drain(self, attempt: Attempt, changes: list[EndpointChange]) -> None:
-        known = [change for change in changes if change.known_by_s <= attempt.first_byte_s]
-        first = _first_since_active(known)
+        known_changes = [change for change in changes if change.known_by_s <= attempt.first_byte_s]
+        first = _first_since_active(known_changes)
         if first is None:
             return
         known_by_s = max(first.known_by_s, self._first_poll_s(attempt))
         after_s = attempt.first_byte_s - known_by_s
-        if after_s > DRAIN_GRACE_S + self._excuses.recording_slack_s(attempt.first_byte_s):
+        if after_s > DRAIN_GRACE_S + self._allowances.recording_slack_s(attempt.first_byte_s):
             text = f"{attempt.request_id}: sent to u{attempt.upstream} {after_s:.3f} s after {first.status} was told"
             self._report(Rule.DRAIN, attempt.first_byte_s, text)
 
     def _first_poll_s(self, attempt: Attempt) -> float:
-        """Return by when a started process has polled the list; 0 where the list is pushed."""
-        started_s = self._excuses.last_start_s(attempt.sidecar, attempt.first_byte_s)
+        """Return the latest time at which a new process has polled the endpoint list, or 0 if the list is pushed."""
+        started_s = self._allowances.last_start_s(attempt.sidecar, attempt.first_byte_s)
         if started_s is None or self._plan.mode != "on_request":
             return 0.0
         return started_s + FIRST_POLL_S
 
     def _check_malformed_connections(self) -> None:
-        """Check that connections without a proper request are closed in time, but for a tolerated share."""
+        """Check that the sidecar closes connections without a valid request in time, except for a tolerated share."""
         connections = self._records.malformed_connections
-        missed = [connection for connection in connections if self._outlived_limit(connection)]
-        if len(missed) > max(1, len(connections) // TOLERATED_MALFORMED_DIVISOR):
-            text = f"{len(missed)} of {len(connections)} got no end in 3 s"
-            self._report(Rule.MALFORMED, missed[0].connected_s, text)
+        overdue = [connection for connection in connections if self._exceeded_limit(connection)]
+        if len(overdue) > max(1, len(connections) // TOLERATED_MALFORMED_DIVISOR):
+            text = f"{len(overdue)} of {len(connections)} got no end in 3 s"
+            self._report(Rule.MALFORMED, overdue[0].connected_s, text)
 
-    def _outlived_limit(self, connection: MalformedConnection) -> bool:
-        if self._excuses.ended_near_connection(connection.sidecar, connection.connected_s):
+    def _exceeded_limit(self, connection: MalformedConnection) -> bool:
+        if self._allowances.ended_near_connection(connection.sidecar, connection.connected_s):
             return False
         if not connection.closed_s:
             return True
-        pause_s = self._excuses.pause_s(connection.sidecar, connection.closed_s)
+        pause_s = self._allowances.pause_s(connection.sidecar, connection.closed_s)
         limit_s = MALFORMED_CONNECTION_S + RECORDING_DELAY_S + pause_s
         return connection.closed_s - connection.connected_s > limit_s
 
     def _check_processes(self) -> None:
-        """Check that no process crashes and that each is ready in time."""
+        """Check that no process crashes and that each process becomes ready in time."""
         started_s: dict[int, float] = {}
         for event in self._records.process_events:
             if event.kind == ProcessEventKind.START:
@@ -227,28 +241,31 @@
             self._report(Rule.READY, event.at_s, f"s{event.sidecar} was ready after {after_s:.1f} s")
 
     def _check_logs(self) -> None:
-        """Check that no log has a traceback or a violated rule; the first such line of a log is reported."""
+        """Check that no log contains a traceback, a critical message or a violated rule.
+
+        At most one line of each log is reported.
+        """
         for log in self._logs:
             lines = log.read_text(errors="replace").splitlines() if log.exists() else []
-            line = next((line for line in lines if _is_failure(line)), None)
+            line = next((line for line in lines if _shows_failure(line)), None)
             if line is not None:
                 self._report(Rule.LOG, 0.0, f"{log.parent.name}: {line[:LOG_LINE_LENGTH]}")
 
 
-def _repeatable_anywhere(request_class: RequestClass) -> bool:
+def _is_repeatable_anywhere(request_class: RequestClass) -> bool:
     if request_class.effect == "deduplicated":
         return request_class.group == "all"
     return request_class.effect == "idempotent"
 
 
-def _same_deduplication_scope(request_class: RequestClass, first: Attempt, repeated: Attempt) -> bool:
+def _in_same_deduplication_scope(request_class: RequestClass, first: Attempt, repeated: Attempt) -> bool:
     if request_class.group == "cell":
         return cell_of(first.upstream) == cell_of(repeated.upstream)
     return request_class.group == "all" or zone_of(first.upstream) == zone_of(repeated.upstream)
 
 
 def _first_since_active(changes: list[EndpointChange]) -> EndpointChange | None:
-    """Return the change that ended an endpoint's last active status, or None while it is active."""
+    """Return the change that ended the endpoint's last active status, or None if the endpoint is active."""
     first: EndpointChange | None = None
     for change in reversed(changes):
         if change.status == EndpointStatus.ACTIVE:
@@ -257,5 +274,5 @@
     return first
 
 
-def _is_failure(line: str) -> bool:
+def _shows_failure(line: str) -> bool:
     return "Traceback" in line or "rule violated" in line or line.startswith("CRITICAL")
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -1,4 +1,7 @@
-"""What a run of the soak does, drawn from its seed: the processes, the load, and the faults with their times."""
+"""Plans of soak runs: the processes, the load, and the faults with their times.
+
+A plan is drawn from a seed, or read from a file in which it was saved.
+"""
 
 from __future__ import annotations
 
@@ -13,28 +16,28 @@
 
 from garnetusher.lab.syscall_faults import DOCUMENTED, Call
 
-LOAD_S = 12.0  # faults begin after QUIET_START_S, and none begins in the last QUIET_END_S
-QUIET_START_S = 1.0
-QUIET_END_S = 2.5
-BEFORE_START_S = -1.0  # the time of a fault that is there as the processes start
+LOAD_S = 12.0
+QUIET_START_S = 1.0  # no fault begins in the first QUIET_START_S of the load
+QUIET_END_S = 2.5  # no group of faults begins in the last QUIET_END_S of the load
+BEFORE_START_S = -1.0  # a fault with this time is in force before the processes start
 FAULTS_IN_GROUP = 3
-GROUP_SPREAD_S = 0.6  # the faults of one group begin within so long of each other
-OVERLAP_AFTERMATH_S = 1.0  # faults still count as overlapping so long after the end of the first
+GROUP_SPREAD_S = 0.6  # the faults of one group begin within this time of each other
+OVERLAP_AFTERMATH_S = 1.0  # two faults still overlap if the second begins up to this long after the end of the first
 RESTART_S = 4.0
 UPSTREAMS_PER_CELL = 2
-ZONES = "ab"  # the cells are in each zone in turn
+ZONES = "ab"  # the cells are assigned to the zones in turn
 DEADLINES_MS = (300, 500, 1000, 1500, 2500)
 
 
 class FaultKind(enum.StrEnum):
-    """The kinds of faults; their values stand in saved plans and in summary.json."""
+    """The kinds of faults; the values are stored in saved plans and in summary.json."""
 
-    HOLD_UP = "hold_up"
+    PAUSE = "hold_up"
     RESTART = "restart"
     KILL = "kill"
     RELOAD = "reload"
     RELOAD_BURST = "reload_burst"
-    HALF_FILE = "half_file"
+    TRUNCATED_FILE = "half_file"
     WALL_CLOCK = "wall_clock"
     SYSCALLS = "syscalls"
     DRAIN = "drain"
@@ -44,28 +47,28 @@
     ERRORS = "errors"
     REJECT = "turn_away"
     SILENT = "silent"
-    LATE = "late"
+    SUSPENDED_ACCEPT = "late"
     GARBAGE = "garbage"
     IDLE_CLOSE = "idle_close"
     OUTAGE = "outage"
     WATCH_RESET = "watch_reset"
     WATCH_SILENT = "watch_silent"
     DISCONNECTS = "leavers"
-    HALF_REQUESTS = "half_requests"
+    TRUNCATED_REQUESTS = "half_requests"
     MALFORMED = "strangers"
     SLOW_WRITERS = "slow_writers"
     PIPELINES = "pipelines"
     LONG_BODIES = "long_bodies"
 
 
-# The order of the kinds decides which plan a seed gives.
+# The plan that is drawn for a seed depends on the order of the kinds.
 SIDECAR_FAULTS = (
-    FaultKind.HOLD_UP,
+    FaultKind.PAUSE,
     FaultKind.RESTART,
     FaultKind.KILL,
     FaultKind.RELOAD,
     FaultKind.RELOAD_BURST,
-    FaultKind.HALF_FILE,
+    FaultKind.TRUNCATED_FILE,
     FaultKind.WALL_CLOCK,
     FaultKind.SYSCALLS,
 )
@@ -77,14 +80,14 @@
     FaultKind.ERRORS,
     FaultKind.REJECT,
     FaultKind.SILENT,
-    FaultKind.LATE,
+    FaultKind.SUSPENDED_ACCEPT,
     FaultKind.GARBAGE,
     FaultKind.IDLE_CLOSE,
 )
 DISCOVERY_FAULTS = (FaultKind.OUTAGE, FaultKind.WATCH_RESET, FaultKind.WATCH_SILENT)
 CLIENT_FAULTS = (
     FaultKind.DISCONNECTS,
-    FaultKind.HALF_REQUESTS,
+    FaultKind.TRUNCATED_REQUESTS,
     FaultKind.MALFORMED,
     FaultKind.SLOW_WRITERS,
     FaultKind.PIPELINES,
@@ -92,8 +95,8 @@
 )
 ALL_FAULTS = SIDECAR_FAULTS + UPSTREAM_FAULTS + DISCOVERY_FAULTS + CLIENT_FAULTS
 
-# Errors that end a connection by themselves. They are drawn only where connections are made, and never for reads and
-# writes: those of clients' connections would lose the requests on them.
+# Errors that end a connection by themselves. They are drawn only for the calls that make connections, since a read
+# or write that fails with one of them on a client's connection would lose the requests on that connection.
 CONNECTION_ENDING_ERRORS = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 CONNECTION_MAKING_CALLS = (Call.ACCEPT, Call.CONNECT)
 SERVICE_CALLS = (
@@ -111,15 +114,15 @@
 
 
 class Fault(Struct, frozen=True):
-    """One fault: its kind, time and targets, and its strength."""
+    """One fault with its kind, time, targets and strength."""
 
     kind: FaultKind
     at_s: float
     duration_s: float = field(name="for_s")
-    targets: list[int]  # the numbers of sidecars, or of upstreams
-    value: float = 0.0  # the step of a clock in seconds, or the share of responses, connections or calls
-    call: int = 0  # the system call, for `syscalls`
-    error: int = 0  # its error, for `syscalls`; 0: a short transfer
+    targets: list[int]  # the numbers of the sidecars or upstreams that the fault affects
+    value: float = 0.0  # the clock step in seconds, or the share of responses, connections or calls that fail
+    call: int = 0  # the system call that fails, if the kind is `syscalls`
+    error: int = 0  # the error of the system call, if the kind is `syscalls`; 0 stands for a short transfer
 
 
 class RequestClass(Struct, frozen=True):
@@ -132,14 +135,14 @@
 
 
 class Plan(Struct, frozen=True):
-    """One run of the soak."""
+    """The plan of one soak run."""
 
     seed: int
     load_s: float = field(name="seconds")
     sidecars: int
     upstreams: int
-    rate_per_s: float  # of the requests of one sidecar's clients
-    service_ms: float  # the mean time that an upstream works on a request
+    rate_per_s: float  # the request rate of the clients of one sidecar
+    service_ms: float  # the mean time for which an upstream processes a request
     classes: list[RequestClass]
     faults: list[Fault] = field(name="troubles")
     max_attempts: int = 3
@@ -147,14 +150,19 @@
     connect_timeout_ms: int = field(name="dial_timeout_ms", default=200)
     deduplication_window_ms: int = field(name="memory_ms", default=2000)
     mode: Literal["pushed", "on_request"] = "pushed"
-    broken_rules: list[str] = field(name="failed", default_factory=list)  # when the plan was saved
+    broken_rules: list[str] = field(
+        name="failed", default_factory=list
+    )  # the rules that the plan broke before it was saved
+
+    def without_fault(self, removed: Fault) -> Plan:
+        """Return the plan without one of its faults."""
+        return msgspec.structs.replace(self, faults=[fault for fault in self.faults if fault is not removed])
 
-    def without(self, dropped: Fault) -> Plan:
-        """Return the same plan with one fault less."""
-        return msgspec.structs.replace(self, faults=[fault for fault in self.faults if fault is not dropped])
+    def overlapping_kinds(self) -> set[tuple[FaultKind, FaultKind]]:
+        """Return the pairs of kinds with two faults that overlap in time.
 
-    def pairs(self) -> set[tuple[FaultKind, FaultKind]]:
-        """Return the pairs of kinds of which two faults overlap in time, counting a second after each."""
+        The second after the end of a fault counts as part of it.
+        """
         return {
             (min(first.kind, second.kind), max(first.kind, second.kind))
             for first in self.faults
@@ -164,17 +172,17 @@
 
 
 def cell_of(upstream: int) -> int:
-    """Return the cell that an upstream is in."""
+    """Return the cell of an upstream."""
     return upstream // UPSTREAMS_PER_CELL
 
 
 def zone_of(upstream: int) -> str:
-    """Return the zone that an upstream is in."""
+    """Return the zone of an upstream."""
     return ZONES[cell_of(upstream) % len(ZONES)]
 
 
 def save(plan: Plan, path: Path) -> None:
-    """Write a plan to a file from which it can be replayed."""
+    """Save a plan to a file, from which it can be replayed."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
 
 
@@ -182,14 +190,14 @@
     """Read a saved plan.
 
     Raises:
-        msgspec.ValidationError: The file is no plan.
-        OSError: The file can't be read.
+        msgspec.ValidationError: The file does not contain a plan.
+        OSError: The file cannot be read.
     """
     return msgspec.json.decode(path.read_bytes(), type=Plan)
 
 
 def draw(seed: int, sidecars: int = 10) -> Plan:
-    """Draw the plan of a seed; its faults come in groups that overlap."""
+    """Return the plan of a seed; its faults are drawn in groups that overlap in time."""
     rng = random.Random(seed)
     upstreams = rng.randint(5, 8)
     classes = [
@@ -216,7 +224,7 @@
 
 
 def _draw_faults(rng: random.Random, sidecars: int, upstreams: int) -> list[Fault]:
-    """Draw the groups of faults; each kind comes up once before any comes up again."""
+    """Return groups of faults; each kind is drawn once before any kind is drawn again."""
     faults: list[Fault] = []
     group_at_s = QUIET_START_S + rng.random()
     kinds = list(ALL_FAULTS)
@@ -237,7 +245,7 @@
     else:
         targets = rng.sample(range(sidecars), rng.randint(1, sidecars))
     strength: dict[str, Any] = {}
-    if kind == FaultKind.HOLD_UP:
+    if kind == FaultKind.PAUSE:
         duration_s = 0.05 + rng.random() * 0.25
     elif kind in (FaultKind.RESTART, FaultKind.KILL):
         targets = targets[: max(1, sidecars // 3)]
@@ -245,13 +253,13 @@
     elif kind == FaultKind.WALL_CLOCK:
         strength["value"] = rng.choice((-1, 1)) * rng.choice((3.0, 30.0, 3600.0))
     elif kind == FaultKind.SYSCALLS:
-        strength = _draw_syscall(rng)
+        strength = _draw_syscall_error(rng)
     elif kind in (FaultKind.ERRORS, FaultKind.REJECT, FaultKind.GARBAGE, FaultKind.RESET):
         strength["value"] = 0.3 + rng.random() * 0.7
     return Fault(kind, round(at_s, 3), round(duration_s, 3), sorted(targets), **strength)
 
 
-def _draw_syscall(rng: random.Random) -> dict[str, Any]:
+def _draw_syscall_error(rng: random.Random) -> dict[str, Any]:
     call = rng.choice(SERVICE_CALLS)
     errors = [
         error for error in DOCUMENTED[call] if error not in CONNECTION_ENDING_ERRORS or call in CONNECTION_MAKING_CALLS
@@ -260,7 +268,7 @@
 
 
 def sidecar_settings(plan: Plan) -> dict[str, Any]:
-    """Return the settings of all sidecars, by the keys of the protocol; times in microseconds."""
+    """Return the settings of all sidecars under the keys of the protocol; times are in microseconds."""
     return {
         "accounts": [],
         "areas": list(ZONES),
--- a/garnetusher/lab/soak/records.py
+++ b/garnetusher/lab/soak/records.py
@@ -1,4 +1,7 @@
-"""What the simulated clients, upstreams and discovery agents of the soak record; times are monotonic seconds."""
+"""The records that the simulated clients, upstreams and discovery agents of the soak make.
+
+All times are seconds of the monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -8,24 +11,24 @@
 
 
 def now_s() -> float:
-    """Return the time of the monotonic clock, which all records use."""
+    """Return the time of the monotonic clock in seconds."""
     return time.monotonic()
 
 
 class End(enum.Enum):
-    """How a request ended for its client; the values are keys of summary.json."""
+    """The result of a request for its client; the values are keys in summary.json."""
 
     SERVED = "served"
-    REFUSED = "refused"  # shed: 503 or 429
-    FAILED = "failed"
-    BROKEN = "broken"  # the response began and was cut off, which its client saw
-    CLOSED = "closed"  # the connection ended with no byte of a response
-    SILENT = "silent"  # no response came before the client's timeout
-    UNREACHED = "unreached"  # no connection was made
+    REFUSED = "refused"  # the sidecar shed the request with status 503 or 429
+    FAILED = "failed"  # the response has another status
+    BROKEN = "broken"  # the client received only a part of a response
+    CLOSED = "closed"  # the connection ended before the first byte of a response
+    SILENT = "silent"  # no complete response arrived before the client's timeout
+    UNREACHED = "unreached"  # the client could not connect
 
 
 class ProcessEventKind(enum.StrEnum):
-    """What was done to a sidecar's process, or what it did; the values are words of steps.txt."""
+    """The kinds of events of a sidecar's process; the values are written to steps.txt."""
 
     START = "start"
     READY = "ready"
@@ -35,12 +38,12 @@
     PAUSE = "stop"
     RESUME = "continue"
     RELOAD = "reload"
-    ENDED = "ended"  # an end that the soak caused
-    DIED = "died"  # an end that the soak did not cause
+    ENDED = "ended"  # the process ended because the soak terminated or killed it
+    DIED = "died"  # the process ended by itself
 
 
 class EndpointStatus(enum.StrEnum):
-    """The states of an endpoint; the values are those of discovery's list."""
+    """The states of an endpoint; the values are the states in the endpoint list of discovery."""
 
     ACTIVE = "active"
     DRAINING = "leaving"
@@ -49,7 +52,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request that a client has written completely."""
+    """One request that a client wrote completely."""
 
     request_id: str
     sidecar: int
@@ -59,27 +62,27 @@
     new_connection: bool
     end: End | None = None
     ended_s: float = 0.0
-    disconnected_s: float = 0.0  # when the client closed before its response; 0: it did not
+    disconnected_s: float = 0.0  # when the client closed before the response; 0 if it did not
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One request as an upstream received it."""
+    """One attempt for a request, as an upstream received it."""
 
     request_id: str
     sidecar: int
     upstream: int
     first_byte_s: float
-    announced_remaining_s: float  # the time until the deadline, as the sidecar told it to the upstream
-    incarnation: int  # how often the upstream had been restarted
-    body_complete_s: float = 0.0  # 0: the body never arrived completely
-    rejected: bool = False  # the upstream answered that it did not run the request
-    queued: bool = False  # it waited in the listener's backlog, so the time of its first byte is not known
+    announced_remaining_s: float  # the time until the deadline, as the sidecar announced it in the request
+    incarnation: int  # the number of restarts of the upstream before the attempt
+    body_complete_s: float = 0.0  # 0 if the body never arrived completely
+    rejected: bool = False  # the upstream responded that it did not run the request
+    queued: bool = False  # the connection waited in the backlog, so the first byte has no known time
 
 
 @dataclass(slots=True)
 class EndpointChange:
-    """A change of an endpoint's status, and when its sidecar has to know of it at the latest."""
+    """A change of an endpoint's status, and the latest time at which the sidecar has to know of it."""
 
     sidecar: int
     upstream: int
@@ -99,16 +102,16 @@
 
 @dataclass(slots=True)
 class MalformedConnection:
-    """A connection whose client sent no proper request."""
+    """A connection whose client sent no valid request."""
 
     sidecar: int
     connected_s: float
-    closed_s: float  # when the sidecar answered or closed it; 0: never
+    closed_s: float  # when the sidecar responded or closed the connection; 0 if it did neither
 
 
 @dataclass(slots=True)
 class Lag:
-    """A time in which the recording process itself did not run."""
+    """An interval in which the recording process itself did not run."""
 
     ended_s: float
     duration_s: float
--- a/garnetusher/lab/soak/reduce.py
+++ b/garnetusher/lab/soak/reduce.py
@@ -1,4 +1,4 @@
-"""Reduces a plan that fails: fewer faults, then fewer processes, as long as it still breaks the same rule."""
+"""Reduces a failing plan to fewer faults and then fewer sidecars, as long as it still breaks one of the same rules."""
 
 from __future__ import annotations
 
@@ -8,50 +8,57 @@
 
 from garnetusher.lab.soak.plan import UPSTREAM_FAULTS, Plan
 
-RUNS_OF_CANDIDATE = 3  # a race is met by chance: a smaller plan passes only if it passes so often in a row
-HALVINGS = 2
+# A race occurs only in some runs, so a candidate passes only if none of this many runs breaks one of the rules.
+RUNS_PER_CANDIDATE = 3
+MAX_HALVINGS = 2
 
 
 class PlanReducer:
-    """Finds a smaller plan that breaks one of the same rules, in a limited number of runs."""
+    """Searches for a smaller plan that breaks one of the same rules, in a limited number of runs."""
 
-    def __init__(self, rules: set[str], broken_rules: Callable[[Plan], set[str]], max_runs: int) -> None:
+    def __init__(self, rules: set[str], find_broken_rules: Callable[[Plan], set[str]], max_runs: int) -> None:
         self._rules = rules
-        self._broken_rules = broken_rules
+        self._find_broken_rules = find_broken_rules
         self._runs_left = max_runs
 
     def reduce(self, plan: Plan) -> Plan:
-        """Return the smallest plan found."""
+        """Return the smallest plan found that breaks one of the rules."""
         smallest = plan
         for fault in plan.faults:
-            smallest = self._smaller(smallest, smallest.without(fault))
-        for _ in range(HALVINGS):
+            smallest = self._candidate_if_failing(smallest, smallest.without_fault(fault))
+        for _ in range(MAX_HALVINGS):
             candidate = halve_sidecars(smallest)
             if candidate is not None:
-                smallest = self._smaller(smallest, candidate)
+                smallest = self._candidate_if_failing(smallest, candidate)
         return msgspec.structs.replace(smallest, broken_rules=sorted(self._rules))
 
-    def _smaller(self, plan: Plan, candidate: Plan) -> Plan:
+    def _candidate_if_failing(self, plan: Plan, candidate: Plan) -> Plan:
         return candidate if self._still_fails(candidate) else plan
 
     def _still_fails(self, candidate: Plan) -> bool:
-        return any(broken & self._rules for broken in self._runs(candidate))
+        return any(broken & self._rules for broken in self._run_repeatedly(candidate))
 
-    def _runs(self, candidate: Plan) -> Iterator[set[str]]:
-        for _ in range(RUNS_OF_CANDIDATE):
+    def _run_repeatedly(self, candidate: Plan) -> Iterator[set[str]]:
+        for _ in range(RUNS_PER_CANDIDATE):
             if self._runs_left <= 0:
                 return
             self._runs_left -= 1
-            yield self._broken_rules(candidate)
+            yield self._find_broken_rules(candidate)
 
 
-def reduced(plan: Plan, rules: set[str], broken_rules: Callable[[Plan], set[str]], max_runs: int) -> Plan:
-    """Return the smallest plan found in `max_runs` runs; `broken_rules` runs a plan and returns what it broke."""
-    return PlanReducer(rules, broken_rules, max_runs).reduce(plan)
+def reduce_plan(plan: Plan, rules: set[str], find_broken_rules: Callable[[Plan], set[str]], max_runs: int) -> Plan:
+    """Return the smallest plan found that breaks one of the rules.
+
+    `find_broken_rules` runs a plan and returns the rules that it broke; it is called at most `max_runs` times.
+    """
+    return PlanReducer(rules, find_broken_rules, max_runs).reduce(plan)
 
 
 def halve_sidecars(plan: Plan) -> Plan | None:
-    """Return the plan with half of its sidecars and the faults that still have a target, or None for a single one."""
+    """Return the plan with half of its sidecars, or None if it has only one.
+
+    Faults without a remaining target are removed.
+    """
     if plan.sidecars < 2:
         return None
     count = plan.sidecars // 2
--- a/garnetusher/lab/soak/run.py
+++ b/garnetusher/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one plan of the soak: starts the processes, injects the faults, and has the records judged."""
+"""Runs one plan of the soak: starts the processes, injects the faults, and checks the records with the oracle."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 LAG_SAMPLE_S = 0.01
 SMALLEST_LAG_S = 0.02  # a shorter lag of the recording process is not recorded
-SETTLE_S = 1.0  # after the last response
-# the kinds for which a sidecar needs the library that makes system calls fail
+SETTLE_S = 1.0  # the run ends this long after the last response and the last fault
+# The preloaded library that makes system calls fail implements these kinds, so sidecars need it only for them.
 LIBRARY_FAULTS = (FaultKind.SYSCALLS, FaultKind.WALL_CLOCK)
 
 
 class BrokenRule(Struct, frozen=True):
-    """A breach as breaches.json has it; its time counts from the run's start."""
+    """A breach as it is written to breaches.json; its time counts from the start of the run."""
 
     rule: str
     at_s: float
@@ -40,7 +40,7 @@
 
 
 class RunResult(Struct):
-    """What one run gave."""
+    """The result of one run."""
 
     seed: int
     duration_s: float
@@ -51,12 +51,12 @@
     faults: dict[str, int]
     overlapping_kinds: list[tuple[str, str]]
     worst_lag_s: float
-    failed_calls: int  # system calls that were made to fail
+    failed_calls: int  # the number of system calls that failed by injection
     folder: str
 
 
 class SoakRun:
-    """One run on real sidecar processes."""
+    """One run of a plan on real sidecar processes."""
 
     def __init__(self, plan: Plan, folder: Path, tree: Path) -> None:
         self.plan = plan
@@ -64,34 +64,34 @@
         self.nodes = Nodes()
         self._folder = folder
         self._tree = tree
-        self._host = _host(plan.seed)
+        self._host = _loopback_address(plan.seed)
         self._injector = FaultInjector(plan, self.nodes)
         self._fault_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> list[Breach]:
-        """Run the plan and judge it; no process is left, whatever happens.
+        """Run the plan and return the breaches; all sidecar processes are killed, also after an error.
 
         Raises:
-            LabError: A sidecar did not become ready at the start.
+            LabError: A sidecar does not become ready at the start.
         """
         try:
             await self._open()
-            lag_meter = asyncio.create_task(self._measure_lags())
+            lag_task = asyncio.create_task(self._measure_lags())
             await self._apply_load_and_faults()
             await asyncio.sleep(SETTLE_S)
-            lag_meter.cancel()
+            lag_task.cancel()
         finally:
             await self._close()
         logs = [sidecar.log for sidecar in self.nodes.sidecars]
-        return Oracle(self.plan, self.records, logs).judge()
+        return Oracle(self.plan, self.records, logs).check()
 
     def failed_calls(self) -> int:
-        """Return how many system calls of the sidecars were made to fail."""
+        """Return how many system calls of the sidecars failed by injection."""
         boards = [sidecar.board for sidecar in self.nodes.sidecars if sidecar.board is not None]
         return sum(board.hits(call) for board in boards for call in Call)
 
     async def _open(self) -> None:
-        """Open the simulated nodes, and start the sidecars under the faults that are there before them."""
+        """Open the simulated nodes, inject the faults that precede the start, and start the sidecars."""
         plan = self.plan
         for number in range(plan.upstreams):
             upstream = SimulatedUpstream(number, self._host, plan.service_ms, self.records, plan.seed)
@@ -105,13 +105,13 @@
         sidecars = self.nodes.sidecars
         await asyncio.gather(*(sidecar.start() for sidecar in sidecars))
         if not all(await asyncio.gather(*(sidecar.wait_until_ready() for sidecar in sidecars))):
-            message = f"{self._folder}: a sidecar was not ready; its log is there"
+            message = f"{self._folder}: a sidecar did not become ready; see the logs in this folder"
             raise LabError(message)
         gc.collect()
         gc.freeze()
 
     async def _open_sidecar(self, number: int) -> None:
-        """Prepare a sidecar with its discovery agent and its clients; its process is not yet started."""
+        """Prepare a sidecar, its discovery agent and its clients, without starting its process."""
         plan = self.plan
         folder = self._folder / f"s{number}"
         folder.mkdir(parents=True, exist_ok=True)
@@ -136,13 +136,13 @@
         while self._fault_tasks:
             await asyncio.wait(set(self._fault_tasks))
 
-    def _start_fault(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _start_fault(self, injection: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(injection)
         self._fault_tasks.add(task)
         task.add_done_callback(self._fault_tasks.discard)
 
     async def _measure_lags(self) -> None:
-        """Record when this process itself runs late, which makes all its records late."""
+        """Record the lags of this process, since they delay all records that it makes."""
         while True:
             expected_s = now_s() + LAG_SAMPLE_S
             await asyncio.sleep(LAG_SAMPLE_S)
@@ -158,11 +158,11 @@
             agent.close()
 
 
-def play(plan: Plan, folder: Path, tree: Path) -> RunResult:
-    """Run a plan and judge it; its logs, events and breaches are written to the folder.
+def run_plan(plan: Plan, folder: Path, tree: Path) -> RunResult:
+    """Run a plan, check its records, and write its logs, events and breaches to a folder.
 
     Raises:
-        LabError: A sidecar did not become ready at the start.
+        LabError: A sidecar does not become ready at the start.
     """
     folder.mkdir(parents=True, exist_ok=True)
     started_s = now_s()
@@ -172,7 +172,7 @@
     _write_events(run.records, started_s, folder)
     if breaches:
         _write_records(run.records, folder)
-    broken_rules = [{"rule": broken.rule, "at_s": broken.at_s, "text": broken.text} for broken in result.breaches]
+    broken_rules = [{"rule": breach.rule, "at_s": breach.at_s, "text": breach.text} for breach in result.breaches]
     (folder / "breaches.json").write_text(json.dumps(broken_rules, indent=1) + "\n")
     return result
 
@@ -188,7 +188,7 @@
         ends=dict(ends),
         breaches=[BrokenRule(breach.rule.value, round(breach.at_s - started_s, 3), breach.text) for breach in breaches],
         faults=dict(Counter(fault.kind.value for fault in run.plan.faults)),
-        overlapping_kinds=sorted((first.value, second.value) for first, second in run.plan.pairs()),
+        overlapping_kinds=sorted((first.value, second.value) for first, second in run.plan.overlapping_kinds()),
         worst_lag_s=round(max((lag.duration_s for lag in records.lags), default=0.0), 3),
         failed_calls=run.failed_calls(),
         folder=str(folder),
@@ -208,7 +208,7 @@
     (folder / "records.txt").write_text("\n".join(repr(entry) for entry in entries) + "\n")
 
 
-def _host(seed: int) -> str:
-    """Return a loopback address that no other run on this machine uses at the time."""
+def _loopback_address(seed: int) -> str:
+    """Return a loopback address that no other run on this machine uses at the same time."""
     process_id = os.getpid()
     return f"127.{64 + process_id % 128}.{process_id // 128 % 250}.{1 + seed % 250}"
--- a/garnetusher/lab/soak/sweep.py
+++ b/garnetusher/lab/soak/sweep.py
@@ -24,7 +24,7 @@
     Plan,
     RequestClass,
 )
-from garnetusher.lab.soak.run import BrokenRule, play
+from garnetusher.lab.soak.run import BrokenRule, run_plan
 from garnetusher.lab.syscall_faults import DOCUMENTED, SHORT_TRANSFER, Call
 
 SIDECARS = 3
@@ -134,7 +134,7 @@
 
 def _run(error: SyscallError, folder: Path, tree: Path) -> Row:
     """Run the plan of one error; called in a process of its own."""
-    result = play(error.plan(), folder, tree)
+    result = run_plan(error.plan(), folder, tree)
     broken = [f"{broken.rule}: {broken.text}" for broken in result.breaches if not error.excuses(broken)]
     return Row(
         error.call.name.lower(),
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -24,8 +24,8 @@
     Records,
     Request,
 )
-from garnetusher.lab.soak.reduce import reduced
-from garnetusher.lab.soak.run import play
+from garnetusher.lab.soak.reduce import reduce_plan
+from garnetusher.lab.soak.run import run_plan
 from garnetusher.lab.soak.size import ResourceUse, rows
 from tests.experiment import ROOT
 from tests.test_lab import tree
@@ -67,8 +67,8 @@
 def test_plans_cover_all_kinds_and_pairs_when_many_seeds_are_drawn() -> None:
     drawn = [plans.draw(seed) for seed in range(300)]
     assert {fault.kind for plan in drawn for fault in plan.faults} == set(plans.ALL_FAULTS)
-    assert all(len(plan.pairs()) >= 3 for plan in drawn)
-    found = set().union(*(plan.pairs() for plan in drawn))
+    assert all(len(plan.overlapping_kinds()) >= 3 for plan in drawn)
+    found = set().union(*(plan.overlapping_kinds() for plan in drawn))
     assert set(itertools.combinations(sorted(plans.ALL_FAULTS), 2)) <= found
 
 
@@ -82,12 +82,12 @@
         runs += 1
         return {"drain"} if needed <= {fault.kind for fault in smaller.faults} else {"lost"}
 
-    smallest = reduced(plan, {"drain"}, broken_rules, max_runs=500)
+    smallest = reduce_plan(plan, {"drain"}, broken_rules, max_runs=500)
     assert {fault.kind for fault in smallest.faults} == needed
     assert smallest.broken_rules == ["drain"]
     assert smallest.sidecars < plan.sidecars
     assert runs <= 500
-    assert reduced(plan, {"drain"}, broken_rules, max_runs=0).faults == plan.faults
+    assert reduce_plan(plan, {"drain"}, broken_rules, max_runs=0).faults == plan.faults
 
 
 # The oracle, on records made by hand
@@ -114,7 +114,7 @@
     malformed: tuple[MalformedConnection, ...] = (),
 ) -> set[str]:
     records = Records({request.request_id: request}, list(attempts), list(changes), list(events), list(malformed))
-    return {breach.rule.value for breach in Oracle(small_plan(), records, []).judge()}
+    return {breach.rule.value for breach in Oracle(small_plan(), records, []).check()}
 
 
 @pytest.mark.parametrize(
@@ -225,7 +225,7 @@
     """Run a plan on a program; called in a process of its own."""
     made = Path(folder)
     made.mkdir()
-    return {breach.rule for breach in play(plan, made / "play", tree(made, run)).breaches}
+    return {breach.rule for breach in run_plan(plan, made / "play", tree(made, run)).breaches}
 
 
 def test_soak_catches_a_seeded_fault_and_only_that_when_run_on_processes(tmp_path: Path) -> None:
