--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -209,7 +209,7 @@
     sidecar_processes.build(tree.resolve())
     try:
         with cli.progress("system calls") as progress:
-            rows = soak_sweep.sweep(jobs, folder, tree.resolve(), progress)
+            rows = soak_sweep.run_sweep(jobs, folder, tree.resolve(), progress)
     except (LabError, CompilerError, OSError) as error:
         cli.fail(str(error))
     table = [
--- a/garnetusher/lab/soak/client.py
+++ b/garnetusher/lab/soak/client.py
@@ -1,4 +1,7 @@
-"""Clients of the soak: requests at their own rate, and clients that misbehave."""
+"""Simulated clients of the soak.
+
+They send requests at a given rate, without waiting for responses, and misbehave while a fault of the plan is active.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,9 @@
 from garnetusher.lab.soak.plan import FaultKind, Plan, RequestClass
 from garnetusher.lab.soak.records import End, MalformedConnection, Records, Request, now_s
 
-RESPONSE_TIMEOUT_S = 0.8  # after its deadline: a response is late for 0.5 s, and lost after that
-MALFORMED_TIMEOUT_S = 4.0  # longer than the 3 s in which a malformed connection has to be closed
+# Clients wait this long after the deadline. A response counts as late for 0.5 s after its deadline, and then as lost.
+RESPONSE_TIMEOUT_S = 0.8
+MALFORMED_TIMEOUT_S = 4.0  # this is longer than the 3 s within which a sidecar has to close a malformed connection
 LONG_BODY_BYTES = 150_000
 SHORT_BODY_BYTES = 20
 MAX_IDLE_CONNECTIONS = 6
@@ -27,16 +31,17 @@
 )
 PIPELINED_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 END_OF_STATUS = {200: End.SERVED, 503: End.REFUSED, 429: End.REFUSED}
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # the value of SO_LINGER that turns it on with a timeout of 0 s
+
+REUSE_SHARE = 0.85  # this share of requests reuses an idle connection if there is one
 
-# the share of connections or requests that a fault strikes while it lasts
-REUSE_SHARE = 0.85
+# Each share is the part of the connections or requests that a fault affects while it is active.
 MALFORMED_SHARE = 0.3
 LONG_BODY_SHARE = 0.5
 PIPELINE_SHARE = 0.3
 DISCONNECT_SHARE = 0.5
-RESET_SHARE = 0.3  # of those that disconnect
-HALF_REQUEST_SHARE = 0.4
+RESET_SHARE = 0.3  # this share of disconnecting clients resets the connection
+TRUNCATED_REQUEST_SHARE = 0.4
 SLOW_WRITER_SHARE = 0.5
 SLOW_WRITER_CUTS = 3
 SLOW_WRITER_PAUSE_S = 0.15
@@ -48,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientConnection:
-    """A connection to the sidecar."""
+    """A connection from a client to the sidecar."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     def abort(self) -> None:
-        """Close at once; what is not yet written is lost."""
+        """Close at once and discard unsent data."""
         self.writer.transport.abort()
 
 
@@ -82,14 +87,14 @@
         self._address = address
         self._plan = plan
         self._records = records
-        self._on_timeout = on_timeout  # is called with the id of a request that had no response
+        self._on_timeout = on_timeout  # called with the identifier of a request without a response
         self._random = random.Random(f"{plan.seed}-clients-{sidecar}")
         self._idle: list[ClientConnection] = []
         self._requests_made = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, ends_s: float) -> None:
-        """Send requests until a time; arrivals never wait for responses."""
+        """Send requests until a given time, without waiting for responses, and then wait for the last response."""
         while now_s() < ends_s:
             await asyncio.sleep(self._random.expovariate(self._plan.rate_per_s))
             self._start_next()
@@ -100,12 +105,12 @@
 
     def _start_next(self) -> None:
         if self._draw_fault(FaultKind.MALFORMED, MALFORMED_SHARE):
-            work = self._send_malformed()
+            exchange = self._send_malformed()
         else:
             self._requests_made += 1
             request_id = f"s{self._sidecar}-{self._requests_made}"
-            work = self._request(request_id, self._random.choice(self._plan.classes))
-        task = asyncio.get_running_loop().create_task(work)
+            exchange = self._send_request(request_id, self._random.choice(self._plan.classes))
+        task = asyncio.get_running_loop().create_task(exchange)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -120,7 +125,7 @@
         return ClientConnection(reader, writer)
 
     async def _send_malformed(self) -> None:
-        """Send no proper request, and record when the sidecar answers or closes."""
+        """Send a malformed request, and record when the sidecar responds or closes the connection."""
         connection = await self._connect()
         if connection is None:
             return
@@ -135,17 +140,17 @@
         self._records.malformed_connections.append(MalformedConnection(self._sidecar, connected_s, closed_s))
         connection.abort()
 
-    async def _request(self, request_id: str, request_class: RequestClass) -> None:
-        """Send one request; retry once on a new connection where a reused one was closed as it was sent."""
+    async def _send_request(self, request_id: str, request_class: RequestClass) -> None:
+        """Send one request; retry it once on a new connection if a reused connection was closed before the response."""
         reused = self._idle.pop() if self._idle and self._random.random() < REUSE_SHARE else None
-        request = await self._attempt(request_id, request_class, reused)
+        request = await self._exchange(request_id, request_class, reused)
         if request is not None and request.end is End.CLOSED and reused is not None:
-            await self._attempt(request_id + "-again", request_class, None)
+            await self._exchange(request_id + "-again", request_class, None)
 
-    async def _attempt(
+    async def _exchange(
         self, request_id: str, request_class: RequestClass, reused: ClientConnection | None
     ) -> Request | None:
-        """Send a request and wait for its end; return None if it was not written completely."""
+        """Send a request and wait until it ends; return None if it was not written completely."""
         connection = reused or await self._connect()
         if connection is None:
             return None
@@ -174,7 +179,7 @@
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> bool:
         """Write a request; return whether it was written completely."""
-        if self._draw_fault(FaultKind.TRUNCATED_REQUESTS, HALF_REQUEST_SHARE):
+        if self._draw_fault(FaultKind.TRUNCATED_REQUESTS, TRUNCATED_REQUEST_SHARE):
             writer.write(data[: self._random.randrange(1, len(data))])
             await asyncio.sleep(self._random.random())
             writer.transport.abort()
@@ -199,7 +204,7 @@
         return asyncio.get_running_loop().call_later(delay_s, self._disconnect, request, connection)
 
     def _disconnect(self, request: Request, connection: ClientConnection) -> None:
-        """Close before the response, by a reset or in order."""
+        """Close the connection before the response, by a reset or regularly."""
         if request.end is not None:
             return
         request.disconnected_s = now_s()
@@ -231,7 +236,10 @@
             connection.abort()
 
     def _may_keep_idle(self) -> bool:
-        """Return whether a connection may be reused: not if a pipelined request may still be answered on it."""
+        """Return whether a connection may be kept for reuse.
+
+        A connection that may still carry the response to a pipelined request is not reused.
+        """
         return FaultKind.PIPELINES not in self.active_faults and len(self._idle) < MAX_IDLE_CONNECTIONS
 
 
@@ -251,9 +259,9 @@
     """Read one complete response.
 
     Raises:
-        TruncatedResponseError: The connection ended within the response.
-        asyncio.IncompleteReadError: It ended before the first byte.
-        ConnectionError: It was reset before the head was complete.
+        TruncatedResponseError: The connection ends within the response.
+        asyncio.IncompleteReadError: The connection ends before the first byte.
+        ConnectionError: The connection is reset before the response head is complete.
     """
     try:
         head = await reader.readuntil(b"\r\n\r\n")
--- a/garnetusher/lab/soak/discovery.py
+++ b/garnetusher/lab/soak/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery of the soak: an agent for each sidecar, which sends the endpoint list and its changes, or fails to."""
+"""Simulated discovery agents of the soak.
+
+There is one agent for each sidecar. It sends the endpoint list and its changes, except while a fault prevents this.
+"""
 
 from __future__ import annotations
 
@@ -12,16 +15,17 @@
 from garnetusher.lab.soak.plan import cell_of, zone_of
 from garnetusher.lab.soak.records import EndpointChange, EndpointStatus, Records, now_s
 
-KEEPALIVE_S = 2.0  # between the empty lines of a watch without changes
-OLD_ADDRESS_OPEN_S = 1.5  # after a new configuration, the old address closes its watches
-KNOWN_AFTER_RELOAD_S = 4.0  # a sidecar has to know the list so long after SIGHUP
-KNOWN_AFTER_SILENCE_S = 6.0  # and so long after its watch fell silent, or after discovery is reachable again
+KEEPALIVE_S = 2.0  # a watch without changes receives an empty line at this interval
+OLD_ADDRESS_OPEN_S = 1.5  # watches at an old address are closed this long after the agent moves to a new address
+KNOWN_AFTER_RELOAD_S = 4.0  # a sidecar has to know the list this long after SIGHUP
+# A sidecar has to know the list this long after its watch falls silent or discovery becomes reachable again.
+KNOWN_AFTER_SILENCE_S = 6.0
 NEVER_RELOADED_S = -1e9
 
 
 @dataclass(slots=True)
 class ListedEndpoint:
-    """One upstream as the list has it."""
+    """The endpoint list entry of one upstream."""
 
     number: int
     host: str
@@ -30,7 +34,7 @@
     boot_ms: int
 
     def entry(self) -> dict[str, Any]:
-        """Return the endpoint as an entry of the list's JSON."""
+        """Return the endpoint as an entry of the JSON list."""
         return {
             "uid": f"u{self.number}",
             "endpoint": f"{self.host}:{self.port}",
@@ -44,11 +48,11 @@
 
 
 class DiscoveryAgent:
-    """The discovery agent beside one sidecar."""
+    """The discovery agent of one sidecar."""
 
     def __init__(self, sidecar: int, host: str, records: Records, ports: list[int], *, pushed: bool) -> None:
         self.port = 0
-        self.sent_bytes = 0  # of lists and changes
+        self.sent_bytes = 0  # the size of all lists and changes sent
         self._sidecar = sidecar
         self._host = host
         self._records = records
@@ -59,22 +63,24 @@
         ]
         self._version = 1
         self._watches: list[asyncio.StreamWriter] = []
-        self._reachable = asyncio.Event()  # cleared in an outage: the agent is silent and learns nothing
+        self._reachable = (
+            asyncio.Event()
+        )  # cleared during an outage, in which the agent sends nothing and learns of no changes
         self._reachable.set()
-        self._pending: list[ListedEndpoint] = []  # what changed in an outage
+        self._pending: list[ListedEndpoint] = []  # the endpoints that changed during an outage
         self._silent_watches: set[asyncio.StreamWriter] = set()
         self._silent_since_s = 0.0
         self._reloaded_s = NEVER_RELOADED_S
         self._servers: list[asyncio.Server] = []
 
     async def open(self) -> None:
-        """Listen at a new port, which the sidecar's configuration has to name."""
+        """Listen on a new port; the sidecar's configuration has to contain it."""
         server = await asyncio.start_server(self._serve, self._host, 0, family=socket.AF_INET)
         self._servers.append(server)
         self.port = int(server.sockets[0].getsockname()[1])
 
     async def change_address(self) -> None:
-        """Listen at a new port; the old one accepts no more and closes its watches soon."""
+        """Listen on a new port; stop accepting on the old port, and close its watches after a delay."""
         old_servers = list(self._servers)
         old_watches = list(self._watches)
         await self.open()
@@ -85,7 +91,7 @@
         self._reloaded_s = now_s()
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the complete list as JSON."""
+        """Return the complete list as a JSON object."""
         return {
             "rev": self._version,
             "all": True,
@@ -93,7 +99,7 @@
         }
 
     def change(self, upstream: int, status: EndpointStatus, boot_ms: int) -> None:
-        """Change an endpoint, and send the change unless discovery is down."""
+        """Change an endpoint, and send the change unless there is an outage."""
         endpoint = self._endpoints[upstream]
         endpoint.status = status
         endpoint.boot_ms = boot_ms
@@ -108,7 +114,7 @@
         _abort_all(self._watches)
 
     def end_outage(self) -> None:
-        """Become reachable, and send what changed in the outage."""
+        """Become reachable, and send the changes of the outage."""
         self._reachable.set()
         for endpoint in self._pending:
             change = self._publish(endpoint)
@@ -121,7 +127,7 @@
         _abort_all(self._watches)
 
     def silence_watches(self) -> None:
-        """Send nothing more on the present watches, which stay open."""
+        """Send nothing more on the current watches, which stay open."""
         self._silent_watches |= set(self._watches)
         self._silent_since_s = now_s()
 
@@ -132,7 +138,7 @@
             server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection: a watch."""
+        """Serve one connection as a watch."""
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             while not self._reachable.is_set():
@@ -174,7 +180,10 @@
         return change
 
     def _known_by_s(self, endpoint: ListedEndpoint) -> float:
-        """Return by when the sidecar has to know a change; an active endpoint may be used as soon as it can know."""
+        """Return the latest time at which the sidecar has to know of a change.
+
+        An active endpoint may be used as soon as the change is sent.
+        """
         sent_s = now_s()
         if endpoint.status == EndpointStatus.ACTIVE:
             return sent_s
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -150,9 +150,7 @@
     connect_timeout_ms: int = field(name="dial_timeout_ms", default=200)
     deduplication_window_ms: int = field(name="memory_ms", default=2000)
     mode: Literal["pushed", "on_request"] = "pushed"
-    broken_rules: list[str] = field(
-        name="failed", default_factory=list
-    )  # the rules that the plan broke before it was saved
+    broken_rules: list[str] = field(name="failed", default_factory=list)  # the rules that the saved plan broke
 
     def without_fault(self, removed: Fault) -> Plan:
         """Return the plan without one of its faults."""
--- a/garnetusher/lab/soak/records.py
+++ b/garnetusher/lab/soak/records.py
@@ -20,8 +20,8 @@
 
     SERVED = "served"
     REFUSED = "refused"  # the sidecar shed the request with status 503 or 429
-    FAILED = "failed"  # the response has another status
-    BROKEN = "broken"  # the client received only a part of a response
+    FAILED = "failed"  # the status of the response is none of 200, 503 and 429
+    BROKEN = "broken"  # the response began and was cut off, which the client detects
     CLOSED = "closed"  # the connection ended before the first byte of a response
     SILENT = "silent"  # no complete response arrived before the client's timeout
     UNREACHED = "unreached"  # the client could not connect
--- a/garnetusher/lab/soak/sidecar_process.py
+++ b/garnetusher/lab/soak/sidecar_process.py
@@ -1,4 +1,7 @@
-"""The sidecars of the soak: processes started by the deploy file, each with a configuration of its own."""
+"""Sidecar processes of the soak.
+
+Each process runs the command of the deploy file with its own configuration.
+"""
 
 from __future__ import annotations
 
@@ -17,22 +20,24 @@
 from garnetusher.lab.soak.records import ProcessEvent, ProcessEventKind, Records, now_s
 from garnetusher.lab.syscall_faults import FaultBoard
 
-KILL_GAP_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline and so much more
-LONGEST_DRAIN_S = 3.0  # a longer deadline counts as this
+KILL_GAP_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this time
+LONGEST_DRAIN_S = 3.0  # the wait for SIGKILL uses this value in place of a longer deadline
 READY_TIMEOUT_S = 20.0
 READY_POLL_S = 0.03
 TRACE_TIMEOUT_S = 2.0
-FIRST_PORT = 10_000  # fixed ports: each run has a host address of its own, and the kernel assigns none below 32768
-PORTS_OF_SIDECAR = 2
-SERVICE_PORT = 0
-ADMIN_PORT = 1
-# variables of the test's own process that would change how a sidecar starts
-HIDDEN_VARIABLES = ("PYTHON", "VIRTUAL_ENV", "BALANCER_")
+# Ports can be fixed because each run has its own host address and the kernel assigns no ports below 32768.
+FIRST_PORT = 10_000
+PORTS_PER_SIDECAR = 2
+SERVICE_PORT_OFFSET = 0
+ADMIN_PORT_OFFSET = 1
+# Sidecars do not inherit environment variables with these prefixes from the soak's own process, because such variables
+# would change how a sidecar starts.
+REMOVED_VARIABLE_PREFIXES = ("PYTHON", "VIRTUAL_ENV", "BALANCER_")
 
 
 @dataclass(frozen=True, slots=True)
 class SidecarSetup:
-    """Where a sidecar runs, and with what."""
+    """The address, folders and settings of a sidecar."""
 
     number: int
     host: str
@@ -43,24 +48,27 @@
 
 
 class SidecarProcess:
-    """One sidecar by its name, and the process that runs it at the time."""
+    """One sidecar, and the process that currently runs it."""
 
     def __init__(self, setup: SidecarSetup, records: Records) -> None:
         self.number = setup.number
-        self.address = (setup.host, _port(setup.number, SERVICE_PORT))
+        self.address = (setup.host, _port(setup.number, SERVICE_PORT_OFFSET))
         self.log = setup.folder / "log.txt"
         self.board = FaultBoard(setup.folder / "faults", setup.number + 1) if setup.injects_syscall_faults else None
         self.process: asyncio.subprocess.Process | None = None
         self.restarting = False
         self._setup = setup
         self._records = records
-        self._admin_address = (setup.host, _port(setup.number, ADMIN_PORT))
+        self._admin_address = (setup.host, _port(setup.number, ADMIN_PORT_OFFSET))
         self._configuration = setup.folder / "config.json"
-        self._end_expected = False  # the soak itself ended the process
+        self._end_expected = False  # whether the soak itself ended the process
         self._starts = 0
 
     def write_configuration(self, discovery_port: int, endpoints: dict[str, Any], *, truncated: bool = False) -> None:
-        """Write the file that the platform provides; `truncated` leaves it cut short."""
+        """Write the configuration file that the platform provides.
+
+        If `truncated` is set, the file contains only the first two thirds of the text.
+        """
         host = self._setup.host
         text = json.dumps(
             {
@@ -77,7 +85,7 @@
         self._configuration.write_text(text[: len(text) * 2 // 3] if truncated else text)
 
     async def start(self) -> None:
-        """Start the process; it may not be ready yet."""
+        """Start the process, without waiting until it is ready."""
         self._starts += 1
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -96,11 +104,11 @@
         self.record(ProcessEventKind.START)
 
     def record(self, kind: ProcessEventKind, detail: str = "") -> None:
-        """Record an event of the process at the present time."""
+        """Record an event of the process with the current time."""
         self._records.process_events.append(ProcessEvent(self.number, kind, now_s(), detail))
 
     async def wait_until_ready(self) -> bool:
-        """Wait until the sidecar answers that it is up; return False if it ended or did not in time."""
+        """Wait until the sidecar reports that it is up; return False if it ends first or the wait times out."""
         ends_s = now_s() + READY_TIMEOUT_S
         while now_s() < ends_s and self._is_running():
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -112,7 +120,7 @@
         return False
 
     async def save_trace(self, label: str) -> None:
-        """Save the sidecar's trace of its last events, if it can be had."""
+        """Save the sidecar's trace of its last events if the admin port returns it."""
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(TRACE_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self._admin_address)
@@ -122,13 +130,13 @@
             (self._setup.folder / f"trace-{label}.txt").write_bytes(text)
 
     def send_signal(self, signal_number: int) -> None:
-        """Send a signal to the process if it runs."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(signal_number)
 
     async def pause(self, duration_s: float) -> None:
-        """Stop the process for some time."""
+        """Stop the process by SIGSTOP, and continue it after a time."""
         if self.restarting:
             return
         self.send_signal(signal.SIGSTOP)
@@ -156,7 +164,7 @@
         self.restarting = False
 
     async def kill(self) -> None:
-        """Kill the process, and record it if it had died before."""
+        """Kill the process, and record whether it had ended by itself before."""
         if self.process is None:
             return
         if self.process.returncode is not None and not self._end_expected:
@@ -176,10 +184,12 @@
         return b" 200 " in status_line
 
     def _environment(self) -> Mapping[str, str]:
-        inherited = {name: value for name, value in os.environ.items() if not name.startswith(HIDDEN_VARIABLES)}
+        inherited = {
+            name: value for name, value in os.environ.items() if not name.startswith(REMOVED_VARIABLE_PREFIXES)
+        }
         own = {"BALANCER_NAME": f"s{self.number}", "BALANCER_CONFIG": str(self._configuration)}
         return inherited | own | (self.board.environment() if self.board is not None else {})
 
 
-def _port(sidecar: int, use: int) -> int:
-    return FIRST_PORT + PORTS_OF_SIDECAR * sidecar + use
+def _port(sidecar: int, offset: int) -> int:
+    return FIRST_PORT + PORTS_PER_SIDECAR * sidecar + offset
--- a/garnetusher/lab/soak/size.py
+++ b/garnetusher/lab/soak/size.py
@@ -1,6 +1,7 @@
-"""Measures what one sidecar needs beside few and beside many upstreams; its need may grow only so far.
+"""Compares the resource use of one sidecar with few and with many upstreams; the use may grow only up to a limit.
 
-The sidecar's traffic and limits are the same at both sizes; discovery sends a change of the list twice a second.
+The traffic and the resource limits of the sidecar are the same at both sizes. Discovery sends a change of the endpoint
+list twice a second.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class ResourceUse(Struct):
-    """What a sidecar used over a run; needs.json has it."""
+    """The resources that a sidecar used in a run, as they are written to needs.json."""
 
     upstreams: int
     cpu_s: float = 0.0
@@ -36,7 +37,7 @@
 
 
 class Row(Struct):
-    """One line of the table: what was used at both sizes, and the limit for the larger."""
+    """One line of the table: the use of a resource at both sizes, and the limit for the larger size."""
 
     resource: str = field(name="what")
     usual: float
@@ -46,7 +47,7 @@
 
     @property
     def kept(self) -> bool:
-        """Whether the larger size is within the limit."""
+        """Whether the use at the larger size is within the limit."""
         return self.large <= self.limit if self.is_maximum else self.large >= self.limit
 
     def line(self) -> str:
@@ -56,7 +57,7 @@
 
 
 class MeasuredRun(SoakRun):
-    """A run of one sidecar without faults, in which its use of resources is measured."""
+    """A run of one sidecar without faults that measures the resource use of the sidecar."""
 
     def __init__(self, plan: Plan, folder: Path, tree: Path) -> None:
         super().__init__(plan, folder, tree)
@@ -64,10 +65,10 @@
         self._change_interval: int | None = None
 
     async def run_and_measure(self) -> ResourceUse:
-        """Run the plan and return what the sidecar used.
+        """Run the plan and return the resource use of the sidecar.
 
         Raises:
-            LabError: The sidecar did not become ready at the start.
+            LabError: The sidecar does not become ready at the start.
         """
         run = asyncio.create_task(self.run())
         sidecars = self.nodes.sidecars
@@ -93,15 +94,15 @@
             self._use.descriptors = max(self._use.descriptors, process.num_fds())
 
     def _change_list(self, agent: DiscoveryAgent) -> None:
-        """Send a change of one endpoint when a new interval has begun."""
+        """Send a change of one endpoint if a new interval has begun."""
         interval = int(time.monotonic() / CHANGE_INTERVAL_S)
         if self._change_interval not in (None, interval):
             agent.change(interval % self.plan.upstreams, EndpointStatus.ACTIVE, 0)
         self._change_interval = interval
 
 
-def plan_for_size(upstreams: int, seconds: float) -> Plan:
-    """Return the plan of a size; the traffic is the same for all."""
+def plan_for_upstreams(upstreams: int, seconds: float) -> Plan:
+    """Return the plan for a number of upstreams; the traffic is the same for all sizes."""
     return Plan(
         seed=upstreams,
         load_s=seconds,
@@ -115,8 +116,8 @@
     )
 
 
-def rows(usual: ResourceUse, large: ResourceUse) -> list[Row]:
-    """Return the table of what the larger size may use."""
+def comparison_rows(usual: ResourceUse, large: ResourceUse) -> list[Row]:
+    """Return the table that compares the use at the larger size with its limits."""
     thousands = large.upstreams / 1000
     return [
         Row("CPU seconds", usual.cpu_s, large.cpu_s, 1.4 * usual.cpu_s + 0.02 + 0.12 * thousands),
@@ -129,12 +130,12 @@
 
 
 def measure(usual: int, times: int, seconds: float, folder: Path, tree: Path) -> list[Row]:
-    """Run both sizes, one after the other, and return the table."""
+    """Run both sizes, one after the other, and return the table that compares them."""
     uses = []
     for upstreams in (usual, usual * times):
         run_folder = folder / str(upstreams)
         run_folder.mkdir(parents=True, exist_ok=True)
-        run = MeasuredRun(plan_for_size(upstreams, seconds), run_folder, tree)
+        run = MeasuredRun(plan_for_upstreams(upstreams, seconds), run_folder, tree)
         uses.append(asyncio.run(run.run_and_measure()))
     (folder / "needs.json").write_bytes(msgspec.json.format(msgspec.json.encode(uses), indent=1) + b"\n")
-    return rows(*uses)
+    return comparison_rows(*uses)
--- a/garnetusher/lab/soak/sweep.py
+++ b/garnetusher/lab/soak/sweep.py
@@ -1,7 +1,8 @@
 """Fails each system call of the sidecar with each error that Linux documents for it.
 
-There is one run for an error and a way (once, or every call for 0.3 s): three sidecars start under the fault, meet it
-while they serve, and meet it again while they end. Its result is a row of a table.
+There are two runs for each error: one call fails, or every call fails for 0.3 s. In a run, three sidecars start under
+the fault, and the fault is injected again while they serve and while they terminate. The result of a run is a row of a
+table.
 """
 
 from __future__ import annotations
@@ -28,22 +29,22 @@
 from garnetusher.lab.syscall_faults import DOCUMENTED, SHORT_TRANSFER, Call
 
 SIDECARS = 3
-SERVICE_FAULT_S = 1.0  # when the fault strikes sidecars that serve
+SERVICE_FAULT_S = 1.0  # the time of the fault while the sidecars serve
 RELOAD_S = 1.05
-END_FAULT_S = 2.2  # when it strikes sidecars that are told to end
+TERMINATION_FAULT_S = 2.2  # the time of the fault at which the sidecars also receive SIGTERM
 LOAD_S = 3.6
 FAULT_DURATION_S = 0.3
 RELOAD_DURATION_S = 0.1
-BREACH_LENGTH = 90  # of a breach that is reported
+BREACH_LENGTH = 90  # a row quotes at most this many characters of a breach
 
 
 class Row(Struct, order=True):
-    """What one error gave."""
+    """The result of the run of one error."""
 
     call: str
     error: str
-    way: str  # "once" or "0.3 s"
-    hits: int  # calls that failed, in all phases and processes
+    way: str  # "once" if one call fails, or "0.3 s" if every call fails for that time
+    hits: int  # the number of calls that failed in all phases and processes
     requests: int
     broken: list[str]
 
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyscallError:
-    """One error of one system call, and whether it strikes once or for a time."""
+    """One error of one system call, and whether one call fails or every call for a time."""
 
     call: Call
     error: int
@@ -63,19 +64,19 @@
 
     @property
     def error_name(self) -> str:
-        """The error as errno names it."""
+        """The name of the error in errno, or "short" for a short transfer."""
         return "short" if self.error == SHORT_TRANSFER else errno.errorcode[self.error]
 
     @property
     def folder_name(self) -> str:
-        """The folder of the error's run."""
+        """The name of the folder for the run of the error."""
         return f"{self.call.name.lower()}-{self.error_name}-{int(self.once)}"
 
     def plan(self) -> Plan:
-        """Return the plan of the error's run."""
+        """Return the plan of the run of the error."""
         targets = list(range(SIDECARS))
         reload = Fault(FaultKind.RELOAD, RELOAD_S, RELOAD_DURATION_S, targets)
-        restart = Fault(FaultKind.RESTART, END_FAULT_S, RESTART_S, targets)
+        restart = Fault(FaultKind.RESTART, TERMINATION_FAULT_S, RESTART_S, targets)
         classes = [
             RequestClass("read", "idempotent", 1500),
             RequestClass("publish", "at_most_once", 1000),
@@ -93,15 +94,18 @@
                 self._fault(BEFORE_START_S),
                 self._fault(SERVICE_FAULT_S),
                 reload,
-                self._fault(END_FAULT_S),
+                self._fault(TERMINATION_FAULT_S),
                 restart,
             ],
         )
 
-    def excuses(self, broken: BrokenRule) -> bool:
-        """Return whether the error explains a lost request: it ends clients' connections too."""
+    def explains(self, breach: BrokenRule) -> bool:
+        """Return whether the error explains a breach.
+
+        An error that ends clients' connections explains lost requests.
+        """
         ends_connections = self.error in CONNECTION_ENDING_ERRORS and self.call in (Call.RECV, Call.SEND)
-        return ends_connections and broken.rule == "lost"
+        return ends_connections and breach.rule == "lost"
 
     def _fault(self, at_s: float) -> Fault:
         return Fault(
@@ -115,8 +119,8 @@
         )
 
 
-def sweep(jobs: int, folder: Path, tree: Path, progress: Callable[[str, float], None]) -> list[Row]:
-    """Run all errors, `jobs` at once, and return the table."""
+def run_sweep(jobs: int, folder: Path, tree: Path, progress: Callable[[str, float], None]) -> list[Row]:
+    """Run the plans of all errors, `jobs` of them in parallel, and return the table."""
     errors = [
         SyscallError(call, error, once)
         for call, errors in DOCUMENTED.items()
@@ -128,19 +132,19 @@
         futures = [pool.submit(_run, error, folder / error.folder_name, tree) for error in errors]
         for future in as_completed(futures):
             rows.append(future.result())
-            progress(f"{len(rows)} of {len(errors)} played", len(rows) / len(errors))
+            progress(f"{len(rows)} of {len(errors)} runs completed", len(rows) / len(errors))
     return sorted(rows)
 
 
 def _run(error: SyscallError, folder: Path, tree: Path) -> Row:
-    """Run the plan of one error; called in a process of its own."""
+    """Run the plan of one error in a worker process."""
     result = run_plan(error.plan(), folder, tree)
-    broken = [f"{broken.rule}: {broken.text}" for broken in result.breaches if not error.excuses(broken)]
+    breach_texts = [f"{breach.rule}: {breach.text}" for breach in result.breaches if not error.explains(breach)]
     return Row(
         error.call.name.lower(),
         error.error_name,
         "once" if error.once else "0.3 s",
         result.failed_calls,
         result.requests,
-        [text[:BREACH_LENGTH] for text in broken[:1]],
+        [text[:BREACH_LENGTH] for text in breach_texts[:1]],
     )
--- a/garnetusher/lab/soak/upstream.py
+++ b/garnetusher/lab/soak/upstream.py
@@ -1,4 +1,7 @@
-"""Upstreams of the soak: a listener for each sidecar, so that the network can fail between one pair alone."""
+"""Simulated upstreams of the soak.
+
+An upstream has a listener for each sidecar, so that the network can fail between one upstream and one sidecar alone.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +13,23 @@
 from garnetusher.lab.soak.plan import FaultKind
 from garnetusher.lab.soak.records import Attempt, Records, now_s
 
-BACKLOG = 4  # few, so that the backlog can be filled: connections that come then are up a second later
-BACKLOG_DRAIN_S = 0.05  # what is accepted so long after a listener resumes had waited in its backlog
+# The backlog is short so that it can be filled. A connection that arrives at a full backlog is established one second
+# later.
+BACKLOG = 4
+BACKLOG_DRAIN_S = 0.05  # a connection accepted up to this long after a listener resumes has waited in its backlog
 HEAD_END = b"\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 SERVER_ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 GARBAGE = (b"HTTP/1.1 200 OK\r\nContent-Length: zz\r\n\r\n", b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\n")
-SHORTEST_IDLE_S = 0.02  # before an idle connection is closed early
+# An idle connection is closed early after SHORTEST_IDLE_S plus a random time below IDLE_SPREAD_S.
+SHORTEST_IDLE_S = 0.02
 IDLE_SPREAD_S = 0.3
 
 
 class SimulatedUpstream:
-    """One upstream: the faults that it shows at the time, and its connections."""
+    """One upstream with its active faults, listeners and connections."""
 
     def __init__(self, number: int, host: str, service_ms: float, records: Records, seed: int) -> None:
         self.number = number
@@ -32,34 +38,34 @@
         self.random = random.Random(f"{seed}-{number}")
         self.incarnation = 0
         self.boot_ms = 0
-        self.active_faults: dict[FaultKind, float] = {}  # the share of requests that each strikes
+        self.active_faults: dict[FaultKind, float] = {}  # the share of requests that each fault affects
         self.connections: set[UpstreamConnection] = set()
-        self.listeners: dict[int, UpstreamListener] = {}  # by sidecar
+        self.listeners: dict[int, UpstreamListener] = {}  # the listeners by the number of the sidecar
         self.being_replaced = False
         self.accepted_connections = 0
         self._service_s = service_ms / 1000
 
     def open(self, sidecars: int) -> None:
-        """Listen for each sidecar."""
+        """Open a listener for each sidecar."""
         for sidecar in range(sidecars):
             self.listeners[sidecar] = UpstreamListener(self, sidecar)
 
     def draw_fault(self, kind: FaultKind) -> bool:
-        """Draw whether a fault that strikes a share of requests strikes the present one."""
+        """Draw whether a fault affects the current request."""
         return kind in self.active_faults and self.random.random() < self.active_faults[kind]
 
     def draw_service_s(self) -> float:
-        """Draw how long the upstream works on a request."""
+        """Draw the time for which the upstream processes a request, in seconds."""
         return self.random.expovariate(1 / self._service_s)
 
     def reset_connections(self, share: float) -> None:
-        """Abort a share of the connections."""
+        """Abort each connection with a probability of `share`."""
         for connection in list(self.connections):
             if self.random.random() < share:
                 connection.abort()
 
     def restart(self, boot_ms: int) -> None:
-        """End the upstream's process and start another that is not warmed up."""
+        """Simulate a restart of the upstream's process; the new process is cold."""
         self.incarnation += 1
         self.boot_ms = boot_ms
         self.reset_connections(1.0)
@@ -79,7 +85,7 @@
         self.upstream = upstream
         self.sidecar = sidecar
         self.loop = asyncio.get_running_loop()
-        self.resumed_s = 0.0  # when it last resumed to accept
+        self.resumed_s = 0.0  # when the listener last resumed accepting
         self._socket = socket.socket()
         self._socket.setblocking(False)  # noqa: FBT003 - socket's own signature
         self._socket.bind((upstream.host, 0))
@@ -89,7 +95,10 @@
         self.loop.add_reader(self._socket.fileno(), self._accept)
 
     def suspend(self) -> None:
-        """Stop to accept, and fill the backlog: later connections are up only a second or more after they come."""
+        """Stop accepting, and fill the backlog.
+
+        Connections that arrive now are established only after a second or more.
+        """
         self.loop.remove_reader(self._socket.fileno())
         for _ in range(BACKLOG + 2):
             filler = socket.socket()
@@ -98,7 +107,7 @@
             self._backlog_fillers.append(filler)
 
     def resume(self) -> None:
-        """Accept again."""
+        """Accept connections again."""
         for filler in self._backlog_fillers:
             filler.close()
         self._backlog_fillers.clear()
@@ -107,7 +116,7 @@
             self.loop.add_reader(self._socket.fileno(), self._accept)
 
     def close(self) -> None:
-        """Close the listener; connections stay."""
+        """Close the listener; its connections stay open."""
         self.resume()
         self.loop.remove_reader(self._socket.fileno())
         self._socket.close()
@@ -121,7 +130,10 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection of a sidecar; requests are read under any fault, since the records need their times."""
+    """One connection from a sidecar.
+
+    Requests are read under all faults, since the records need their times.
+    """
 
     def __init__(self, listener: UpstreamListener) -> None:
         self._listener = listener
@@ -130,14 +142,15 @@
         self._received = b""
         self._first_byte_s = 0.0
         self._attempt: Attempt | None = None
-        # The sidecar took a connection in the backlog for made, and wrote to it before it could be read here.
+        # A sidecar regards a connection in the backlog as established, so it may have written to this connection before
+        # the upstream could read from it.
         self._queued = now_s() < listener.resumed_s + BACKLOG_DRAIN_S
         self._head_length = 0
         self._body_length = 0
         self._chunked = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to read from the sidecar."""
+        """Start reading requests from the sidecar."""
         if not isinstance(transport, asyncio.Transport):
             raise TypeError(type(transport))
         self._transport = transport
@@ -145,11 +158,11 @@
         self._schedule_idle_close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection from those of the upstream."""
         self._upstream.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of a request, and respond when it is complete."""
+        """Process received data, and respond when the request is complete."""
         if not self._received:
             self._first_byte_s = now_s()
         self._received += data
@@ -175,7 +188,7 @@
 
     def _read_head(self) -> Attempt:
         head, _, _ = self._received.partition(HEAD_END)
-        headers = _headers(head)
+        headers = _parse_headers(head)
         self._head_length = len(head) + len(HEAD_END)
         self._body_length = int(headers.get(b"content-length", b"0"))
         self._chunked = headers.get(b"transfer-encoding") == b"chunked"
@@ -225,6 +238,6 @@
         self._schedule_idle_close()
 
 
-def _headers(head: bytes) -> dict[bytes, bytes]:
+def _parse_headers(head: bytes) -> dict[bytes, bytes]:
     lines = (line.partition(b":") for line in head.split(b"\r\n")[1:])
     return {name.lower(): value.strip() for name, _, value in lines}
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a plan is drawn from its seed, and the oracle catches each fault that it is there for."""
+"""Tests of the soak: plans, their reduction, the oracle, and the table of resource use."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 )
 from garnetusher.lab.soak.reduce import reduce_plan
 from garnetusher.lab.soak.run import run_plan
-from garnetusher.lab.soak.size import ResourceUse, rows
+from garnetusher.lab.soak.size import ResourceUse, comparison_rows
 from tests.experiment import ROOT
 from tests.test_lab import tree
 
 
 def small_plan(*faults: Fault, load_s: float = 3.0, rate_per_s: float = 12.0) -> Plan:
-    """Return a plan of two sidecars for a few seconds."""
+    """Return a plan with two sidecars and a load of a few seconds."""
     classes = [
         RequestClass("read", "idempotent", 1000),
         RequestClass("publish", "at_most_once", 1000),
@@ -53,7 +53,7 @@
 # Plans
 
 
-def test_plan_is_read_as_drawn_when_saved(tmp_path: Path) -> None:
+def test_plan_equals_the_drawn_plan_when_saved_and_loaded(tmp_path: Path) -> None:
     plan = plans.draw(5)
     assert plan == plans.draw(5) != plans.draw(6)
     path = tmp_path / "plan.json"
@@ -65,32 +65,32 @@
 
 
 def test_plans_cover_all_kinds_and_pairs_when_many_seeds_are_drawn() -> None:
-    drawn = [plans.draw(seed) for seed in range(300)]
-    assert {fault.kind for plan in drawn for fault in plan.faults} == set(plans.ALL_FAULTS)
-    assert all(len(plan.overlapping_kinds()) >= 3 for plan in drawn)
-    found = set().union(*(plan.overlapping_kinds() for plan in drawn))
-    assert set(itertools.combinations(sorted(plans.ALL_FAULTS), 2)) <= found
+    drawn_plans = [plans.draw(seed) for seed in range(300)]
+    assert {fault.kind for plan in drawn_plans for fault in plan.faults} == set(plans.ALL_FAULTS)
+    assert all(len(plan.overlapping_kinds()) >= 3 for plan in drawn_plans)
+    found_pairs = set().union(*(plan.overlapping_kinds() for plan in drawn_plans))
+    assert set(itertools.combinations(sorted(plans.ALL_FAULTS), 2)) <= found_pairs
 
 
-def test_reducer_keeps_only_needed_faults_when_a_plan_fails() -> None:
+def test_reducer_keeps_only_the_required_faults_when_a_plan_fails() -> None:
     plan = plans.draw(5)
-    needed = {plan.faults[1].kind, plan.faults[4].kind}
-    runs = 0
+    required_kinds = {plan.faults[1].kind, plan.faults[4].kind}
+    run_count = 0
 
-    def broken_rules(smaller: Plan) -> set[str]:
-        nonlocal runs
-        runs += 1
-        return {"drain"} if needed <= {fault.kind for fault in smaller.faults} else {"lost"}
+    def find_broken_rules(candidate: Plan) -> set[str]:
+        nonlocal run_count
+        run_count += 1
+        return {"drain"} if required_kinds <= {fault.kind for fault in candidate.faults} else {"lost"}
 
-    smallest = reduce_plan(plan, {"drain"}, broken_rules, max_runs=500)
-    assert {fault.kind for fault in smallest.faults} == needed
+    smallest = reduce_plan(plan, {"drain"}, find_broken_rules, max_runs=500)
+    assert {fault.kind for fault in smallest.faults} == required_kinds
     assert smallest.broken_rules == ["drain"]
     assert smallest.sidecars < plan.sidecars
-    assert runs <= 500
-    assert reduce_plan(plan, {"drain"}, broken_rules, max_runs=0).faults == plan.faults
+    assert run_count <= 500
+    assert reduce_plan(plan, {"drain"}, find_broken_rules, max_runs=0).faults == plan.faults
 
 
-# The oracle, on records made by hand
+# The oracle on constructed records
 
 REQUEST = Request("s0-1", 0, "publish", 1.0, sent_s=10.0, new_connection=True, end=End.SERVED, ended_s=10.2)
 ATTEMPT = Attempt("s0-1", 0, 0, first_byte_s=10.01, announced_remaining_s=0.98, incarnation=0, body_complete_s=10.01)
@@ -106,7 +106,7 @@
     return Attempt(**(values | changes))
 
 
-def broken_rules_of(
+def broken_rules(
     request: Request,
     *attempts: Attempt,
     changes: tuple[EndpointChange, ...] = (),
@@ -150,63 +150,68 @@
         (REQUEST, (with_attempt(first_byte_s=10.5, queued=True),), set()),
     ],
 )
-def test_oracle_reports_the_broken_rule_when_records_show_it(
+def test_oracle_reports_the_broken_rule_when_records_contain_a_breach(
     request_: Request, attempts: tuple[Attempt, ...], expected: set[str]
 ) -> None:
-    assert broken_rules_of(request_, *attempts) == expected
+    assert broken_rules(request_, *attempts) == expected
 
 
-def test_oracle_judges_drains_connections_and_processes_when_recorded() -> None:
+def test_oracle_reports_breaches_of_drains_connections_and_processes_when_recorded() -> None:
     drained = EndpointChange(0, 0, EndpointStatus.DRAINING, 8.0)
     malformed = (
         MalformedConnection(0, 5.0, 8.5),
         MalformedConnection(0, 5.0, 0.0),
         MalformedConnection(1, 5.0, 7.9),
     )
-    assert broken_rules_of(REQUEST, ATTEMPT, changes=(drained,)) == {"drain"}
-    assert broken_rules_of(REQUEST, ATTEMPT, changes=(EndpointChange(0, 0, EndpointStatus.DRAINING, 9.0),)) == set()
-    assert (
-        broken_rules_of(REQUEST, ATTEMPT, changes=(drained, EndpointChange(0, 0, EndpointStatus.ACTIVE, 9.9))) == set()
-    )
-    assert broken_rules_of(REQUEST, ATTEMPT, changes=(EndpointChange(1, 0, EndpointStatus.DRAINING, 8.0),)) == set()
-    assert broken_rules_of(REQUEST, ATTEMPT, malformed=malformed) == {"strangers"}
-    assert broken_rules_of(REQUEST, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.DIED, 9.0, "3"),)) == {"crash"}
-    late = with_attempt(first_byte_s=10.31)
-    assert broken_rules_of(REQUEST, late) == {"told"}
-    for began_s, expected in ((10.02, set()), (9.98, {"told"})):  # before it came, or after: then it was chosen late
+    assert broken_rules(REQUEST, ATTEMPT, changes=(drained,)) == {"drain"}
+    assert broken_rules(REQUEST, ATTEMPT, changes=(EndpointChange(0, 0, EndpointStatus.DRAINING, 9.0),)) == set()
+    assert broken_rules(REQUEST, ATTEMPT, changes=(drained, EndpointChange(0, 0, EndpointStatus.ACTIVE, 9.9))) == set()
+    assert broken_rules(REQUEST, ATTEMPT, changes=(EndpointChange(1, 0, EndpointStatus.DRAINING, 8.0),)) == set()
+    assert broken_rules(REQUEST, ATTEMPT, malformed=malformed) == {"strangers"}
+    assert broken_rules(REQUEST, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.DIED, 9.0, "3"),)) == {"crash"}
+    delayed_attempt = with_attempt(first_byte_s=10.31)
+    assert broken_rules(REQUEST, delayed_attempt) == {"told"}
+    # A pause that begins after the client sent the request (at 10.0) explains the delay. After an earlier pause, the
+    # sidecar chose the attempt late, which the pause does not explain.
+    for pause_start_s, expected in ((10.02, set()), (9.98, {"told"})):
         assert (
-            broken_rules_of(
+            broken_rules(
                 REQUEST,
-                late,
+                delayed_attempt,
                 events=(
-                    ProcessEvent(0, ProcessEventKind.PAUSE, began_s),
+                    ProcessEvent(0, ProcessEventKind.PAUSE, pause_start_s),
                     ProcessEvent(0, ProcessEventKind.RESUME, 10.3),
                 ),
             )
             == expected
         )
-    assert broken_rules_of(
+    assert broken_rules(
         REQUEST,
         ATTEMPT,
         events=(ProcessEvent(0, ProcessEventKind.START, 1.0), ProcessEvent(0, ProcessEventKind.READY, 12.0)),
     ) == {"ready"}
-    killed = with_request(end=End.CLOSED)
-    assert broken_rules_of(killed, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.KILL, 10.15),)) == set()
-    assert broken_rules_of(killed, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.TERMINATE, 10.15),)) == {"lost"}
+    closed_request = with_request(end=End.CLOSED)
+    assert broken_rules(closed_request, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.KILL, 10.15),)) == set()
+    assert broken_rules(closed_request, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.TERMINATE, 10.15),)) == {
+        "lost"
+    }
 
 
-def test_size_table_judges_each_row_when_upstreams_grow() -> None:
-    usual, large = ResourceUse(200, 1.0, 20.0, 40, 60, 40.0, 1.0), ResourceUse(3200, 1.8, 50.0, 120, 190, 1700.0, 0.85)
-    assert [row.kept for row in rows(usual, large)] == [True] * 6
-    over = ResourceUse(3200, 1.9, 51.0, 121, 191, 1800.0, 0.84)
-    assert [row.kept for row in rows(usual, over)] == [False] * 6
-    assert rows(usual, over)[0].line() == "| CPU seconds | 1 | 1.9 | 1.804 | OVER |"
+def test_size_table_compares_each_row_with_its_limit_when_upstreams_increase() -> None:
+    usual, within_limits = (
+        ResourceUse(200, 1.0, 20.0, 40, 60, 40.0, 1.0),
+        ResourceUse(3200, 1.8, 50.0, 120, 190, 1700.0, 0.85),
+    )
+    assert [row.kept for row in comparison_rows(usual, within_limits)] == [True] * 6
+    over_limits = ResourceUse(3200, 1.9, 51.0, 121, 191, 1800.0, 0.84)
+    assert [row.kept for row in comparison_rows(usual, over_limits)] == [False] * 6
+    assert comparison_rows(usual, over_limits)[0].line() == "| CPU seconds | 1 | 1.9 | 1.804 | OVER |"
 
 
-# The oracle, on programs with one fault each
+# The oracle on sidecar programs with one defect each
 
 ERRORS = Fault(FaultKind.ERRORS, 0.5, 2.0, [0, 1, 2, 3], 0.5)
-MISDEEDS = {
+DEFECTS = {
     "loses_requests": ("lost", small_plan()),
     "repeats_unsafe": ("duplicate", small_plan(ERRORS)),
     "refuses_what_ran": ("duplicate", small_plan(ERRORS)),
@@ -221,27 +226,36 @@
 }
 
 
-def rules_broken(folder: str, run: str, plan: Plan) -> set[str]:
-    """Run a plan on a program; called in a process of its own."""
-    made = Path(folder)
-    made.mkdir()
-    return {breach.rule for breach in run_plan(plan, made / "play", tree(made, run)).breaches}
+def rules_broken_by_program(path: str, command: str, plan: Plan) -> set[str]:
+    """Run a plan on the sidecars of a start command in a worker process, and return the broken rules."""
+    folder = Path(path)
+    folder.mkdir()
+    return {breach.rule for breach in run_plan(plan, folder / "play", tree(folder, command)).breaches}
 
 
-def test_soak_catches_a_seeded_fault_and_only_that_when_run_on_processes(tmp_path: Path) -> None:
+def test_soak_reports_a_breach_only_when_the_sidecar_program_has_a_defect(tmp_path: Path) -> None:
     build(ROOT)
-    bad = "cd {root}; exec .venv/bin/python -B -m tests.faulty.misdeeds {deed}"
-    good = f"cd {ROOT}; exec .venv/bin/python -B -m garnetusher.sidecar"
+    defective_command = "cd {root}; exec .venv/bin/python -B -m tests.faulty.misdeeds {defect}"
+    correct_command = f"cd {ROOT}; exec .venv/bin/python -B -m garnetusher.sidecar"
     with ProcessPoolExecutor(4) as pool:
-        waiting = []
-        for deed, (rule, plan) in MISDEEDS.items():
-            waiting.append(
-                (deed, rule, pool.submit(rules_broken, str(tmp_path / deed), bad.format(root=ROOT, deed=deed), plan))
+        defective_runs = []
+        for defect, (rule, plan) in DEFECTS.items():
+            defective_runs.append(
+                (
+                    defect,
+                    rule,
+                    pool.submit(
+                        rules_broken_by_program,
+                        str(tmp_path / defect),
+                        defective_command.format(root=ROOT, defect=defect),
+                        plan,
+                    ),
+                )
             )
-        sound = [
-            pool.submit(rules_broken, str(tmp_path / f"good-{n}"), good, plan)
-            for n, (_, plan) in enumerate(list(MISDEEDS.values())[1:6])
+        correct_runs = [
+            pool.submit(rules_broken_by_program, str(tmp_path / f"good-{n}"), correct_command, plan)
+            for n, (_, plan) in enumerate(list(DEFECTS.values())[1:6])
         ]
-        caught = {deed: rule in found.result() for deed, rule, found in waiting}
-        assert caught == dict.fromkeys(MISDEEDS, True)
-        assert [found.result() for found in sound] == [set()] * len(sound)
+        reported = {defect: rule in future.result() for defect, rule, future in defective_runs}
+        assert reported == dict.fromkeys(DEFECTS, True)
+        assert [future.result() for future in correct_runs] == [set()] * len(correct_runs)
