--- a/garnetusher/cli/model_commands.py
+++ b/garnetusher/cli/model_commands.py
@@ -31,7 +31,7 @@
 from garnetusher.model import experiment as experiments
 from garnetusher.model import explore as exploration
 from garnetusher.model.ablations import ABLATIONS
-from garnetusher.model.clock import Stall
+from garnetusher.model.clock import StallError
 from garnetusher.model.experiment import Experiment
 
 app = typer.Typer(no_args_is_help=True, help="The same experiments in virtual time, with the real decisions.")
@@ -82,7 +82,7 @@
             for run in pool.map(run_experiment, repeat(experiment, count), seeds, repeat(disabled, count)):
                 completed.append(run)
                 progress("playing", len(completed) / count)
-    except Stall as error:
+    except StallError as error:
         cli.fail(str(error), cli.NOT_HELD)
     return completed
 
--- a/garnetusher/cli/runs.py
+++ b/garnetusher/cli/runs.py
@@ -46,7 +46,7 @@
         disabled: names of the ablations: parts of the policy that are switched off.
 
     Raises:
-        Stall: virtual time stands still.
+        StallError: virtual time stands still.
     """
     started_s = time.perf_counter()
     plan = plans.make(experiment, seed)
--- a/garnetusher/lab/clients.py
+++ b/garnetusher/lab/clients.py
@@ -17,7 +17,7 @@
 
 from garnetusher.errors import GarnetusherError
 from garnetusher.lab.clockwork import Clockwork
-from garnetusher.model.client import WAIT_ON_US, Client
+from garnetusher.model.client import LATE_ANSWER_WAIT_US, Client
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, SidecarPlan, Step, arrivals
 from garnetusher.model.records import Answered, Asked, Broke, Crossed, Extra, GaveUp, Quit, Silent, Unreached, Vanished
@@ -210,7 +210,7 @@
         self._start_call(_ClientCall(request_id, request_id, class_index, tenant_index, due_us, retry_index=0))
 
     def _start_call(self, call: _ClientCall) -> None:
-        timeout_us = self._client.patience_us(call.class_index)
+        timeout_us = self._client.draw_timeout_us(call.class_index)
         while self._idle:
             connection = self._idle.pop()
             if connection.usable:
@@ -260,7 +260,7 @@
             )
         )
         self.clock.at(call.timeout_at_us, self._time_out, connection, call)
-        disconnect_after_us = self._client.leaves_after_us(timeout_us)
+        disconnect_after_us = self._client.draw_disconnect_delay_us(timeout_us)
         if disconnect_after_us is not None:
             self.clock.at(now_us + disconnect_after_us, self._disconnect_early, connection, call)
 
@@ -333,7 +333,7 @@
             return
         call.completed = True
         self.clock.write(GaveUp(self.clock.now_us(), call.call_id, self._sidecar.name))
-        self.clock.at(call.timeout_at_us + WAIT_ON_US, self._stop_watching, connection, call)
+        self.clock.at(call.timeout_at_us + LATE_ANSWER_WAIT_US, self._stop_watching, connection, call)
         self._schedule_retry(call, not_run=False)
 
     def _stop_watching(self, connection: ClientConnection, call: _ClientCall) -> None:
@@ -351,7 +351,7 @@
             connection.abort()
 
     def _schedule_retry(self, call: _ClientCall, *, not_run: bool, retry_after_us: int = 0) -> None:
-        retry_at_us = self._client.comes_again_us(
+        retry_at_us = self._client.draw_retry_time_us(
             self.clock.now_us(), call.class_index, call.retry_index, call.due_us, not_run, retry_after_us
         )
         if retry_at_us is not None:
--- a/garnetusher/lab/datagrams.py
+++ b/garnetusher/lab/datagrams.py
@@ -14,7 +14,7 @@
 
 from garnetusher.lab.clockwork import Clockwork
 from garnetusher.model import draw
-from garnetusher.model.link import DatagramLink, Weather
+from garnetusher.model.link import DatagramLink, LinkConditions
 
 Address = tuple[str, int]
 
@@ -35,20 +35,20 @@
 
 
 class Relay:
-    """All pairs of some members. `weather` of a pair, one way, may be changed at any time."""
+    """All pairs of some members. `conditions` of a pair, one way, may be changed at any time."""
 
     def __init__(self, clock: Clockwork, members: dict[str, Address], seed: int) -> None:
         self.clock, self.members = clock, members
         self._sides: dict[tuple[str, str], _Side] = {}
-        self.weather = {(a, b): Weather() for a in members for b in members if a != b}
+        self.conditions = {(a, b): LinkConditions() for a in members for b in members if a != b}
         self._links = {
-            pair: DatagramLink(weather, random.Random(int(draw.uniform(seed, *pair) * 2**53)))
-            for pair, weather in self.weather.items()
+            pair: DatagramLink(conditions, random.Random(int(draw.uniform(seed, *pair) * 2**53)))
+            for pair, conditions in self.conditions.items()
         }
         self.passed = self.lost = 0
 
     async def open(self, host: str) -> None:
-        for near, far in self.weather:
+        for near, far in self.conditions:
             make_side = functools.partial(_Side, self, near, far)
             _, side = await self.clock.loop.create_datagram_endpoint(make_side, local_addr=(host, 0))
             self._sides[near, far] = side
@@ -67,7 +67,7 @@
             self.clock.at(at_us, self._deliver, near, far, copy)
 
     def _deliver(self, near: str, far: str, data: bytes) -> None:
-        if self.weather[near, far].cut:  # it came about while this one was on its way
+        if self.conditions[near, far].cut:  # it came about while this one was on its way
             self.lost += 1
             return
         self.passed += 1
--- a/garnetusher/lab/discovery.py
+++ b/garnetusher/lab/discovery.py
@@ -15,7 +15,7 @@
 from garnetusher.lab.sidecar_settings import STANDARD_MODEL
 from garnetusher.model import draw
 from garnetusher.model.experiment import Directory
-from garnetusher.model.link import Weather
+from garnetusher.model.link import LinkConditions
 from garnetusher.model.plan import LONG_AGO, ListStep, Plan
 from garnetusher.model.records import Listed, Told
 
@@ -122,7 +122,7 @@
         }
         self._changes: list[tuple[int, ListStep]] = []  # with the revision that each made
 
-    def link(self, sidecar: str, host: str, normal_conditions: Weather) -> None:
+    def link(self, sidecar: str, host: str, normal_conditions: LinkConditions) -> None:
         """Open the listener of one sidecar."""
         seed = int(draw.uniform(self.plan.seed, "link", "directory", sidecar) * 2**32)
         listener = link_sockets.Listener(
--- a/garnetusher/lab/link_sockets.py
+++ b/garnetusher/lab/link_sockets.py
@@ -18,7 +18,7 @@
 
 from garnetusher.errors import GarnetusherError
 from garnetusher.lab.clockwork import Clockwork
-from garnetusher.model.link import StreamLink, Weather
+from garnetusher.model.link import LinkConditions, StreamLink
 
 BACKLOG = 512
 FILLER_CONNECTIONS = 4  # one fills a queue of length 0; the others make sure
@@ -47,8 +47,10 @@
 
 def _passes_at_once(link: StreamLink) -> bool:
     """Whether what is sent now arrives now, as nothing delays it by more than timers can tell."""
-    weather = link.weather
-    return weather.delay_us < MIN_DELAY_US and not (weather.cut or weather.loss or weather.bytes_per_s or link.waiting)
+    conditions = link.conditions
+    return conditions.delay_us < MIN_DELAY_US and not (
+        conditions.cut or conditions.loss or conditions.bytes_per_s or link.bytes_in_transit
+    )
 
 
 class Connection(asyncio.Protocol):
@@ -110,7 +112,7 @@
     def close(self) -> None:
         """Close in order: what has been written is still delivered."""
         self._closed_by_node = True
-        if self.transport is not None and not self._outbound.waiting:
+        if self.transport is not None and not self._outbound.bytes_in_transit:
             self.transport.close()
 
     def abort(self) -> None:
@@ -121,12 +123,12 @@
 
     def restore_to_node(self) -> None:
         """Carry on after a cut of the direction to the node."""
-        self._inbound.mend(self._clock.now_us())
+        self._inbound.end_cut(self._clock.now_us())
         self._deliver()
 
     def restore_to_sidecar(self) -> None:
         """Carry on after a cut of the direction to the sidecar; a reset that it held back is sent now."""
-        self._outbound.mend(self._clock.now_us())
+        self._outbound.end_cut(self._clock.now_us())
         if self._closed_by_node and self.transport is not None:
             self.transport.abort()
         self._deliver()
@@ -141,12 +143,12 @@
         self._set_timer()
 
     def _deliver_to_node(self, now_us: int) -> None:
-        for data in self._inbound.arrived(now_us):
+        for data in self._inbound.take_arrived(now_us):
             if not self._closed_by_node:
                 self.handler.data_arrived(data)
 
     def _deliver_to_sidecar(self, now_us: int) -> None:
-        for data in self._outbound.arrived(now_us):
+        for data in self._outbound.take_arrived(now_us):
             on_delivered = self._delivery_callbacks.popleft()
             if self.transport is not None and not self._closed_by_sidecar:
                 self.transport.write(data)
@@ -154,19 +156,19 @@
                     on_delivered()
 
     def _close_transport_when_done(self) -> None:
-        blocked = self._outbound.waiting or self.listener.to_sidecar.cut
+        blocked = self._outbound.bytes_in_transit or self.listener.to_sidecar.cut
         if self._closed_by_node and self.transport is not None and not blocked:
             self.transport.close()
 
     def _report_close_when_done(self) -> None:
-        blocked = self._inbound.waiting or self.listener.to_node.cut
+        blocked = self._inbound.bytes_in_transit or self.listener.to_node.cut
         if self._closed_by_sidecar and not self._close_reported and not blocked:
             self._close_reported = True
             self.listener.connections.discard(self)
             self.handler.closed_by_sidecar()
 
     def _set_timer(self) -> None:
-        times_us = [t for t in (self._inbound.next_us(), self._outbound.next_us()) if t is not None]
+        times_us = [t for t in (self._inbound.next_arrival_us(), self._outbound.next_arrival_us()) if t is not None]
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -191,13 +193,13 @@
         host: str,
         make_handler: Callable[[Connection], ConnectionHandler],
         seed: int,
-        normal_conditions: Weather | None = None,
+        normal_conditions: LinkConditions | None = None,
     ) -> None:
         self.clock = clock
         self.make_handler = make_handler
         self.rng = random.Random(seed)
-        self.to_node = replace(normal_conditions or Weather())
-        self.to_sidecar = replace(normal_conditions or Weather())
+        self.to_node = replace(normal_conditions or LinkConditions())
+        self.to_sidecar = replace(normal_conditions or LinkConditions())
         self.connections: set[Connection] = set()
         self.host = host
         self.port = 0
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -17,10 +17,10 @@
 from garnetusher.lab.clockwork import Clockwork
 from garnetusher.model import draw
 from garnetusher.model.experiment import Experiment, RequestClass
-from garnetusher.model.link import Weather
+from garnetusher.model.link import LinkConditions
 from garnetusher.model.plan import Step, UpstreamPlan
 from garnetusher.model.records import Attempt, Ended, Held, Machine
-from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream
+from garnetusher.model.upstream import Action, JobFinished, JobRejected, MachineCrashed, Upstream
 
 NOT_RUN_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
@@ -134,7 +134,7 @@
             "accept": self._accept,
         }
 
-    def link(self, sidecar: str, host: str, normal_conditions: Weather) -> None:
+    def link(self, sidecar: str, host: str, normal_conditions: LinkConditions) -> None:
         """Open the listener of one sidecar."""
         seed = int(draw.uniform(self._seed, "link", self.plan.uid, sidecar) * 2**32)
         listener = link_sockets.Listener(
@@ -150,7 +150,7 @@
         for step in self.plan.steps:
             self.clock.at(step.at_us, self.apply_fault, step)
         if self.plan.from_us > 0:
-            self._machine.die(0)
+            self._machine.terminate(0)
         self._close_idle_connections()
 
     def close(self) -> None:
@@ -182,7 +182,7 @@
         self._accept_connections()
 
     def _hang_or_resume(self, now_us: int, step: Step) -> None:
-        self._handle_actions(self._machine.hang(now_us, step.what == "hang"))
+        self._handle_actions(self._machine.set_hung(now_us, step.what == "hang"))
 
     def _slow_down(self, now_us: int, step: Step) -> None:
         self._handle_actions(self._machine.slow_down(now_us, step.value))
@@ -201,7 +201,7 @@
         self._accept_connections()
 
     def _drop_all_attempts(self, now_us: int) -> None:
-        for attempt_number in self._machine.die(now_us):
+        for attempt_number in self._machine.terminate(now_us):
             self._end_attempt(attempt_number, "dropped")
 
     def _accept_connections(self) -> None:
@@ -316,16 +316,16 @@
 
     def _handle_actions(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Finished):
+            if isinstance(action, JobFinished):
                 self._finish(action)
-            elif isinstance(action, TurnedAway):
+            elif isinstance(action, JobRejected):
                 if action.job in self._attempts:
                     self._respond(self._attempts[action.job], NOT_RUN_RESPONSE, "turned_away")
-            elif isinstance(action, FellOver):
+            elif isinstance(action, MachineCrashed):
                 self._crash(action)
         self._set_timer()
 
-    def _finish(self, action: Finished) -> None:
+    def _finish(self, action: JobFinished) -> None:
         attempt = self._attempts.get(action.job)
         if attempt is None:
             return
@@ -335,9 +335,9 @@
             body = f"{self.plan.uid} {attempt.request_id}\n".encode()
             self._respond(attempt, SUCCESS_HEAD % len(body) + body, "served")
 
-    def _crash(self, action: FellOver) -> None:
+    def _crash(self, action: MachineCrashed) -> None:
         self.clock.write(Machine(self.clock.now_us(), self.plan.uid, "fell_over"))
-        for attempt_number in action.dropped:
+        for attempt_number in action.lost_jobs:
             self._end_attempt(attempt_number, "dropped")
         self._refuse_connections()
 
@@ -358,7 +358,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        at_us = self._machine.next_us()
+        at_us = self._machine.next_wakeup_us()
         if at_us is not None:
             self._timer = self.clock.at(at_us, self._on_timer)
 
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -24,7 +24,7 @@
 from garnetusher.lab.link_sockets import Listener
 from garnetusher.lab.upstreams import UpstreamServer
 from garnetusher.model.experiment import Experiment, Topology
-from garnetusher.model.link import Weather
+from garnetusher.model.link import LinkConditions
 from garnetusher.model.plan import DIRECTORY, LinkStep, Plan
 from garnetusher.model.records import Journal
 
@@ -197,9 +197,9 @@
             listener.to_node.loss = listener.to_sidecar.loss = step.value
 
 
-def _normal_conditions(topology: Topology, one_way_ms: float) -> Weather:
+def _normal_conditions(topology: Topology, one_way_ms: float) -> LinkConditions:
     """Return the conditions of a link that has no fault."""
-    return Weather(round(one_way_ms * 1000), topology.jitter, bytes_per_s=topology.link_kb_per_s * 1000)
+    return LinkConditions(round(one_way_ms * 1000), topology.jitter, bytes_per_s=topology.link_kb_per_s * 1000)
 
 
 def _addresses(listeners: dict[str, Listener]) -> dict[str, str]:
--- a/garnetusher/model/client.py
+++ b/garnetusher/model/client.py
@@ -1,4 +1,4 @@
-"""A client's decisions: how long it waits for an answer, when it disconnects early, and whether and when it retries."""
+"""The decisions of a client: its timeout, when it disconnects early, and whether and when it retries."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 
 from garnetusher.model.experiment import Experiment
 
-WAIT_ON_US = 600_000  # a call's connection is watched for so long after its timeout, to see whether an answer comes
+LATE_ANSWER_WAIT_US = 600_000  # the wait for a late answer after a call's timeout
 
 
 class Client:
-    """The habits of one application's users; all draws come from a generator of its own."""
+    """The clients of one sidecar; all their random draws come from a generator of their own."""
 
     def __init__(self, experiment: Experiment, seed: int, sidecar: str) -> None:
         self._classes = experiment.classes
         self._settings = experiment.clients
         self._rng = random.Random(f"{seed} client {sidecar}")
 
-    def patience_us(self, class_index: int) -> int:
-        """Draw the client timeout of a call: whole milliseconds, in microseconds."""
-        shortest = self._settings.try_share
-        share = shortest + (1 - shortest) * self._rng.random()
+    def draw_timeout_us(self, class_index: int) -> int:
+        """Draw the client timeout of a call, in microseconds; it is a whole number of milliseconds."""
+        min_share = self._settings.try_share
+        share = min_share + (1 - min_share) * self._rng.random()
         return max(1, int(self._classes[class_index].deadline_ms * share)) * 1000
 
-    def leaves_after_us(self, client_timeout_us: int) -> int | None:
-        """Draw when an impatient client disconnects, from the start of its call; None if it waits."""
+    def draw_disconnect_delay_us(self, client_timeout_us: int) -> int | None:
+        """Draw the delay after which a client disconnects early; None if it waits for its timeout."""
         if self._rng.random() >= self._settings.impatient:
             return None
         return int(self._rng.random() * client_timeout_us)
 
-    def comes_again_us(
+    def draw_retry_time_us(
         self,
         now_us: int,
         class_index: int,
@@ -38,18 +38,18 @@
         safe_to_retry: bool,  # noqa: FBT001 - the lab calls it by position
         retry_after_us: int,
     ) -> int | None:
-        """Draw when a client retries a call that has failed.
+        """Draw the time at which a client retries a failed call.
 
         Args:
-            now_us: The present time.
-            class_index: The request's class. An idempotent one is retried after any failure.
-            retry_index: The number of the call that has failed, from 0.
-            first_due_us: When the request's first call was due; its deadline counts from there.
-            safe_to_retry: The answer said that the request did not run.
-            retry_after_us: The answer's Retry-After; 0 if it had none.
+            now_us: The current time.
+            class_index: The request class; an idempotent request is retried after any failure.
+            retry_index: The retry number of the failed call; 0 is the first call.
+            first_due_us: The scheduled time of the first call, from which the request deadline counts.
+            safe_to_retry: Whether the answer states that the request did not run.
+            retry_after_us: The answer's Retry-After delay; 0 if the answer has none.
 
         Returns:
-            The time of the retry; None if there is none.
+            The time of the retry; None if the client does not retry.
         """
         request_class = self._classes[class_index]
         may_retry = safe_to_retry or request_class.effect == "idempotent"
--- a/garnetusher/model/discovery_client.py
+++ b/garnetusher/model/discovery_client.py
@@ -1,4 +1,4 @@
-"""How a simulated sidecar learns the endpoint list: its calls to discovery and the ids that it gives to endpoints."""
+"""The discovery client of a simulated sidecar: its calls for the endpoint list, and its endpoint ids."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     from garnetusher.model.sidecar import SimulatedSidecar
     from garnetusher.model.simulation import Simulation
 
-CALL_TIMEOUT_US = 2_500_000  # as in garnetusher/sidecar/discovery
-WATCH_RETRY_US = 250_000  # until the next call, where the policy does not poll by itself
+CALL_TIMEOUT_US = 2_500_000  # the call timeout of garnetusher/sidecar/discovery
+WATCH_RETRY_US = 250_000  # the delay before the next call if the policy does not poll
 ENDPOINT_STATUSES = {
     "active": EndpointStatus.READY,
     "leaving": EndpointStatus.DRAINING,
@@ -25,14 +25,14 @@
 
 
 class EndpointCache:
-    """Endpoints by their contents, shared by all sidecars to keep a large fleet small in memory."""
+    """Endpoints by content, shared by all sidecars to reduce the memory of a large fleet."""
 
     def __init__(self, zones: list[str]) -> None:
         self._zones = zones
         self._endpoints: dict[tuple[int, str, str, int], Endpoint] = {}
 
     def get(self, endpoint_id: int, step: ListStep) -> Endpoint:
-        """Return the endpoint that an entry of the list describes."""
+        """Return the endpoint for an entry of the endpoint list."""
         key = (endpoint_id, step.uid, step.state, step.started_us)
         known = self._endpoints.get(key)
         if known is not None:
@@ -47,7 +47,7 @@
 
 
 class DiscoveryClient:
-    """The calls of one sidecar to discovery. Answers to an earlier call or process are ignored."""
+    """The discovery calls of one sidecar; answers to an earlier call or process are ignored."""
 
     def __init__(self, simulation: Simulation, sidecar: SimulatedSidecar, *, polls: bool) -> None:
         self._simulation = simulation
@@ -57,7 +57,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget everything: a new process starts."""
+        """Clear the state for a new process."""
         self.watching = False
         self._last_call_id = 0
         self._answered_call_id = 0
@@ -65,41 +65,41 @@
         self._uids: dict[int, str] = {}
 
     def uid_of(self, endpoint_id: int) -> str | None:
-        """Return the upstream behind an id that was given to the policy."""
+        """Return the uid of the upstream with an endpoint id; None if the id is unknown."""
         return self._uids.get(endpoint_id)
 
     def endpoints(self) -> list[Endpoint]:
-        """Return the whole list as it is now."""
+        """Return the current endpoint list in full."""
         return [self._endpoint(step) for step in self._simulation.discovery.entries]
 
     def call(self) -> None:
-        """Ask for the list and its changes from now on, in place of an earlier call."""
+        """Request the list and its further changes; this call replaces an earlier one."""
         self._last_call_id += 1
-        self.watching = not self._polls  # without polling, changes come from now on, as from an agent on the host
+        self.watching = not self._polls  # without polling, changes arrive from now on, as from a host's agent
         incarnation, call_id = self._sidecar.incarnation, self._last_call_id
         deliver = partial(self._simulation.discovery.handle_call, self._sidecar, incarnation, call_id)
         self._simulation.network.send(DIRECTORY, self._sidecar.name, Direction.TO_NODE, deliver)
         self._clock.at(self._clock.now_us + CALL_TIMEOUT_US, self.call_failed, incarnation, call_id)
 
     def call_answered(self, incarnation: int, call_id: int) -> None:
-        """Take the answer: the list, and the changes that follow."""
+        """Handle the answer: a snapshot of the list, after which changes follow."""
         if not self._sidecar.runs_or_defers(self.call_answered, incarnation, call_id):
             return
-        if not self._awaits(incarnation, call_id):
+        if not self._is_awaited(incarnation, call_id):
             return
         self.watching = True
         self._answered_call_id = call_id
-        # where calls cost nothing, a sidecar has started with the list of that moment
+        # if calls take no time, the sidecar has started with the current list
         if self._polls or self._simulation.experiment.directory.call_ms:
             for step in self._simulation.discovery.entries:
                 self._record(step)
             self._sidecar.dispatch(EndpointsUpdated(UpdateKind.SNAPSHOT, self.endpoints()))
 
     def call_failed(self, incarnation: int, call_id: int) -> None:
-        """Give up a call that was rejected or has timed out; call again later unless the policy polls by itself."""
+        """Handle a rejected or timed-out call: report the failure to a polling policy, else call again later."""
         if not self._sidecar.runs_or_defers(self.call_failed, incarnation, call_id):
             return
-        if not self._awaits(incarnation, call_id):
+        if not self._is_awaited(incarnation, call_id):
             return
         self._last_call_id += 1  # a late answer is ignored
         if self._polls:
@@ -109,14 +109,14 @@
             self._clock.at(retry_at_us, self._call_again, incarnation, self._last_call_id)
 
     def entry_changed(self, step: ListStep, incarnation: int) -> None:
-        """Take a change of one entry."""
+        """Pass a change of one entry to the policy."""
         if not self._sidecar.runs_or_defers(self.entry_changed, step, incarnation):
             return
         if incarnation == self._sidecar.incarnation:
             self._record(step)
             self._sidecar.dispatch(EndpointsUpdated(UpdateKind.DELTA, [self._endpoint(step)]))
 
-    def _awaits(self, incarnation: int, call_id: int) -> bool:
+    def _is_awaited(self, incarnation: int, call_id: int) -> bool:
         return self._is_latest(incarnation, call_id) and self._answered_call_id != call_id
 
     def _is_latest(self, incarnation: int, call_id: int) -> bool:
--- a/garnetusher/model/discovery_node.py
+++ b/garnetusher/model/discovery_node.py
@@ -1,4 +1,4 @@
-"""The discovery service of a simulation: the endpoint list, its watchers and the calls that wait their turn."""
+"""The discovery service of a simulation: the endpoint list, its watchers and a queue of calls."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class DiscoveryNode:
-    """Holds the endpoint list, answers calls one after another, and notifies watching sidecars of changes."""
+    """Stores the endpoint list, answers calls one at a time, and notifies watching sidecars of changes."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
         self._clock = simulation.clock
         self._settings = simulation.experiment.directory
-        self._busy_until_us = 0  # when the calls that wait will have been answered
+        self._busy_until_us = 0  # when all queued calls will have been answered
         self._entries = {
             upstream.uid: ListStep(0, upstream.uid, upstream.zone, "active")
             for upstream in simulation.plan.upstreams
@@ -33,19 +33,19 @@
 
     @property
     def entries(self) -> list[ListStep]:
-        """The endpoint list as it is now."""
+        """The current endpoint list."""
         return list(self._entries.values())
 
     def schedule(self, steps: list[ListStep]) -> None:
-        """Schedule the plan's changes of the list."""
+        """Schedule the plan's changes to the list."""
         for step in steps:
             self._clock.at(step.at_us, self.apply_change, step)
 
     def apply_change(self, step: ListStep) -> None:
-        """Change an entry and notify each watching sidecar, spread over the configured time."""
-        before = self._entries.get(step.uid)
-        if before is not None and step.started_us == LONG_AGO:
-            step = structs.replace(step, started_us=before.started_us)  # only a start changes the start time
+        """Change an entry and notify each watching sidecar; the notifications are spread over `spread_ms`."""
+        previous = self._entries.get(step.uid)
+        if previous is not None and step.started_us == LONG_AGO:
+            step = structs.replace(step, started_us=previous.started_us)  # only a start changes the start time
         if step.state == "left":
             self._entries.pop(step.uid, None)
         else:
@@ -58,7 +58,7 @@
             self._clock.at(self._clock.now_us + int(share * spread_us), self._notify, sidecar, step)
 
     def handle_call(self, sidecar: SimulatedSidecar, incarnation: int, call_id: int) -> None:
-        """Take a call into the queue, or reject it where the queue is full; the answer has the list of its time."""
+        """Queue a call, or reject it if the queue is full; the answer has the list at the time of its arrival."""
         now_us = self._clock.now_us
         self._simulation.record(Listed(now_us, sidecar.name, "watch"))
         service_us = int(self._settings.call_ms * 1000)
--- a/garnetusher/model/network.py
+++ b/garnetusher/model/network.py
@@ -1,4 +1,4 @@
-"""The links between sidecars and the nodes that they talk to: delay, jitter, loss and partitions in virtual time."""
+"""Links between sidecars and the nodes that they connect to: delay, jitter, loss and partitions in virtual time."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from garnetusher.model.link import RETRANSMIT_US
 from garnetusher.model.plan import DIRECTORY, LinkStep, Plan
 
-LONGEST_RETRANSMIT_WAIT_US = 3_000_000  # after a partition, until TCP has sent again what it held
+MAX_RETRANSMIT_WAIT_US = 3_000_000  # the longest wait after a partition for TCP's next retransmission
 
 
 class Direction(Enum):
-    """Which way a message goes."""
+    """The direction of a message."""
 
     TO_NODE = "to_node"  # from a sidecar to an upstream or to discovery
     TO_SIDECAR = "to_sidecar"
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class _HeldMessage:
-    """A message that was sent into a partition."""
+    """A message sent during a partition, kept until the partition ends."""
 
     direction: Direction
     deliver: Callable[[], None]
@@ -35,30 +35,30 @@
     """The link between one node (an upstream or discovery) and one sidecar."""
 
     one_way_us: int
-    cuts_to_node: int = 0  # faults that cut this direction at present
-    cuts_to_sidecar: int = 0
+    cuts_to_node: int = 0  # the number of active faults that cut the direction to the node
+    cuts_to_sidecar: int = 0  # the number of active faults that cut the direction to the sidecar
     loss: float = 0.0
-    cut_since_us: int = 0
+    cut_since_us: int = 0  # the start of the latest cut
     held: list[_HeldMessage] = field(default_factory=list)
 
     def is_cut(self, direction: Direction) -> bool:
-        """Return whether nothing gets through in this direction."""
+        """Return whether messages in this direction are held back."""
         cuts = self.cuts_to_node if direction is Direction.TO_NODE else self.cuts_to_sidecar
         return cuts > 0
 
     @property
     def cut_either_way(self) -> bool:
-        """Whether no connection can come up."""
+        """Whether a direction is cut, so that no connection can be established."""
         return self.cuts_to_node > 0 or self.cuts_to_sidecar > 0
 
     @property
     def cut_both_ways(self) -> bool:
-        """Whether the two are fully partitioned."""
+        """Whether the node and the sidecar are fully partitioned."""
         return self.cuts_to_node > 0 and self.cuts_to_sidecar > 0
 
 
 class _Links(dict[tuple[str, str], Link]):
-    """Links by node and sidecar, made on first use: in a large fleet few of the pairs ever talk."""
+    """Links by node and sidecar, created on first use: few pairs of a large fleet exchange messages."""
 
     def __init__(self, one_way_us: Callable[[str, str], int]) -> None:
         super().__init__()
@@ -69,7 +69,7 @@
 
 
 class Network:
-    """Carries messages between nodes and sidecars, and applies the plan's link faults."""
+    """Delivers messages between nodes and sidecars, and applies the plan's link faults."""
 
     def __init__(self, topology: Topology, plan: Plan, clock: Clock) -> None:
         self._clock = clock
@@ -79,9 +79,9 @@
         self._sidecar_zones = {sidecar.name: sidecar.zone for sidecar in plan.sidecars}
         self._upstream_zones = {upstream.uid: upstream.zone for upstream in plan.upstreams}
         self._zone_delays_us = {
-            (here, there): round(topology.one_way_ms(here, there) * 1000)
-            for here in topology.zones
-            for there in topology.zones
+            (from_zone, to_zone): round(topology.one_way_ms(from_zone, to_zone) * 1000)
+            for from_zone in topology.zones
+            for to_zone in topology.zones
         }
         self._links = _Links(self._one_way_us)
 
@@ -91,13 +91,13 @@
             self._clock.at(step.at_us, self.apply_fault, step)
 
     def link(self, node: str, sidecar: str) -> Link:
-        """Return the link of a node, given by its uid or as `DIRECTORY`, and a sidecar."""
+        """Return the link between a node (the uid of an upstream, or `DIRECTORY`) and a sidecar."""
         return self._links[node, sidecar]
 
     def send(self, node: str, sidecar: str, direction: Direction, deliver: Callable[[], None]) -> None:
         """Deliver a message after the link's delay.
 
-        What a partition holds back is delivered once the link is mended, as TCP sends it again.
+        A message sent during a partition is delivered after the partition ends, because TCP retransmits it.
         """
         link = self._links[node, sidecar]
         if link.is_cut(direction):
@@ -111,7 +111,7 @@
         self._clock.at(arrival_us, deliver)
 
     def apply_fault(self, step: LinkStep) -> None:
-        """Cut or mend links, or set their loss, as a step of the plan says."""
+        """Apply a step of the plan: cut links, end a cut, or set the loss."""
         for node in step.parties:
             for sidecar in step.sidecars:
                 link = self._links[node, sidecar]
@@ -124,13 +124,13 @@
                 else:
                     link.cuts_to_node -= step.to_party
                     link.cuts_to_sidecar -= step.to_sidecar
-                    self._send_held_again(node, sidecar, link)
+                    self._resend_held(node, sidecar, link)
 
-    def _send_held_again(self, node: str, sidecar: str, link: Link) -> None:
+    def _resend_held(self, node: str, sidecar: str, link: Link) -> None:
         held, link.held = link.held, []
         now_us = self._clock.now_us
         wait_us = int(self._rng.random() * (now_us - link.cut_since_us))
-        sent_at_us = now_us + min(wait_us, LONGEST_RETRANSMIT_WAIT_US)
+        sent_at_us = now_us + min(wait_us, MAX_RETRANSMIT_WAIT_US)
         for message in held:
             self._clock.at(sent_at_us, self.send, node, sidecar, message.direction, message.deliver)
 
--- a/garnetusher/model/sidecar.py
+++ b/garnetusher/model/sidecar.py
@@ -1,7 +1,7 @@
-"""A simulated sidecar: its process, the policy that decides in it, and the answers to its clients.
+"""A simulated sidecar: its process, its policy, and the answers to its clients.
 
-What the real sidecar's dispatcher (garnetusher/sidecar/requests/dispatcher.py) does for the policy is done here and
-in `sidecar_attempts`: one outcome for each attempt, one answer for each request.
+This module and `sidecar_attempts` do the work of the real sidecar's dispatcher
+(garnetusher/sidecar/requests/dispatcher.py): each attempt has one outcome, and each request has one answer.
 """
 
 from __future__ import annotations
@@ -42,28 +42,28 @@
 if TYPE_CHECKING:
     from garnetusher.model.simulation import Simulation
 
-ANSWER_MARGIN_US = 10_000  # an answer is sent so long before its client stops waiting
-START_UP_US = 300_000  # from the start of a process until it is ready
-NO_INCARNATION = 0  # while no process runs
+ANSWER_MARGIN_US = 10_000  # the request deadline is earlier than the client timeout by this margin
+START_UP_US = 300_000  # the time from the start of a process until it is ready
+NO_INCARNATION = 0  # the incarnation while no process runs
 STATUS_OK, STATUS_FAILED, STATUS_SHED = 200, 500, 503
 
 
 @dataclass(slots=True)
 class _DeferredCall:
-    """What came while the process was stopped by a signal."""
+    """A callback that became due while a signal stopped the process."""
 
     callback: Callable[..., object]
     arguments: tuple[object, ...]
 
 
 class SimulatedSidecar:
-    """One sidecar's name, its clients, and the process that it has at present.
+    """One sidecar: its clients and its current process.
 
     Attributes:
-        up: Whether a process runs.
-        incarnation: Numbers the processes; events that an earlier one has scheduled are ignored.
-        pending: Requests that have no answer yet, or attempts in flight, by id.
-        fleet_size: The size that the policy has last been given; 0 before.
+        up: Whether a process runs; a stopped process counts.
+        incarnation: The number of the current process; events scheduled by an earlier process are ignored.
+        pending: The requests without an answer or with attempts in flight, by id.
+        fleet_size: The fleet size that the policy received last; 0 before the first one.
     """
 
     def __init__(self, simulation: Simulation, plan: SidecarPlan) -> None:
@@ -71,7 +71,7 @@
         self._clock = simulation.clock
         self._starts = 0
         self._last_request_id = 0
-        self._deferred: list[_DeferredCall] | None = None  # a list while the process is stopped
+        self._deferred: list[_DeferredCall] | None = None  # a list while a signal stops the process, else None
         self._action_handlers: dict[type[Any], Callable[[Any], None]] = {
             Forward: self._forward,
             Shed: self._answer_shed,
@@ -106,11 +106,11 @@
     # The process
 
     def apply_fault(self, step: Step) -> None:
-        """Carry out a step of the plan."""
+        """Apply a step of the plan to the process."""
         self._fault_handlers[step.what]()
 
     def runs_or_defers(self, callback: Callable[..., object], *arguments: object) -> bool:
-        """Return whether the process runs now; if it is stopped, call back once it resumes."""
+        """Return whether the process runs now; if a signal has stopped it, schedule the callback for its resumption."""
         if self._deferred is not None:
             self._deferred.append(_DeferredCall(callback, arguments))
             return False
@@ -139,14 +139,14 @@
         return baselines.decisions(policy_name, self.settings, seed, self._policy_now_us())
 
     def _end(self) -> None:
-        """End the process; the upstreams see its connections close."""
+        """End the process and close its connections to the upstreams."""
         self.up = self.clients.active = False
         self.incarnation = NO_INCARNATION
         if self._simulation.membership is not None:
             self._simulation.membership.kill(self.name)
         for request in list(self.pending.values()):
             if not request.completed:
-                self.clients.call_vanished(request.call)
+                self.clients.client_killed(request.call)
             self.attempts.close_all(request)
         self.pending.clear()
 
@@ -159,7 +159,7 @@
         self._clock.at(self._clock.now_us + START_UP_US, self._start)
 
     def _restart(self) -> None:
-        """Shut down gracefully: pending requests are answered, no new ones are made; then start again."""
+        """Shut down gracefully: clients send no new requests, pending requests are answered; then start again."""
         self._record_process("term")
         self.clients.active = False
         end_us = self._clock.now_us + self._simulation.longest_deadline_us
@@ -186,7 +186,7 @@
     # Requests
 
     def receive(self, call: ClientCall, incarnation: int) -> None:
-        """Take a client's request."""
+        """Accept a client's request; a request sent to an earlier process is ignored."""
         if not self.runs_or_defers(self.receive, call, incarnation) or incarnation != self.incarnation:
             return
         self._last_request_id += 1
@@ -203,27 +203,27 @@
         )
 
     def unanswered(self, call: ClientCall) -> PendingRequest | None:
-        """Return the request of a call that has no final answer yet."""
+        """Return the request of a call that has no final answer yet, else None."""
         return next((r for r in self.pending.values() if r.call is call and not r.completed), None)
 
     def client_disconnected(self, call: ClientCall) -> None:
-        """Complete the request of a client that has closed its connection."""
+        """Complete the request of a client that has closed its connection, without an answer."""
         request = self.unanswered(call)
         if request is not None:
             self._complete(request)
             self.dispatch(ClientDisconnected(request.request_id))
 
     def answer_served(self, request_id: int, uid: str) -> None:
-        """Answer a request with an upstream's response, if it has no answer yet."""
+        """Answer a request with an upstream's response, unless the request already has an answer."""
         self._answer(request_id, STATUS_OK, uid=uid)
 
     def forget_if_removable(self, request: PendingRequest) -> None:
-        """Drop a request once nothing more can come of it."""
+        """Forget a request that has its final answer and no attempts in flight."""
         if request.removable:
             self.pending.pop(request.request_id, None)
 
     def _answer(self, request_id: int, status: int, uid: str = "", retry_after_us: int = 0) -> None:
-        """Send the one final answer of a request."""
+        """Send the final answer of a request, unless it already has one."""
         request = self.pending.get(request_id)
         if request is None or request.completed:
             return
@@ -245,7 +245,7 @@
     # The policy
 
     def dispatch(self, event: Event) -> None:
-        """Give an event to the policy, and carry out its actions."""
+        """Pass an event to the policy and execute the returned actions."""
         simulation = self._simulation
         began_ns = simulation.cpu_ns()
         actions = self.balancer.handle(self._policy_now_us(), event)
@@ -272,9 +272,9 @@
 
     def _record_zone_state(self, action: LogMessage) -> None:
         zones = self._simulation.experiment.topology.zones
-        believed = beliefs.belief(self._clock.now_us, self.name, action.text, zones)
-        if believed is not None:
-            self._simulation.record(believed)
+        zone_state = beliefs.belief(self._clock.now_us, self.name, action.text, zones)
+        if zone_state is not None:
+            self._simulation.record(zone_state)
 
     def _set_timer(self, action: SetTimer) -> None:
         self._clock.at(action.at_us - POLICY_EPOCH_US + 1, self._fire_timer, action.token, self.incarnation)
--- a/garnetusher/model/sidecar_attempts.py
+++ b/garnetusher/model/sidecar_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a simulated sidecar: connections, writes, responses and time-outs; one outcome for each attempt."""
+"""The attempts of a simulated sidecar: connections, writes, responses and timeouts, with one outcome per attempt."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SidecarAttempts:
-    """Carries attempts out for one sidecar, and reports how each one ended."""
+    """Executes the attempts of one sidecar and reports the outcome of each to the policy."""
 
     def __init__(self, simulation: Simulation, sidecar: SimulatedSidecar) -> None:
         self._simulation = simulation
@@ -28,13 +28,13 @@
         self._idle: dict[str, list[Connection]] = {}
 
     def reset(self) -> None:
-        """Forget all connections: a new process starts."""
+        """Forget all connections for a new process."""
         self._idle = {}
 
     # Sending
 
     def forward(self, request: PendingRequest, action: Forward) -> None:
-        """Start an attempt, on an idle connection if there is one."""
+        """Start an attempt, on an idle connection if one is available."""
         now_us = self._clock.now_us
         attempt = AttemptInFlight(len(request.attempts), action.endpoint_id, now_us)
         request.attempts.append(attempt)
@@ -61,7 +61,7 @@
         )
 
     def _take_idle(self, uid: str) -> Connection | None:
-        """Take the connection that was used last, unless it was idle for so long that the upstream closes it."""
+        """Remove and return the most recently used idle connection that is within the upstream's idle timeout."""
         oldest_us = self._clock.now_us - self._max_idle_us
         idle = self._idle.get(uid, [])
         while idle:
@@ -110,10 +110,10 @@
             lambda: self._simulation.upstreams[uid].receive(self._sidecar, request, attempt),
         )
 
-    # Ends of attempts
+    # Ending attempts
 
     def response_arrived(self, request: PendingRequest, attempt: AttemptInFlight, outcome: Outcome, uid: str) -> None:
-        """Take what an upstream has answered, unless the attempt is over."""
+        """Handle an upstream's response or reset, unless the attempt has ended or was abandoned."""
         if not self._sidecar.runs_or_defers(self.response_arrived, request, attempt, outcome, uid):
             return
         if attempt.ended or attempt.abandoned:
@@ -127,7 +127,7 @@
         self.end(request, attempt, outcome)
 
     def connections_reset(self, uid: str) -> None:
-        """Lose all connections to an upstream that has ended; attempts on them hear of it a little later."""
+        """Reset all connections to an upstream; the sidecar sees the reset after the link's delay."""
         self.close_idle(uid)
         for request in list(self._sidecar.pending.values()):
             for attempt in request.attempts:
@@ -149,7 +149,7 @@
             connection.open = False
 
     def abandon(self, request: PendingRequest, attempt_index: int, outcome: Outcome, incarnation: int) -> None:
-        """Stop waiting for an attempt that has timed out or was cancelled."""
+        """End an attempt that has timed out or was cancelled, and close its connection."""
         if not self._sidecar.runs_or_defers(self.abandon, request, attempt_index, outcome, incarnation):
             return
         attempt = request.attempts[attempt_index]
@@ -158,28 +158,28 @@
             self.end(request, attempt, outcome if attempt.written else Outcome.CONNECT_FAILED)
 
     def withdraw_unwritten(self, request: PendingRequest) -> None:
-        """End the attempts of which nothing has been written."""
+        """End the attempts of a request that have not been written to a connection."""
         for attempt in request.attempts:
             if not attempt.ended and not attempt.written:
                 self._close(attempt)
                 self.end(request, attempt, Outcome.NOT_WRITTEN)
 
     def close_all(self, request: PendingRequest) -> None:
-        """Close the connections of all attempts as their process ends; their outcomes are not reported."""
+        """Close the connections of all attempts when the process ends; their outcomes are not reported."""
         for attempt in request.attempts:
             if not attempt.ended:
                 attempt.ended = True
                 self._close(attempt)
 
     def end(self, request: PendingRequest, attempt: AttemptInFlight, outcome: Outcome) -> None:
-        """End an attempt, once; the policy gets the event after its present call has returned."""
+        """End an attempt unless it has ended; the policy receives the event after its current call has returned."""
         if attempt.ended:
             return
         attempt.ended = True
         self._clock.at(self._clock.now_us, self._report, request, attempt, outcome, self._sidecar.incarnation)
 
     def _close(self, attempt: AttemptInFlight) -> None:
-        """Close an attempt's connection, which the upstream sees a little later."""
+        """Close an attempt's connection; the upstream sees this after the link's delay."""
         attempt.abandoned = True
         connection = attempt.connection
         if connection is None or not attempt.written:
@@ -190,7 +190,7 @@
             uid,
             self._sidecar.name,
             Direction.TO_NODE,
-            # the upstream numbers the attempt when it arrives, which may be after this moment
+            # the lambda reads the id at delivery, because the upstream assigns it when the attempt arrives
             lambda: self._simulation.upstreams[uid].cancel(attempt.upstream_attempt_id),
         )
 
--- a/garnetusher/model/sidecar_membership.py
+++ b/garnetusher/model/sidecar_membership.py
@@ -1,4 +1,4 @@
-"""The membership of simulated sidecars: a member beside each process, which tells its policy the fleet's size."""
+"""The membership of simulated sidecars: each process has a member, which reports the fleet size to the policy."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     from garnetusher.model.sidecar import SimulatedSidecar
     from garnetusher.model.simulation import Simulation
 
-FLEET_SIZE_INTERVAL_US = 250_000  # between two looks of a sidecar at the fleet's size
-SEED_MEMBERS = 3  # sidecars whose addresses every new member has
+FLEET_SIZE_INTERVAL_US = 250_000  # the interval at which a sidecar checks the fleet size
+SEED_MEMBERS = 3  # the first sidecars of the plan are the seeds of every new member
 
 
 class SidecarMembership:
-    """The members of all sidecars of a simulation, where the experiment switches membership on."""
+    """The members of all sidecars of a simulation whose experiment enables membership."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -39,15 +39,15 @@
         self.members.kill(self.members.nodes[name])
 
     def stop(self, name: str) -> None:
-        """Stop a member's process by a signal."""
+        """Pause the member of a process that a signal stops."""
         self.members.pause(self.members.nodes[name])
 
     def resume(self, name: str) -> None:
-        """Let a stopped process go on."""
+        """Resume the member of a stopped process."""
         self.members.resume(self.members.nodes[name])
 
     def _partitioned(self, first: Node, second: Node) -> bool:
-        """Return whether either is cut off from all that it talks to, and so from the other sidecars."""
+        """Return whether either sidecar is partitioned; one cut off from discovery counts as cut off from all."""
         network = self._simulation.network
         return any(network.link(DIRECTORY, node.name).cut_both_ways for node in (first, second))
 
@@ -58,7 +58,7 @@
         self._clock.at(self._clock.now_us + FLEET_SIZE_INTERVAL_US, self._update_fleet_sizes)
 
     def _update_fleet_size(self, sidecar: SimulatedSidecar) -> None:
-        """Tell the policy when its member counts another number of sidecars than before."""
+        """Report the fleet size to the policy if it differs from the last reported size."""
         node = self.members.nodes[sidecar.name]
         if not sidecar.runs_or_defers(self._update_fleet_size, sidecar):
             return
--- a/garnetusher/model/sidecar_settings.py
+++ b/garnetusher/model/sidecar_settings.py
@@ -1,4 +1,4 @@
-"""The policy's settings for a simulated sidecar, as the lab writes them into a real sidecar's file."""
+"""The policy settings of a simulated sidecar, equal to those that the lab writes for a real sidecar."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from garnetusher.model.plan import Plan, SidecarPlan
 from garnetusher.policy.settings import RequestClass, Settings, Tenant
 
-POLICY_EPOCH_US = 10**12  # the policy's clock at the start of a run: a start time of 0 means long ago
+POLICY_EPOCH_US = 10**12  # the policy's clock at the start of a run, so that a start time of 0 lies far in the past
 CONNECT_TIMEOUT_US = 200_000
 POLL_INTERVAL_US = 10_000_000
 MAX_RETRY_AFTER_US = 2_000_000
@@ -18,10 +18,10 @@
 
 
 def sidecar_settings(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> Settings:
-    """Return what a sidecar's file would say.
+    """Return the policy settings of a sidecar.
 
     Args:
-        experiment: What is simulated.
+        experiment: The simulated experiment.
         plan: The plan of this run.
         sidecar: One of the plan's sidecars.
     """
@@ -50,7 +50,7 @@
         endpoint_weights=True,
         poll_endpoints=experiment.directory.mode == "on_request",
         poll_interval_us=POLL_INTERVAL_US,
-        **_later_settings(experiment),
+        **_optional_settings(experiment),
     )
 
 
@@ -67,8 +67,8 @@
     ]
 
 
-def _later_settings(experiment: Experiment) -> dict[str, Any]:
-    """Return the settings that the policy of an earlier tree (`model run --tree`) may not have."""
+def _optional_settings(experiment: Experiment) -> dict[str, Any]:
+    """Return the settings that the policy of an earlier source tree (`model run --tree`) may lack."""
     regions = list(experiment.topology.regions)
     zone_regions = [regions.index(experiment.topology.region_of(zone)) for zone in experiment.topology.zones]
     known = {field.name for field in dataclasses.fields(Settings)}
--- a/garnetusher/model/simulation.py
+++ b/garnetusher/model/simulation.py
@@ -1,6 +1,6 @@
 """One run of an experiment in virtual time: real policies, and simulated nodes, links and clients on one event queue.
 
-Its records are those of the lab, so the checker and the figures are the same too.
+A simulation writes the same records as the lab, so the same checker and figures apply to both.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from garnetusher.model.sidecar_membership import SidecarMembership
 from garnetusher.model.upstream_node import SimulatedUpstream
 
-SETTLE_US = 1_000_000  # after the last deadline, so that every answer has come
+SETTLE_US = 1_000_000  # simulated time after the last deadline, in which late answers arrive
 
 
 class Simulation:
-    """One run: the clock, the nodes, what connects them, and the records that they write.
+    """One run: the clock, the nodes, the network between them, and the records that they write.
 
     Attributes:
-        decision_cpu_ns: CPU time that the policies' decisions took, by the caller's `cpu_ns`.
+        decision_cpu_ns: The CPU time of the policies' decisions, measured with the caller's `cpu_ns`.
     """
 
     def __init__(self, experiment: Experiment, plan: Plan, cpu_ns: Callable[[], int] = lambda: 0) -> None:
@@ -39,7 +39,7 @@
         self.endpoint_cache = EndpointCache(experiment.topology.zones)
         self.discovery = DiscoveryNode(self)
         self.membership = SidecarMembership(self) if experiment.sidecars.membership else None
-        # Events of one instant run in the order in which they are scheduled, so the order of these lines counts.
+        # Events of one instant run in the order in which they are scheduled, so these lines must stay in this order.
         self.sidecars: dict[str, SimulatedSidecar] = {}
         self.upstreams = {planned.uid: SimulatedUpstream(self, planned) for planned in plan.upstreams}
         self.sidecars = {planned.name: SimulatedSidecar(self, planned) for planned in plan.sidecars}
@@ -48,22 +48,22 @@
 
     @property
     def longest_deadline_us(self) -> int:
-        """The longest deadline of any request class."""
+        """The longest deadline of all request classes."""
         return max(int(planned.deadline_ms * 1000) for planned in self.experiment.classes)
 
     def run(self) -> list[AnyRecord]:
-        """Run to the end, and until the last answer can have come.
+        """Run the plan, and continue until the last answer can have arrived.
 
         Returns:
             All records, in the order of time.
 
         Raises:
-            Stall: Virtual time does not move on.
+            StallError: Virtual time does not advance.
         """
         self.clock.run(int(self.plan.seconds * 1e6) + self.longest_deadline_us + SETTLE_US)
         self.records.sort(key=lambda record: record.t)
         return self.records
 
     def record(self, record: AnyRecord) -> None:
-        """Append a record."""
+        """Add a record to the run; `run` sorts the records by time."""
         self.records.append(record)
--- a/garnetusher/model/upstream.py
+++ b/garnetusher/model/upstream.py
@@ -1,10 +1,11 @@
-"""One machine that serves requests: cores, a queue, slow start and overload; events in, actions out, no clock.
-
-Jobs wait in one queue for a free core. All service slows down by the same factor while the machine holds far more jobs
-than it has cores; one that is overloaded for `choke_over_s` degrades: it stays slower still until it has been mostly
-idle for a while, or for `choke_most_s`. A machine that has just started has `cold_share` of its capacity and gains the
-rest evenly over `warm_up_s`; sent more than `overload_factor` times its capacity for `fall_s` while it warms up, it
-crashes and stays down. Work that is cancelled stops at once.
+"""A model of a machine that serves requests: cores, a queue, slow start and overload, without a clock or I/O.
+
+Each event is a method call that returns the resulting actions. Jobs wait in one queue for a free core. While the
+machine holds far more jobs than it has cores, all service slows down by the same factor. A machine that is overloaded
+for `choke_over_s` degrades: its service is slower still until the machine has been mostly idle for `choke_rest_s`, or
+for at most `choke_most_s`. A machine that has just started has `cold_share` of its capacity and gains the rest linearly
+over `warm_up_s`. If it receives more than `overload_factor` times its capacity for `fall_s` while it warms up, it
+crashes and stays down. Cancelled work stops immediately.
 """
 
 from __future__ import annotations
@@ -15,48 +16,48 @@
 from garnetusher.model.experiment import Upstreams
 from garnetusher.model.upstream_overload import Degradation, overload_budget_us
 
-MAX_WARM_UP_STEP_US = 100_000  # between two looks at a machine whose capacity is still growing
+MAX_WARM_UP_STEP_US = 100_000  # the longest step of a machine whose capacity is still growing
 
 
 @dataclass(slots=True)
-class Finished:
-    """A job is done."""
+class JobFinished:
+    """A job is complete."""
 
     job: int
 
 
 @dataclass(slots=True)
-class TurnedAway:
-    """A job was rejected, as the queue is full or the machine is down."""
+class JobRejected:
+    """A job was rejected because the queue is full or the machine is down."""
 
     job: int
 
 
 @dataclass(slots=True)
-class FellOver:
-    """The machine has crashed from overload while it was warming up; the jobs in `dropped` are lost with it."""
+class MachineCrashed:
+    """The machine has crashed from overload during warm-up, and has lost the jobs in `lost_jobs`."""
 
-    dropped: list[int]
+    lost_jobs: list[int]
 
 
-Action = Finished | TurnedAway | FellOver
+Action = JobFinished | JobRejected | MachineCrashed
 
 
 @dataclass(slots=True)
 class _Job:
     job: int
-    remaining_us: float  # work on a standard core
+    remaining_us: float  # remaining work in microseconds on a standard core
 
 
 class Upstream:
-    """One machine. Call `next_us` after each event for the time of the next `wakeup`.
+    """One machine; after each event, `next_wakeup_us` returns the time at which to call `wakeup`.
 
     Attributes:
-        started_us: Its last start; None if it has been up for long and is warm.
-        hung: It takes requests and works on none.
-        down: It rejects everything.
-        running: The jobs that have a core.
-        queue: The jobs that wait for one.
+        started_us: The time of the last start; None if the machine was already warm at the beginning.
+        hung: Whether the machine accepts jobs without working on them.
+        down: Whether the machine is down and rejects all jobs.
+        running: The jobs that occupy a core.
+        queue: The jobs that wait for a core.
     """
 
     def __init__(self, settings: Upstreams, speed: float, started_us: int | None = None) -> None:
@@ -67,50 +68,51 @@
         self.queue: deque[_Job] = deque()
         self._settings = settings
         self._speed = speed
-        self._slowdown = 1.0  # a fault: all service takes this multiple
+        self._slowdown = 1.0  # service times are multiplied by this factor during a fault
         self._now_us = 0
         self._degradation = Degradation(settings)
-        self._recent_arrivals: deque[tuple[int, int]] = deque()  # (time, work) of the overload window, in slow start
+        self._recent_arrivals: deque[tuple[int, int]] = deque()  # (time, work) in the overload window
         self._recent_work_us = 0
 
     @property
-    def held(self) -> int:
-        """How many jobs it has, running or queued."""
+    def job_count(self) -> int:
+        """The number of jobs, running or queued."""
         return len(self.running) + len(self.queue)
 
     @property
     def degraded(self) -> bool:
-        """Whether a long overload has made it slower still."""
+        """Whether a long overload has degraded the machine."""
         return self._degradation.degraded
 
     def arrive(self, now_us: int, job: int, work_us: int) -> list[Action]:
-        """Take a job whose request has arrived."""
+        """Accept or reject a job whose request has arrived."""
         actions = self.wakeup(now_us)
         if self.down:
-            return [*actions, TurnedAway(job)]
+            return [*actions, JobRejected(job)]
         crash = self._check_overload(now_us, work_us)
         if crash is not None:
-            return [*actions, crash, TurnedAway(job)]
+            return [*actions, crash, JobRejected(job)]
         if self._full:
-            return [*actions, TurnedAway(job)]
+            return [*actions, JobRejected(job)]
         self.queue.append(_Job(job, float(work_us)))
         self._start_queued()
         self._update_degradation(now_us)
         return actions
 
     def cancel(self, now_us: int, job: int) -> list[Action]:
-        """Drop a job whose response nobody waits for."""
+        """Remove a job whose response is no longer needed."""
         actions = self.wakeup(now_us)
-        self.running = [held for held in self.running if held.job != job]
-        self.queue = deque(held for held in self.queue if held.job != job)
+        self.running = [other for other in self.running if other.job != job]
+        self.queue = deque(other for other in self.queue if other.job != job)
         self._start_queued()
         self._update_degradation(now_us)
         return actions
 
     def wakeup(self, now_us: int) -> list[Action]:
-        """Let time pass, and return what has finished by now.
+        """Advance to a time, and return the jobs that have finished by then.
 
-        Time passes in steps, at the end of which a job may finish; each step has the service rate of its middle.
+        Time advances in steps; a job can finish only at the end of a step. Each step uses the service rate at its
+        midpoint.
         """
         actions: list[Action] = []
         while self._now_us < now_us:
@@ -119,12 +121,12 @@
                 self._update_degradation(now_us)
                 break
             self._advance(now_us - self._now_us)
-            self._update_degradation(self._now_us)  # by the jobs that it has held until now
+            self._update_degradation(self._now_us)  # with the jobs that the machine held during this step
             actions.extend(self._take_finished())
         return actions
 
-    def next_us(self) -> int | None:
-        """Return when to call `wakeup` if nothing else happens; None if there is no need to."""
+    def next_wakeup_us(self) -> int | None:
+        """Return when to call `wakeup` if no event comes first; None if no call is needed."""
         if not self._working:
             return None
         step_us = min(job.remaining_us for job in self.running) / self._rate(self._now_us)
@@ -134,29 +136,29 @@
 
     # Faults
 
-    def hang(self, now_us: int, hung: bool) -> list[Action]:  # noqa: FBT001 - the lab calls it by position
-        """Stop working on jobs, or resume."""
+    def set_hung(self, now_us: int, hung: bool) -> list[Action]:  # noqa: FBT001 - the lab calls it by position
+        """Stop working on jobs if `hung` is true, else resume."""
         actions = self.wakeup(now_us)
         self.hung = hung
         return actions
 
-    def slow_down(self, now_us: int, times: float) -> list[Action]:
-        """Let all service take a multiple of its time from now on; 1 ends the fault."""
+    def slow_down(self, now_us: int, factor: float) -> list[Action]:
+        """Multiply all service times by a factor from now on; 1 ends the fault."""
         actions = self.wakeup(now_us)
-        self._slowdown = times
+        self._slowdown = factor
         return actions
 
-    def die(self, now_us: int) -> list[int]:
-        """End the process, and return the jobs that are lost with it."""
+    def terminate(self, now_us: int) -> list[int]:
+        """End the process, and return the lost jobs."""
         self.wakeup(now_us)
-        dropped = [job.job for job in (*self.running, *self.queue)]
+        lost_jobs = [job.job for job in (*self.running, *self.queue)]
         self.running = []
         self.queue.clear()
         self.down = True
-        return dropped
+        return lost_jobs
 
     def boot(self, now_us: int) -> None:
-        """Start anew, at the beginning of slow start."""
+        """Start the process again, at the beginning of slow start."""
         self._now_us = now_us
         self.started_us = now_us
         self.down = False
@@ -177,9 +179,9 @@
         queue_full = len(self.queue) >= settings.queue_per_core * settings.cores
         return queue_full and len(self.running) >= settings.cores
 
-    def _advance(self, most_us: int) -> None:
-        """Work until a job finishes, or for `most_us`."""
-        step_us = most_us
+    def _advance(self, max_us: int) -> None:
+        """Work until the first job finishes, for at most `max_us`."""
+        step_us = max_us
         if self.started_us is not None:
             step_us = min(step_us, MAX_WARM_UP_STEP_US)
         rate = self._rate(self._now_us + step_us // 2)
@@ -190,7 +192,7 @@
             job.remaining_us -= step_us * rate
 
     def _take_finished(self) -> list[Action]:
-        finished: list[Action] = [Finished(job.job) for job in self.running if job.remaining_us < 1]
+        finished: list[Action] = [JobFinished(job.job) for job in self.running if job.remaining_us < 1]
         if finished:
             self.running = [job for job in self.running if job.remaining_us >= 1]
             self._start_queued()
@@ -202,14 +204,14 @@
             self.running.append(self.queue.popleft())
 
     def _rate(self, now_us: int) -> float:
-        """Return the work that a core does in a microsecond."""
+        """Return the work per core and microsecond of service."""
         settings = self._settings
-        excess_jobs_per_core = max(0.0, self.held / settings.cores - settings.thrash_at)
+        excess_jobs_per_core = max(0.0, self.job_count / settings.cores - settings.thrash_at)
         slowdown = self._slowdown * (settings.choke_times if self.degraded else 1.0)
         return self._speed * self._warm_up_fraction(now_us) / (slowdown * (1 + settings.thrash * excess_jobs_per_core))
 
     def _warm_up_fraction(self, now_us: int) -> float:
-        """Return the share of its capacity that the machine has."""
+        """Return the available share of the machine's capacity."""
         if self.started_us is None:
             return 1.0
         initial = self._settings.cold_share
@@ -219,10 +221,10 @@
     # Overload
 
     def _update_degradation(self, now_us: int) -> None:
-        self._degradation.update(now_us, self.held / self._settings.cores)
+        self._degradation.update(now_us, self.job_count / self._settings.cores)
 
-    def _check_overload(self, now_us: int, work_us: int) -> FellOver | None:
-        """Crash if too much work has reached the machine in slow start; work that it rejects counts too."""
+    def _check_overload(self, now_us: int, work_us: int) -> MachineCrashed | None:
+        """Crash if too much work has arrived during slow start; rejected work counts too."""
         if self.started_us is None or self._warm_up_fraction(now_us) >= 1.0:
             self._recent_arrivals.clear()
             return None
@@ -233,4 +235,4 @@
             self._recent_work_us -= self._recent_arrivals.popleft()[1]
         if self._recent_work_us <= overload_budget_us(self._settings, self._speed, self.started_us, now_us):
             return None
-        return FellOver(self.die(now_us))
+        return MachineCrashed(self.terminate(now_us))
--- a/garnetusher/model/upstream_node.py
+++ b/garnetusher/model/upstream_node.py
@@ -1,4 +1,4 @@
-"""A simulated upstream: a machine, the requests that it serves, and the faults that the plan applies to it."""
+"""A simulated upstream: a machine, its requests, and the plan's faults."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from garnetusher.model.records import Attempt, Ended, Machine
 from garnetusher.model.request_state import AttemptInFlight, PendingRequest
 from garnetusher.model.upstream import Action as UpstreamAction
-from garnetusher.model.upstream import FellOver, Finished, TurnedAway, Upstream
+from garnetusher.model.upstream import JobFinished, JobRejected, MachineCrashed, Upstream
 from garnetusher.policy.events import Outcome
 
 if TYPE_CHECKING:
     from garnetusher.model.sidecar import SimulatedSidecar
     from garnetusher.model.simulation import Simulation
 
-_ENDED_HOW = {Outcome.OK: "served", Outcome.OVERLOADED: "turned_away", Outcome.ERROR: "error"}
+_ATTEMPT_ENDS = {Outcome.OK: "served", Outcome.OVERLOADED: "turned_away", Outcome.ERROR: "error"}
 
 
 @dataclass(slots=True)
 class _Job:
-    """A request that the upstream has received, and where its response goes."""
+    """A received request, and the sidecar that waits for its response."""
 
     sidecar: SimulatedSidecar
     request: PendingRequest
@@ -33,7 +33,7 @@
 
 
 class SimulatedUpstream:
-    """One upstream. What it serves when is decided by `Upstream`, as in the lab."""
+    """One upstream; `Upstream` decides the order and duration of its jobs, as in the lab."""
 
     def __init__(self, simulation: Simulation, plan: UpstreamPlan) -> None:
         self._simulation = simulation
@@ -45,7 +45,7 @@
         self._last_attempt_id = 0
         self._vanished = False
         self._error_share = self._settings.error_share
-        self._errors_on_arrival = False  # a fault: errors are answered at once
+        self._errors_on_arrival = False  # during a fault, error responses are sent on arrival
         self._reset_share = 0.0
         self._wakeup_at_us = -1
         self._fault_handlers: dict[str, Callable[[Step], None]] = {
@@ -61,44 +61,44 @@
             "accept": self._accept,
         }
         self.uid = plan.uid
-        self.refusing = plan.from_us > 0  # new connections
+        self.refusing = plan.from_us > 0  # whether new connections are refused
         if plan.from_us > 0:
-            self._machine.die(0)
+            self._machine.terminate(0)
         for step in plan.steps:
             self._clock.at(step.at_us, self.apply_fault, step)
 
     # Faults
 
     def apply_fault(self, step: Step) -> None:
-        """Carry out a step of the plan."""
+        """Apply a step of the plan to the upstream, and record it."""
         self._fault_handlers[step.what](step)
         self._simulation.record(Machine(self._clock.now_us, self.uid, step.what))
 
     def _die(self, step: Step) -> None:
-        self._crash(self._machine.die(self._clock.now_us))
+        self._crash(self._machine.terminate(self._clock.now_us))
 
     def _vanish(self, step: Step) -> None:
-        """End behind a partition, of which the sidecars see nothing."""
+        """End the process during a partition, so that the sidecars see no connection close."""
         self.refusing = self._vanished = True
-        self._machine.die(self._clock.now_us)
+        self._machine.terminate(self._clock.now_us)
         for attempt_id in list(self._jobs):
             self._end_job(attempt_id, "dropped")
 
     def _boot(self, step: Step) -> None:
         self._machine.boot(self._clock.now_us)
         self.refusing = False
-        if self._vanished:  # its network is mended at this moment, and it knows none of the old connections
+        if self._vanished:  # the partition ends at this time, and the new process resets the old connections
             self._vanished = False
             self._clock.at(self._clock.now_us + 1, self._reset_connections)
 
     def _hang(self, step: Step) -> None:
-        self._carry_out(self._machine.hang(self._clock.now_us, hung=True))
+        self._handle_actions(self._machine.set_hung(self._clock.now_us, hung=True))
 
     def _resume(self, step: Step) -> None:
-        self._carry_out(self._machine.hang(self._clock.now_us, hung=False))
+        self._handle_actions(self._machine.set_hung(self._clock.now_us, hung=False))
 
     def _slow_down(self, step: Step) -> None:
-        self._carry_out(self._machine.slow_down(self._clock.now_us, step.value))
+        self._handle_actions(self._machine.slow_down(self._clock.now_us, step.value))
 
     def _set_error_share(self, step: Step) -> None:
         self._errors_on_arrival = step.value > 0
@@ -113,10 +113,10 @@
     def _accept(self, step: Step) -> None:
         self.refusing = False
 
-    def _crash(self, dropped: list[int]) -> None:
-        """Refuse connections from now on, and break all that are open."""
+    def _crash(self, lost_jobs: list[int]) -> None:
+        """Refuse new connections from now on, and reset all open ones."""
         self.refusing = True
-        for attempt_id in dropped or list(self._jobs):
+        for attempt_id in lost_jobs or list(self._jobs):
             self._end_job(attempt_id, "dropped")
         self._reset_connections()
 
@@ -127,37 +127,39 @@
     # Requests
 
     def receive(self, sidecar: SimulatedSidecar, request: PendingRequest, attempt: AttemptInFlight) -> None:
-        """Take a request whose last byte has arrived."""
+        """Accept a request whose last byte has arrived."""
         connection = attempt.connection
         if self.refusing or connection is None or not connection.open:
             return
         self._last_attempt_id += 1
         attempt_id = self._last_attempt_id
         attempt.upstream_attempt_id = attempt_id
-        fresh = not connection.used
+        new_connection = not connection.used
         connection.used = True
         work_us = self._work_us(request)
-        if fresh:
+        if new_connection:
             work_us += int(self._settings.handshake_ms * 1000)
         self._jobs[attempt_id] = _Job(sidecar, request, attempt)
         now_us = self._clock.now_us
         call_id = request.call.call_id
-        self._simulation.record(Attempt(now_us, attempt_id, call_id, self.uid, sidecar.name, now_us, work_us, fresh))
+        self._simulation.record(
+            Attempt(now_us, attempt_id, call_id, self.uid, sidecar.name, now_us, work_us, new_connection)
+        )
         if self._machine.hung:
-            self._carry_out(self._machine.arrive(now_us, attempt_id, work_us))
+            self._handle_actions(self._machine.arrive(now_us, attempt_id, work_us))
         elif self._errors_on_arrival and self._rng.random() < self._error_share:
             self._respond(attempt_id, Outcome.ERROR)
         elif self._reset_share and self._rng.random() < self._reset_share:
             self._end_job(attempt_id, "reset")
             sidecar.attempts.response_arrived(request, attempt, Outcome.RESET, self.uid)
         else:
-            handshake_us = self._handshake_us(sidecar) if fresh else 0
+            handshake_us = self._handshake_us(sidecar) if new_connection else 0
             self._clock.at(now_us + handshake_us, self._start_job, attempt_id, work_us)
 
     def cancel(self, attempt_id: int) -> None:
-        """Stop an attempt whose sidecar has closed the connection."""
+        """Cancel an attempt whose sidecar has closed the connection."""
         if attempt_id in self._jobs:
-            self._carry_out(self._machine.cancel(self._clock.now_us, attempt_id))
+            self._handle_actions(self._machine.cancel(self._clock.now_us, attempt_id))
             self._end_job(attempt_id, "cancelled")
 
     def _work_us(self, request: PendingRequest) -> int:
@@ -171,28 +173,28 @@
 
     def _start_job(self, attempt_id: int, work_us: int) -> None:
         if attempt_id in self._jobs:
-            self._carry_out(self._machine.arrive(self._clock.now_us, attempt_id, work_us))
+            self._handle_actions(self._machine.arrive(self._clock.now_us, attempt_id, work_us))
 
     # The machine's actions
 
-    def _carry_out(self, actions: list[UpstreamAction]) -> None:
+    def _handle_actions(self, actions: list[UpstreamAction]) -> None:
         for action in actions:
-            if isinstance(action, FellOver):
+            if isinstance(action, MachineCrashed):
                 self._simulation.record(Machine(self._clock.now_us, self.uid, "fell_over"))
-                self._crash(action.dropped)
+                self._crash(action.lost_jobs)
             elif action.job in self._jobs:
                 self._finish(action)
         self._schedule_wakeup()
 
-    def _finish(self, action: Finished | TurnedAway) -> None:
-        if isinstance(action, TurnedAway):
+    def _finish(self, action: JobFinished | JobRejected) -> None:
+        if isinstance(action, JobRejected):
             self._respond(action.job, Outcome.OVERLOADED)
             return
         failed = self._error_share > 0 and self._rng.random() < self._error_share
         self._respond(action.job, Outcome.ERROR if failed else Outcome.OK)
 
     def _schedule_wakeup(self) -> None:
-        at_us = self._machine.next_us()
+        at_us = self._machine.next_wakeup_us()
         if at_us is None:
             return
         if self._wakeup_at_us < self._clock.now_us or at_us < self._wakeup_at_us:
@@ -200,13 +202,13 @@
             self._clock.at(at_us, self._wake_up, at_us)
 
     def _wake_up(self, at_us: int) -> None:
-        if at_us == self._wakeup_at_us:  # else an earlier one was scheduled since
+        if at_us == self._wakeup_at_us:  # otherwise a later call has scheduled an earlier wake-up
             self._wakeup_at_us = -1
-            self._carry_out(self._machine.wakeup(self._clock.now_us))
+            self._handle_actions(self._machine.wakeup(self._clock.now_us))
 
     def _respond(self, attempt_id: int, outcome: Outcome) -> None:
         job = self._jobs[attempt_id]
-        self._end_job(attempt_id, _ENDED_HOW[outcome])
+        self._end_job(attempt_id, _ATTEMPT_ENDS[outcome])
         self._simulation.network.send(
             self.uid,
             job.sidecar.name,
--- a/garnetusher/model/upstream_overload.py
+++ b/garnetusher/model/upstream_overload.py
@@ -1,33 +1,33 @@
-"""What overload does to an upstream: a long one degrades its service, and in slow start too much work crashes it."""
+"""The effects of overload on an upstream: long overload degrades its service, and overload in slow start crashes it."""
 
 from __future__ import annotations
 
 from garnetusher.model.experiment import Upstreams
 
-BUDGET_TOLERANCE = 1.1  # by which chance may exceed the budget of a machine that warms up
+OVERLOAD_BUDGET_TOLERANCE = 1.1  # tolerance for random bursts beyond the exact budget
 
 
 class Degradation:
-    """Whether a machine is degraded by overload, from how many jobs a core it has held and for how long."""
+    """Tracks whether overload degrades a machine, from its jobs per core over time."""
 
     def __init__(self, settings: Upstreams) -> None:
         self._settings = settings
         self._enabled = settings.choke_times > 1
         self._degraded_since_us: int | None = None
         self._overloaded_since_us: int | None = None
-        self._idle_since_us: int | None = None  # since when it is mostly idle while degraded
+        self._idle_since_us: int | None = None  # the start of the mostly idle time while degraded
 
     @property
     def degraded(self) -> bool:
-        """Whether it is degraded now."""
+        """Whether the machine is degraded now."""
         return self._degraded_since_us is not None
 
     def reset(self) -> None:
-        """Forget everything: the machine starts anew."""
+        """Clear the state when the machine starts again."""
         self._degraded_since_us = self._overloaded_since_us = self._idle_since_us = None
 
     def update(self, now_us: int, jobs_per_core: float) -> None:
-        """Take note of the load that the machine has now."""
+        """Update the state with the current load of the machine."""
         if not self._enabled:
             return
         if self._degraded_since_us is None:
@@ -50,33 +50,33 @@
             self._idle_since_us = None
         elif self._idle_since_us is None:
             self._idle_since_us = now_us
-        rest_us = self._settings.choke_rest_s * 1e6
-        rested = self._idle_since_us is not None and now_us - self._idle_since_us >= rest_us
-        if rested or now_us - degraded_since_us >= self._settings.choke_most_s * 1e6:
+        recovery_us = self._settings.choke_rest_s * 1e6
+        recovered = self._idle_since_us is not None and now_us - self._idle_since_us >= recovery_us
+        if recovered or now_us - degraded_since_us >= self._settings.choke_most_s * 1e6:
             self._degraded_since_us = self._overloaded_since_us = None
 
 
 def overload_budget_us(settings: Upstreams, speed: float, started_us: int, now_us: int) -> float:
-    """Return the work that a machine in slow start bears in the overload window that ends now.
+    """Return the most work that a machine in slow start can receive without a crash, in the overload window ending now.
 
-    It is the overload factor times the machine's capacity over that window, with a tolerance for chance. A window that
-    reaches back before the start counts in full, with the capacity at the start (rule 4 in the protocol page).
+    The budget is the overload factor times the machine's capacity over the window, with a tolerance for random bursts.
+    The time before the start counts with the capacity at the start (rule 4 in the protocol page).
 
     Args:
-        settings: The machine's.
-        speed: Of each core, beside a standard one.
+        settings: The settings of the machine.
+        speed: The speed of each core; a standard core has speed 1.
         started_us: When the machine started.
         now_us: The end of the window.
 
     Returns:
-        Microseconds of work on a standard core.
+        The work in microseconds on a standard core.
     """
     window_us = settings.fall_s * 1e6
     warm_up_us = settings.warm_up_s * 1e6
 
     def warm_up_fraction(at_us: float) -> float:
-        gained = (1 - settings.cold_share) * max(0.0, at_us - started_us) / warm_up_us
-        return min(1.0, settings.cold_share + gained)
+        gained_fraction = (1 - settings.cold_share) * max(0.0, at_us - started_us) / warm_up_us
+        return min(1.0, settings.cold_share + gained_fraction)
 
     mean_fraction = (warm_up_fraction(now_us - window_us) + warm_up_fraction(now_us)) / 2
-    return BUDGET_TOLERANCE * settings.overload_factor * settings.cores * speed * mean_fraction * window_us
+    return OVERLOAD_BUDGET_TOLERANCE * settings.overload_factor * settings.cores * speed * mean_fraction * window_us
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -11,7 +11,7 @@
 from garnetusher.lab import link_sockets
 from garnetusher.lab.clockwork import Clockwork
 from garnetusher.lab.datagrams import Relay
-from garnetusher.model.link import Weather
+from garnetusher.model.link import LinkConditions
 from garnetusher.model.records import Journal
 
 HOST = "127.77.0.1"
@@ -41,7 +41,7 @@
     async def test() -> None:
         clock, received, undelivered = Clockwork("test", Journal(tmp_path / "x")), list[bytes](), list[bytes]()
         listener = link_sockets.Listener(
-            clock, HOST, lambda c: Echo(c, received, undelivered), 1, Weather(delay_us=2_000)
+            clock, HOST, lambda c: Echo(c, received, undelivered), 1, LinkConditions(delay_us=2_000)
         )
         listener.open()
         reader, writer = await asyncio.open_connection(HOST, listener.port)
@@ -91,8 +91,8 @@
             1,
         )
         await relay.open(HOST)
-        relay.weather["x", "y"].loss, relay.weather["x", "y"].duplicate = 0.25, 0.5
-        relay.weather["x", "z"].cut = 1
+        relay.conditions["x", "y"].loss, relay.conditions["x", "y"].duplicate = 0.25, 0.5
+        relay.conditions["x", "z"].cut = 1
         for number in range(COUNTED):
             for name in ("y", "z"):
                 made["x"][0].sendto(b"%d" % number, relay.as_seen_by("x", name))
@@ -117,7 +117,9 @@
 def test_listener_resets_connections_only_when_the_cut_has_ended(tmp_path: Path) -> None:
     async def test() -> None:
         clock, received = Clockwork("test", Journal(tmp_path / "x")), list[bytes]()
-        listener = link_sockets.Listener(clock, HOST, lambda c: Echo(c, received, []), 1, Weather(delay_us=2_000))
+        listener = link_sockets.Listener(
+            clock, HOST, lambda c: Echo(c, received, []), 1, LinkConditions(delay_us=2_000)
+        )
         listener.open()
         reader, writer = await asyncio.open_connection(HOST, listener.port)
         writer.write(b"one")
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -12,8 +12,8 @@
 
 from garnetusher.model import draw, experiment, plan
 from garnetusher.model.experiment import Upstreams
-from garnetusher.model.link import DatagramLink, StreamLink, Weather
-from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream
+from garnetusher.model.link import DatagramLink, LinkConditions, StreamLink
+from garnetusher.model.upstream import Action, JobFinished, JobRejected, MachineCrashed, Upstream
 from garnetusher.model.upstream_overload import overload_budget_us
 from tests.experiment import ROOT, small
 
@@ -45,7 +45,7 @@
 
     def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            self.end(action.dropped if isinstance(action, FellOver) else [action.job])
+            self.end(action.lost_jobs if isinstance(action, MachineCrashed) else [action.job])
 
     def apply(self, step: str, now_us: int, work_us: int) -> None:
         if step == "arrive":
@@ -57,11 +57,11 @@
             self.carry_out(self.machine.cancel(now_us, job))
             self.open_jobs.discard(job)
         elif step in ("hang", "resume"):
-            self.carry_out(self.machine.hang(now_us, step == "hang"))
+            self.carry_out(self.machine.set_hung(now_us, step == "hang"))
         elif step == "slow":
             self.carry_out(self.machine.slow_down(now_us, 3.0))
         elif step == "die":
-            self.end(self.machine.die(now_us))
+            self.end(self.machine.terminate(now_us))
         elif step == "boot" and self.machine.down:
             self.machine.boot(now_us)
 
@@ -75,9 +75,9 @@
         now_us += wait_us
         ledger.carry_out(machine.wakeup(now_us))
         ledger.apply(step, now_us, work_us)
-        assert machine.held == len(ledger.open_jobs)
+        assert machine.job_count == len(ledger.open_jobs)
         assert len(machine.running) <= 2
-        next_us = machine.next_us()
+        next_us = machine.next_wakeup_us()
         assert next_us is None or next_us > now_us
     assert not ledger.open_jobs
 
@@ -86,12 +86,12 @@
     machine = Upstream(Upstreams(per_zone={}, cores=1, thrash=0), 2.0)
     for job in (1, 2):
         machine.arrive(0, job, 100_000)
-    assert 50_000 <= (machine.next_us() or 0) <= 50_002
+    assert 50_000 <= (machine.next_wakeup_us() or 0) <= 50_002
     assert machine.wakeup(49_000) == []
-    assert machine.wakeup(60_000) == [Finished(1)]
+    assert machine.wakeup(60_000) == [JobFinished(1)]
     machine.slow_down(60_000, 2.0)  # 80,000 of work left, at the standard speed
     assert machine.wakeup(139_000) == []
-    assert machine.wakeup(140_010) == [Finished(2)]
+    assert machine.wakeup(140_010) == [JobFinished(2)]
 
 
 def test_upstream_degrades_until_it_has_rested_when_overloaded_for_long() -> None:
@@ -102,8 +102,8 @@
     assert [len(machine.wakeup(t)) for t in (600_010, 1_200_020)] == [1, 1]
     assert machine.degraded
     assert machine.wakeup(2_700_000) == []
-    assert machine.wakeup(2_800_000) == [Finished(2)]
-    assert machine.wakeup(4_400_000) == [Finished(3)]
+    assert machine.wakeup(2_800_000) == [JobFinished(2)]
+    assert machine.wakeup(4_400_000) == [JobFinished(3)]
     assert machine.degraded
     machine.wakeup(4_600_000)
     assert machine.degraded
@@ -113,7 +113,7 @@
 
 def test_upstream_rejects_jobs_when_its_queue_is_full() -> None:
     machine = Upstream(Upstreams(per_zone={}, cores=1, queue_per_core=2), 1.0)
-    assert [machine.arrive(0, job, 1000) for job in range(4)][3] == [TurnedAway(3)]
+    assert [machine.arrive(0, job, 1000) for job in range(4)][3] == [JobRejected(3)]
 
 
 def test_upstream_crashes_only_when_sent_more_than_its_budget_in_slow_start() -> None:
@@ -127,7 +127,7 @@
         for step in range(400):
             now = 1_000_000 + step * 10_000
             work = share * (overload_budget_us(upstreams, 1.0, 1_000_000, now) / 200)  # of a window of 200 such steps
-            fell = fell or any(isinstance(a, FellOver) for a in machine.arrive(now, step, int(work)))
+            fell = fell or any(isinstance(a, MachineCrashed) for a in machine.arrive(now, step, int(work)))
         assert fell is falls
         assert machine.down is falls
 
@@ -138,8 +138,8 @@
     st.lists(st.tuples(st.sampled_from(["send", "wait", "cut", "mend"]), st.integers(0, 50_000)), max_size=60),
 )
 def test_stream_link_delivers_all_bytes_in_order_when_cut_and_mended(seed: int, steps: list[tuple[str, int]]) -> None:
-    weather = Weather(delay_us=2_000, jitter=0.5, loss=0.1, bytes_per_s=1e6)
-    link = StreamLink(weather, random.Random(seed))
+    conditions = LinkConditions(delay_us=2_000, jitter=0.5, loss=0.1, bytes_per_s=1e6)
+    link = StreamLink(conditions, random.Random(seed))
     now_us, sent, received = 0, b"", b""
     for number, (step, wait_us) in enumerate([*steps, ("mend", 0), ("mend", 0), ("wait", 10**8)]):
         now_us += wait_us
@@ -148,28 +148,28 @@
             sent += data
             link.send(now_us, data)
         elif step == "cut":
-            weather.cut = 1
-        elif step == "mend" and weather.cut:
-            weather.cut = 0
-            link.mend(now_us)
-        arrived = b"".join(link.arrived(now_us))
-        assert not (weather.cut and arrived)
+            conditions.cut = 1
+        elif step == "mend" and conditions.cut:
+            conditions.cut = 0
+            link.end_cut(now_us)
+        arrived = b"".join(link.take_arrived(now_us))
+        assert not (conditions.cut and arrived)
         received += arrived
         assert sent.startswith(received)
-        assert link.waiting == len(sent) - len(received)
+        assert link.bytes_in_transit == len(sent) - len(received)
     assert received == sent
-    assert link.next_us() is None
+    assert link.next_arrival_us() is None
 
 
 def test_datagram_link_drops_duplicates_and_reorders_when_set_to() -> None:
-    weather = Weather(delay_us=1_000, loss=0.2, duplicate=0.1, reorder=0.3)
-    link = DatagramLink(weather, random.Random(1))
+    conditions = LinkConditions(delay_us=1_000, loss=0.2, duplicate=0.1, reorder=0.3)
+    link = DatagramLink(conditions, random.Random(1))
     copies = [link.send(i * 100, b"%d" % i) for i in range(5_000)]
     assert 0.17 < sum(not c for c in copies) / 5_000 < 0.23
     assert 0.06 < sum(len(c) == 2 for c in copies) / 5_000 < 0.1
     order = [data for _, data in sorted((at, data) for c in copies for at, data in c)]
     assert order != sorted(order, key=int)
-    weather.cut = 1
+    conditions.cut = 1
     assert link.send(0, b"x") == []
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Runs in virtual time: reproducible by their seed, within the rules, and never stalled."""
+"""Simulation runs: reproducible from their seed, without broken rules, and protected against a stalled clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from msgspec import structs
 
 from garnetusher.model import baselines, checker, figures, plan
-from garnetusher.model.clock import Clock, Stall
+from garnetusher.model.clock import Clock, StallError
 from garnetusher.model.experiment import scaled
 from garnetusher.model.records import Listed
 from garnetusher.model.simulation import Simulation
@@ -23,16 +23,16 @@
 FAULTS = {
     "silent": 'what = "silent"\nreturns = "cold"\nwhere = { zone = "b" }',
     "one way": 'what = "cut"\none_way = true\nwhere = { zone = "b" }\nto = { of = "sidecars" }',
-    "killed": 'what = "kill"\nwhere = { zone = "b" }',
-    "replaced": 'what = "restart"\nwhere = { part = 1 }\nbatch = 0.3\ndrain_s = 1',
+    "upstreams killed": 'what = "kill"\nwhere = { zone = "b" }',
+    "upstreams restarted": 'what = "restart"\nwhere = { part = 1 }\nbatch = 0.3\ndrain_s = 1',
     "sidecars killed": 'what = "kill"\nwhere = { of = "sidecars" }',
     "sidecars stopped": 'what = "stop"\nwhere = { sidecar = "a-0" }',
     "sidecars restarted": 'what = "restart"\nwhere = { of = "sidecars" }',
-    "erring": 'what = "errors"\nshare = 0.3',
-    "resetting": 'what = "reset"\nshare = 0.3',
-    "losing": 'what = "loss"\nshare = 0.1',
-    "lying list": 'what = "list_lies"\nshare = 0.5',
-    "hanging": 'what = "stop"\nwhere = { part = 0.3 }',
+    "errors": 'what = "errors"\nshare = 0.3',
+    "resets": 'what = "reset"\nshare = 0.3',
+    "loss": 'what = "loss"\nshare = 0.1',
+    "wrong list": 'what = "list_lies"\nshare = 0.5',
+    "hung": 'what = "stop"\nwhere = { part = 0.3 }',
 }
 
 
@@ -51,18 +51,20 @@
     return documents if isinstance(documents, list) else [documents]
 
 
-def test_run_is_the_same_by_its_seed_when_another_process_makes_it(tmp_path: Path) -> None:
+def test_run_with_the_same_seed_is_equal_in_another_process(tmp_path: Path) -> None:
     file = tmp_path / "experiment.toml"
     file.write_text(text(more="[[fault]]\nat_s = 1\nfor_s = 1\n" + FAULTS["silent"]))
-    one = model_run(1, str(file), "--seed", "2")
+    single = model_run(1, str(file), "--seed", "2")
     several = model_run(77, str(file), "--seeds", "1:3")
     assert [d["seed"] for d in several] == [1, 2, 3]
     assert len({d["digest"] for d in several}) == 3
-    assert {k: v for k, v in several[1].items() if k != "took_s"} == {k: v for k, v in one[0].items() if k != "took_s"}
+    assert {k: v for k, v in several[1].items() if k != "took_s"} == {
+        k: v for k, v in single[0].items() if k != "took_s"
+    }
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_simulation_keeps_the_rules_and_recovers_when_a_fault_strikes(name: str) -> None:
+def test_simulation_keeps_the_rules_and_recovers_when_a_fault_occurs(name: str) -> None:
     config = small(seconds=5, more="[[fault]]\nat_s = 1.5\nfor_s = 1.5\n" + FAULTS[name])
     for seed in (1, 2):
         run_plan = plan.make(config, seed)
@@ -70,14 +72,14 @@
         records = simulation.run()
         assert checker.check(config, run_plan, records) == []
         requests = figures.requests_of(config, records)
-        found = figures.figures(config, run_plan, records, requests, figures.RunCounts())
-        assert found["served_worth.before"] > 0.9
-        assert found["served_worth.after"] > 0.7
-        for sidecar in simulation.sidecars.values():  # nothing is left of what has been answered
+        run_figures = figures.figures(config, run_plan, records, requests, figures.RunCounts())
+        assert run_figures["served_worth.before"] > 0.9
+        assert run_figures["served_worth.after"] > 0.7
+        for sidecar in simulation.sidecars.values():  # no state of answered requests is left
             assert isinstance(sidecar.balancer, Balancer)
             assert not sidecar.pending
             assert not sidecar.balancer.requests
-            assert all(server.slots_used == 0 for server in sidecar.balancer.endpoints.values())
+            assert all(endpoint.slots_used == 0 for endpoint in sidecar.balancer.endpoints.values())
 
 
 @pytest.mark.parametrize("policy", [name for name in baselines.NAMES if name != baselines.OWN])
@@ -87,16 +89,16 @@
     run_plan = plan.make(config, 1)
     records = Simulation(config, run_plan).run()
     assert checker.check(config, run_plan, records) == []
-    found = figures.figures(config, run_plan, records, figures.requests_of(config, records), figures.RunCounts())
-    assert found["served_worth.before"] > 0.9
-    assert 0.3 < found["crossings"] < 0.8
+    run_figures = figures.figures(config, run_plan, records, figures.requests_of(config, records), figures.RunCounts())
+    assert run_figures["served_worth.before"] > 0.9
+    assert 0.3 < run_figures["crossings"] < 0.8
 
 
 def test_scaled_changes_all_parts_of_a_fleet_when_sidecars_grow() -> None:
-    more = scaled(small(), 20)
-    assert more.sidecars.per_zone == {"a": 10, "b": 10}
-    assert more.upstreams.per_zone == {"a": 30, "b": 30}
-    assert more.load.requests_per_s == 1200
+    larger = scaled(small(), 20)
+    assert larger.sidecars.per_zone == {"a": 10, "b": 10}
+    assert larger.upstreams.per_zone == {"a": 30, "b": 30}
+    assert larger.load.requests_per_s == 1200
 
 
 def test_clock_raises_stall_when_an_event_schedules_itself_at_its_own_instant() -> None:
@@ -106,7 +108,7 @@
         clock.at(clock.now_us, schedule_again)
 
     clock.at(5, schedule_again)
-    with pytest.raises(Stall, match=r"stands still at 0\.000005 s.*schedule_again"):
+    with pytest.raises(StallError, match=r"virtual time is stalled at 0\.000005 s.*schedule_again"):
         clock.run(10)
 
 
@@ -117,7 +119,7 @@
         clock.at(clock.now_us, partial(schedule_again))
 
     clock.at(5, schedule_again)
-    with pytest.raises(Stall, match=r"stands still at 0\.000005 s.*schedule_again"):
+    with pytest.raises(StallError, match=r"virtual time is stalled at 0\.000005 s.*schedule_again"):
         clock.run(10)
 
 
@@ -131,7 +133,7 @@
         records = Simulation(busy, run_plan).run()
         assert checker.check(busy, run_plan, records) == []
         counts[mode, call_ms] = sum(isinstance(r, Listed) for r in records)
-    assert counts["pushed", 0] == 20  # a call of each process
-    # the policy spreads its own calls over seconds; a watch that is kept calls again whenever it is turned away
+    assert counts["pushed", 0] == 20  # one call per process
+    # a polling policy spreads its calls over seconds; a rejected watch is retried until it succeeds
     assert 10 <= counts["on_request", 40] <= 20
     assert counts["pushed", 400] > 40
