--- a/garnetusher/cli/runs.py
+++ b/garnetusher/cli/runs.py
@@ -46,7 +46,7 @@
         disabled: names of the ablations, which are parts of the policy to disable.
 
     Raises:
-        Stall: virtual time does not advance.
+        StallError: virtual time does not advance.
     """
     started_s = time.perf_counter()
     plan = plans.make(experiment, seed)
