--- a/garnetusher/cli/curves.py
+++ b/garnetusher/cli/curves.py
@@ -93,7 +93,7 @@
 
 
 def _fleet(experiment: Experiment, case: _Case, grow: str) -> Experiment:
-    grown = scaled(experiment, case.sidecars, alone=grow == GROW_SIDECARS)
+    grown = scaled(experiment, case.sidecars, sidecars_only=grow == GROW_SIDECARS)
     return structs.replace(grown, sidecars=structs.replace(grown.sidecars, policy=case.policy))
 
 
--- a/garnetusher/cli/runs.py
+++ b/garnetusher/cli/runs.py
@@ -54,7 +54,7 @@
         simulation = Simulation(experiment, plan, time.thread_time_ns)
         records = simulation.run()
     not_asked = sum(sidecar.clients.skipped_requests for sidecar in simulation.sidecars.values())
-    judged, _ = result.judge(experiment, plan, records, simulation.clock.events, not_asked=not_asked)
+    judged, _ = result.evaluate(experiment, plan, records, simulation.clock.events, not_asked=not_asked)
     judged.digest = simulation.clock.digest
     requests = max(1.0, judged.figures["requests"])
     return CompletedRun(judged, time.perf_counter() - started_s, simulation.decision_cpu_ns / 1000 / requests)
--- a/garnetusher/lab/clients.py
+++ b/garnetusher/lab/clients.py
@@ -20,7 +20,18 @@
 from garnetusher.model.client import WAIT_ON_US, Client
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, SidecarPlan, Step, arrivals
-from garnetusher.model.records import Answered, Asked, Broke, Crossed, Extra, GaveUp, Quit, Silent, Unreached, Vanished
+from garnetusher.model.records import (
+    ClientClosedConnection,
+    ClientConnectFailed,
+    ClientKilled,
+    ClientTimedOut,
+    IdleCloseRace,
+    RequestSent,
+    ResponseMissing,
+    ResponseReceived,
+    SidecarClosedConnection,
+    UnexpectedBytes,
+)
 
 RESTART_STOP_DELAY_US = 300_000  # from SIGTERM until the application sends no more requests
 IDLE_CLOSE_RACE_US = 50_000  # a used connection that closes so soon after a request may have closed before it came
@@ -229,7 +240,7 @@
                 _, connection = await self.clock.loop.create_connection(lambda: ClientConnection(self), *self._address)
         except OSError:
             self.clock.write(
-                Unreached(
+                ClientConnectFailed(
                     self.clock.now_us(),
                     call.call_id,
                     call.request_id,
@@ -248,7 +259,7 @@
         call.timeout_at_us = now_us + timeout_us
         connection.send(call, self._request(call, timeout_us))
         self.clock.write(
-            Asked(
+            RequestSent(
                 now_us,
                 call.call_id,
                 call.request_id,
@@ -291,7 +302,9 @@
         answers_call = status == 200 and len(words) == 2 and words[1] == call.call_id
         upstream = words[0] if answers_call else ""
         self.clock.write(
-            Answered(self.clock.now_us(), call.call_id, self._sidecar.name, status, upstream, connection.retry_after_us)
+            ResponseReceived(
+                self.clock.now_us(), call.call_id, self._sidecar.name, status, upstream, connection.retry_after_us
+            )
         )
         if not connection.closing:
             self._idle.append(connection)
@@ -315,24 +328,24 @@
         closed_while_idle = connection.calls_sent > 1 and now_us - connection.sent_us < IDLE_CLOSE_RACE_US
         if closed_while_idle and not call.resent and not call.completed:
             call.resent = True
-            self.clock.write(Crossed(now_us, call.call_id, self._sidecar.name))
+            self.clock.write(IdleCloseRace(now_us, call.call_id, self._sidecar.name))
             self._start_task(self._connect_and_send(call, call.timeout_at_us - now_us))
             return
-        self.clock.write(Broke(now_us, call.call_id, self._sidecar.name))
+        self.clock.write(SidecarClosedConnection(now_us, call.call_id, self._sidecar.name))
         if not call.completed:
             call.completed = True
             self._schedule_retry(call, not_run=False)
 
     def unexpected_data(self, connection: ClientConnection) -> None:
         """Record bytes that answer no call."""
-        self.clock.write(Extra(self.clock.now_us(), connection.last_call_id, self._sidecar.name))
+        self.clock.write(UnexpectedBytes(self.clock.now_us(), connection.last_call_id, self._sidecar.name))
         connection.abort()
 
     def _time_out(self, connection: ClientConnection, call: _ClientCall) -> None:
         if call.completed or connection.call is not call:
             return
         call.completed = True
-        self.clock.write(GaveUp(self.clock.now_us(), call.call_id, self._sidecar.name))
+        self.clock.write(ClientTimedOut(self.clock.now_us(), call.call_id, self._sidecar.name))
         self.clock.at(call.timeout_at_us + WAIT_ON_US, self._stop_watching, connection, call)
         self._schedule_retry(call, not_run=False)
 
@@ -340,14 +353,14 @@
         """Record that no response came even long after the timeout."""
         if connection.call is call:
             connection.call = None
-            self.clock.write(Silent(self.clock.now_us(), call.call_id, self._sidecar.name))
+            self.clock.write(ResponseMissing(self.clock.now_us(), call.call_id, self._sidecar.name))
             connection.abort()
 
     def _disconnect_early(self, connection: ClientConnection, call: _ClientCall) -> None:
         if not call.completed and connection.call is call:
             call.completed = True
             connection.call = None
-            self.clock.write(Quit(self.clock.now_us(), call.call_id, self._sidecar.name))
+            self.clock.write(ClientClosedConnection(self.clock.now_us(), call.call_id, self._sidecar.name))
             connection.abort()
 
     def _schedule_retry(self, call: _ClientCall, *, not_run: bool, retry_after_us: int = 0) -> None:
@@ -383,7 +396,7 @@
             call, connection.call = connection.call, None
             if call is not None:
                 call.completed = True
-                self.clock.write(Vanished(now_us, call.call_id, self._sidecar.name))
+                self.clock.write(ClientKilled(now_us, call.call_id, self._sidecar.name))
             connection.abort()
 
     def _stop_and_resume(self) -> None:
--- a/garnetusher/lab/clockwork.py
+++ b/garnetusher/lab/clockwork.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from garnetusher.model.records import AnyRecord, Journal, Late
+from garnetusher.model.records import AnyRecord, Journal, LabActionLate
 
 LATE_US = 5_000  # a timer that fires later counts as late: one in eighty of the shortest aim that files use
 TICK_S = 0.005  # of the timer that watches the loop itself, also where nothing else is due
@@ -44,7 +44,7 @@
             self.late += 1
             if now - self._said_us > 1_000_000:
                 self._said_us = now
-                self.write(Late(now, self.worker, now - at_us))
+                self.write(LabActionLate(now, self.worker, now - at_us))
         what(*args)
 
     def _tick(self, due_us: int) -> None:
--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -120,13 +120,13 @@
         "trees": [str(t) for t in tree],
         "pairs": pairs,
         "late": len(late),
-        "differences": [msgspec.structs.asdict(d) | {"shown": d.shown} for d in found],
+        "differences": [msgspec.structs.asdict(d) | {"shown": d.significant} for d in found],
     }
     (folder / "compare.json").write_bytes(msgspec.json.encode(document) + b"\n")
     if json:
         cli.say_json(document)
     else:
-        for d in sorted(found, key=lambda d: not d.shown):
+        for d in sorted(found, key=lambda d: not d.significant):
             cli.say(str(d))
         if late:
             cli.say(f"in {len(late)} plays the lab itself was late: they count for nothing")
@@ -284,7 +284,7 @@
             cli.fail(str(error), cli.WRONG)
         except (asyncio.CancelledError, KeyboardInterrupt):
             cli.fail("stopped; nothing was left running", cli.NOT_HELD)
-        found, requests = result.judge(
+        found, requests = result.evaluate(
             experiment, plan, played.records, played.events, played.late_share, played.not_asked
         )
         found.cores, found.tree = played.cores, str(tree)
--- a/garnetusher/lab/discovery.py
+++ b/garnetusher/lab/discovery.py
@@ -17,7 +17,7 @@
 from garnetusher.model.experiment import Directory
 from garnetusher.model.link import Weather
 from garnetusher.model.plan import LONG_AGO, ListStep, Plan
-from garnetusher.model.records import Listed, Told
+from garnetusher.model.records import DiscoveryCalled, ListUpdateSent
 
 KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines of a watch
 MAX_STORED_CHANGES = 1000  # a watch that asks for older ones gets a snapshot
@@ -152,7 +152,7 @@
         if not call_us:
             self._answer(connection, target)
         elif self._busy_until_us - now_us > self._settings.calls_waiting * call_us:
-            self.clock.write(Listed(now_us, connection.sidecar, "turned away"))
+            self.clock.write(DiscoveryCalled(now_us, connection.sidecar, "turned away"))
             connection.connection.write(OVERLOADED_RESPONSE)
         else:
             self._busy_until_us = max(now_us, self._busy_until_us) + call_us
@@ -167,7 +167,7 @@
             return
         query = parse_qs(url.query)
         watching = query.get("follow") == ["1"]
-        self.clock.write(Listed(self.clock.now_us(), connection.sidecar, "watch" if watching else "whole"))
+        self.clock.write(DiscoveryCalled(self.clock.now_us(), connection.sidecar, "watch" if watching else "whole"))
         if watching:
             self._start_watch(connection, int(query.get("since", ["0"])[0]))
         else:
@@ -195,7 +195,7 @@
         """Record that changes of the list have been written to a sidecar."""
         now_us = self.clock.now_us()
         for step in steps:
-            self.clock.write(Told(now_us, sidecar, step.uid, step.state, step.started_us))
+            self.clock.write(ListUpdateSent(now_us, sidecar, step.uid, step.state, step.started_us))
 
     # The list
 
--- a/garnetusher/lab/report.py
+++ b/garnetusher/lab/report.py
@@ -13,7 +13,7 @@
 from garnetusher.lab.run import CompletedRun
 from garnetusher.model import figures
 from garnetusher.model.experiment import Experiment
-from garnetusher.model.records import Machine, Process
+from garnetusher.model.records import ProcessChanged, UpstreamChanged
 from garnetusher.model.result import Result
 
 matplotlib.use("svg")
@@ -59,7 +59,7 @@
     experiment: Experiment, played: CompletedRun, result: Result, requests: list[figures.Request], path: Path
 ) -> None:
     """The whole report of a play."""
-    told = figures.story(experiment, played.plan, requests)
+    told = figures.timeline(experiment, played.plan, requests)
     template = jinja2.Environment(
         loader=jinja2.PackageLoader("garnetusher.lab", "."), autoescape=True, trim_blocks=True, lstrip_blocks=True
     ).get_template("report.html")
@@ -99,7 +99,7 @@
         axes.axvspan(span.at_us / 1e6, span.until_us / 1e6, color=FAULT, alpha=0.6, lw=0)
 
 
-def _over_time(played: CompletedRun, told: figures.Story, panels: list[tuple[str, dict[str, list[Any]]]]) -> Markup:
+def _over_time(played: CompletedRun, told: figures.Timeline, panels: list[tuple[str, dict[str, list[Any]]]]) -> Markup:
     figure, axes = plt.subplots(len(panels), 1, figsize=(10, 2.6 * len(panels)), sharex=True, squeeze=False)
     for place, (label, by_zone) in zip(axes[:, 0], panels, strict=True):
         _shade(place, played)
@@ -160,8 +160,8 @@
         if listed.state == "leaving":
             rows[listed.uid].append((listed.at_us / 1e6, "leaving"))
     for record in played.records:
-        name = record.upstream if isinstance(record, Machine) else getattr(record, "sidecar", "")
-        if not isinstance(record, Machine | Process) or record.t < 0:
+        name = record.upstream if isinstance(record, UpstreamChanged) else getattr(record, "sidecar", "")
+        if not isinstance(record, UpstreamChanged | ProcessChanged) or record.t < 0:
             continue
         at = record.t / 1e6
         state = AFTER.get(record.what)
--- a/garnetusher/lab/run.py
+++ b/garnetusher/lab/run.py
@@ -23,7 +23,7 @@
 from garnetusher.model import draw, records
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import DIRECTORY, Plan
-from garnetusher.model.records import AnyRecord, Journal, Usage
+from garnetusher.model.records import AnyRecord, Journal, ProcessUsage
 
 START_DELAY_S = 0.5  # from the start order until time 0 of the run, so that each worker has read it by then
 CLIENT_WORKER_REQUESTS_PER_S = 1000  # that the clients of one process send
@@ -352,7 +352,7 @@
             except psutil.Error:
                 continue
             cpu_s = round(cpu_times.user + cpu_times.system, 3)
-            self.journal.write(Usage(self.now_us(), name, cpu_s, round(memory_bytes / 2**20, 1)))
+            self.journal.write(ProcessUsage(self.now_us(), name, cpu_s, round(memory_bytes / 2**20, 1)))
 
     async def _finish(self) -> CompletedRun:
         summaries = await self._stop_workers()
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -28,7 +28,7 @@
 from garnetusher.model import beliefs, draw
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, SidecarPlan, Step
-from garnetusher.model.records import Believed, Process
+from garnetusher.model.records import ProcessChanged, ZoneStateLogged
 
 BUILD_TIMEOUT_S = 1200
 READY_TIMEOUT_S = 30.0  # for a sidecar to become ready, as the platform waits
@@ -271,7 +271,10 @@
     """All sidecars of a run."""
 
     def __init__(
-        self, settings: FleetSettings, write_record: Callable[[Process | Believed], None], now_us: Callable[[], int]
+        self,
+        settings: FleetSettings,
+        write_record: Callable[[ProcessChanged | ZoneStateLogged], None],
+        now_us: Callable[[], int],
     ) -> None:
         self.settings = settings
         self.command = str(deploy_file(settings.tree)["run"])
@@ -283,7 +286,7 @@
 
     def record(self, sidecar: str, change: str, pid: int = 0) -> None:
         """Write a record of a sidecar's process."""
-        self._write_record(Process(self.now_us(), sidecar, change, pid))
+        self._write_record(ProcessChanged(self.now_us(), sidecar, change, pid))
 
     def listed_endpoints(self, sidecar: str, at_us: int) -> dict[str, Any]:
         """Return the endpoint list as of some time; at a start that is what the sidecar last received."""
@@ -377,7 +380,7 @@
         while True:
             for name, sidecar in self.sidecars.items():
                 for line in sidecar.new_log_lines():
-                    zone_record = beliefs.belief(self.now_us(), name, line, zones)
+                    zone_record = beliefs.parse_zone_state(self.now_us(), name, line, zones)
                     if zone_record is not None:
                         self._write_record(zone_record)
             await asyncio.sleep(LOG_POLL_INTERVAL_S)
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -19,7 +19,7 @@
 from garnetusher.model.experiment import Experiment, RequestClass
 from garnetusher.model.link import Weather
 from garnetusher.model.plan import Step, UpstreamPlan
-from garnetusher.model.records import Attempt, Ended, Held, Machine
+from garnetusher.model.records import Attempt, AttemptUndelivered, UpstreamAttemptEnded, UpstreamChanged
 from garnetusher.model.upstream import Action, FellOver, Finished, TurnedAway, Upstream
 
 NOT_RUN_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
@@ -31,7 +31,7 @@
 HEALTH_PATHS = (b"/alive", b"/metrics/load")
 IDLE_CHECK_INTERVAL_S = 0.5  # between checks for connections that have been idle for too long
 
-AttemptEnd = Literal["served", "error", "turned_away", "cancelled", "reset", "dropped"]  # as told in `Ended.how`
+AttemptEnd = Literal["served", "error", "turned_away", "cancelled", "reset", "dropped"]  # `UpstreamAttemptEnded.how`
 
 
 @dataclass(slots=True)
@@ -166,7 +166,7 @@
         handler = self._fault_handlers.get(step.what)
         if handler is not None:
             handler(now_us, step)
-        self.clock.write(Machine(now_us, self.plan.uid, step.what))
+        self.clock.write(UpstreamChanged(now_us, self.plan.uid, step.what))
 
     def _die(self, now_us: int, step: Step) -> None:
         self._drop_all_attempts(now_us)
@@ -301,7 +301,7 @@
 
     def record_undelivered(self, connection: SidecarConnection, request_id: str) -> None:
         """Record a request that was written into a cut link."""
-        self.clock.write(Held(self.clock.now_us(), request_id, self.plan.uid, connection.sidecar))
+        self.clock.write(AttemptUndelivered(self.clock.now_us(), request_id, self.plan.uid, connection.sidecar))
 
     def connection_closed(self, connection: SidecarConnection) -> None:
         """Cancel the attempt that a connection carries."""
@@ -336,7 +336,7 @@
             self._respond(attempt, SUCCESS_HEAD % len(body) + body, "served")
 
     def _crash(self, action: FellOver) -> None:
-        self.clock.write(Machine(self.clock.now_us(), self.plan.uid, "fell_over"))
+        self.clock.write(UpstreamChanged(self.clock.now_us(), self.plan.uid, "fell_over"))
         for attempt_number in action.dropped:
             self._end_attempt(attempt_number, "dropped")
         self._refuse_connections()
@@ -352,7 +352,9 @@
             return
         attempt.connection.attempt = None
         sidecar = attempt.connection.sidecar
-        self.clock.write(Ended(self.clock.now_us(), attempt_number, attempt.request_id, self.plan.uid, sidecar, end))
+        self.clock.write(
+            UpstreamAttemptEnded(self.clock.now_us(), attempt_number, attempt.request_id, self.plan.uid, sidecar, end)
+        )
 
     def _set_timer(self) -> None:
         if self._timer is not None:
--- a/garnetusher/model/__init__.py
+++ b/garnetusher/model/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments as plain data and plain objects: no socket, no clock, no task. The lab plays the same objects."""
+"""Experiments as plain data and objects without sockets, clocks or tasks, which the lab uses too."""
--- a/garnetusher/model/arrivals.py
+++ b/garnetusher/model/arrivals.py
@@ -1,4 +1,4 @@
-"""When the clients of a sidecar send requests."""
+"""Generates the arrival times of a sidecar's requests."""
 
 from __future__ import annotations
 
@@ -10,52 +10,52 @@
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan_types import Burst, Plan, SidecarPlan, us
 
-DRAWN_AHEAD = 256  # arrivals drawn in one go
-MICROSECONDS = 1_000_000  # in a second
+BATCH_SIZE = 256  # the number of arrivals that are drawn at once
+US_PER_S = 1_000_000
 
 
 def arrivals(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> Iterator[tuple[int, int, int]]:
-    """Yield when a sidecar's clients send requests, in order.
+    """Yield the requests that a sidecar's clients send, in the order of time.
 
-    It is a Poisson stream at the rate of the highest burst, thinned to the rate of each moment. In a burst of one
-    tenant only that tenant's requests become more.
+    The arrivals are a Poisson process at the rate of the highest burst, thinned to the current rate. A burst of one
+    tenant increases the rate of that tenant only.
 
     Yields:
-        Microseconds from the run's start, the index of the class and the index of the tenant.
+        The microseconds from the run's start, the index of the class and the index of the tenant.
     """
     rng = draw.stream(plan.seed, "arrivals", sidecar.name)
     classes = np.cumsum([request_class.share for request_class in experiment.classes])
     tenants = np.cumsum([tenant.share for tenant in experiment.tenants] or [1.0])
     bursts = [burst for burst in plan.bursts if sidecar.name in burst.sidecars]
-    highest = max([1.0, *(burst.times for burst in bursts)])
-    peak_per_s = sidecar.rate_per_s * highest
+    peak_factor = max([1.0, *(burst.times for burst in bursts)])
+    peak_per_s = sidecar.rate_per_s * peak_factor
     if peak_per_s <= 0:
         return
     end_us, at_us = us(plan.seconds), 0.0
     while True:
-        draws = rng.random((DRAWN_AHEAD, 3))
-        gaps_us = rng.exponential(MICROSECONDS / peak_per_s, DRAWN_AHEAD)
+        draws = rng.random((BATCH_SIZE, 3))
+        gaps_us = rng.exponential(US_PER_S / peak_per_s, BATCH_SIZE)
         class_indexes = np.searchsorted(classes, draws[:, 0] * classes[-1], side="right")
         tenant_indexes = np.searchsorted(tenants, draws[:, 1] * tenants[-1], side="right")
-        for index in range(DRAWN_AHEAD):
+        for index in range(BATCH_SIZE):
             at_us += float(gaps_us[index])
             if at_us >= end_us:
                 return
             tenant = int(tenant_indexes[index])
-            if not bursts or draws[index, 2] < _rate_factor(experiment, bursts, int(at_us), tenant) / highest:
+            if not bursts or draws[index, 2] < _rate_factor(experiment, bursts, int(at_us), tenant) / peak_factor:
                 yield int(at_us), int(class_indexes[index]), tenant
 
 
 def _rate_factor(experiment: Experiment, bursts: list[Burst], at_us: int, tenant: int) -> float:
-    """Return the multiple of a tenant's usual rate at a time."""
+    """Return a tenant's rate at a time, as a multiple of its usual rate."""
     factor = 1.0
     for burst in bursts:
-        if burst.at_us <= at_us < burst.until_us and _concerns(experiment, burst, tenant):
+        if burst.at_us <= at_us < burst.until_us and _affects(experiment, burst, tenant):
             factor *= burst.times
     return factor
 
 
-def _concerns(experiment: Experiment, burst: Burst, tenant: int) -> bool:
+def _affects(experiment: Experiment, burst: Burst, tenant: int) -> bool:
     if burst.tenant is None:
         return True
     return bool(experiment.tenants) and experiment.tenants[tenant].name == burst.tenant
--- a/garnetusher/model/beliefs.py
+++ b/garnetusher/model/beliefs.py
@@ -15,7 +15,7 @@
 
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, Span
-from garnetusher.model.records import AnyRecord, Believed
+from garnetusher.model.records import AnyRecord, ZoneStateLogged
 
 LOG_LINE = re.compile(r"zone (\d+): (\w+) -> (\w+): (.*)")
 # zone states as sidecars log them and records have them
@@ -26,7 +26,7 @@
 FAULTY_SHARE = 0.5  # a zone is faulty if more than this share of its upstreams is
 
 
-def belief(at_us: int, sidecar: str, line: str, zones: list[str]) -> Believed | None:
+def parse_zone_state(at_us: int, sidecar: str, line: str, zones: list[str]) -> ZoneStateLogged | None:
     """Return a line of a sidecar's log as a record; None if it says nothing of a zone's state.
 
     Args:
@@ -38,7 +38,7 @@
     found = LOG_LINE.search(line)
     if found is None or int(found[1]) >= len(zones):
         return None
-    return Believed(at_us, sidecar, zones[int(found[1])], found[2], found[3], found[4])
+    return ZoneStateLogged(at_us, sidecar, zones[int(found[1])], found[2], found[3], found[4])
 
 
 def figures(experiment: Experiment, plan: Plan, records: Iterable[AnyRecord]) -> dict[str, float]:
@@ -49,7 +49,7 @@
     own sidecars that evacuated it. `false_leaves` counts evacuations of zones without a fault. `zone_state_s.STATE` is
     the mean time for which a sidecar held a zone to be in that state.
     """
-    beliefs = [record for record in records if isinstance(record, Believed)]
+    beliefs = [record for record in records if isinstance(record, ZoneStateLogged)]
     found = {"false_leaves": float(sum(_is_false_evacuation(plan, record) for record in beliefs))}
     found |= _state_times(experiment, plan, beliefs)
     found |= _reaction_figures(_reactions(experiment, plan, beliefs))
@@ -66,7 +66,7 @@
     home_sidecars: int = 0  # that had a faulty zone, evacuated or not
 
 
-def _reactions(experiment: Experiment, plan: Plan, beliefs: list[Believed]) -> _Reactions:
+def _reactions(experiment: Experiment, plan: Plan, beliefs: list[ZoneStateLogged]) -> _Reactions:
     reactions = _Reactions()
     for span in plan.spans:
         for zone in experiment.topology.zones:
@@ -75,7 +75,7 @@
     return reactions
 
 
-def _add_reactions(reactions: _Reactions, plan: Plan, beliefs: list[Believed], span: Span, zone: str) -> None:
+def _add_reactions(reactions: _Reactions, plan: Plan, beliefs: list[ZoneStateLogged], span: Span, zone: str) -> None:
     evacuated_s, restored_s = _transitions(beliefs, span, zone)
     sidecars = [sidecar for sidecar in plan.sidecars if sidecar.name not in span.parties]
     home = [sidecar for sidecar in sidecars if sidecar.zone == zone]
@@ -85,7 +85,7 @@
     reactions.restorations_s += [restored_s[s.name] for s in sidecars if s.name in restored_s]
 
 
-def _transitions(beliefs: list[Believed], span: Span, zone: str) -> tuple[dict[str, float], dict[str, float]]:
+def _transitions(beliefs: list[ZoneStateLogged], span: Span, zone: str) -> tuple[dict[str, float], dict[str, float]]:
     """Return when each sidecar first evacuated a zone during a fault, and when it used the zone as before after it."""
     evacuated_s: dict[str, float] = {}
     restored_s: dict[str, float] = {}
@@ -125,7 +125,7 @@
     return span.what not in FAULTS_WITHOUT_EVACUATION and len(faulty) > FAULTY_SHARE * len(upstreams)
 
 
-def _is_false_evacuation(plan: Plan, record: Believed) -> bool:
+def _is_false_evacuation(plan: Plan, record: ZoneStateLogged) -> bool:
     """Return whether a zone was evacuated though no fault had struck it or the sidecar itself."""
     if record.state != EVACUATED:
         return False
@@ -140,7 +140,7 @@
     return span.at_us <= at_us < span.until_us + AFTERMATH_US
 
 
-def _state_times(experiment: Experiment, plan: Plan, beliefs: list[Believed]) -> dict[str, float]:
+def _state_times(experiment: Experiment, plan: Plan, beliefs: list[ZoneStateLogged]) -> dict[str, float]:
     """Return the mean time in each state but the active one, over all pairs of a sidecar and a zone."""
     end_us = int(plan.seconds * 1e6)
     total_us: dict[str, float] = defaultdict(float)
--- a/garnetusher/model/checker.py
+++ b/garnetusher/model/checker.py
@@ -25,7 +25,17 @@
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan
 from garnetusher.model.record_index import RecordIndex, lines_of
-from garnetusher.model.records import Answered, AnyRecord, Asked, Attempt, Broke, Extra, Machine, Silent, Told
+from garnetusher.model.records import (
+    AnyRecord,
+    Attempt,
+    ListUpdateSent,
+    RequestSent,
+    ResponseMissing,
+    ResponseReceived,
+    SidecarClosedConnection,
+    UnexpectedBytes,
+    UpstreamChanged,
+)
 
 TIMING_TOLERANCE_US = 50_000  # on every time limit, as on sockets
 ANSWER_TOLERANCE_US = 500_000  # an answer so much later earns nothing and still counts as an answer
@@ -86,16 +96,16 @@
                 yield Breach(Rule.ONE_ANSWER, record.t, fault, index.evidence(request_id))
 
 
-def _response_faults(index: RecordIndex, asked: Asked, record: AnyRecord) -> Iterator[str]:
+def _response_faults(index: RecordIndex, asked: RequestSent, record: AnyRecord) -> Iterator[str]:
     """Yield a sentence for each thing that is wrong with one response to a try."""
     match record:
-        case Extra():
+        case UnexpectedBytes():
             yield f"more came behind the answer to {asked.id}"
-        case Broke():
+        case SidecarClosedConnection():
             yield f"the connection of {asked.id} ended without an answer"
-        case Silent():
+        case ResponseMissing():
             yield f"{asked.id} was never answered"
-        case Answered():
+        case ResponseReceived():
             if record.t > asked.until_t + ANSWER_TOLERANCE_US:
                 yield f"{asked.id} was answered {(record.t - asked.until_t) / 1000:.0f} ms after its time"
             tried = {attempt.upstream for attempt in index.attempts.get(asked.id, [])}
@@ -109,7 +119,7 @@
     """Find tries that failed in the second half of their time, with nothing attempted for them since the first."""
     for request_id, asked in index.asked.items():
         for record in index.responses.get(request_id, []):
-            if not isinstance(record, Answered) or record.status == STATUS_OK:
+            if not isinstance(record, ResponseReceived) or record.status == STATUS_OK:
                 continue
             idle_us = _idle_before_failure_us(index, asked, record)
             if idle_us is not None:
@@ -117,17 +127,17 @@
                 yield Breach(Rule.HELD_BACK, record.t, what, index.evidence(request_id))
 
 
-def _idle_before_failure_us(index: RecordIndex, asked: Asked, answer: Answered) -> int | None:
+def _idle_before_failure_us(index: RecordIndex, asked: RequestSent, answer: ResponseReceived) -> int | None:
     """Return for how long nothing was attempted before a failure, or None if that was no fault of the sidecar."""
     limit_us = (asked.until_t - asked.t) // 2 + TIMING_TOLERANCE_US
     if answer.t <= asked.t + limit_us:
         return None
     ends_us = [index.end_us(attempt) for attempt in index.attempts.get(asked.id, [])]
-    held_us = [held.t for held in index.held.get(asked.id, [])]
+    held_us = [held.t for held in index.undelivered.get(asked.id, [])]
     idle_us = answer.t - max([asked.t, *ends_us, *held_us])
     if idle_us <= limit_us or index.was_halted(asked.sidecar, asked.t, answer.t):
         return None
-    return None if index.may_lack_trace(asked.t, answer.t) else idle_us
+    return None if index.may_lack_record(asked.t, answer.t) else idle_us
 
 
 # Rule 2
@@ -150,7 +160,7 @@
             what = f"{request_id}, which is unsafe, was sent again though it may have run"
             yield Breach(Rule.NO_REPEAT, after.t, what, index.evidence(request_id))
     for record in index.responses.get(request_id, []):
-        if not isinstance(record, Answered) or record.status not in STATUSES_SAFE_TO_REPEAT:
+        if not isinstance(record, ResponseReceived) or record.status not in STATUSES_SAFE_TO_REPEAT:
             continue
         earlier = (attempt for attempt in attempts if attempt.t < record.t)
         if any(_may_have_run(index, attempt, record.t) for attempt in earlier):
@@ -186,7 +196,7 @@
             yield Breach(Rule.DRAIN, attempt.t, what, index.evidence(request_id, first))
 
 
-def _drain_before(updates: list[Told], at_us: int) -> tuple[Told, Told] | None:
+def _drain_before(updates: list[ListUpdateSent], at_us: int) -> tuple[ListUpdateSent, ListUpdateSent] | None:
     """Return the first and the last update of the drain that held at a time, or None if the upstream was active."""
     last = bisect_right(updates, (at_us, AFTER_ANY_STATE), key=lambda update: (update.t, update.state)) - 1
     if last < 0 or updates[last].state == STATE_ACTIVE:
@@ -202,7 +212,7 @@
 
 def _check_warming(index: RecordIndex) -> Iterator[Breach]:
     """Find overloads of upstreams that were warming up, brought about by sidecars that knew it."""
-    for upstream, changes in index.machines.items():
+    for upstream, changes in index.upstream_changes.items():
         booted_us = 0
         for change in changes:
             if change.what == "boot":
@@ -213,7 +223,7 @@
                     yield breach
 
 
-def _warming_breach(index: RecordIndex, upstream: str, overload: Machine, booted_us: int) -> Breach | None:
+def _warming_breach(index: RecordIndex, upstream: str, overload: UpstreamChanged, booted_us: int) -> Breach | None:
     attempts = _attempts_before_overload(index, upstream, overload, booted_us)
     work_us = sum(attempt.work_us for attempt in attempts)
     informed_us = sum(attempt.work_us for attempt in attempts if _knew_of_start(index, attempt, booted_us))
@@ -226,7 +236,9 @@
     return Breach(Rule.COLD, overload.t, what, [*lines_of(attempts), *lines_of([overload])])
 
 
-def _attempts_before_overload(index: RecordIndex, upstream: str, overload: Machine, booted_us: int) -> list[Attempt]:
+def _attempts_before_overload(
+    index: RecordIndex, upstream: str, overload: UpstreamChanged, booted_us: int
+) -> list[Attempt]:
     """Return the attempts since an upstream's start that count towards its overload."""
     window_start_us = overload.t - int(index.experiment.upstreams.fall_s * 1e6)
     return [
@@ -248,7 +260,7 @@
 
 
 def _check_crashes(index: RecordIndex) -> Iterator[Breach]:
-    for sidecar, changes in index.processes.items():
+    for sidecar, changes in index.process_changes.items():
         for change in changes:
             if change.what == "died":
                 what = f"{sidecar} ended though nobody had asked it to"
--- a/garnetusher/model/client_node.py
+++ b/garnetusher/model/client_node.py
@@ -7,7 +7,7 @@
 
 from garnetusher.model.client import WAIT_ON_US, Client
 from garnetusher.model.plan import SidecarPlan, arrivals
-from garnetusher.model.records import Asked, GaveUp, Quit, Silent, Vanished
+from garnetusher.model.records import ClientClosedConnection, ClientKilled, ClientTimedOut, RequestSent, ResponseMissing
 from garnetusher.model.request_state import ClientCall
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
         """End a call whose client was killed with its sidecar."""
         if not call.completed:
             call.completed = True
-            self._simulation.record(Vanished(self._clock.now_us, call.call_id, self._sidecar.name))
+            self._simulation.record(ClientKilled(self._clock.now_us, call.call_id, self._sidecar.name))
 
     def _start_request(self, due_us: int, class_index: int, tenant_index: int) -> None:
         self.schedule_next()
@@ -101,7 +101,7 @@
         self._clock.at(now_us + LOCAL_DELAY_US, self._sidecar.receive, call, self._sidecar.incarnation)
 
     def _record_call(self, call: ClientCall) -> None:
-        asked = Asked(
+        asked = RequestSent(
             self._clock.now_us,
             call.call_id,
             call.request_id,
@@ -117,18 +117,18 @@
         if call.completed:
             return
         call.completed = True
-        self._simulation.record(GaveUp(self._clock.now_us, call.call_id, self._sidecar.name))
+        self._simulation.record(ClientTimedOut(self._clock.now_us, call.call_id, self._sidecar.name))
         self._clock.at(call.client_timeout_at_us + WAIT_ON_US, self._check_answered, call)
         self.call_failed(call, safe_to_retry=False, retry_after_us=0)
 
     def _check_answered(self, call: ClientCall) -> None:
         """Record a call that its sidecar has never answered."""
         if self._sidecar.unanswered(call) is not None:
-            self._simulation.record(Silent(self._clock.now_us, call.call_id, self._sidecar.name))
+            self._simulation.record(ResponseMissing(self._clock.now_us, call.call_id, self._sidecar.name))
 
     def _disconnect(self, call: ClientCall) -> None:
         if call.completed:
             return
         call.completed = True
-        self._simulation.record(Quit(self._clock.now_us, call.call_id, self._sidecar.name))
+        self._simulation.record(ClientClosedConnection(self._clock.now_us, call.call_id, self._sidecar.name))
         self._sidecar.client_disconnected(call)
--- a/garnetusher/model/compare.py
+++ b/garnetusher/model/compare.py
@@ -36,13 +36,13 @@
     pairs: int
 
     @property
-    def shown(self) -> bool:
+    def significant(self) -> bool:
         """Whether the interval excludes zero, over enough pairs."""
         return self.pairs >= MIN_PAIRS and (self.low > 0 or self.high < 0)
 
     def __str__(self) -> str:
         interval = f"between {self.low:+.4g} and {self.high:+.4g} in {self.pairs} pairs"
-        if self.shown:
+        if self.significant:
             return f"{self.name}: {self.a:.4g} and {self.b:.4g}, {self.mean:+.4g} ({interval})"
         too_few = f", and fewer than {MIN_PAIRS} tell nothing" if self.pairs < MIN_PAIRS else ""
         return f"{self.name}: no difference shown ({self.a:.4g} and {self.b:.4g}; {interval}{too_few})"
--- a/garnetusher/model/discovery_client.py
+++ b/garnetusher/model/discovery_client.py
@@ -7,7 +7,7 @@
 
 from garnetusher.model.network import Direction
 from garnetusher.model.plan import DIRECTORY, LONG_AGO, ListStep
-from garnetusher.model.records import Told
+from garnetusher.model.records import ListUpdateSent
 from garnetusher.model.sidecar_settings import POLICY_EPOCH_US
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, UpdateKind
 
@@ -135,5 +135,5 @@
         return self._simulation.endpoint_cache.get(endpoint_id, step)
 
     def _record(self, step: ListStep) -> None:
-        change = Told(self._clock.now_us, self._sidecar.name, step.uid, step.state, step.started_us)
+        change = ListUpdateSent(self._clock.now_us, self._sidecar.name, step.uid, step.state, step.started_us)
         self._simulation.record(change)
--- a/garnetusher/model/discovery_node.py
+++ b/garnetusher/model/discovery_node.py
@@ -10,7 +10,7 @@
 from garnetusher.model import draw
 from garnetusher.model.network import Direction
 from garnetusher.model.plan import DIRECTORY, LONG_AGO, ListStep
-from garnetusher.model.records import Listed
+from garnetusher.model.records import DiscoveryCalled
 
 if TYPE_CHECKING:
     from garnetusher.model.sidecar import SimulatedSidecar
@@ -60,7 +60,7 @@
     def handle_call(self, sidecar: SimulatedSidecar, incarnation: int, call_id: int) -> None:
         """Take a call into the queue, or reject it where the queue is full; the answer has the list of its time."""
         now_us = self._clock.now_us
-        self._simulation.record(Listed(now_us, sidecar.name, "watch"))
+        self._simulation.record(DiscoveryCalled(now_us, sidecar.name, "watch"))
         service_us = int(self._settings.call_ms * 1000)
         queued_us = self._busy_until_us - now_us
         if queued_us <= self._settings.calls_waiting * service_us:
--- a/garnetusher/model/draw.py
+++ b/garnetusher/model/draw.py
@@ -1,4 +1,4 @@
-"""Random draws by purpose: a further draw for one purpose changes no draw for another."""
+"""Random numbers by purpose: an additional draw for one purpose changes no draw for another."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def stream(seed: int, *purpose: object) -> np.random.Generator:
-    """Return the generator for one purpose, such as ``stream(7, "arrivals", "pacheco-0")``."""
+    """Return the random generator for one purpose, as in ``stream(7, "arrivals", "pacheco-0")``."""
     words = [xxhash.xxh64_intdigest(str(word).encode()) for word in purpose]
     return np.random.default_rng(np.random.SeedSequence([seed, *words]))
 
 
 def uniform(seed: int, *purpose: object) -> float:
-    """Return one draw from (0, 1), the same for the same purpose wherever it is made."""
+    """Return a uniform draw from (0, 1), which depends on the seed and the purpose only."""
     text = "\0".join(map(str, (seed, *purpose)))
     return (xxhash.xxh64_intdigest(text.encode()) + 0.5) / _HASH_RANGE
 
@@ -28,13 +28,14 @@
 def work_us(seed: int, request: str, mean_ms: float, cv: float) -> int:
     """Return the work of a request on a standard core, in microseconds.
 
-    It is lognormal and drawn by the request's id, so all attempts of a request find the same work wherever they run.
+    The work is lognormal and depends on the request's id, so all attempts of a request have the same work on any
+    upstream.
 
     Args:
         seed: The run's seed.
         request: The request's id.
         mean_ms: The mean of the distribution.
-        cv: Its coefficient of variation; 0 gives the mean itself.
+        cv: The distribution's coefficient of variation; 0 gives the mean itself.
     """
     if cv == 0:
         return max(1, int(mean_ms * 1000))
--- a/garnetusher/model/experiment.py
+++ b/garnetusher/model/experiment.py
@@ -1,7 +1,7 @@
-"""The types of an experiment file, and its checks. Times end in `_s` or `_ms`, as in the file.
+"""The types of an experiment file and the validation of its values. Names of times end in their unit, `_s` or `_ms`.
 
-`load` gives an `Experiment` in which every place named exists and every figure is in its range; whatever comes
-later may rely on that.
+`load` returns an `Experiment` in which every named place exists and every value is in its range. The code that uses an
+experiment relies on that.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     "disk_error",
     "clock_jump",
 ]
-# Kinds that need a part of the product that does not exist yet, by that part.
+# Faults that need a part of the product that does not exist yet, with the name of that part.
 UNSUPPORTED_FAULTS = {
     "power_loss": "durable",
     "disk_full": "durable",
@@ -69,14 +69,14 @@
 SIDECAR_FAULTS = ("kill", "stop", "restart", "silent", "cut", "loss")
 UPSTREAM_FAULTS = ("kill", "stop", "restart", "silent", "cut", "refuse", "slow", "loss", "reset", "errors")
 BOUND = re.compile(r"(?P<sign><=|>=|==)\s*(?P<figure>-?\d+(\.\d+)?)")
-SHARE_TOLERANCE = 0.011  # shares are written with two digits
+SHARE_TOLERANCE = 0.011  # files state shares with two digits
 NAMES_IN_MESSAGE = 12
 
 
 class ExperimentError(GarnetusherError, ValueError):
-    """A value of an experiment that does not fit; `config.read` reports it with the file's path.
+    """An invalid value in an experiment; `config.read` reports it with the file's path.
 
-    It is a `ValueError` too, as msgspec takes such an error as part of its own report.
+    The class is a `ValueError` too because msgspec includes such an error in its own report.
     """
 
     def __init__(self, *, key: str, expected: str, found: object = None) -> None:
@@ -84,18 +84,18 @@
 
 
 class Topology(Struct, forbid_unknown_fields=True):
-    """Regions hold zones; the times are one way."""
+    """The regions with their zones, and the network between zones. Latencies are one-way."""
 
     regions: dict[str, list[str]]
     same_zone_ms: NotNegative = 0.2
     cross_zone_ms: NotNegative = 2.0
     cross_region_ms: NotNegative = 30.0
-    jitter: Share = 0.25  # of each time, either way
-    link_kb_per_s: NotNegative = 0.0  # that a link carries each way, in thousands of bytes; 0: as much as comes
+    jitter: Share = 0.25  # the largest deviation from each latency, up or down, as a share of it
+    link_kb_per_s: NotNegative = 0.0  # a link's bandwidth in each direction, in thousands of bytes; 0: unlimited
 
     @property
     def zones(self) -> list[str]:
-        """The zones of all regions."""
+        """All zones, in the order of their regions."""
         return [zone for zones in self.regions.values() for zone in zones]
 
     def region_of(self, zone: str) -> str:
@@ -103,7 +103,7 @@
         return next(region for region, zones in self.regions.items() if zone in zones)
 
     def one_way_ms(self, from_zone: str, to_zone: str) -> float:
-        """Return the time from one zone to another."""
+        """Return the one-way latency from one zone to another, without jitter."""
         if from_zone == to_zone:
             return self.same_zone_ms
         if self.region_of(from_zone) == self.region_of(to_zone):
@@ -112,73 +112,73 @@
 
 
 class Upstreams(Struct, forbid_unknown_fields=True):
-    """The machines that serve; the figures are those of the kind `nodo-estandar`."""
+    """The capacity and behavior of the upstreams; the defaults describe the machine type `nodo-estandar`."""
 
     per_zone: dict[str, Annotated[int, Meta(ge=0)]]
     cores: Count = 3
-    queue_per_core: Count = 20  # requests that wait; beyond that they are turned away unseen
-    speed_spread: Share = 0.1  # of the true speeds, either way
-    thrash: NotNegative = 0.04  # each held request per core beyond `thrash_at` adds this to all service times
+    queue_per_core: Count = 20  # the longest queue; the upstream rejects further requests without running them
+    speed_spread: Share = 0.1  # the largest deviation from the standard speed, up or down
+    thrash: NotNegative = 0.04  # the increase of all service times per request per core beyond `thrash_at`
     thrash_at: NotNegative = 5.0
-    choke_times: Annotated[float, Meta(ge=1)] = 2.6  # slower, once it has been crowded for long; 1: never
-    choke_at: Positive = 5.5  # requests held per core, beyond which it counts as crowded
-    choke_over_s: Positive = 2.0  # for so long
-    choke_below: Share = 0.34  # it recovers once it has held less than this per core
-    choke_rest_s: Positive = 3.5  # for so long,
-    choke_most_s: Positive = 27.0  # or after this at the latest
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # of its capacity, right after a start
+    choke_times: Annotated[float, Meta(ge=1)] = 2.6  # the slowdown factor after a long overload; 1: no slowdown
+    choke_at: Positive = 5.5  # the number of requests per core above which the upstream is overloaded
+    choke_over_s: Positive = 2.0  # the duration of an overload after which the slowdown begins
+    choke_below: Share = 0.34  # the number of requests per core below which the upstream recovers
+    choke_rest_s: Positive = 3.5  # the time below `choke_below` after which the slowdown ends
+    choke_most_s: Positive = 27.0  # the longest slowdown
+    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # the share of its capacity that a just started upstream has
     warm_up_s: Positive = 18.0
-    overload_factor: Positive = 3.0  # a cold one that is sent this multiple of its capacity
-    fall_s: Positive = 3.0  # for so long falls over
+    overload_factor: Positive = 3.0  # the load at which a cold upstream crashes, as a multiple of its capacity
+    fall_s: Positive = 3.0  # the time for which a cold upstream withstands that load
     connections_per_core: Count = 750
-    handshake_ms: NotNegative = 2.5  # work of a new connection
-    handshake_trips: NotNegative = 2.0  # round trips that the first request waits
-    idle_s: Positive = 5.0  # after which an idle connection is closed
+    handshake_ms: NotNegative = 2.5  # the work that a new connection costs
+    handshake_trips: NotNegative = 2.0  # the number of round trips before a new connection's first request
+    idle_s: Positive = 5.0  # the time after which an upstream closes an idle connection
     error_share: Share = 0.0005
 
 
 class Sidecars(Struct, forbid_unknown_fields=True):
-    """The processes under test, and what their platform allows them."""
+    """The processes under test and the limits that their platform sets."""
 
     per_zone: dict[str, Annotated[int, Meta(ge=0)]]
     memory_mb: Count = 192
     sockets: Count = 1024
     max_attempts: Count = 3
     second_copies: bool = True
-    spread: NotNegative = 0.8  # of their traffic: the coefficient of variation
-    told: Annotated[int, Meta(ge=0, le=10_000)] = 0  # how many each is told that they are, at its start; 0: the truth
-    membership: bool = False  # they count each other
-    policy: Literal["slots", "random", "least", "two", "round_robin"] = "slots"  # virtual time only: baselines.py
+    spread: NotNegative = 0.8  # the coefficient of variation of the sidecars' request rates
+    told: Annotated[int, Meta(ge=0, le=10_000)] = 0  # the fleet size in each sidecar's settings; 0: the real one
+    membership: bool = False  # whether the sidecars use membership to find the fleet size
+    policy: Literal["slots", "random", "least", "two", "round_robin"] = "slots"  # only in virtual time (baselines.py)
 
 
 class Load(Struct, forbid_unknown_fields=True):
-    """Open loop: arrivals never wait for answers."""
+    """The request rate, in an open loop: arrivals never wait for responses."""
 
     requests_per_s: Positive
-    zones: dict[str, NotNegative] = {}  # a zone's part of the traffic, beside the others; else by its sidecars
+    zones: dict[str, NotNegative] = {}  # relative weights of the zones' traffic; empty: by their numbers of sidecars
 
 
 class Clients(Struct, forbid_unknown_fields=True):
-    """How clients retry and when they give up."""
+    """When clients retry and when they time out."""
 
     retries: Annotated[int, Meta(ge=0, le=5)] = 1
     backoff_ms: NotNegative = 60.0
-    honour: Share = 0.6  # of them wait as `Retry-After` says
-    try_share: Annotated[float, Meta(gt=0, le=1)] = 0.8  # of the deadline, after which a try is given up
-    marks: bool = True  # a try that comes again says so
-    impatient: Share = 0.002  # of them leave before their time
+    honour: Share = 0.6  # the share of clients that wait as `Retry-After` says
+    try_share: Annotated[float, Meta(gt=0, le=1)] = 0.8  # the shortest client timeout, as a share of the deadline
+    marks: bool = True  # whether clients mark their retries as such
+    impatient: Share = 0.002  # the share of calls whose client disconnects before its timeout
 
 
 class Directory(Struct, forbid_unknown_fields=True):
-    """How late the list is."""
+    """How the discovery service sends the endpoint list, and its delays."""
 
     mode: Literal["pushed", "on_request"] = "pushed"
-    add_s: NotNegative = 1.2  # until a started upstream is listed
-    notice_s: NotNegative = 2.2  # until a dead one is off the list
-    silent_notice_s: NotNegative = 8.0  # until one that answers nothing is
-    spread_ms: NotNegative = 80.0  # between the first and the last sidecar told
-    call_ms: NotNegative = 0.0  # that it takes for a call, one after another
-    calls_waiting: Count = 22  # beyond which a call is turned away at once
+    add_s: NotNegative = 1.2  # the time from an upstream's start until the service lists it
+    notice_s: NotNegative = 2.2  # the time until the service removes an upstream whose process has ended
+    silent_notice_s: NotNegative = 8.0  # the time until the service removes an upstream that cannot be reached
+    spread_ms: NotNegative = 80.0  # the time between the first and the last sidecar that receives an update
+    call_ms: NotNegative = 0.0  # the service time of a call; the service handles one call at a time
+    calls_waiting: Count = 22  # the longest queue of calls; the service rejects further ones at once
 
 
 class RequestClass(Struct, forbid_unknown_fields=True):
@@ -191,7 +191,7 @@
     work_ms: Positive
     effect: Effect = "idempotent"
     worth: Positive = 1.0
-    work_cv: Annotated[float, Meta(ge=0, le=3)] = 0.9  # coefficient of variation, lognormal
+    work_cv: Annotated[float, Meta(ge=0, le=3)] = 0.9  # the coefficient of variation of the work, which is lognormal
 
     def __post_init__(self) -> None:
         if self.deadline_ms < self.aim_ms:
@@ -199,14 +199,17 @@
 
 
 class Tenant(Struct, forbid_unknown_fields=True):
-    """A tenant and its part of the traffic."""
+    """A tenant and its share of the traffic."""
 
     name: Annotated[str, Meta(pattern="^[a-z0-9-]+$")]
     share: Share
 
 
 class Place(Struct, forbid_unknown_fields=True):
-    """The nodes that a fault strikes. `part` takes a share of those that the other keys select, drawn by the seed."""
+    """The nodes that a fault affects.
+
+    `part` is the share of the nodes selected by the other keys; the seed decides which of them the fault affects.
+    """
 
     zone: str | None = None
     region: str | None = None
@@ -219,37 +222,37 @@
 
 
 class Fault(Struct, forbid_unknown_fields=True):
-    """A fault, where it strikes and for how long."""
+    """A fault, the nodes that it affects, and its duration."""
 
     at_s: NotNegative
     what: FaultKind
-    for_s: Positive | None = None  # none: to the end
+    for_s: Positive | None = None  # None: until the end of the run
     where: Place = msgspec.field(default_factory=Place)
-    to: Place | None = None  # `cut`: the other side; none: everybody
-    one_way: bool = False  # `cut`: only what goes from `where` to `to` is lost
+    to: Place | None = None  # `cut`: the nodes at the links' other end; None: all
+    one_way: bool = False  # `cut`: whether only the direction from `where` to `to` is cut
     times: Positive | None = None  # `slow`, `burst`
     share: Share | None = None  # `loss`, `reset`, `errors`, `list_lies`
     by_s: NotNegative | None = None  # `list_late`
-    batch: Annotated[float, Meta(gt=0, le=1)] = 0.2  # `restart`: the part that goes at a time
-    drain_s: NotNegative = 3.0  # `restart` of upstreams: from `leaving` to the end
-    returns: Literal["warm", "cold"] = "warm"  # `silent`: how its upstreams come back
+    batch: Annotated[float, Meta(gt=0, le=1)] = 0.2  # `restart`: the share of upstreams that restart at a time
+    drain_s: NotNegative = 3.0  # `restart` of upstreams: the time from `leaving` to the end of the process
+    returns: Literal["warm", "cold"] = "warm"  # `silent`: the state of the upstreams once they can be reached again
     tenant: str | None = None  # `burst`
 
     def __post_init__(self) -> None:
         part = UNSUPPORTED_FAULTS.get(self.what)
         if part is not None:
-            expected = f"a fault that can be played; {self.what!r} comes with the {part} part"
+            expected = f"a supported fault; {self.what!r} needs the {part} part, which does not exist yet"
             raise ExperimentError(key="what", expected=expected)
         key = REQUIRED_KEYS.get(self.what)
         if key is not None and getattr(self, key) is None:
-            raise ExperimentError(key=key, expected=f"this key, which {self.what!r} needs")
+            raise ExperimentError(key=key, expected=f"a value, which {self.what!r} needs")
         if self.what == "restart" and self.for_s is None:
-            raise ExperimentError(key="for_s", expected="this key, which 'restart' needs")
+            raise ExperimentError(key="for_s", expected="a value, which 'restart' needs")
         if self.what != "cut":
             self._check_keys_of_cut()
 
     def _check_keys_of_cut(self) -> None:
-        expected = "this key only with 'cut', and the fault is"
+        expected = "this key only with 'cut'; the fault is another one"
         if self.to is not None:
             raise ExperimentError(key="to", expected=expected, found=self.what)
         if self.one_way:
@@ -257,7 +260,7 @@
 
 
 class Experiment(Struct, forbid_unknown_fields=True):
-    """All of an experiment file."""
+    """The content of an experiment file."""
 
     name: Annotated[str, Meta(pattern="^[a-z0-9-]+$")]
     topology: Topology
@@ -267,14 +270,16 @@
     classes: Annotated[list[RequestClass], Meta(min_length=1)] = msgspec.field(name="class")
     seed: Annotated[int, Meta(ge=0)] = 1
     seconds: Annotated[float, Meta(gt=0, le=7200)] = 30.0
-    about: str = ""  # one line for the report
+    about: str = ""  # a one-line description for the report
     clients: Clients = msgspec.field(default_factory=Clients)
     directory: Directory = msgspec.field(default_factory=Directory)
     tenants: list[Tenant] = msgspec.field(name="tenant", default_factory=list)
-    over_share_worth: Share = 0.2  # of a request beyond its tenant's share
+    over_share_worth: Share = (
+        0.2  # the weight of requests beyond their tenant's quota, as a share of their usual weight
+    )
     faults: list[Fault] = msgspec.field(name="fault", default_factory=list)
     expect: dict[str, str] = {}
-    open: dict[str, str] = {}  # figures that are not reached yet: shown, and never failing
+    open: dict[str, str] = {}  # goals not reached yet: reports show them, and they fail no run
 
     def __post_init__(self) -> None:
         self._check_zones()
@@ -282,7 +287,7 @@
         _check_shares("class", [request_class.share for request_class in self.classes])
         names = [request_class.name for request_class in self.classes]
         if len(set(names)) != len(names):
-            raise ExperimentError(key="class.*.name", expected="classes of different names", found=names)
+            raise ExperimentError(key="class.*.name", expected="classes with different names", found=names)
         if self.tenants:
             _check_shares("tenant", [tenant.share for tenant in self.tenants])
         for index, fault in enumerate(self.faults):
@@ -295,7 +300,7 @@
         if not zones:
             raise ExperimentError(key="topology.regions", expected="at least one zone")
         if len(set(zones)) != len(zones):
-            raise ExperimentError(key="topology.regions", expected="zones of different names", found=zones)
+            raise ExperimentError(key="topology.regions", expected="zones with different names", found=zones)
         per_zone_keys: tuple[tuple[str, Iterable[str]], ...] = (
             ("upstreams.per_zone", self.upstreams.per_zone),
             ("sidecars.per_zone", self.sidecars.per_zone),
@@ -309,7 +314,7 @@
     def _check_counts(self) -> None:
         for key, counts in (("upstreams", self.upstreams.per_zone), ("sidecars", self.sidecars.per_zone)):
             if sum(counts.values()) <= 0:
-                raise ExperimentError(key=f"{key}.per_zone", expected="at least one of them")
+                raise ExperimentError(key=f"{key}.per_zone", expected="at least one node")
 
     def _check_fault(self, key: str, fault: Fault) -> None:
         if fault.at_s >= self.seconds:
@@ -339,9 +344,7 @@
                 expected = f"one of {', '.join(known[:NAMES_IN_MESSAGE])}{more}"
                 raise ExperimentError(key=f"{key}.{name}", expected=expected, found=value)
         if place.agent is not None:
-            raise ExperimentError(
-                key=f"{key}.agent", expected="a place that exists; agents come with the directory part"
-            )
+            raise ExperimentError(key=f"{key}.agent", expected="a place that exists; this version has no agents")
 
     def _check_burst(self, key: str, fault: Fault) -> None:
         names = [tenant.name for tenant in self.tenants]
@@ -363,15 +366,17 @@
 
 
 def _check_fault_kind(key: str, fault: Fault) -> None:
-    strikes_sidecars = fault.where.of == "sidecars" or fault.where.sidecar is not None
-    kinds = SIDECAR_FAULTS if strikes_sidecars else UPSTREAM_FAULTS
+    affects_sidecars = fault.where.of == "sidecars" or fault.where.sidecar is not None
+    kinds = SIDECAR_FAULTS if affects_sidecars else UPSTREAM_FAULTS
     if fault.what not in kinds:
-        side = "sidecars" if strikes_sidecars else "upstreams"
-        raise ExperimentError(key=f"{key}.what", expected=f"for {side} one of {', '.join(kinds)}", found=fault.what)
+        node_type = "sidecars" if affects_sidecars else "upstreams"
+        raise ExperimentError(
+            key=f"{key}.what", expected=f"for {node_type} one of {', '.join(kinds)}", found=fault.what
+        )
 
 
 def upstream_names(experiment: Experiment) -> list[str]:
-    """Return the upstreams that are there from the start, as `fault.where.upstream` names them."""
+    """Return the names of the upstreams that run from the start, as in `fault.where.upstream`."""
     return [
         f"u-{zone}-{number}"
         for zone in experiment.topology.zones
@@ -380,7 +385,7 @@
 
 
 def sidecar_names(experiment: Experiment) -> list[str]:
-    """Return all sidecars, as `fault.where.sidecar` names them."""
+    """Return the names of all sidecars, as in `fault.where.sidecar`."""
     return [
         f"{zone}-{number}"
         for zone in experiment.topology.zones
@@ -388,48 +393,50 @@
     ]
 
 
-def scaled(experiment: Experiment, sidecars: int, *, alone: bool = False) -> Experiment:
-    """Return the experiment with about so many sidecars, zones keeping their parts.
+def scaled(experiment: Experiment, sidecars: int, *, sidecars_only: bool = False) -> Experiment:
+    """Return the experiment with its number of sidecars changed; zones keep their shares of the sidecars.
 
     Args:
         experiment: The experiment.
-        sidecars: How many.
-        alone: Whether upstreams and load stay as they are, instead of growing with the sidecars.
+        sidecars: The approximate number of sidecars; every zone that has any keeps at least one.
+        sidecars_only: Whether upstreams and load stay as they are, instead of growing with the sidecars.
     """
-    times = sidecars / sum(experiment.sidecars.per_zone.values())
+    factor = sidecars / sum(experiment.sidecars.per_zone.values())
 
-    def grown(counts: dict[str, int]) -> dict[str, int]:
-        return {zone: max(1, round(count * times)) if count else 0 for zone, count in counts.items()}
+    def scaled_counts(counts: dict[str, int]) -> dict[str, int]:
+        return {zone: max(1, round(count * factor)) if count else 0 for zone, count in counts.items()}
 
     replace = msgspec.structs.replace
-    if alone:
-        return replace(experiment, sidecars=replace(experiment.sidecars, per_zone=grown(experiment.sidecars.per_zone)))
+    if sidecars_only:
+        return replace(
+            experiment, sidecars=replace(experiment.sidecars, per_zone=scaled_counts(experiment.sidecars.per_zone))
+        )
     return replace(
         experiment,
-        load=replace(experiment.load, requests_per_s=experiment.load.requests_per_s * times),
-        sidecars=replace(experiment.sidecars, per_zone=grown(experiment.sidecars.per_zone)),
-        upstreams=replace(experiment.upstreams, per_zone=grown(experiment.upstreams.per_zone)),
+        load=replace(experiment.load, requests_per_s=experiment.load.requests_per_s * factor),
+        sidecars=replace(experiment.sidecars, per_zone=scaled_counts(experiment.sidecars.per_zone)),
+        upstreams=replace(experiment.upstreams, per_zone=scaled_counts(experiment.upstreams.per_zone)),
     )
 
 
 def load(path: Path | str) -> Experiment:
-    """Read and check a file.
+    """Return the validated experiment of a file.
 
     Raises:
-        config.FileError: It cannot be read, or does not fit.
+        config.FileError: The file cannot be read, or is invalid.
     """
     return config.read(path, Experiment)
 
 
 def holds(bound: str, figure: float | None) -> bool:
-    """Return whether a figure keeps a bound such as `<= 3.0`; one that was not measured keeps none.
+    """Return whether a figure is within a bound such as `<= 3.0`; a figure of None, not measured, never is.
 
     Raises:
-        ExperimentError: The bound is none.
+        ExperimentError: The bound is malformed.
     """
     parsed = BOUND.fullmatch(bound)
     if parsed is None:
-        raise ExperimentError(key="bound", expected="a sign and a number", found=bound)
+        raise ExperimentError(key="bound", expected="a comparison sign and a number", found=bound)
     if figure is None:
         return False
     limit = float(parsed["figure"])
--- a/garnetusher/model/fault_targets.py
+++ b/garnetusher/model/fault_targets.py
@@ -1,4 +1,4 @@
-"""Which nodes a fault strikes."""
+"""Selects the nodes that a fault affects."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from garnetusher.model.experiment import Experiment, Place
 from garnetusher.model.plan_types import DIRECTORY, Plan
 
-ROUNDING_TOLERANCE = 1e-9  # so that a share of 0.2 of five nodes is one
+ROUNDING_TOLERANCE = 1e-9  # keeps rounding errors from selecting two nodes for a share of 0.2 of five
 
 
 class FaultTargets:
@@ -37,7 +37,7 @@
         return self.part(fault_index, place.part, names)
 
     def part(self, fault_index: int, share: float | None, names: list[str]) -> list[str]:
-        """Return a share of some nodes, drawn by the seed and in their order; all of them if the share is None."""
+        """Return a random share of some nodes in their order; all of them if the share is None."""
         if share is None:
             return names
         count = math.ceil(share * len(names) - ROUNDING_TOLERANCE)
@@ -51,5 +51,5 @@
 
 
 def with_directory(names: list[str], place: Place) -> list[str]:
-    """Return some nodes, and the discovery service if the place has it."""
+    """Return the nodes, followed by the discovery service if the place includes it."""
     return [*names, DIRECTORY] if place.directory else [*names]
--- a/garnetusher/model/figures.py
+++ b/garnetusher/model/figures.py
@@ -18,15 +18,24 @@
 from garnetusher.model import beliefs
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan
-from garnetusher.model.records import Answered, AnyRecord, Asked, Attempt, Ended, Listed, Usage, Vanished
+from garnetusher.model.records import (
+    AnyRecord,
+    Attempt,
+    ClientKilled,
+    DiscoveryCalled,
+    ProcessUsage,
+    RequestSent,
+    ResponseReceived,
+    UpstreamAttemptEnded,
+)
 from garnetusher.model.recovery import recovery_figures
 from garnetusher.model.request_outcomes import STATUS_OK, Request, requests_of
 
-__all__ = ["Request", "RunCounts", "Story", "figures", "histograms", "requests_of", "story"]
+__all__ = ["Request", "RunCounts", "Timeline", "figures", "histograms", "requests_of", "timeline"]
 
 STATUSES_REFUSED = (429, 503)
 FIGURE_DIGITS = 5
-STORY_BIN_US = 500_000
+TIMELINE_BIN_US = 500_000
 HISTOGRAM_MAX_US = 60_000_000
 HISTOGRAM_DIGITS = 3
 SECOND_US = 1_000_000
@@ -42,7 +51,7 @@
     not_asked: int = 0  # requests that were not sent, as their application was down with its sidecar
 
 
-class Story(Struct):
+class Timeline(Struct):
     """What the report draws over time, by zone."""
 
     zones: list[str]
@@ -79,8 +88,8 @@
 def _groups(experiment: Experiment, plan: Plan, requests: list[Request]) -> Iterator[tuple[str, list[Request]]]:
     """Yield the groups of requests for which served worth is told, by name."""
     yield "whole", requests
-    if plan.faulty_us is not None:
-        begin_us, end_us = plan.faulty_us
+    if plan.fault_interval_us is not None:
+        begin_us, end_us = plan.fault_interval_us
         yield "before", [request for request in requests if request.first_us < begin_us]
         yield "during_fault", [request for request in requests if begin_us <= request.first_us < end_us]
         yield "after", [request for request in requests if request.first_us >= end_us]
@@ -114,9 +123,9 @@
     sidecar_zone = _zone_of_sidecar(plan)
     upstream_zone = {upstream.uid: upstream.zone for upstream in plan.upstreams}
     attempts = [record for record in records if isinstance(record, Attempt)]
-    ends = [record for record in records if isinstance(record, Ended)]
-    answers = [record for record in records if isinstance(record, Answered)]
-    tries = sum(isinstance(record, Asked) for record in records)
+    ends = [record for record in records if isinstance(record, UpstreamAttemptEnded)]
+    answers = [record for record in records if isinstance(record, ResponseReceived)]
+    tries = sum(isinstance(record, RequestSent) for record in records)
     requests = max(1, request_count)
     return {
         "attempts_per_request": len(attempts) / requests,
@@ -128,12 +137,12 @@
         "work_unserved": _unserved_work(attempts, ends),
         "refused": sum(answer.status in STATUSES_REFUSED for answer in answers) / requests,
         "failed": sum(answer.status not in (STATUS_OK, *STATUSES_REFUSED) for answer in answers) / requests,
-        "list_calls": float(sum(isinstance(record, Listed) for record in records)),
-        "vanished": float(sum(isinstance(record, Vanished) for record in records)),
+        "list_calls": float(sum(isinstance(record, DiscoveryCalled) for record in records)),
+        "vanished": float(sum(isinstance(record, ClientKilled) for record in records)),
     }
 
 
-def _unserved_work(attempts: list[Attempt], ends: list[Ended]) -> float:
+def _unserved_work(attempts: list[Attempt], ends: list[UpstreamAttemptEnded]) -> float:
     """Return the share of the work that reached upstreams and served nothing."""
     work_us = {(attempt.upstream, attempt.n): attempt.work_us for attempt in attempts}
     unserved_us = sum(work_us[end.upstream, end.n] for end in ends if end.how != "served")
@@ -145,7 +154,7 @@
     cpu_s: dict[str, float] = {}
     peak_mb: dict[str, float] = {}
     for record in records:
-        if isinstance(record, Usage):
+        if isinstance(record, ProcessUsage):
             cpu_s[record.process] = max(cpu_s.get(record.process, 0.0), record.cpu_s)
             peak_mb[record.process] = max(peak_mb.get(record.process, 0.0), record.rss_mb)
     lab = [process for process in cpu_s if _belongs_to_lab(process)]
@@ -165,7 +174,7 @@
     return process in LAB_PROCESSES or process.startswith(LAB_PROCESS_PREFIXES)
 
 
-def story(experiment: Experiment, plan: Plan, requests: list[Request], bin_us: int = STORY_BIN_US) -> Story:
+def timeline(experiment: Experiment, plan: Plan, requests: list[Request], bin_us: int = TIMELINE_BIN_US) -> Timeline:
     """Return served worth and latency over time by zone."""
     zone_of = _zone_of_sidecar(plan)
     zones = [zone for zone in experiment.topology.zones if zone in zone_of.values()]
@@ -180,7 +189,7 @@
                 bins[index].append(request)
         worth[zone] = [_served_worth(experiment, requests_in_bin) for requests_in_bin in bins]
         latency_ms[zone] = [_latency_percentiles_ms(requests_in_bin) for requests_in_bin in bins]
-    return Story(zones, bin_us, worth, latency_ms)
+    return Timeline(zones, bin_us, worth, latency_ms)
 
 
 def _latency_percentiles_ms(requests: list[Request]) -> list[float | None]:
--- a/garnetusher/model/plan.py
+++ b/garnetusher/model/plan.py
@@ -1,7 +1,7 @@
-"""From an experiment and a seed to what each node does when: the same plan for the lab and the model.
+"""Computes the plan of a run, what each node does and when, from an experiment and a seed.
 
-All that a fault brings about by itself (which nodes stop, what the endpoint list says of them) is worked out here,
-before anything runs, so that a run can be repeated from its seed.
+The lab and the model use the same plan. It contains the direct effects of every fault (which nodes stop, and how the
+endpoint list changes) and is complete before the run begins, so a run can be repeated from its seed.
 """
 
 from __future__ import annotations
@@ -45,23 +45,33 @@
     "make",
 ]
 
-LABELLED_NODES = 3  # named by a fault's label, where its place has no name
-# the steps of an upstream at a fault's start and end; other faults have one step that takes a value
+MAX_NODES_IN_LABEL = 3  # for the label of a fault whose place has no name
+# The steps of an upstream at a fault's start and end. Each of the other faults uses one step with a value for both.
 UPSTREAM_STEPS = {"kill": ("die", "boot"), "stop": ("hang", "resume"), "refuse": ("refuse", "accept")}
 
 
 class PlanError(GarnetusherError):
-    """A fault lacks a key that it needs; experiments read from files have been checked for it."""
+    """A fault lacks a key that it needs; the validation of experiment files excludes this."""
 
 
-class _Strike(Struct):
-    """A fault with the nodes that it strikes and its span of time."""
+class _ScheduledFault(Struct):
+    """A fault with the nodes that it affects, and its start and end.
+
+    Attributes:
+        index: The fault's position in the experiment.
+        fault: The fault as configured.
+        at_us: The fault's start.
+        until_us: The fault's end, at most the end of the run.
+        ends: Whether the fault ends before the run does.
+        upstreams: The upstreams that the fault affects.
+        sidecars: The sidecars that the fault affects.
+    """
 
     index: int
     fault: Fault
     at_us: int
     until_us: int
-    ends: bool  # before the run does
+    ends: bool
     upstreams: list[str]
     sidecars: list[str]
 
@@ -83,12 +93,12 @@
 
 
 def _speed(experiment: Experiment, seed: int, *purpose: object) -> float:
-    """Draw the speed of an upstream's cores, beside a standard one."""
+    """Draw the speed of an upstream's cores, relative to a standard core."""
     return 1 + experiment.upstreams.speed_spread * (2 * draw.uniform(seed, "speed", *purpose) - 1)
 
 
 def _sidecar_plans(experiment: Experiment, seed: int) -> list[SidecarPlan]:
-    """Share the traffic out to zones, and in a zone to its sidecars by their weights."""
+    """Divide the traffic among zones, and a zone's traffic among its sidecars by their weights."""
     weights = _sidecar_weights(experiment, seed)
     zone_of = {name: name.rpartition("-")[0] for name in weights}
     zone_parts = _zone_parts(experiment)
@@ -103,7 +113,7 @@
 
 
 def _sidecar_weights(experiment: Experiment, seed: int) -> dict[str, float]:
-    """Draw each sidecar's traffic beside the others'."""
+    """Draw the relative traffic of each sidecar."""
     names = sidecar_names(experiment)
     spread = experiment.sidecars.spread
     if not spread:
@@ -113,14 +123,14 @@
 
 
 def _zone_parts(experiment: Experiment) -> dict[str, float]:
-    """Return the parts of the traffic that zones with sidecars have."""
+    """Return the relative traffic of each zone that has sidecars."""
     counts = experiment.sidecars.per_zone
     parts = experiment.load.zones or {zone: float(counts.get(zone, 0)) for zone in experiment.topology.zones}
     return {zone: part for zone, part in parts.items() if counts.get(zone, 0)}
 
 
 class _Planner:
-    """Builds the plan fault by fault."""
+    """Builds a plan from the faults, one after another."""
 
     def __init__(self, experiment: Experiment, seed: int) -> None:
         self._experiment, self._seed = experiment, seed
@@ -130,7 +140,7 @@
         self._upstreams = {upstream.uid: upstream for upstream in upstreams}
         self._sidecars = {sidecar.name: sidecar for sidecar in sidecars}
         for index, fault in enumerate(experiment.faults):
-            self._add_fault(self._strike(index, fault))
+            self._add_fault(self._schedule(index, fault))
         self._delay_list_updates()
         self._sort()
 
@@ -144,155 +154,160 @@
 
     # Faults
 
-    def _strike(self, index: int, fault: Fault) -> _Strike:
+    def _schedule(self, index: int, fault: Fault) -> _ScheduledFault:
         at_us, run_end_us = us(fault.at_s), us(self.plan.seconds)
         until_us = run_end_us if fault.for_s is None else min(run_end_us, at_us + us(fault.for_s))
         upstreams = [] if fault.what == "burst" else self._targets.upstreams(index, fault.where)
         sidecars = self._targets.sidecars(index, fault.where)
-        return _Strike(index, fault, at_us, until_us, until_us < run_end_us, upstreams, sidecars)
+        return _ScheduledFault(index, fault, at_us, until_us, until_us < run_end_us, upstreams, sidecars)
 
-    def _add_fault(self, strike: _Strike) -> None:
-        nodes = with_directory([*strike.upstreams, *strike.sidecars], strike.fault.where)
-        label = _label(strike.fault, nodes)
-        self.plan.spans.append(Span(strike.fault.what, label, strike.at_us, strike.until_us, nodes))
-        match strike.fault.what:
+    def _add_fault(self, scheduled: _ScheduledFault) -> None:
+        nodes = with_directory([*scheduled.upstreams, *scheduled.sidecars], scheduled.fault.where)
+        label = _label(scheduled.fault, nodes)
+        self.plan.spans.append(Span(scheduled.fault.what, label, scheduled.at_us, scheduled.until_us, nodes))
+        match scheduled.fault.what:
             case "burst":
-                self._add_burst(strike)
+                self._add_burst(scheduled)
             case "restart":
-                self._replace_upstreams(strike)
-                self._restart_sidecars(strike)
+                self._replace_upstreams(scheduled)
+                self._restart_sidecars(scheduled)
             case "silent" | "cut" | "loss":
-                self._add_link_steps(strike)
-                if strike.fault.what == "silent":
-                    self._lose_contact(strike)
+                self._add_link_steps(scheduled)
+                if scheduled.fault.what == "silent":
+                    self._add_unreachable_steps(scheduled)
             case "list_lies":
-                self._add_false_list_updates(strike)
+                self._add_false_list_updates(scheduled)
             case "list_late":
-                pass  # once all updates are known
+                pass  # `_delay_list_updates` handles it once all list updates are known
             case _:
-                self._add_node_steps(strike)
-
-    def _add_burst(self, strike: _Strike) -> None:
-        times = _required(strike.fault.times, "times", strike.fault)
-        sidecars = self._targets.sidecars(strike.index, structs.replace(strike.fault.where, of="sidecars"))
-        self.plan.bursts.append(Burst(strike.at_us, strike.until_us, times, strike.fault.tenant, sidecars))
-
-    def _add_false_list_updates(self, strike: _Strike) -> None:
-        share = _required(strike.fault.share, "share", strike.fault)
-        upstreams = strike.upstreams or [upstream.uid for upstream in self.plan.upstreams]
-        for uid in self._targets.part(strike.index, share, upstreams):
-            self._list(strike.at_us, uid, "left")
-            self._list(strike.until_us, uid, "active")
-
-    def _add_node_steps(self, strike: _Strike) -> None:
-        for name in strike.sidecars:
-            self._add_sidecar_steps(self._sidecars[name], strike)
-        for uid in strike.upstreams:
-            self._add_upstream_steps(self._upstreams[uid], strike)
-
-    def _add_sidecar_steps(self, sidecar: SidecarPlan, strike: _Strike) -> None:
-        sidecar.steps.append(Step(strike.at_us, strike.fault.what))
-        if strike.ends:
-            sidecar.steps.append(Step(strike.until_us, "start" if strike.fault.what == "kill" else "cont"))
-
-    def _add_upstream_steps(self, upstream: UpstreamPlan, strike: _Strike) -> None:
-        fault = strike.fault
+                self._add_node_steps(scheduled)
+
+    def _add_burst(self, scheduled: _ScheduledFault) -> None:
+        times = _required(scheduled.fault.times, "times", scheduled.fault)
+        sidecars = self._targets.sidecars(scheduled.index, structs.replace(scheduled.fault.where, of="sidecars"))
+        self.plan.bursts.append(Burst(scheduled.at_us, scheduled.until_us, times, scheduled.fault.tenant, sidecars))
+
+    def _add_false_list_updates(self, scheduled: _ScheduledFault) -> None:
+        share = _required(scheduled.fault.share, "share", scheduled.fault)
+        upstreams = scheduled.upstreams or [upstream.uid for upstream in self.plan.upstreams]
+        for uid in self._targets.part(scheduled.index, share, upstreams):
+            self._add_list_step(scheduled.at_us, uid, "left")
+            self._add_list_step(scheduled.until_us, uid, "active")
+
+    def _add_node_steps(self, scheduled: _ScheduledFault) -> None:
+        for name in scheduled.sidecars:
+            self._add_sidecar_steps(self._sidecars[name], scheduled)
+        for uid in scheduled.upstreams:
+            self._add_upstream_steps(self._upstreams[uid], scheduled)
+
+    def _add_sidecar_steps(self, sidecar: SidecarPlan, scheduled: _ScheduledFault) -> None:
+        sidecar.steps.append(Step(scheduled.at_us, scheduled.fault.what))
+        if scheduled.ends:
+            sidecar.steps.append(Step(scheduled.until_us, "start" if scheduled.fault.what == "kill" else "cont"))
+
+    def _add_upstream_steps(self, upstream: UpstreamPlan, scheduled: _ScheduledFault) -> None:
+        fault = scheduled.fault
         begin, end = UPSTREAM_STEPS.get(fault.what, (fault.what, fault.what))
         value, usual = (fault.times, 1.0) if fault.what == "slow" else (fault.share, 0.0)
-        upstream.steps.append(Step(strike.at_us, begin, value or 0.0))
-        if strike.ends:
-            upstream.steps.append(Step(strike.until_us, end, usual))
+        upstream.steps.append(Step(scheduled.at_us, begin, value or 0.0))
+        if scheduled.ends:
+            upstream.steps.append(Step(scheduled.until_us, end, usual))
         if fault.what == "kill":
-            self._list_lost_upstream(upstream.uid, strike, self._experiment.directory.notice_s, cold=True)
+            self._list_unavailable_upstream(upstream.uid, scheduled, self._experiment.directory.notice_s, cold=True)
 
     # Replacements
 
-    def _replace_upstreams(self, strike: _Strike) -> None:
-        """Replace upstreams in batches; a successor starts cold and is listed as its predecessor begins to drain."""
-        batch_size = math.ceil(strike.fault.batch * len(self.plan.upstreams))
-        batches = [strike.upstreams[i : i + batch_size] for i in range(0, len(strike.upstreams), batch_size)]
+    def _replace_upstreams(self, scheduled: _ScheduledFault) -> None:
+        """Replace upstreams in batches.
+
+        A successor starts cold, and the endpoint list adds it at the time when its predecessor begins to drain.
+        """
+        batch_size = math.ceil(scheduled.fault.batch * len(self.plan.upstreams))
+        batches = [scheduled.upstreams[i : i + batch_size] for i in range(0, len(scheduled.upstreams), batch_size)]
         for index, batch in enumerate(batches):
             for uid in batch:
-                self._replace_upstream(uid, strike, _spread(strike, index, len(batches)))
+                self._replace_upstream(uid, scheduled, _spread_time_us(scheduled, index, len(batches)))
 
-    def _replace_upstream(self, uid: str, strike: _Strike, begin_us: int) -> None:
+    def _replace_upstream(self, uid: str, scheduled: _ScheduledFault, begin_us: int) -> None:
         directory = self._experiment.directory
         old = self._upstreams[uid]
-        speed = _speed(self._experiment, self._seed, uid, strike.index)
-        successor = UpstreamPlan(f"{uid}-next-{strike.index}", old.zone, speed, begin_us)
+        speed = _speed(self._experiment, self._seed, uid, scheduled.index)
+        successor = UpstreamPlan(f"{uid}-next-{scheduled.index}", old.zone, speed, begin_us)
         successor.steps.append(Step(begin_us, "boot"))
         self.plan.upstreams.append(successor)
         self._upstreams[successor.uid] = successor
         listed_us = begin_us + us(directory.add_s)
-        self._list(listed_us, successor.uid, "active", begin_us)
-        self._list(listed_us, uid, "leaving")
-        ended_us = begin_us + us(directory.add_s + strike.fault.drain_s)
+        self._add_list_step(listed_us, successor.uid, "active", begin_us)
+        self._add_list_step(listed_us, uid, "leaving")
+        ended_us = begin_us + us(directory.add_s + scheduled.fault.drain_s)
         old.steps.append(Step(ended_us, "die"))
-        self._list(ended_us + us(directory.notice_s), uid, "left")
+        self._add_list_step(ended_us + us(directory.notice_s), uid, "left")
 
-    def _restart_sidecars(self, strike: _Strike) -> None:
-        for index, name in enumerate(strike.sidecars):
-            self._sidecars[name].steps.append(Step(_spread(strike, index, len(strike.sidecars)), "restart"))
+    def _restart_sidecars(self, scheduled: _ScheduledFault) -> None:
+        for index, name in enumerate(scheduled.sidecars):
+            self._sidecars[name].steps.append(
+                Step(_spread_time_us(scheduled, index, len(scheduled.sidecars)), "restart")
+            )
 
     # Links
 
-    def _add_link_steps(self, strike: _Strike) -> None:
-        fault = strike.fault
+    def _add_link_steps(self, scheduled: _ScheduledFault) -> None:
+        fault = scheduled.fault
         both_ways = not fault.one_way
-        ends, from_parties = self._link_ends(strike)
+        ends, from_parties = self._link_ends(scheduled)
         begin, end = ("loss", "loss") if fault.what == "loss" else ("cut", "mend")
         for parties, sidecars in ends:
             if not parties or not sidecars:
                 continue
             to_sidecar, to_party = both_ways or from_parties, both_ways or not from_parties
-            steps = ((strike.at_us, begin, fault.share or 0.0), (strike.until_us, end, 0.0))
+            steps = ((scheduled.at_us, begin, fault.share or 0.0), (scheduled.until_us, end, 0.0))
             self.plan.links += [
                 LinkStep(at_us, what, parties, sidecars, to_sidecar, to_party, value) for at_us, what, value in steps
             ]
 
-    def _link_ends(self, strike: _Strike) -> tuple[list[tuple[list[str], list[str]]], bool]:
-        """Return the two ends of the links that a fault strikes.
+    def _link_ends(self, scheduled: _ScheduledFault) -> tuple[list[tuple[list[str], list[str]]], bool]:
+        """Return both ends of the links that a fault affects.
 
         Returns:
-            Pairs of upstreams (or the discovery service) and sidecars, and whether `where` is the upstreams' end.
+            Pairs of upstreams (or the discovery service) and sidecars, and whether `where` selects the upstreams' end.
         """
-        fault = strike.fault
-        near_parties = with_directory(strike.upstreams, fault.where)
+        fault = scheduled.fault
+        near_parties = with_directory(scheduled.upstreams, fault.where)
         if fault.to is None:
             all_sidecars = [sidecar.name for sidecar in self.plan.sidecars]
             all_parties = [*(upstream.uid for upstream in self.plan.upstreams), DIRECTORY]
-            return [(near_parties, all_sidecars), (all_parties, strike.sidecars)], True
-        far_sidecars = self._targets.sidecars(strike.index, fault.to)
-        far_parties = with_directory(self._targets.upstreams(strike.index, fault.to), fault.to)
-        return [(near_parties, far_sidecars), (far_parties, strike.sidecars)], bool(near_parties and far_sidecars)
-
-    def _lose_contact(self, strike: _Strike) -> None:
-        """Add what follows for upstreams that cannot be reached: the list drops them, their machines may be lost."""
-        cold = strike.fault.returns == "cold" and strike.ends
-        for uid in strike.upstreams:
+            return [(near_parties, all_sidecars), (all_parties, scheduled.sidecars)], True
+        far_sidecars = self._targets.sidecars(scheduled.index, fault.to)
+        far_parties = with_directory(self._targets.upstreams(scheduled.index, fault.to), fault.to)
+        return [(near_parties, far_sidecars), (far_parties, scheduled.sidecars)], bool(near_parties and far_sidecars)
+
+    def _add_unreachable_steps(self, scheduled: _ScheduledFault) -> None:
+        """Add the effects on unreachable upstreams: the list drops them, and those that return cold end."""
+        cold = scheduled.fault.returns == "cold" and scheduled.ends
+        for uid in scheduled.upstreams:
             if cold:
-                # The machine ends after the links are cut: otherwise its connections would be reset. It is started
-                # again as they are mended.
-                self._upstreams[uid].steps += [Step(strike.at_us + 1, "vanish"), Step(strike.until_us, "boot")]
-            self._list_lost_upstream(uid, strike, self._experiment.directory.silent_notice_s, cold=cold)
+                # The upstream ends after its links are cut: otherwise its connections would be reset. It starts
+                # again when the links work again.
+                self._upstreams[uid].steps += [Step(scheduled.at_us + 1, "vanish"), Step(scheduled.until_us, "boot")]
+            self._list_unavailable_upstream(uid, scheduled, self._experiment.directory.silent_notice_s, cold=cold)
 
     # The endpoint list
 
-    def _list(self, at_us: int, uid: str, state: str, started_us: int = LONG_AGO) -> None:
+    def _add_list_step(self, at_us: int, uid: str, state: str, started_us: int = LONG_AGO) -> None:
         self.plan.listed.append(ListStep(at_us, uid, self._upstreams[uid].zone, state, started_us))
 
-    def _list_lost_upstream(self, uid: str, strike: _Strike, notice_s: float, *, cold: bool) -> None:
-        """List an upstream as removed if it is lost for longer than the notice takes, and as active afterwards.
+    def _list_unavailable_upstream(self, uid: str, scheduled: _ScheduledFault, notice_s: float, *, cold: bool) -> None:
+        """Remove an upstream from the list if its fault outlasts the notice time, and list it as active afterwards.
 
-        One that comes back warm and was never removed is not listed anew.
+        An upstream that returns warm and was never removed is not listed again.
         """
-        removed_us = strike.at_us + us(notice_s)
-        removed = removed_us < strike.until_us
+        removed_us = scheduled.at_us + us(notice_s)
+        removed = removed_us < scheduled.until_us
         if removed:
-            self._list(removed_us, uid, "left")
-        if strike.ends and (cold or removed):
-            listed_us = strike.until_us + us(self._experiment.directory.add_s)
-            self._list(listed_us, uid, "active", strike.until_us if cold else LONG_AGO)
+            self._add_list_step(removed_us, uid, "left")
+        if scheduled.ends and (cold or removed):
+            listed_us = scheduled.until_us + us(self._experiment.directory.add_s)
+            self._add_list_step(listed_us, uid, "active", scheduled.until_us if cold else LONG_AGO)
 
     def _delay_list_updates(self) -> None:
         for fault in self._experiment.faults:
@@ -309,16 +324,16 @@
     place: Place = fault.where
     named = (("zone", place.zone), ("region", place.region), ("part", place.part), ("tenant", fault.tenant))
     where = ", ".join(f"{key} {value}" for key, value in named if value is not None)
-    return f"{fault.what} {where or ', '.join(nodes[:LABELLED_NODES])}".strip()
+    return f"{fault.what} {where or ', '.join(nodes[:MAX_NODES_IN_LABEL])}".strip()
 
 
-def _spread(strike: _Strike, index: int, count: int) -> int:
-    """Return when the n-th of several changes happens, spread evenly over a fault."""
-    return strike.at_us + (strike.until_us - strike.at_us) * index // count
+def _spread_time_us(scheduled: _ScheduledFault, index: int, count: int) -> int:
+    """Return the time of the change number `index` of `count` changes, spread evenly over a fault."""
+    return scheduled.at_us + (scheduled.until_us - scheduled.at_us) * index // count
 
 
 def _required(value: float | None, key: str, fault: Fault) -> float:
     if value is None:
-        message = f"fault {fault.what!r} at {fault.at_s:g} s: expected the key {key}, found none"
+        message = f"fault {fault.what!r} at {fault.at_s:g} s: expected the key {key}, which is missing"
         raise PlanError(message)
     return value
--- a/garnetusher/model/plan_types.py
+++ b/garnetusher/model/plan_types.py
@@ -1,18 +1,18 @@
-"""What each node of a run does when: plain data, the same for the lab and the model.
+"""The plan of a run, what each node does and when, as plain data that the lab and the model share.
 
-All times are microseconds from the start of the run.
+All times are in microseconds from the start of the run.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct, field
 
-DIRECTORY = "directory"  # the name of the discovery service among the nodes
-LONG_AGO = -1  # a start of which the endpoint list says nothing
+DIRECTORY = "directory"  # the discovery service's name in lists of nodes
+LONG_AGO = -1  # in place of a start time that the endpoint list does not state
 
 
 class Step(Struct):
-    """Something that happens to one node by itself. `value` is a factor or a share, where `what` has one."""
+    """A planned event of one node. `value` is the factor or the share that some kinds of events have."""
 
     at_us: int
     what: str
@@ -20,17 +20,17 @@
 
 
 class UpstreamPlan(Struct):
-    """An upstream and what happens to it: boot, die, hang, resume, refuse, accept, slow, errors, reset, vanish."""
+    """An upstream and its steps: boot, die, hang, resume, refuse, accept, slow, errors, reset, vanish."""
 
     uid: str
     zone: str
-    speed: float  # of each core, beside a standard one
-    from_us: int = 0  # 0: it runs before the run begins, and is warmed up
+    speed: float  # the speed of each core, relative to a standard core
+    from_us: int = 0  # the upstream's start; 0: before the run, so the upstream is warm
     steps: list[Step] = field(default_factory=list)
 
 
 class SidecarPlan(Struct):
-    """A sidecar, its clients' request rate, and what happens to it: kill, start, restart, stop, cont."""
+    """A sidecar, its clients' request rate, and its steps: kill, start, restart, stop, cont."""
 
     name: str
     zone: str
@@ -39,19 +39,19 @@
 
 
 class LinkStep(Struct):
-    """A change of the links between these upstreams (or the discovery service) and these sidecars."""
+    """A change of the links between some upstreams (or the discovery service) and some sidecars."""
 
     at_us: int
     what: str  # cut, mend, loss
     parties: list[str]  # upstreams, or DIRECTORY
     sidecars: list[str]
-    to_sidecar: bool = True  # whether it affects what goes to the sidecars
-    to_party: bool = True  # whether it affects what goes from them
+    to_sidecar: bool = True  # whether the change affects the direction to the sidecars
+    to_party: bool = True  # whether the change affects the direction from the sidecars
     value: float = 0.0
 
 
 class ListStep(Struct):
-    """What the endpoint list says of an upstream from some moment on."""
+    """A change of an upstream's entry in the endpoint list."""
 
     at_us: int
     uid: str
@@ -61,17 +61,17 @@
 
 
 class Burst(Struct):
-    """A span of time in which some traffic is a multiple of what it usually is."""
+    """An interval in which some traffic is a multiple of its usual rate."""
 
     at_us: int
     until_us: int
     times: float
     tenant: str | None  # None: every tenant
-    sidecars: list[str]  # whose traffic it is
+    sidecars: list[str]  # the sidecars whose traffic changes
 
 
 class Span(Struct):
-    """A fault as the report shows it."""
+    """A fault in the form that the report shows."""
 
     what: str
     label: str
@@ -81,7 +81,7 @@
 
 
 class Plan(Struct):
-    """Everything that happens in a run by itself."""
+    """All planned events of a run."""
 
     seed: int
     seconds: float
@@ -93,8 +93,8 @@
     spans: list[Span]
 
     @property
-    def faulty_us(self) -> tuple[int, int] | None:
-        """From the first fault's start to the last one's end; None without faults."""
+    def fault_interval_us(self) -> tuple[int, int] | None:
+        """The first fault's start and the last fault's end; None without faults."""
         if not self.spans:
             return None
         return min(span.at_us for span in self.spans), max(span.until_us for span in self.spans)
--- a/garnetusher/model/records.py
+++ b/garnetusher/model/records.py
@@ -1,7 +1,9 @@
-"""The records of stand-ins, clients and the lab: the only thing that the checker and the figures read.
+"""The records that stand-ins, clients and the lab write: the checker and the figures read nothing else.
 
-One JSON object a line in `events.jsonl`, in the order of time. `t` is microseconds from the start of the run on the
-one monotonic clock that all processes of a machine share; `e` names the kind.
+`events.jsonl` has one JSON object per line, in the order of time. `t` is in microseconds from the start of the run, on
+the monotonic clock that all processes of a machine share. `e` is the type of the record.
+
+A client call is one request on the wire from a client to its sidecar: the first one, or a retry by the client.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 
 
 class Record(Struct, tag_field="e", omit_defaults=True):
-    """The base of all records."""
+    """The base class of all records."""
 
     t: int
 
@@ -23,65 +25,68 @@
 # The clients
 
 
-class Asked(Record, tag="asked"):
-    """A try's last byte has gone to the sidecar. `first_t` is when its request was due, whatever came between."""
+class RequestSent(Record, tag="asked"):
+    """A client has sent the last byte of a call. `first_t` is when the request's first call was due to be sent."""
 
     id: str
-    request: str  # the first try's id: a client's tries belong together
+    request: str  # the id of the first call, which all calls of the request share
     sidecar: str
     cls: int
     tenant: int
     first_t: int
-    until_t: int  # when the client stops waiting for this try
+    until_t: int  # the client timeout of this call
 
 
-class Answered(Record, tag="answered"):
-    """The last byte of an answer has come."""
+class ResponseReceived(Record, tag="answered"):
+    """A client has received the last byte of a response."""
 
     id: str
     sidecar: str
     status: int
-    by: str = ""  # the upstream that the body names
+    by: str = ""  # the upstream that the response body names
     retry_after_us: int = 0
 
 
-class Broke(Record, tag="broke"):
-    """The sidecar ended the connection of an open try."""
+class SidecarClosedConnection(Record, tag="broke"):
+    """The sidecar closed a connection on which a call waited for its response."""
 
     id: str
     sidecar: str
 
 
-class Crossed(Record, tag="crossed"):
-    """The sidecar closed an idle connection just as this try was written to it; it is sent once more, elsewhere."""
+class IdleCloseRace(Record, tag="crossed"):
+    """The sidecar closed an idle connection while the client wrote this call to it.
+
+    The client sends the call again on another connection.
+    """
 
     id: str
     sidecar: str
 
 
-class GaveUp(Record, tag="gave_up"):
-    """A try's time ran out with no answer."""
+class ClientTimedOut(Record, tag="gave_up"):
+    """A call reached its client timeout without a response."""
 
     id: str
     sidecar: str
 
 
-class Quit(Record, tag="quit"):
-    """An impatient client has closed its connection."""
+class ClientClosedConnection(Record, tag="quit"):
+    """An impatient client closed its connection before the timeout of its call."""
 
     id: str
     sidecar: str
 
 
-class Extra(Record, tag="extra"):
-    """Bytes came that answer nothing; `id` is the last try on that connection."""
+class UnexpectedBytes(Record, tag="extra"):
+    """A client received bytes that belong to no response; `id` is the last call on that connection."""
 
     id: str
     sidecar: str
 
 
-class Unreached(Record, tag="unreached"):
-    """No connection to the sidecar came up."""
+class ClientConnectFailed(Record, tag="unreached"):
+    """A client failed to connect to the sidecar."""
 
     id: str
     request: str
@@ -91,15 +96,15 @@
     first_t: int
 
 
-class Vanished(Record, tag="vanished"):
-    """The client was killed with its sidecar, and this try with it."""
+class ClientKilled(Record, tag="vanished"):
+    """The client of this call was killed together with its sidecar."""
 
     id: str
     sidecar: str
 
 
-class Silent(Record, tag="silent"):
-    """The last moment at which a sidecar was waited for: nothing came for this try, long after its time."""
+class ResponseMissing(Record, tag="silent"):
+    """A client has stopped watching for a late response: none came even long after the call's timeout."""
 
     id: str
     sidecar: str
@@ -109,7 +114,17 @@
 
 
 class Attempt(Record, tag="attempt"):
-    """A request has arrived whole. `n` numbers the attempts of an upstream; `began` is its first byte."""
+    """An upstream has received a complete request.
+
+    Attributes:
+        n: The number of the attempt among those of the upstream.
+        id: The id of the client call.
+        upstream: The upstream.
+        sidecar: The sidecar that sent the attempt.
+        began: When the upstream received the first byte.
+        work_us: The work of the request on a standard core.
+        fresh: Whether the attempt is the first on a new connection.
+    """
 
     n: int
     id: str
@@ -117,11 +132,11 @@
     sidecar: str
     began: int
     work_us: int
-    fresh: bool = False  # on a new connection
+    fresh: bool = False
 
 
-class Ended(Record, tag="ended"):
-    """How an attempt ended: served, error, turned_away, cancelled, reset, dropped."""
+class UpstreamAttemptEnded(Record, tag="ended"):
+    """An attempt has ended. `how` is served, error, turned_away, cancelled, reset or dropped."""
 
     n: int
     id: str
@@ -130,53 +145,53 @@
     how: str
 
 
-class Held(Record, tag="held"):
-    """A request was written into a link that is cut: nobody has received it."""
+class AttemptUndelivered(Record, tag="held"):
+    """A sidecar wrote a request to a link that is cut, so no upstream has received it."""
 
     id: str
     upstream: str
     sidecar: str
 
 
-class Machine(Record, tag="machine"):
-    """An upstream was booted, died, hung, fell over, ... as the plan or its load would have it."""
+class UpstreamChanged(Record, tag="machine"):
+    """An upstream changed its state (boot, die, hang, fell_over, ...) because of the plan or its load."""
 
     upstream: str
     what: str
 
 
-# The list
+# Discovery
 
 
-class Told(Record, tag="told"):
-    """A change of the list has been written to a sidecar."""
+class ListUpdateSent(Record, tag="told"):
+    """The discovery service has written a change of the endpoint list to a sidecar."""
 
     sidecar: str
     upstream: str
     state: str
-    started_us: int = -1  # of an upstream that has just started; -1: long ago
+    started_us: int = -1  # the start of an upstream that started recently; -1: unknown
 
 
-class Listed(Record, tag="listed"):
-    """A call to the list service."""
+class DiscoveryCalled(Record, tag="listed"):
+    """A sidecar has called the discovery service."""
 
     sidecar: str
-    what: str  # watch, whole
+    what: str  # watch, whole, turned away
 
 
 # The lab
 
 
-class Process(Record, tag="process"):
-    """A sidecar process: spawned, ready, killed, term, ended, stopped, continued, died."""
+class ProcessChanged(Record, tag="process"):
+    """A sidecar process changed: spawned, ready, killed, term, ended, stopped, continued, died."""
 
     sidecar: str
     what: str
     pid: int = 0
 
 
-class Believed(Record, tag="believed"):
-    """A sidecar's log has told that it changed its mind on a zone. In the lab `t` is when its line was read."""
+class ZoneStateLogged(Record, tag="believed"):
+    """A sidecar logged a change of a zone's state. In the lab, `t` is when the lab read the log line."""
 
     sidecar: str
     zone: str
@@ -185,15 +200,15 @@
     why: str
 
 
-class Late(Record, tag="late"):
-    """The lab carried out something of its own late; one line a second at most."""
+class LabActionLate(Record, tag="late"):
+    """The lab executed one of its own actions late. There is at most one such record per second."""
 
     worker: str
     by_us: int
 
 
-class Usage(Record, tag="usage"):
-    """What a process uses: CPU since its start, memory now."""
+class ProcessUsage(Record, tag="usage"):
+    """The CPU time that a process has used since its start, and its current memory."""
 
     process: str
     cpu_s: float
@@ -201,26 +216,26 @@
 
 
 AnyRecord = (
-    Asked
-    | Answered
-    | Broke
-    | Crossed
-    | GaveUp
-    | Quit
-    | Extra
-    | Unreached
-    | Vanished
-    | Silent
+    RequestSent
+    | ResponseReceived
+    | SidecarClosedConnection
+    | IdleCloseRace
+    | ClientTimedOut
+    | ClientClosedConnection
+    | UnexpectedBytes
+    | ClientConnectFailed
+    | ClientKilled
+    | ResponseMissing
     | Attempt
-    | Ended
-    | Held
-    | Machine
-    | Told
-    | Listed
-    | Process
-    | Believed
-    | Late
-    | Usage
+    | UpstreamAttemptEnded
+    | AttemptUndelivered
+    | UpstreamChanged
+    | ListUpdateSent
+    | DiscoveryCalled
+    | ProcessChanged
+    | ZoneStateLogged
+    | LabActionLate
+    | ProcessUsage
 )
 
 _ENCODER = msgspec.json.Encoder()
@@ -228,7 +243,7 @@
 
 
 class Journal:
-    """Writes the records of one process, a line each."""
+    """Writes the records of one process to a file, one per line."""
 
     def __init__(self, path: Path) -> None:
         self._file: IO[bytes] = path.open("wb", buffering=1 << 18)
@@ -238,12 +253,12 @@
         self._file.write(_ENCODER.encode(record) + b"\n")
 
     def close(self) -> None:
-        """Write what is buffered, and close the file."""
+        """Flush the buffer and close the file."""
         self._file.close()
 
 
 def read(path: Path) -> Iterator[AnyRecord]:
-    """Yield the records of a file, without a last line that was cut off as its process was killed."""
+    """Yield the records of a file, except a last line that is incomplete because its process was killed."""
     with path.open("rb") as file:
         for line in file:
             if line.endswith(b"\n"):
@@ -251,7 +266,12 @@
 
 
 def merge(parts: Iterable[Path], whole: Path) -> list[AnyRecord]:
-    """Write all records of a run to one file, in the order of time, and return them."""
+    """Write all records of a run to one file, in the order of time, and return them.
+
+    Args:
+        parts: The files of the single processes.
+        whole: The file to write.
+    """
     records = sorted((record for part in parts for record in read(part)), key=lambda record: record.t)
     journal = Journal(whole)
     for record in records:
@@ -261,5 +281,5 @@
 
 
 def line_of(record: AnyRecord) -> str:
-    """Return a record as it stands in the file."""
+    """Return a record as its line in the file."""
     return _ENCODER.encode(record).decode()
--- a/garnetusher/model/recovery.py
+++ b/garnetusher/model/recovery.py
@@ -9,7 +9,7 @@
 
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, Span
-from garnetusher.model.records import AnyRecord, Attempt, Held
+from garnetusher.model.records import AnyRecord, Attempt, AttemptUndelivered
 from garnetusher.model.request_outcomes import Request
 
 BIN_US = 250_000
@@ -67,10 +67,10 @@
     experiment: Experiment, plan: Plan, records: list[AnyRecord], requests: list[Request]
 ) -> dict[str, float]:
     """Return the times of recovery that could be measured; a run without faults has none."""
-    faulty_us = plan.faulty_us
-    if faulty_us is None:
+    fault_interval_us = plan.fault_interval_us
+    if fault_interval_us is None:
         return {}
-    found = _back_to_normal(experiment, plan, requests, faulty_us)
+    found = _back_to_normal(experiment, plan, requests, fault_interval_us)
     leave_times_s = [time_s for span in plan.spans if (time_s := _leave_s(plan, span, records)) is not None]
     if leave_times_s:
         found["leave_s"] = max(leave_times_s)
@@ -78,9 +78,9 @@
 
 
 def _back_to_normal(
-    experiment: Experiment, plan: Plan, requests: list[Request], faulty_us: tuple[int, int]
+    experiment: Experiment, plan: Plan, requests: list[Request], fault_interval_us: tuple[int, int]
 ) -> dict[str, float]:
-    fault_begin_us, fault_end_us = faulty_us
+    fault_begin_us, fault_end_us = fault_interval_us
     run_end_us = int(plan.seconds * 1e6)
     bins = _ServedBins.of(experiment, requests, run_end_us)
     before = slice(0, fault_begin_us // BIN_US)
@@ -121,7 +121,7 @@
 
 
 def _attempt_times_us(records: list[AnyRecord], upstreams: set[str]) -> np.ndarray:
-    attempts = (record for record in records if isinstance(record, Attempt | Held))
+    attempts = (record for record in records if isinstance(record, Attempt | AttemptUndelivered))
     return np.array([attempt.t for attempt in attempts if attempt.upstream in upstreams], dtype=float)
 
 
--- a/garnetusher/model/request_outcomes.py
+++ b/garnetusher/model/request_outcomes.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from garnetusher.model.experiment import Experiment
-from garnetusher.model.records import Answered, AnyRecord, Asked, Unreached
+from garnetusher.model.records import AnyRecord, ClientConnectFailed, RequestSent, ResponseReceived
 
 QUOTA_WINDOW_US = 5_000_000  # over which a tenant's rate is measured
 QUOTA_TOLERANCE = 1.25  # chance alone takes a small tenant over its rate in some windows
@@ -36,11 +36,11 @@
     found: dict[str, Request] = {}
     request_of_try: dict[str, Request] = {}
     for record in records:
-        if isinstance(record, Asked | Unreached):
+        if isinstance(record, RequestSent | ClientConnectFailed):
             if record.request not in found:
                 found[record.request] = _new_request(experiment, record)
             request_of_try[record.id] = found[record.request]
-        elif isinstance(record, Answered) and _is_served(record) and record.id in request_of_try:
+        elif isinstance(record, ResponseReceived) and _is_served(record) and record.id in request_of_try:
             request = request_of_try[record.id]
             if request.answered_us is None:
                 request.answered_us = record.t
@@ -50,7 +50,7 @@
     return requests
 
 
-def _new_request(experiment: Experiment, record: Asked | Unreached) -> Request:
+def _new_request(experiment: Experiment, record: RequestSent | ClientConnectFailed) -> Request:
     return Request(
         ident=record.request,
         sidecar=record.sidecar,
@@ -61,7 +61,7 @@
     )
 
 
-def _is_served(answer: Answered) -> bool:
+def _is_served(answer: ResponseReceived) -> bool:
     return answer.status == STATUS_OK and answer.by != ""
 
 
--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -86,7 +86,7 @@
         return lines
 
 
-def judge(
+def evaluate(
     experiment: Experiment,
     plan: Plan,
     records: list[AnyRecord],
--- a/garnetusher/model/sidecar.py
+++ b/garnetusher/model/sidecar.py
@@ -15,7 +15,7 @@
 from garnetusher.model.digest_text import digest_text
 from garnetusher.model.discovery_client import DiscoveryClient
 from garnetusher.model.plan import SidecarPlan, Step
-from garnetusher.model.records import Answered, Process
+from garnetusher.model.records import ProcessChanged, ResponseReceived
 from garnetusher.model.request_state import ClientCall, PendingRequest
 from garnetusher.model.sidecar_attempts import SidecarAttempts
 from garnetusher.model.sidecar_settings import POLICY_EPOCH_US, sidecar_settings
@@ -181,7 +181,7 @@
             call.callback(*call.arguments)
 
     def _record_process(self, change: str) -> None:
-        self._simulation.record(Process(self._clock.now_us, self.name, change))
+        self._simulation.record(ProcessChanged(self._clock.now_us, self.name, change))
 
     # Requests
 
@@ -230,7 +230,7 @@
         self._complete(request)
         call = request.call
         answered_at_us = self._clock.now_us + LOCAL_DELAY_US
-        self._simulation.record(Answered(answered_at_us, call.call_id, self.name, status, uid, retry_after_us))
+        self._simulation.record(ResponseReceived(answered_at_us, call.call_id, self.name, status, uid, retry_after_us))
         if call.completed:
             return
         call.completed = True
@@ -272,7 +272,7 @@
 
     def _record_zone_state(self, action: LogMessage) -> None:
         zones = self._simulation.experiment.topology.zones
-        believed = beliefs.belief(self._clock.now_us, self.name, action.text, zones)
+        believed = beliefs.parse_zone_state(self._clock.now_us, self.name, action.text, zones)
         if believed is not None:
             self._simulation.record(believed)
 
--- a/garnetusher/model/sidecar_attempts.py
+++ b/garnetusher/model/sidecar_attempts.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from garnetusher.model.network import Direction
-from garnetusher.model.records import Held
+from garnetusher.model.records import AttemptUndelivered
 from garnetusher.model.request_state import AttemptInFlight, Connection, PendingRequest
 from garnetusher.model.sidecar_settings import CONNECT_TIMEOUT_US
 from garnetusher.policy.actions import Forward
@@ -101,7 +101,7 @@
         attempt.written = True
         uid = connection.upstream
         if self._network.link(uid, self._sidecar.name).is_cut(Direction.TO_NODE):
-            held = Held(self._clock.now_us, request.call.call_id, uid, self._sidecar.name)
+            held = AttemptUndelivered(self._clock.now_us, request.call.call_id, uid, self._sidecar.name)
             self._simulation.record(held)
         self._network.send(
             uid,
--- a/garnetusher/model/upstream_node.py
+++ b/garnetusher/model/upstream_node.py
@@ -10,7 +10,7 @@
 from garnetusher.model import draw
 from garnetusher.model.network import Direction
 from garnetusher.model.plan import Step, UpstreamPlan
-from garnetusher.model.records import Attempt, Ended, Machine
+from garnetusher.model.records import Attempt, UpstreamAttemptEnded, UpstreamChanged
 from garnetusher.model.request_state import AttemptInFlight, PendingRequest
 from garnetusher.model.upstream import Action as UpstreamAction
 from garnetusher.model.upstream import FellOver, Finished, TurnedAway, Upstream
@@ -72,7 +72,7 @@
     def apply_fault(self, step: Step) -> None:
         """Carry out a step of the plan."""
         self._fault_handlers[step.what](step)
-        self._simulation.record(Machine(self._clock.now_us, self.uid, step.what))
+        self._simulation.record(UpstreamChanged(self._clock.now_us, self.uid, step.what))
 
     def _die(self, step: Step) -> None:
         self._crash(self._machine.die(self._clock.now_us))
@@ -178,7 +178,7 @@
     def _carry_out(self, actions: list[UpstreamAction]) -> None:
         for action in actions:
             if isinstance(action, FellOver):
-                self._simulation.record(Machine(self._clock.now_us, self.uid, "fell_over"))
+                self._simulation.record(UpstreamChanged(self._clock.now_us, self.uid, "fell_over"))
                 self._crash(action.dropped)
             elif action.job in self._jobs:
                 self._finish(action)
@@ -218,5 +218,5 @@
         job = self._jobs.pop(attempt_id, None)
         if job is not None:
             call_id = job.request.call.call_id
-            ended = Ended(self._clock.now_us, attempt_id, call_id, self.uid, job.sidecar.name, how)
+            ended = UpstreamAttemptEnded(self._clock.now_us, attempt_id, call_id, self.uid, job.sidecar.name, how)
             self._simulation.record(ended)
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -10,7 +10,7 @@
 
 from garnetusher import __main__ as command
 from garnetusher.model import beliefs, experiment, plan
-from garnetusher.model.records import Believed
+from garnetusher.model.records import ZoneStateLogged
 from tests.experiment import ROOT, text
 
 SECOND = 1_000_000
@@ -30,10 +30,10 @@
     told = []
     for name, zone, at_s, state in lines:
         line = f"INFO zone {it.topology.zones.index(zone)}: near -> {state}: why"
-        belief = beliefs.belief(round(at_s * SECOND), name, line, it.topology.zones)
-        assert belief == Believed(round(at_s * SECOND), name, zone, "near", state, "why")
+        belief = beliefs.parse_zone_state(round(at_s * SECOND), name, line, it.topology.zones)
+        assert belief == ZoneStateLogged(round(at_s * SECOND), name, zone, "near", state, "why")
         told.append(belief)
-    assert beliefs.belief(0, "x", "endpoint 3 ejected", it.topology.zones) is None
+    assert beliefs.parse_zone_state(0, "x", "endpoint 3 ejected", it.topology.zones) is None
     found = beliefs.figures(it, made, told)
     assert found["zone_leave_s"] == pytest.approx(0.6)
     assert found["zone_leave_s.home"] == pytest.approx(0.4)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,7 +18,14 @@
 from garnetusher.lab.run import run_experiment
 from garnetusher.lab.sidecars import LabError
 from garnetusher.model import checker, compare, experiment, figures, plan, records
-from garnetusher.model.records import Answered, Asked, Attempt, Ended, Held, Told
+from garnetusher.model.records import (
+    Attempt,
+    AttemptUndelivered,
+    ListUpdateSent,
+    RequestSent,
+    ResponseReceived,
+    UpstreamAttemptEnded,
+)
 from tests.experiment import ROOT, small, text
 from tests.processes import DEPLOY
 
@@ -96,12 +103,14 @@
     """Nothing gets through a cut, and what was written into it is on record; the other zone is served on."""
     cut = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-b") and 1.05e6 < r.t < 2e6]
     near = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-a") and 1.05e6 < r.t < 2e6]
-    held = [r for r in lines if isinstance(r, Held)]
+    held = [r for r in lines if isinstance(r, AttemptUndelivered)]
     assert not cut
     assert len(near) > 30
     assert held
     assert all(r.upstream.startswith("u-b") for r in held)
-    ended = [r for r in lines if isinstance(r, Ended) and r.upstream.startswith("u-b") and r.how == "served"]
+    ended = [
+        r for r in lines if isinstance(r, UpstreamAttemptEnded) and r.upstream.startswith("u-b") and r.how == "served"
+    ]
     after = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-b") and r.t > 2.1e6]
     assert after
     assert ended
@@ -218,33 +227,50 @@
     return [b.rule for b in checker.check(it, plan.make(it, 1), sorted(lines, key=lambda r: r.t))]
 
 
-ASKED = Asked(1_000_000, "a-0.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_000_000)
+ASKED = RequestSent(1_000_000, "a-0.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_000_000)
 SENT = Attempt(1_001_000, 1, "a-0.1", "u-a-0", "a-0", 1_001_000, 20_000)
-SERVED = (Ended(1_030_000, 1, "a-0.1", "u-a-0", "a-0", "served"), Answered(1_031_000, "a-0.1", "a-0", 200, "u-a-0"))
+SERVED = (
+    UpstreamAttemptEnded(1_030_000, 1, "a-0.1", "u-a-0", "a-0", "served"),
+    ResponseReceived(1_031_000, "a-0.1", "a-0", 200, "u-a-0"),
+)
 
 
 @pytest.mark.parametrize(
     ("lines", "rules"),
     [
         ((ASKED, SENT, *SERVED), []),
-        ((ASKED, SENT, SERVED[0], Answered(1_031_000, "a-0.1", "a-0", 200, "u-b-0")), ["one_answer"]),
-        ((ASKED, SENT, SERVED[0], Answered(2_400_000, "a-0.1", "a-0", 200, "u-a-0")), []),
-        ((ASKED, SENT, SERVED[0], Answered(2_600_000, "a-0.1", "a-0", 200, "u-a-0")), ["one_answer"]),
-        ((ASKED, records.Silent(2_600_000, "a-0.1", "a-0")), ["one_answer"]),
-        ((ASKED, records.Broke(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
-        ((ASKED, records.Process(1_100_000, "a-0", "killed"), records.Broke(1_200_000, "a-0.1", "a-0")), []),
-        ((ASKED, records.Process(1_100_000, "a-0", "term"), records.Broke(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
-        ((ASKED, SENT, *SERVED, records.Extra(1_040_000, "a-0.1", "a-0")), ["one_answer"]),
-        ((ASKED, Answered(1_500_000, "a-0.1", "a-0", 503)), []),
-        ((ASKED, Answered(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
+        ((ASKED, SENT, SERVED[0], ResponseReceived(1_031_000, "a-0.1", "a-0", 200, "u-b-0")), ["one_answer"]),
+        ((ASKED, SENT, SERVED[0], ResponseReceived(2_400_000, "a-0.1", "a-0", 200, "u-a-0")), []),
+        ((ASKED, SENT, SERVED[0], ResponseReceived(2_600_000, "a-0.1", "a-0", 200, "u-a-0")), ["one_answer"]),
+        ((ASKED, records.ResponseMissing(2_600_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((ASKED, records.SidecarClosedConnection(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
+        (
+            (
+                ASKED,
+                records.ProcessChanged(1_100_000, "a-0", "killed"),
+                records.SidecarClosedConnection(1_200_000, "a-0.1", "a-0"),
+            ),
+            [],
+        ),
+        (
+            (
+                ASKED,
+                records.ProcessChanged(1_100_000, "a-0", "term"),
+                records.SidecarClosedConnection(1_200_000, "a-0.1", "a-0"),
+            ),
+            ["one_answer"],
+        ),
+        ((ASKED, SENT, *SERVED, records.UnexpectedBytes(1_040_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((ASKED, ResponseReceived(1_500_000, "a-0.1", "a-0", 503)), []),
+        ((ASKED, ResponseReceived(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
         ((SENT,), ["no_repeat"]),
-        ((ASKED, SENT, SERVED[0], Answered(1_031_000, "a-0.1", "a-0", 503)), ["no_repeat"]),
+        ((ASKED, SENT, SERVED[0], ResponseReceived(1_031_000, "a-0.1", "a-0", 503)), ["no_repeat"]),
         (
             (
                 ASKED,
                 SENT,
-                Ended(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "turned_away"),
-                Answered(1_003_000, "a-0.1", "a-0", 503),
+                UpstreamAttemptEnded(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "turned_away"),
+                ResponseReceived(1_003_000, "a-0.1", "a-0", 503),
             ),
             [],
         ),
@@ -252,15 +278,21 @@
             (
                 ASKED,
                 SENT,
-                Ended(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "reset"),
+                UpstreamAttemptEnded(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "reset"),
                 Attempt(1_005_000, 1, "a-0.1", "u-b-0", "a-0", 1_005_000, 20_000),
             ),
             ["no_repeat"],
         ),
-        ((Told(0, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), []),
-        ((Told(-100_000, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), ["drain"]),
+        ((ListUpdateSent(0, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), []),
+        ((ListUpdateSent(-100_000, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), ["drain"]),
         (
-            (Told(-100_000, "a-0", "u-a-0", "leaving"), Told(900_000, "a-0", "u-a-0", "active"), ASKED, SENT, *SERVED),
+            (
+                ListUpdateSent(-100_000, "a-0", "u-a-0", "leaving"),
+                ListUpdateSent(900_000, "a-0", "u-a-0", "active"),
+                ASKED,
+                SENT,
+                *SERVED,
+            ),
             [],
         ),
     ],
@@ -271,17 +303,17 @@
 
 def test_worth_is_dated_from_when_the_request_was_due_and_counted_once() -> None:
     it = small()
-    late = Asked(1_000_000, "a-0.2", "a-0.2", "a-0", 0, 0, 650_000, 1_900_000)  # the lab was late with it
-    again = Asked(1_500_000, "a-0.1.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_200_000)
+    late = RequestSent(1_000_000, "a-0.2", "a-0.2", "a-0", 0, 0, 650_000, 1_900_000)  # the lab was late with it
+    again = RequestSent(1_500_000, "a-0.1.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_200_000)
     found = figures.requests_of(
         it,
         [
             ASKED,
             late,
-            Answered(1_010_000, "a-0.2", "a-0", 200, "u-a-0"),
+            ResponseReceived(1_010_000, "a-0.2", "a-0", 200, "u-a-0"),
             again,
-            Answered(1_390_000, "a-0.1.1", "a-0", 200, "u-a-0"),
-            Answered(1_395_000, "a-0.1", "a-0", 200, "u-b-0"),
+            ResponseReceived(1_390_000, "a-0.1.1", "a-0", 200, "u-a-0"),
+            ResponseReceived(1_395_000, "a-0.1", "a-0", 200, "u-b-0"),
         ],
     )
     assert [(r.ident, r.worth, r.answered_us) for r in found] == [("a-0.2", 1.0, 1_010_000), ("a-0.1", 3.0, 1_390_000)]
@@ -290,16 +322,16 @@
 
 def test_a_difference_is_shown_only_where_there_is_one() -> None:
     same = compare.difference("x", [0.9, 0.92, 0.91, 0.9, 0.9, 0.91], [0.91, 0.9, 0.92, 0.9, 0.9, 0.9])
-    assert not same.shown
+    assert not same.significant
     assert "no difference shown" in str(same)
     better = compare.difference("x", [0.8, 0.82, 0.81, 0.8, 0.82, 0.81], [0.9, 0.91, 0.93, 0.9, 0.9, 0.92])
-    assert better.shown
+    assert better.significant
     assert better.low < better.mean < better.high
     assert better.low > 0.05
     few = compare.difference("x", [0.8] * 5, [0.9] * 5)
-    assert not few.shown
-    assert "fewer than 6 tell nothing" in str(few)
-    with pytest.raises(ValueError, match="as many plays"):
+    assert not few.significant
+    assert "fewer than 6 are not enough" in str(few)
+    with pytest.raises(ValueError, match="as many runs"):
         compare.difference("x", [1.0], [])
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -198,7 +198,7 @@
     assert [(s.at_us, s.what) for s in lost[0].steps] == [(500_000, "die"), (2_000_000, "boot")]
     changes = [(s.at_us, s.state, s.started_us) for s in run_plan.listed if s.uid == lost[0].uid]
     assert changes == [(1_000_000, "left", plan.LONG_AGO), (2_300_000, "active", 2_000_000)]
-    assert run_plan.faulty_us == (500_000, 2_000_000)
+    assert run_plan.fault_interval_us == (500_000, 2_000_000)
 
 
 def test_plan_ends_upstreams_behind_the_cut_when_they_return_cold() -> None:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -15,7 +15,7 @@
 from garnetusher.model import baselines, checker, figures, plan
 from garnetusher.model.clock import Clock, Stall
 from garnetusher.model.experiment import scaled
-from garnetusher.model.records import Listed
+from garnetusher.model.records import DiscoveryCalled
 from garnetusher.model.simulation import Simulation
 from garnetusher.policy.balancer import Balancer
 from tests.experiment import ROOT, small, text
@@ -126,11 +126,11 @@
     counts = {}
     for mode, call_ms, max_waiting in (("pushed", 0, 22), ("on_request", 40, 22), ("pushed", 400, 1)):
         directory = structs.replace(config.directory, mode=mode, call_ms=call_ms, calls_waiting=max_waiting)
-        busy = scaled(structs.replace(config, directory=directory), 10, alone=True)
+        busy = scaled(structs.replace(config, directory=directory), 10, sidecars_only=True)
         run_plan = plan.make(busy, 1)
         records = Simulation(busy, run_plan).run()
         assert checker.check(busy, run_plan, records) == []
-        counts[mode, call_ms] = sum(isinstance(r, Listed) for r in records)
+        counts[mode, call_ms] = sum(isinstance(r, DiscoveryCalled) for r in records)
     assert counts["pushed", 0] == 20  # a call of each process
     # the policy spreads its own calls over seconds; a watch that is kept calls again whenever it is turned away
     assert 10 <= counts["on_request", 40] <= 20
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,7 @@
 
 from garnetusher.model import checker, experiment, figures, plan
 from garnetusher.model.ablations import ablate
-from garnetusher.model.records import Believed
+from garnetusher.model.records import ZoneStateLogged
 from garnetusher.model.simulation import Simulation
 from garnetusher.policy.events import Outcome, ZoneOverridden
 from garnetusher.policy.zone import FailedAttempt, Zone, ZoneState
@@ -155,7 +155,7 @@
     spec = experiment.load(ROOT / "experiments" / f"{name}.toml")
     run_plan = plan.make(spec, seed)
     records = Simulation(spec, run_plan).run()
-    evacuations = Counter(r.zone for r in records if isinstance(r, Believed) and r.state == "left")
+    evacuations = Counter(r.zone for r in records if isinstance(r, ZoneStateLogged) and r.state == "left")
     assert checker.check(spec, run_plan, records) == []
     requests = figures.requests_of(spec, records)
     return evacuations, figures.figures(spec, run_plan, records, requests, figures.RunCounts())
