--- a/garnetusher/model/checker.py
+++ b/garnetusher/model/checker.py
@@ -1,16 +1,17 @@
-"""The four rules, judged from the records of stand-ins and clients alone; nothing here knows the sidecar's code.
+"""Checks four rules on the records of stand-ins and clients alone, without any knowledge of the sidecar's code.
 
-Each breach names its rule and carries the records that prove it:
+Each breach states its rule and contains the records that prove it:
 
-1. ``one_answer``: each try that a sidecar took gets one final answer, at the latest half a second after the client
-   stops waiting, and nothing after it; an answer of 200 was made by an upstream for this try. ``held_back``: a try that
-   fails is answered as soon as nothing more is attempted for it.
-2. ``no_repeat``: an unsafe request is not sent again, and not answered as safe to repeat, once it may have run; nothing
-   reaches an upstream that no client sent.
-3. ``drain``: nothing new goes to an upstream later than a second after the sidecar learned that it drains or is gone.
-4. ``cold``: an upstream that is warming up is not overloaded by all sidecars together.
+1. ``one_answer``: each client call that a sidecar accepted gets one final response, at the latest half a second after
+   the client timeout, and nothing after it. A response with status 200 comes from an upstream that received this call.
+   ``held_back``: a call that fails is answered as soon as the sidecar attempts nothing more for it.
+2. ``no_repeat``: a request that is not idempotent is not sent again, and not reported as safe to retry, once it may
+   have run. Upstreams receive no request that no client sent.
+3. ``drain``: a sidecar sends no new attempt to an upstream later than a second after it learned that the upstream
+   drains or is gone.
+4. ``cold``: the sidecars together do not overload an upstream that is warming up.
 
-And ``crash``: a sidecar ended though nothing in the run had ended it.
+In addition, ``crash``: a sidecar process ended without a cause in the run.
 """
 
 from __future__ import annotations
@@ -37,21 +38,21 @@
     UpstreamChanged,
 )
 
-TIMING_TOLERANCE_US = 50_000  # on every time limit, as on sockets
-ANSWER_TOLERANCE_US = 500_000  # an answer so much later earns nothing and still counts as an answer
-DRAIN_GRACE_US = 1_000_000  # for new attempts at an upstream that drains
-LIST_DELAY_US = 6_000_000  # after this a sidecar counts as knowing whatever the list says
-INFORMED_SHARE = 2 / 3  # of the work that overloaded an upstream, from sidecars that knew that it was warming up
+TIMING_TOLERANCE_US = 50_000  # for every time limit, as runs on sockets need it
+ANSWER_TOLERANCE_US = 500_000  # a response that is late by at most this has no worth but is no breach
+DRAIN_GRACE_US = 1_000_000  # the time in which a draining upstream may still receive new attempts
+LIST_DELAY_US = 6_000_000  # after this time every sidecar is assumed to know the endpoint list
+INFORMED_SHARE = 2 / 3  # an overload is a breach if at least this share of its work is from sidecars aware of the start
 
 STATUS_OK = 200
-STATUSES_SAFE_TO_REPEAT = (429, 503)  # they say that the request did not run
-ENDS_WITHOUT_RUN = ("turned_away",)  # they prove that the attempt did not run
+STATUSES_SAFE_TO_REPEAT = (429, 503)  # these statuses state that the request did not run
+ENDS_WITHOUT_RUN = ("turned_away",)  # these ends prove that the attempt did not run
 STATE_ACTIVE = "active"
-AFTER_ANY_STATE = "~"  # sorts behind the name of every state
+AFTER_ANY_STATE = "~"  # sorts after the name of every state
 
 
 class Rule(StrEnum):
-    """What a run may not break."""
+    """The rules that a run must not break."""
 
     ONE_ANSWER = "one_answer"
     HELD_BACK = "held_back"
@@ -62,12 +63,12 @@
 
 
 class Breach(Struct):
-    """One case of a rule that did not hold."""
+    """One case in which a run broke a rule."""
 
-    rule: str  # a `Rule`, or its value where it was read from a file
+    rule: str  # a `Rule`, or the value of one if read from a file
     t: int
-    what: str  # one sentence
-    lines: list[str]  # the records that prove it
+    what: str  # a description in one sentence
+    lines: list[str]  # the records that prove the breach
 
 
 def check(experiment: Experiment, plan: Plan, records: list[AnyRecord]) -> list[Breach]:
@@ -88,56 +89,56 @@
 
 
 def _check_answers(index: RecordIndex) -> Iterator[Breach]:
-    for request_id, asked in index.asked.items():
-        if index.was_halted(asked.sidecar, asked.t, asked.until_t + ANSWER_TOLERANCE_US):
+    for request_id, call in index.calls.items():
+        if index.was_halted(call.sidecar, call.t, call.until_t + ANSWER_TOLERANCE_US):
             continue
         for record in index.responses.get(request_id, []):
-            for fault in _response_faults(index, asked, record):
+            for fault in _response_faults(index, call, record):
                 yield Breach(Rule.ONE_ANSWER, record.t, fault, index.evidence(request_id))
 
 
-def _response_faults(index: RecordIndex, asked: RequestSent, record: AnyRecord) -> Iterator[str]:
-    """Yield a sentence for each thing that is wrong with one response to a try."""
+def _response_faults(index: RecordIndex, call: RequestSent, record: AnyRecord) -> Iterator[str]:
+    """Yield a sentence for each defect of one response to a client call."""
     match record:
         case UnexpectedBytes():
-            yield f"more came behind the answer to {asked.id}"
+            yield f"{call.id} received unexpected bytes after its response"
         case SidecarClosedConnection():
-            yield f"the connection of {asked.id} ended without an answer"
+            yield f"the sidecar closed the connection of {call.id} without a response"
         case ResponseMissing():
-            yield f"{asked.id} was never answered"
+            yield f"{call.id} received no response"
         case ResponseReceived():
-            if record.t > asked.until_t + ANSWER_TOLERANCE_US:
-                yield f"{asked.id} was answered {(record.t - asked.until_t) / 1000:.0f} ms after its time"
-            tried = {attempt.upstream for attempt in index.attempts.get(asked.id, [])}
-            if record.status == STATUS_OK and record.by not in tried:
-                yield f"{asked.id} was served with what no upstream made"
+            if record.t > call.until_t + ANSWER_TOLERANCE_US:
+                yield f"{call.id} was answered {(record.t - call.until_t) / 1000:.0f} ms after its client timeout"
+            attempted_upstreams = {attempt.upstream for attempt in index.attempts.get(call.id, [])}
+            if record.status == STATUS_OK and record.by not in attempted_upstreams:
+                yield f"{call.id} received a response that is not from an upstream with an attempt of this call"
         case _:
             pass
 
 
 def _check_prompt_failures(index: RecordIndex) -> Iterator[Breach]:
-    """Find tries that failed in the second half of their time, with nothing attempted for them since the first."""
-    for request_id, asked in index.asked.items():
+    """Find calls that failed later than half their timeout after the sidecar last attempted anything for them."""
+    for request_id, call in index.calls.items():
         for record in index.responses.get(request_id, []):
             if not isinstance(record, ResponseReceived) or record.status == STATUS_OK:
                 continue
-            idle_us = _idle_before_failure_us(index, asked, record)
+            idle_us = _idle_before_failure_us(index, call, record)
             if idle_us is not None:
-                what = f"{request_id} was given up only {idle_us / 1000:.0f} ms after the last that was tried for it"
+                what = f"{request_id} failed only {idle_us / 1000:.0f} ms after its start or its last attempt"
                 yield Breach(Rule.HELD_BACK, record.t, what, index.evidence(request_id))
 
 
-def _idle_before_failure_us(index: RecordIndex, asked: RequestSent, answer: ResponseReceived) -> int | None:
-    """Return for how long nothing was attempted before a failure, or None if that was no fault of the sidecar."""
-    limit_us = (asked.until_t - asked.t) // 2 + TIMING_TOLERANCE_US
-    if answer.t <= asked.t + limit_us:
+def _idle_before_failure_us(index: RecordIndex, call: RequestSent, answer: ResponseReceived) -> int | None:
+    """Return the time without any attempt before a failure, or None if it was short or the sidecar did not cause it."""
+    limit_us = (call.until_t - call.t) // 2 + TIMING_TOLERANCE_US
+    if answer.t <= call.t + limit_us:
         return None
-    ends_us = [index.end_us(attempt) for attempt in index.attempts.get(asked.id, [])]
-    held_us = [held.t for held in index.undelivered.get(asked.id, [])]
-    idle_us = answer.t - max([asked.t, *ends_us, *held_us])
-    if idle_us <= limit_us or index.was_halted(asked.sidecar, asked.t, answer.t):
+    ends_us = [index.end_us(attempt) for attempt in index.attempts.get(call.id, [])]
+    undelivered_us = [undelivered.t for undelivered in index.undelivered.get(call.id, [])]
+    idle_us = answer.t - max([call.t, *ends_us, *undelivered_us])
+    if idle_us <= limit_us or index.was_halted(call.sidecar, call.t, answer.t):
         return None
-    return None if index.may_lack_record(asked.t, answer.t) else idle_us
+    return None if index.may_lack_record(call.t, answer.t) else idle_us
 
 
 # Rule 2
@@ -145,26 +146,26 @@
 
 def _check_repeats(index: RecordIndex) -> Iterator[Breach]:
     for request_id, attempts in index.attempts.items():
-        asked = index.asked.get(request_id)
-        if asked is not None:
-            if index.experiment.classes[asked.cls].effect != "idempotent":
-                yield from _check_unsafe_request(index, request_id, attempts)
-        elif request_id not in index.unreached:
-            what = f"{request_id} was sent to an upstream by no client"
+        call = index.calls.get(request_id)
+        if call is not None:
+            if index.experiment.classes[call.cls].effect != "idempotent":
+                yield from _check_non_idempotent_request(index, request_id, attempts)
+        elif request_id not in index.unconnected_calls:
+            what = f"an upstream received {request_id}, which no client sent"
             yield Breach(Rule.NO_REPEAT, attempts[0].t, what, index.evidence(request_id))
 
 
-def _check_unsafe_request(index: RecordIndex, request_id: str, attempts: list[Attempt]) -> Iterator[Breach]:
+def _check_non_idempotent_request(index: RecordIndex, request_id: str, attempts: list[Attempt]) -> Iterator[Breach]:
     for before, after in pairwise(attempts):
         if _may_have_run(index, before, after.began):
-            what = f"{request_id}, which is unsafe, was sent again though it may have run"
+            what = f"{request_id}, which is not idempotent, was sent again although it may have run"
             yield Breach(Rule.NO_REPEAT, after.t, what, index.evidence(request_id))
     for record in index.responses.get(request_id, []):
         if not isinstance(record, ResponseReceived) or record.status not in STATUSES_SAFE_TO_REPEAT:
             continue
         earlier = (attempt for attempt in attempts if attempt.t < record.t)
         if any(_may_have_run(index, attempt, record.t) for attempt in earlier):
-            what = f"{request_id}, which is unsafe, was called harmless to repeat though it may have run"
+            what = f"{request_id}, which is not idempotent, was reported as safe to retry although it may have run"
             yield Breach(Rule.NO_REPEAT, record.t, what, index.evidence(request_id))
 
 
@@ -190,14 +191,14 @@
             if index.was_halted(attempt.sidecar, first.t, attempt.began):
                 continue
             what = (
-                f"{request_id} went to {attempt.upstream} {late_us / 1000:.0f} ms "
-                f"after {attempt.sidecar} was told that it is {last.state}"
+                f"{request_id} was sent to {attempt.upstream} {late_us / 1000:.0f} ms "
+                f"after {attempt.sidecar} learned that the upstream drains (state {last.state})"
             )
             yield Breach(Rule.DRAIN, attempt.t, what, index.evidence(request_id, first))
 
 
 def _drain_before(updates: list[ListUpdateSent], at_us: int) -> tuple[ListUpdateSent, ListUpdateSent] | None:
-    """Return the first and the last update of the drain that held at a time, or None if the upstream was active."""
+    """Return the first and the last update of the drain in progress at a time, or None if the upstream was active."""
     last = bisect_right(updates, (at_us, AFTER_ANY_STATE), key=lambda update: (update.t, update.state)) - 1
     if last < 0 or updates[last].state == STATE_ACTIVE:
         return None
@@ -211,7 +212,7 @@
 
 
 def _check_warming(index: RecordIndex) -> Iterator[Breach]:
-    """Find overloads of upstreams that were warming up, brought about by sidecars that knew it."""
+    """Find overloads of warming upstreams by sidecars that knew of their start."""
     for upstream, changes in index.upstream_changes.items():
         booted_us = 0
         for change in changes:
@@ -230,8 +231,8 @@
     if work_us == 0 or informed_us < INFORMED_SHARE * work_us:
         return None
     what = (
-        f"{upstream}, started {(overload.t - booted_us) / 1e6:.1f} s before, was pushed "
-        f"over by {len(attempts)} attempts, {informed_us / work_us:.0%} of the work from sidecars that knew"
+        f"{upstream}, started {(overload.t - booted_us) / 1e6:.1f} s before, was overloaded by "
+        f"{len(attempts)} attempts, {informed_us / work_us:.0%} of the work from sidecars that knew of the start"
     )
     return Breach(Rule.COLD, overload.t, what, [*lines_of(attempts), *lines_of([overload])])
 
@@ -239,7 +240,7 @@
 def _attempts_before_overload(
     index: RecordIndex, upstream: str, overload: UpstreamChanged, booted_us: int
 ) -> list[Attempt]:
-    """Return the attempts since an upstream's start that count towards its overload."""
+    """Return the attempts since an upstream's start that contribute to its overload."""
     window_start_us = overload.t - int(index.experiment.upstreams.fall_s * 1e6)
     return [
         attempt
@@ -263,5 +264,5 @@
     for sidecar, changes in index.process_changes.items():
         for change in changes:
             if change.what == "died":
-                what = f"{sidecar} ended though nobody had asked it to"
+                what = f"{sidecar} ended unexpectedly"
                 yield Breach(Rule.CRASH, change.t, what, lines_of([change]))
--- a/garnetusher/model/record_index.py
+++ b/garnetusher/model/record_index.py
@@ -33,7 +33,7 @@
 FAULTS_WITHOUT_RECORD = frozenset({"cut", "silent", "refuse", "kill", "stop", "loss", "restart"})
 
 Interval = tuple[int, int]
-"""The first and the last microsecond of an interval."""
+"""The first and the last microsecond of an interval, both inclusive."""
 
 
 class RecordIndex:
@@ -44,9 +44,9 @@
 
     def __init__(self, experiment: Experiment, plan: Plan, records: Iterable[AnyRecord]) -> None:
         self.experiment = experiment
-        self.asked: dict[str, RequestSent] = {}
-        self.unreached: set[str] = set()
-        self.responses: dict[str, list[AnyRecord]] = defaultdict(list)
+        self.calls: dict[str, RequestSent] = {}
+        self.unconnected_calls: set[str] = set()
+        self.responses: dict[str, list[AnyRecord]] = defaultdict(list)  # outcomes of calls, and unexpected bytes
         self.attempts: dict[str, list[Attempt]] = defaultdict(list)
         self.undelivered: dict[str, list[AttemptUndelivered]] = defaultdict(list)
         self.ends: dict[tuple[str, int], UpstreamAttemptEnded] = {}  # the key: upstream, attempt number
@@ -63,9 +63,9 @@
     def _add(self, record: AnyRecord) -> None:
         match record:
             case RequestSent():
-                self.asked[record.id] = record
+                self.calls[record.id] = record
             case ClientConnectFailed():
-                self.unreached.add(record.id)
+                self.unconnected_calls.add(record.id)
             case Attempt():
                 self.attempts[record.id].append(record)
             case UpstreamAttemptEnded():
@@ -115,8 +115,8 @@
     def evidence(self, request_id: str, *others: AnyRecord) -> list[str]:
         """Return the lines of all records of a client call, and of other records, in the order of time."""
         records: list[AnyRecord] = []
-        if request_id in self.asked:
-            records.append(self.asked[request_id])
+        if request_id in self.calls:
+            records.append(self.calls[request_id])
         for attempt in self.attempts.get(request_id, []):
             records.append(attempt)
             end = self.end_of(attempt)
--- a/garnetusher/model/records.py
+++ b/garnetusher/model/records.py
@@ -48,7 +48,7 @@
 
 
 class SidecarClosedConnection(Record, tag="broke"):
-    """The sidecar closed a connection on which a call waited for its response."""
+    """The sidecar closed a connection on which a call had no response yet."""
 
     id: str
     sidecar: str
--- a/garnetusher/model/recovery.py
+++ b/garnetusher/model/recovery.py
@@ -1,4 +1,4 @@
-"""How long it took until a faulty upstream got no more attempts, and until requests were served as before the fault."""
+"""Figures of recovery: the time until faulty upstreams get no attempts, and until the served share is normal again."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from garnetusher.model.request_outcomes import Request
 
 BIN_US = 250_000
-NORMAL_TOLERANCE = 0.05  # below the served share before the fault
-NEARLY_NORMAL = 0.98  # of the served share before the fault, as `back_to_098_s` has it
-NORMAL_BINS = 6  # 1.5 s: for so long the normal share has to hold
-FIRST_BINS = 2  # of those, which have to be near the normal share by themselves
-DIP_BINS = 8  # 2 s: over which `second_dip` is measured; half of the dips of shorter stretches are chance
-ABANDONED_BELOW = 0.1  # of the attempts that an upstream got before the fault
+NORMAL_TOLERANCE = 0.05  # a served share is normal if it is at most this far below the share before the fault
+NEARLY_NORMAL = 0.98  # the threshold of `back_to_098_s`, as a multiple of the served share before the fault
+NORMAL_BINS = 6  # the normal share has to last for 1.5 s
+FIRST_BINS = 2  # the first bins of those 1.5 s have to be near the normal share without the others too
+DIP_BINS = 8  # the window of `second_dip`, 2 s; half of the dips in shorter windows are random
+ABANDONED_BELOW = 0.1  # an abandoned upstream gets at most this share of its attempts before the fault
 ABANDONED_STEP_US = BIN_US // 5
-SMALLEST_WEIGHT = 1e-9  # in place of none, as a divisor
+SMALLEST_WEIGHT = 1e-9  # prevents a division by zero
 
 
 class _ServedBins(Struct):
-    """The weight of all requests, and of those that were served in time, by when they were due."""
+    """The weight of all requests, and of those served in time, by the bin in which they were due."""
 
     offered: np.ndarray
     served: np.ndarray
 
     @classmethod
     def of(cls, experiment: Experiment, requests: list[Request], end_us: int) -> Self:
-        objectives_us = [planned.aim_ms * 1000 for planned in experiment.classes]
+        objectives_us = [request_class.aim_ms * 1000 for request_class in experiment.classes]
         count = end_us // BIN_US + 1
         bins = cls(np.zeros(count), np.zeros(count))
         for request in requests:
@@ -41,12 +41,15 @@
         return bins
 
     def holds(self, begin: int, count: int, share: float) -> bool:
-        """Return whether so many bins are together served to at least a share."""
-        stretch = slice(begin, begin + count)
-        return bool(self.served[stretch].sum() >= share * self.offered[stretch].sum())
+        """Return whether the served share of `count` bins together is at least `share`."""
+        window = slice(begin, begin + count)
+        return bool(self.served[window].sum() >= share * self.offered[window].sum())
 
     def first_normal(self, share: float, begin: int) -> int | None:
-        """Return the first bin from which a stretch is served to a share, its first bins nearly so."""
+        """Return the first bin from which the served share is normal, or None.
+
+        The served share of `NORMAL_BINS` bins has to be at least `share`, and that of the first of them near it.
+        """
         for index in range(begin, len(self.offered) - NORMAL_BINS):
             if self.offered[index : index + NORMAL_BINS].sum() == 0:
                 continue
@@ -55,29 +58,29 @@
         return None
 
     def lowest_share(self, begin: int) -> float:
-        """Return the lowest share to which a stretch is served; chance alone takes it under the mean."""
-        return float(min(self._dip_share(index) for index in range(begin, len(self.offered) - DIP_BINS)))
+        """Return the lowest served share of any window; random variation alone makes it lower than the mean."""
+        return float(min(self._window_share(index) for index in range(begin, len(self.offered) - DIP_BINS)))
 
-    def _dip_share(self, begin: int) -> float:
-        stretch = slice(begin, begin + DIP_BINS)
-        return float(self.served[stretch].sum() / max(SMALLEST_WEIGHT, self.offered[stretch].sum()))
+    def _window_share(self, begin: int) -> float:
+        window = slice(begin, begin + DIP_BINS)
+        return float(self.served[window].sum() / max(SMALLEST_WEIGHT, self.offered[window].sum()))
 
 
 def recovery_figures(
     experiment: Experiment, plan: Plan, records: list[AnyRecord], requests: list[Request]
 ) -> dict[str, float]:
-    """Return the times of recovery that could be measured; a run without faults has none."""
+    """Return the recovery figures that could be measured; a run without faults has none."""
     fault_interval_us = plan.fault_interval_us
     if fault_interval_us is None:
         return {}
-    found = _back_to_normal(experiment, plan, requests, fault_interval_us)
-    leave_times_s = [time_s for span in plan.spans if (time_s := _leave_s(plan, span, records)) is not None]
-    if leave_times_s:
-        found["leave_s"] = max(leave_times_s)
+    found = _recovery_times(experiment, plan, requests, fault_interval_us)
+    abandon_times_s = [time_s for span in plan.spans if (time_s := _abandon_time_s(plan, span, records)) is not None]
+    if abandon_times_s:
+        found["leave_s"] = max(abandon_times_s)
     return found
 
 
-def _back_to_normal(
+def _recovery_times(
     experiment: Experiment, plan: Plan, requests: list[Request], fault_interval_us: tuple[int, int]
 ) -> dict[str, float]:
     fault_begin_us, fault_end_us = fault_interval_us
@@ -100,10 +103,10 @@
     return found
 
 
-def _leave_s(plan: Plan, span: Span, records: list[AnyRecord]) -> float | None:
-    """Return the time from a fault's start until its upstreams get nearly no attempts for as long as the fault lasts.
+def _abandon_time_s(plan: Plan, span: Span, records: list[AnyRecord]) -> float | None:
+    """Return the time from a fault's start until its upstreams get almost no attempts for the rest of the fault.
 
-    Connections that never come up leave no trace and are not counted.
+    None if the figure does not apply. Failed connection attempts leave no record and do not count.
     """
     upstreams = set(span.parties) & {upstream.uid for upstream in plan.upstreams}
     if not upstreams or len(upstreams) == len(plan.upstreams) or span.what == "restart":
--- a/garnetusher/model/request_outcomes.py
+++ b/garnetusher/model/request_outcomes.py
@@ -1,4 +1,4 @@
-"""Each request of a run with all tries of its client, and what it earned."""
+"""The requests of a run, each with its outcome over all calls of its client."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.records import AnyRecord, ClientConnectFailed, RequestSent, ResponseReceived
 
-QUOTA_WINDOW_US = 5_000_000  # over which a tenant's rate is measured
-QUOTA_TOLERANCE = 1.25  # chance alone takes a small tenant over its rate in some windows
+QUOTA_WINDOW_US = 5_000_000  # the window in which a tenant's rate is measured
+QUOTA_TOLERANCE = 1.25  # random variation alone takes a small tenant over its rate in some windows
 STATUS_OK = 200
 
 
 class Request(Struct):
-    """A request with all its tries."""
+    """A request, which comprises all calls with its id."""
 
     ident: str
     sidecar: str
     cls: int
     tenant: int
     first_us: int
-    worth: float  # the weight that it earns if it is served in time
-    answered_us: int | None = None  # when it was first served
+    worth: float  # the request's weight in served worth
+    answered_us: int | None = None  # the time of the first successful response
 
     def served(self, aim_us: float) -> bool:
-        """Return whether it was served within a latency objective."""
+        """Return whether the request was served within the latency objective `aim_us`."""
         return self.answered_us is not None and self.answered_us - self.first_us <= aim_us
 
 
 def requests_of(experiment: Experiment, records: Iterable[AnyRecord]) -> list[Request]:
-    """Return all requests, in the order in which their first tries were due."""
+    """Return all requests, in the order in which their first calls were due."""
     found: dict[str, Request] = {}
-    request_of_try: dict[str, Request] = {}
+    request_of_call: dict[str, Request] = {}
     for record in records:
         if isinstance(record, RequestSent | ClientConnectFailed):
             if record.request not in found:
                 found[record.request] = _new_request(experiment, record)
-            request_of_try[record.id] = found[record.request]
-        elif isinstance(record, ResponseReceived) and _is_served(record) and record.id in request_of_try:
-            request = request_of_try[record.id]
+            request_of_call[record.id] = found[record.request]
+        elif isinstance(record, ResponseReceived) and _is_served(record) and record.id in request_of_call:
+            request = request_of_call[record.id]
             if request.answered_us is None:
                 request.answered_us = record.t
     requests = sorted(found.values(), key=lambda request: request.first_us)
@@ -66,7 +66,10 @@
 
 
 def _discount_over_quota(experiment: Experiment, requests: list[Request]) -> None:
-    """Reduce the weight of what tenants send beyond their quotas, over all their requests of a window alike."""
+    """Reduce the weight of a tenant's requests in each window in which it exceeds its quota.
+
+    All requests of the tenant in a window get the same reduction.
+    """
     counts: dict[tuple[int, int], int] = defaultdict(int)
     for request in requests:
         counts[request.tenant, request.first_us // QUOTA_WINDOW_US] += 1
@@ -74,5 +77,5 @@
     for request in requests:
         count = counts[request.tenant, request.first_us // QUOTA_WINDOW_US]
         quota = experiment.tenants[request.tenant].share * experiment.load.requests_per_s * QUOTA_WINDOW_US / 1e6
-        within = min(1.0, quota * QUOTA_TOLERANCE / count)
-        request.worth *= over_quota_weight + (1 - over_quota_weight) * within
+        share_within_quota = min(1.0, quota * QUOTA_TOLERANCE / count)
+        request.worth *= over_quota_weight + (1 - over_quota_weight) * share_within_quota
--- a/garnetusher/model/request_state.py
+++ b/garnetusher/model/request_state.py
@@ -1,4 +1,4 @@
-"""What a simulated sidecar and its clients remember of one request: the call, the attempts and their connections."""
+"""The state of one request in a simulated sidecar and its clients: the call, the attempts and their connections."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class ClientCall:
-    """One call of a client; a retry by the client is a call of its own, with the same `request_id`."""
+    """One call of a client. A retry by the client is a separate call with the same `request_id`."""
 
     call_id: str
     request_id: str
@@ -16,7 +16,7 @@
     first_due_us: int
     retry_index: int
     client_timeout_at_us: int = 0
-    completed: bool = False  # its client does not wait any more
+    completed: bool = False  # whether the client has stopped waiting for the response
 
 
 @dataclass(slots=True)
@@ -24,14 +24,14 @@
     """A connection of a sidecar to an upstream."""
 
     upstream: str
-    used: bool = False  # it has carried a request
+    used: bool = False  # whether the connection has carried a request
     idle_since_us: int = 0
     open: bool = True
 
 
 @dataclass(slots=True)
 class AttemptInFlight:
-    """An attempt, as its sidecar sees it."""
+    """An attempt, from the point of view of its sidecar."""
 
     attempt_index: int
     endpoint_id: int
@@ -39,13 +39,13 @@
     connection: Connection | None = None
     written: bool = False
     ended: bool = False
-    upstream_attempt_id: int = 0  # how the upstream numbers it
+    upstream_attempt_id: int = 0  # the attempt's number at the upstream
     abandoned: bool = False
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that a sidecar has accepted and not yet forgotten."""
+    """A request that a sidecar has accepted and still tracks."""
 
     request_id: int
     call: ClientCall
@@ -55,5 +55,5 @@
 
     @property
     def removable(self) -> bool:
-        """Whether it has its final answer and no attempt is in flight."""
+        """Whether the request has its final response and no attempt is in flight."""
         return self.completed and all(attempt.ended for attempt in self.attempts)
--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -1,4 +1,4 @@
-"""The result of a run: figures against bounds, breaches, and whether the lab itself kept up."""
+"""The result of a run: figures compared with their bounds, breaches, and whether the lab itself was late."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 from garnetusher.model.plan import Plan
 from garnetusher.model.records import AnyRecord
 
-LATE_SHARE = 0.01  # of the lab's own timers; a run in which more were late counts for nothing
+MAX_LATE_SHARE = 0.01  # a run in which more of the lab's own timers were late is invalid
 
 
 class Expectation(Struct):
-    """One line of `[expect]` or `[open]`."""
+    """A bound from `[expect]` or `[open]` and the figure that it limits."""
 
     name: str
     bound: str
-    figure: float | None  # None: nothing was there to measure it by
+    figure: float | None  # None: the run provided nothing to measure
     held: bool
-    open: bool = False  # not reached yet, as everybody knows: it fails nothing
+    open: bool = False  # whether the bound is a goal not reached yet, which fails no run
 
 
 class Result(Struct):
-    """`result.json`."""
+    """The content of `result.json`."""
 
     name: str
     seed: int
     held: bool
-    late: bool  # the lab itself was late too often: the play counts for nothing
+    late: bool  # whether the lab itself was late too often, which makes the run invalid
     figures: dict[str, float]
     expectations: list[Expectation]
     broken: list[Breach]
-    events: int  # of the lab, or of virtual time
-    cores: dict[str, list[int]] = {}  # of the lab
+    events: int  # the number of events that the lab or the simulation has processed
+    cores: dict[str, list[int]] = {}  # the CPU cores that the lab assigned
     tree: str = ""
-    digest: str = ""  # of virtual time: the same seed and code give the same
+    digest: str = ""  # the digest of a run in virtual time; equal for the same seed and code
 
     @property
     def document(self) -> dict[str, object]:
-        """What `--json` prints."""
+        """The content that `--json` prints."""
         return {
             "name": self.name,
             "seed": self.seed,
@@ -57,17 +57,17 @@
 
     @property
     def lines(self) -> list[str]:
-        """What a person is told."""
+        """The readable report, line by line."""
         lines = [f"{self.name}, seed {self.seed}: {'held' if self.held else 'did not hold'}"]
         for e in self.expectations:
             state = ("open, reached here" if e.held else "open") if e.open else "held" if e.held else "NOT HELD"
             figure = "-" if e.figure is None else f"{e.figure:.4g}"
             lines.append(f"  {e.name:<36} {figure:>9}  {e.bound:<10} {state}")
-        return lines + [f"  {why}" for why in self.why]
+        return lines + [f"  {reason}" for reason in self.why]
 
     @property
     def why(self) -> list[str]:
-        """What keeps it from holding, a line each."""
+        """The reasons why the run did not hold, one per line."""
         lines = [
             f"{e.name} is {'not measured' if e.figure is None else f'{e.figure:g}'}, expected {e.bound}"
             for e in self.expectations
@@ -80,9 +80,7 @@
             for rule in rules
         ]
         if self.late:
-            lines.append(
-                f"the lab was late in {self.figures['late_events']:.1%} of its events: this play counts for nothing"
-            )
+            lines.append(f"the lab was late in {self.figures['late_events']:.1%} of its events: this run is invalid")
         return lines
 
 
@@ -94,18 +92,18 @@
     late_share: float = 0.0,
     not_asked: int = 0,
 ) -> tuple[Result, list[figures.Request]]:
-    """The result of a play, real or in virtual time, and its requests for the report."""
+    """Return the result of a run, real or in virtual time, and the run's requests for the report."""
     broken = checker.check(experiment, plan, records)
     requests = figures.requests_of(experiment, records)
     found = figures.figures(experiment, plan, records, requests, RunCounts(len(broken), late_share, not_asked))
-    lines = [
-        Expectation(name, bound, found.get(name), holds(bound, found.get(name)), opened)
-        for opened, bounds in ((False, experiment.expect), (True, experiment.open))
+    expectations = [
+        Expectation(name, bound, found.get(name), holds(bound, found.get(name)), is_open)
+        for is_open, bounds in ((False, experiment.expect), (True, experiment.open))
         for name, bound in bounds.items()
     ]
-    late = late_share > LATE_SHARE
-    held = not broken and not late and all(line.held or line.open for line in lines)
-    return Result(experiment.name, plan.seed, held, late, found, lines, broken, events), requests
+    late = late_share > MAX_LATE_SHARE
+    held = not broken and not late and all(e.held or e.open for e in expectations)
+    return Result(experiment.name, plan.seed, held, late, found, expectations, broken, events), requests
 
 
 def write(result: Result, path: Path) -> None:
