--- a/garnetusher/model/beliefs.py
+++ b/garnetusher/model/beliefs.py
@@ -1,7 +1,8 @@
-"""What sidecars have believed about zones, from the lines that they logged, and the figures that follow.
+"""Computes figures of the zone states that sidecars logged.
 
-A belief proves nothing: the rules are judged by what upstreams and clients saw (checker.py). These figures say when a
-sidecar noticed a fault, whether it was right, and how long it took to trust a zone again.
+These states are no evidence for the rules, which `checker.py` checks on the records of upstreams and clients. The
+figures state when sidecars evacuated a faulty zone, whether an evacuation was justified, and how long sidecars took to
+use a zone normally again.
 """
 
 from __future__ import annotations
@@ -18,22 +19,23 @@
 from garnetusher.model.records import AnyRecord, ZoneStateLogged
 
 LOG_LINE = re.compile(r"zone (\d+): (\w+) -> (\w+): (.*)")
-# zone states as sidecars log them and records have them
+# Zone states, as in the log lines of sidecars and in records.
 ACTIVE = "near"
 EVACUATED = "left"
 FAULTS_WITHOUT_EVACUATION = ("restart", "burst", "list_late", "list_lies")
-AFTERMATH_US = 5_000_000  # an evacuation may still be justified so long after a fault: queues, warming upstreams
-FAULTY_SHARE = 0.5  # a zone is faulty if more than this share of its upstreams is
+# An evacuation is still justified this long after a fault, while queues are full or upstreams warm up.
+AFTERMATH_US = 5_000_000
+FAULTY_SHARE = 0.5  # a zone is faulty if more than this share of its upstreams is faulty
 
 
 def parse_zone_state(at_us: int, sidecar: str, line: str, zones: list[str]) -> ZoneStateLogged | None:
-    """Return a line of a sidecar's log as a record; None if it says nothing of a zone's state.
+    """Return the record for a line of a sidecar's log, or None if the line states no change of a zone's state.
 
     Args:
-        at_us: When the line was logged, or read.
-        sidecar: Whose log it is.
+        at_us: The time when the line was logged, or read.
+        sidecar: The sidecar that logged the line.
         line: The line.
-        zones: The names of the zones by the index that sidecars log.
+        zones: The names of the zones; sidecars log the index.
     """
     found = LOG_LINE.search(line)
     if found is None or int(found[1]) >= len(zones):
@@ -42,17 +44,18 @@
 
 
 def figures(experiment: Experiment, plan: Plan, records: Iterable[AnyRecord]) -> dict[str, float]:
-    """Return the figures of one run, without those for which there was no occasion.
+    """Return the figures of one run that could be measured.
 
-    `zone_leave_s` (median), `zone_leave_s_most` and `zone_return_s` are over the sidecars that evacuated a faulty zone;
-    `.home` is over the zone's own sidecars, as the others hardly use it. `zones_left` is the share of a faulty zone's
-    own sidecars that evacuated it. `false_leaves` counts evacuations of zones without a fault. `zone_state_s.STATE` is
-    the mean time for which a sidecar held a zone to be in that state.
+    `zone_leave_s` (median), `zone_leave_s_most` (maximum) and `zone_return_s` (median) cover the sidecars that
+    evacuated a faulty zone. The suffix `.home` limits a figure to the zone's own sidecars, as the others send it little
+    traffic. `zones_left` is the share of a faulty zone's own sidecars that evacuated it. `false_leaves` is the number
+    of evacuations of zones without a fault. `zone_state_s.STATE` is the mean time in a state other than `near`, over
+    all pairs of a sidecar and a zone.
     """
-    beliefs = [record for record in records if isinstance(record, ZoneStateLogged)]
-    found = {"false_leaves": float(sum(_is_false_evacuation(plan, record) for record in beliefs))}
-    found |= _state_times(experiment, plan, beliefs)
-    found |= _reaction_figures(_reactions(experiment, plan, beliefs))
+    state_changes = [record for record in records if isinstance(record, ZoneStateLogged)]
+    found = {"false_leaves": float(sum(_is_false_evacuation(plan, record) for record in state_changes))}
+    found |= _state_times(experiment, plan, state_changes)
+    found |= _reaction_figures(_reactions(experiment, plan, state_changes))
     return found
 
 
@@ -61,22 +64,24 @@
     """How sidecars reacted to faulty zones, in seconds from a fault's start (evacuations) or end (restorations)."""
 
     evacuations_s: list[float] = field(default_factory=list)
-    home_evacuations_s: list[float] = field(default_factory=list)  # by the zone's own sidecars
+    home_evacuations_s: list[float] = field(default_factory=list)  # evacuations by the zone's own sidecars
     restorations_s: list[float] = field(default_factory=list)
-    home_sidecars: int = 0  # that had a faulty zone, evacuated or not
+    home_sidecars: int = 0  # the number of sidecars in faulty zones, with or without an evacuation
 
 
-def _reactions(experiment: Experiment, plan: Plan, beliefs: list[ZoneStateLogged]) -> _Reactions:
+def _reactions(experiment: Experiment, plan: Plan, state_changes: list[ZoneStateLogged]) -> _Reactions:
     reactions = _Reactions()
     for span in plan.spans:
         for zone in experiment.topology.zones:
             if _is_faulty(plan, span, zone):
-                _add_reactions(reactions, plan, beliefs, span, zone)
+                _add_reactions(reactions, plan, state_changes, span, zone)
     return reactions
 
 
-def _add_reactions(reactions: _Reactions, plan: Plan, beliefs: list[ZoneStateLogged], span: Span, zone: str) -> None:
-    evacuated_s, restored_s = _transitions(beliefs, span, zone)
+def _add_reactions(
+    reactions: _Reactions, plan: Plan, state_changes: list[ZoneStateLogged], span: Span, zone: str
+) -> None:
+    evacuated_s, restored_s = _transitions(state_changes, span, zone)
     sidecars = [sidecar for sidecar in plan.sidecars if sidecar.name not in span.parties]
     home = [sidecar for sidecar in sidecars if sidecar.zone == zone]
     reactions.home_sidecars += len(home)
@@ -85,17 +90,19 @@
     reactions.restorations_s += [restored_s[s.name] for s in sidecars if s.name in restored_s]
 
 
-def _transitions(beliefs: list[ZoneStateLogged], span: Span, zone: str) -> tuple[dict[str, float], dict[str, float]]:
-    """Return when each sidecar first evacuated a zone during a fault, and when it used the zone as before after it."""
+def _transitions(
+    state_changes: list[ZoneStateLogged], span: Span, zone: str
+) -> tuple[dict[str, float], dict[str, float]]:
+    """Return when each sidecar first evacuated a zone during a fault, and when it restored the zone afterwards."""
     evacuated_s: dict[str, float] = {}
     restored_s: dict[str, float] = {}
-    for record in beliefs:
+    for record in state_changes:
         if record.zone != zone:
             continue
         if record.state == EVACUATED and span.at_us <= record.t < span.until_us:
             evacuated_s.setdefault(record.sidecar, (record.t - span.at_us) / 1e6)
         elif record.state == ACTIVE and record.t >= span.until_us and record.sidecar in evacuated_s:
-            # the last one counts, as a zone may be evacuated again
+            # Only the last restoration counts, because the sidecar may evacuate the zone again after earlier ones.
             restored_s[record.sidecar] = (record.t - span.until_us) / 1e6
     return evacuated_s, restored_s
 
@@ -114,38 +121,38 @@
 
 
 def _upstreams_of(plan: Plan, zone: str) -> set[str]:
-    """Return the upstreams that a zone has from the start."""
+    """Return the upstreams of a zone that run from the start."""
     return {upstream.uid for upstream in plan.upstreams if upstream.zone == zone and upstream.from_us == 0}
 
 
 def _is_faulty(plan: Plan, span: Span, zone: str) -> bool:
-    """Return whether a fault strikes so much of a zone that it is no mistake to evacuate it."""
+    """Return whether a fault affects enough of a zone's upstreams to justify an evacuation."""
     upstreams = _upstreams_of(plan, zone)
     faulty = upstreams & set(span.parties)
     return span.what not in FAULTS_WITHOUT_EVACUATION and len(faulty) > FAULTY_SHARE * len(upstreams)
 
 
 def _is_false_evacuation(plan: Plan, record: ZoneStateLogged) -> bool:
-    """Return whether a zone was evacuated though no fault had struck it or the sidecar itself."""
+    """Return whether a record is an evacuation although no fault had affected the zone or the sidecar."""
     if record.state != EVACUATED:
         return False
     involved = _upstreams_of(plan, record.zone) | {record.sidecar}
-    return not any(_may_explain(span, involved, record.t) for span in plan.spans)
+    return not any(_justifies_evacuation(span, involved, record.t) for span in plan.spans)
 
 
-def _may_explain(span: Span, involved: set[str], at_us: int) -> bool:
-    """Return whether a fault of any of these nodes justifies an evacuation at that time."""
+def _justifies_evacuation(span: Span, involved: set[str], at_us: int) -> bool:
+    """Return whether the fault affects any of these nodes and justifies an evacuation at that time."""
     if span.what in FAULTS_WITHOUT_EVACUATION or not involved & set(span.parties):
         return False
     return span.at_us <= at_us < span.until_us + AFTERMATH_US
 
 
-def _state_times(experiment: Experiment, plan: Plan, beliefs: list[ZoneStateLogged]) -> dict[str, float]:
-    """Return the mean time in each state but the active one, over all pairs of a sidecar and a zone."""
+def _state_times(experiment: Experiment, plan: Plan, state_changes: list[ZoneStateLogged]) -> dict[str, float]:
+    """Return the mean time in each state except the active one, over all pairs of a sidecar and a zone."""
     end_us = int(plan.seconds * 1e6)
     total_us: dict[str, float] = defaultdict(float)
-    current: dict[tuple[str, str], tuple[int, str]] = {}  # by sidecar and zone: since when, which state
-    for record in beliefs:
+    current: dict[tuple[str, str], tuple[int, str]] = {}  # by sidecar and zone: the state and its start
+    for record in state_changes:
         since_us, state = current.get((record.sidecar, record.zone), (0, record.before))
         total_us[state] += max(0, min(record.t, end_us) - since_us)
         current[record.sidecar, record.zone] = (record.t, record.state)
--- a/garnetusher/model/checker.py
+++ b/garnetusher/model/checker.py
@@ -39,7 +39,7 @@
 )
 
 TIMING_TOLERANCE_US = 50_000  # for every time limit, as runs on sockets need it
-ANSWER_TOLERANCE_US = 500_000  # a response that is late by at most this has no worth but is no breach
+ANSWER_TOLERANCE_US = 500_000  # a response that is late by less is no breach, although it has no worth
 DRAIN_GRACE_US = 1_000_000  # the time in which a draining upstream may still receive new attempts
 LIST_DELAY_US = 6_000_000  # after this time every sidecar is assumed to know the endpoint list
 INFORMED_SHARE = 2 / 3  # an overload is a breach if at least this share of its work is from sidecars aware of the start
@@ -89,15 +89,15 @@
 
 
 def _check_answers(index: RecordIndex) -> Iterator[Breach]:
-    for request_id, call in index.calls.items():
+    for call_id, call in index.calls.items():
         if index.was_halted(call.sidecar, call.t, call.until_t + ANSWER_TOLERANCE_US):
             continue
-        for record in index.responses.get(request_id, []):
-            for fault in _response_faults(index, call, record):
-                yield Breach(Rule.ONE_ANSWER, record.t, fault, index.evidence(request_id))
+        for record in index.responses.get(call_id, []):
+            for defect in _response_defects(index, call, record):
+                yield Breach(Rule.ONE_ANSWER, record.t, defect, index.evidence(call_id))
 
 
-def _response_faults(index: RecordIndex, call: RequestSent, record: AnyRecord) -> Iterator[str]:
+def _response_defects(index: RecordIndex, call: RequestSent, record: AnyRecord) -> Iterator[str]:
     """Yield a sentence for each defect of one response to a client call."""
     match record:
         case UnexpectedBytes():
@@ -111,25 +111,25 @@
                 yield f"{call.id} was answered {(record.t - call.until_t) / 1000:.0f} ms after its client timeout"
             attempted_upstreams = {attempt.upstream for attempt in index.attempts.get(call.id, [])}
             if record.status == STATUS_OK and record.by not in attempted_upstreams:
-                yield f"{call.id} received a response that is not from an upstream with an attempt of this call"
+                yield f"the response to {call.id} is from no upstream that received this call"
         case _:
             pass
 
 
 def _check_prompt_failures(index: RecordIndex) -> Iterator[Breach]:
-    """Find calls that failed later than half their timeout after the sidecar last attempted anything for them."""
-    for request_id, call in index.calls.items():
-        for record in index.responses.get(request_id, []):
+    """Find calls that failed late although the sidecar had attempted nothing for them during half their timeout."""
+    for call_id, call in index.calls.items():
+        for record in index.responses.get(call_id, []):
             if not isinstance(record, ResponseReceived) or record.status == STATUS_OK:
                 continue
             idle_us = _idle_before_failure_us(index, call, record)
             if idle_us is not None:
-                what = f"{request_id} failed only {idle_us / 1000:.0f} ms after its start or its last attempt"
-                yield Breach(Rule.HELD_BACK, record.t, what, index.evidence(request_id))
+                what = f"{call_id} failed only {idle_us / 1000:.0f} ms after its start or its last attempt"
+                yield Breach(Rule.HELD_BACK, record.t, what, index.evidence(call_id))
 
 
 def _idle_before_failure_us(index: RecordIndex, call: RequestSent, answer: ResponseReceived) -> int | None:
-    """Return the time without any attempt before a failure, or None if it was short or the sidecar did not cause it."""
+    """Return the time without any attempt before a failure; None if it is allowed or the sidecar did not cause it."""
     limit_us = (call.until_t - call.t) // 2 + TIMING_TOLERANCE_US
     if answer.t <= call.t + limit_us:
         return None
@@ -145,28 +145,28 @@
 
 
 def _check_repeats(index: RecordIndex) -> Iterator[Breach]:
-    for request_id, attempts in index.attempts.items():
-        call = index.calls.get(request_id)
+    for call_id, attempts in index.attempts.items():
+        call = index.calls.get(call_id)
         if call is not None:
             if index.experiment.classes[call.cls].effect != "idempotent":
-                yield from _check_non_idempotent_request(index, request_id, attempts)
-        elif request_id not in index.unconnected_calls:
-            what = f"an upstream received {request_id}, which no client sent"
-            yield Breach(Rule.NO_REPEAT, attempts[0].t, what, index.evidence(request_id))
+                yield from _check_non_idempotent_request(index, call_id, attempts)
+        elif call_id not in index.unconnected_calls:
+            what = f"an upstream received {call_id}, which no client sent"
+            yield Breach(Rule.NO_REPEAT, attempts[0].t, what, index.evidence(call_id))
 
 
-def _check_non_idempotent_request(index: RecordIndex, request_id: str, attempts: list[Attempt]) -> Iterator[Breach]:
+def _check_non_idempotent_request(index: RecordIndex, call_id: str, attempts: list[Attempt]) -> Iterator[Breach]:
     for before, after in pairwise(attempts):
         if _may_have_run(index, before, after.began):
-            what = f"{request_id}, which is not idempotent, was sent again although it may have run"
-            yield Breach(Rule.NO_REPEAT, after.t, what, index.evidence(request_id))
-    for record in index.responses.get(request_id, []):
+            what = f"{call_id}, which is not idempotent, was sent again although it may have run"
+            yield Breach(Rule.NO_REPEAT, after.t, what, index.evidence(call_id))
+    for record in index.responses.get(call_id, []):
         if not isinstance(record, ResponseReceived) or record.status not in STATUSES_SAFE_TO_REPEAT:
             continue
         earlier = (attempt for attempt in attempts if attempt.t < record.t)
         if any(_may_have_run(index, attempt, record.t) for attempt in earlier):
-            what = f"{request_id}, which is not idempotent, was reported as safe to retry although it may have run"
-            yield Breach(Rule.NO_REPEAT, record.t, what, index.evidence(request_id))
+            what = f"{call_id}, which is not idempotent, was reported as safe to retry although it may have run"
+            yield Breach(Rule.NO_REPEAT, record.t, what, index.evidence(call_id))
 
 
 def _may_have_run(index: RecordIndex, attempt: Attempt, by_us: int) -> bool:
@@ -178,7 +178,7 @@
 
 
 def _check_drains(index: RecordIndex) -> Iterator[Breach]:
-    for request_id, attempts in index.attempts.items():
+    for call_id, attempts in index.attempts.items():
         for attempt in attempts:
             updates = index.list_updates.get((attempt.sidecar, attempt.upstream), [])
             drain = _drain_before(updates, attempt.began)
@@ -191,10 +191,10 @@
             if index.was_halted(attempt.sidecar, first.t, attempt.began):
                 continue
             what = (
-                f"{request_id} was sent to {attempt.upstream} {late_us / 1000:.0f} ms "
+                f"{call_id} was sent to {attempt.upstream} {late_us / 1000:.0f} ms "
                 f"after {attempt.sidecar} learned that the upstream drains (state {last.state})"
             )
-            yield Breach(Rule.DRAIN, attempt.t, what, index.evidence(request_id, first))
+            yield Breach(Rule.DRAIN, attempt.t, what, index.evidence(call_id, first))
 
 
 def _drain_before(updates: list[ListUpdateSent], at_us: int) -> tuple[ListUpdateSent, ListUpdateSent] | None:
--- a/garnetusher/model/figures.py
+++ b/garnetusher/model/figures.py
@@ -1,8 +1,8 @@
-"""The figures of a run, by the names that stay: ``served_worth.whole``, ``leave_s``, ``crossings`` and the others.
+"""Computes the figures of a run, by stable names such as ``served_worth.whole``, ``leave_s`` and ``crossings``.
 
-Served worth is the weight of the requests that were answered within their class's latency objective, counted from when
-they were due, over the weight of all; all tries of a client belong to its first. What a tenant sends beyond its quota
-counts by `over_share_worth`.
+Served worth is the weight of the requests that were answered within their class's latency objective, measured from the
+time when they were due, divided by the weight of all requests. All calls of a request count as one. The weight of
+requests beyond a tenant's quota is reduced to `over_share_worth` of the usual weight.
 """
 
 from __future__ import annotations
@@ -44,26 +44,26 @@
 
 
 class RunCounts(Struct):
-    """What is counted outside the records."""
+    """Counts that the records do not contain."""
 
     broken: int = 0  # breaches of the rules
-    late_share: float = 0.0  # of the lab's own timers
-    not_asked: int = 0  # requests that were not sent, as their application was down with its sidecar
+    late_share: float = 0.0  # the share of the lab's own timers that were late
+    not_asked: int = 0  # requests that were not sent because their application was down together with its sidecar
 
 
 class Timeline(Struct):
-    """What the report draws over time, by zone."""
+    """Served worth and latency over time by zone, for the report."""
 
     zones: list[str]
     bin_us: int
     worth: dict[str, list[float | None]]  # served worth by zone
-    latency_ms: dict[str, list[list[float | None]]]  # by zone: [median, 99th] of the answers served
+    latency_ms: dict[str, list[list[float | None]]]  # by zone: the median and the 99th percentile of served requests
 
 
 def figures(
     experiment: Experiment, plan: Plan, records: list[AnyRecord], requests: list[Request], counts: RunCounts
 ) -> dict[str, float]:
-    """Return every figure that could be measured; what had no occasion is left out."""
+    """Return every figure that could be measured."""
     found = _served_worth_figures(experiment, plan, requests)
     found["rules_broken"] = float(counts.broken)
     found["late_events"] = counts.late_share
@@ -73,7 +73,7 @@
     found |= recovery_figures(experiment, plan, records, requests)
     found |= _usage_figures(records)
     found |= beliefs.figures(experiment, plan, records)
-    return {name: round(float(value), FIGURE_DIGITS) for name, value in found.items()}  # numpy's floats are no JSON
+    return {name: round(float(value), FIGURE_DIGITS) for name, value in found.items()}  # JSON encodes no numpy floats
 
 
 def _served_worth_figures(experiment: Experiment, plan: Plan, requests: list[Request]) -> dict[str, float]:
@@ -86,7 +86,7 @@
 
 
 def _groups(experiment: Experiment, plan: Plan, requests: list[Request]) -> Iterator[tuple[str, list[Request]]]:
-    """Yield the groups of requests for which served worth is told, by name."""
+    """Yield the groups of requests for which served worth is reported, with their names."""
     yield "whole", requests
     if plan.fault_interval_us is not None:
         begin_us, end_us = plan.fault_interval_us
@@ -103,7 +103,7 @@
 
 
 def _served_worth(experiment: Experiment, requests: list[Request]) -> float | None:
-    """Return the served share of the requests' weight, or None if they have none."""
+    """Return the served share of the requests' weight, or None if the weight is zero."""
     total = sum(request.worth for request in requests)
     if not total:
         return None
@@ -119,17 +119,17 @@
 
 
 def _traffic_figures(plan: Plan, records: list[AnyRecord], request_count: int) -> dict[str, float]:
-    """Return attempts, hedges, crossings, connections, answers by status for each request, and calls to discovery."""
+    """Return attempts, cross-zone attempts, calls, connections and responses per request, and calls to discovery."""
     sidecar_zone = _zone_of_sidecar(plan)
     upstream_zone = {upstream.uid: upstream.zone for upstream in plan.upstreams}
     attempts = [record for record in records if isinstance(record, Attempt)]
     ends = [record for record in records if isinstance(record, UpstreamAttemptEnded)]
     answers = [record for record in records if isinstance(record, ResponseReceived)]
-    tries = sum(isinstance(record, RequestSent) for record in records)
+    calls = sum(isinstance(record, RequestSent) for record in records)
     requests = max(1, request_count)
     return {
         "attempts_per_request": len(attempts) / requests,
-        "tries_per_request": tries / requests,
+        "tries_per_request": calls / requests,
         "crossings": sum(sidecar_zone[a.sidecar] != upstream_zone[a.upstream] for a in attempts) / requests,
         "connections_per_request": sum(attempt.fresh for attempt in attempts) / requests,
         "copies_cancelled": sum(end.how == "cancelled" for end in ends) / requests,
@@ -143,14 +143,14 @@
 
 
 def _unserved_work(attempts: list[Attempt], ends: list[UpstreamAttemptEnded]) -> float:
-    """Return the share of the work that reached upstreams and served nothing."""
+    """Return the share of the work received by upstreams that belongs to attempts which were not served."""
     work_us = {(attempt.upstream, attempt.n): attempt.work_us for attempt in attempts}
     unserved_us = sum(work_us[end.upstream, end.n] for end in ends if end.how != "served")
     return unserved_us / max(1, sum(work_us.values()))
 
 
 def _usage_figures(records: list[AnyRecord]) -> dict[str, float]:
-    """Return CPU time and memory of the sidecars and of the lab's own processes."""
+    """Return the CPU time and the memory of the sidecars and of the lab's own processes."""
     cpu_s: dict[str, float] = {}
     peak_mb: dict[str, float] = {}
     for record in records:
@@ -201,10 +201,10 @@
 
 
 def histograms(experiment: Experiment, plan: Plan, requests: list[Request], path: Path, unix_ms: int) -> None:  # noqa: ARG001 -- the lab passes the plan
-    """Write the latencies of the served requests, a histogram for each second and class, in HdrHistogram's log format.
+    """Write the latencies of the served requests in HdrHistogram's log format, one histogram per second and class.
 
     Args:
-        experiment: Names the classes.
+        experiment: The experiment, which has the names of the classes.
         plan: Not used.
         requests: The run's requests.
         path: The file to write.
@@ -216,12 +216,12 @@
         writer.output_base_time(unix_ms)
         writer.output_legend()
         for (second, class_index), histogram in sorted(_histograms_by_second(requests).items()):
-            file.write(f"Tag={experiment.classes[class_index].name},")  # the library reads tags and writes none
+            file.write(f"Tag={experiment.classes[class_index].name},")  # the library reads tags but does not write them
             writer.output_interval_histogram(histogram, second, second + 1, 1000.0)
 
 
 def _histograms_by_second(requests: list[Request]) -> dict[tuple[int, int], HdrHistogram]:
-    """Return the histograms by the second in which requests were due and by class."""
+    """Return the histograms; the key is the second in which requests were due, and the class index."""
     found: dict[tuple[int, int], HdrHistogram] = {}
     for request in requests:
         if request.answered_us is None:
--- a/garnetusher/model/record_index.py
+++ b/garnetusher/model/record_index.py
@@ -39,7 +39,7 @@
 class RecordIndex:
     """The records of one run by client call, upstream and sidecar.
 
-    The key of a request is the id of the client call, because each call gets its own response.
+    Client calls, not requests, are the keys, because each call gets its own response.
     """
 
     def __init__(self, experiment: Experiment, plan: Plan, records: Iterable[AnyRecord]) -> None:
@@ -112,17 +112,17 @@
         """Return whether an attempt within an interval may have left no record at an upstream."""
         return _any_overlap(self._without_record, from_us, to_us)
 
-    def evidence(self, request_id: str, *others: AnyRecord) -> list[str]:
+    def evidence(self, call_id: str, *others: AnyRecord) -> list[str]:
         """Return the lines of all records of a client call, and of other records, in the order of time."""
         records: list[AnyRecord] = []
-        if request_id in self.calls:
-            records.append(self.calls[request_id])
-        for attempt in self.attempts.get(request_id, []):
+        if call_id in self.calls:
+            records.append(self.calls[call_id])
+        for attempt in self.attempts.get(call_id, []):
             records.append(attempt)
             end = self.end_of(attempt)
             if end is not None:
                 records.append(end)
-        records += self.responses.get(request_id, [])
+        records += self.responses.get(call_id, [])
         records += [record for record in others if record not in records]
         return lines_of(records)
 
--- a/tests/experiment.py
+++ b/tests/experiment.py
@@ -1,4 +1,4 @@
-"""A small experiment for tests, as the text of its file."""
+"""A small experiment for tests, as an object and as the text of a file."""
 
 from __future__ import annotations
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -1,4 +1,4 @@
-"""Figures from what sidecars logged of zones; and the decisions of another tree on the same draws."""
+"""Tests the figures of logged zone states, and runs of the model with the policy of another tree."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 SECOND = 1_000_000
 
 
-def test_times_to_leave_and_false_leaves_are_told_apart() -> None:
-    it = experiment.load(ROOT / "experiments" / "zone-silent.toml")  # pacheco, from 8 to 18 s
-    made = plan.make(it, 1)
+def test_figures_distinguish_justified_and_false_evacuations() -> None:
+    config = experiment.load(ROOT / "experiments" / "zone-silent.toml")  # pacheco is silent from 8 to 18 s
+    run_plan = plan.make(config, 1)
     lines = [
         ("pacheco-0", "pacheco", 8.2, "left"),
         ("pacheco-1", "pacheco", 8.6, "left"),
@@ -27,24 +27,24 @@
         ("pacheco-0", "pacheco", 19.0, "returning"),
         ("pacheco-0", "pacheco", 21.0, "near"),
     ]
-    told = []
+    records = []
     for name, zone, at_s, state in lines:
-        line = f"INFO zone {it.topology.zones.index(zone)}: near -> {state}: why"
-        belief = beliefs.parse_zone_state(round(at_s * SECOND), name, line, it.topology.zones)
-        assert belief == ZoneStateLogged(round(at_s * SECOND), name, zone, "near", state, "why")
-        told.append(belief)
-    assert beliefs.parse_zone_state(0, "x", "endpoint 3 ejected", it.topology.zones) is None
-    found = beliefs.figures(it, made, told)
-    assert found["zone_leave_s"] == pytest.approx(0.6)
-    assert found["zone_leave_s.home"] == pytest.approx(0.4)
-    assert found["false_leaves"] == 1
-    assert found["zones_left"] == 1
-    assert found["zone_return_s"] == pytest.approx(3.0)
-    assert found["zone_state_s.left"] == pytest.approx((10.8 + 23.4 + 21 + 20) / 18)
+        line = f"INFO zone {config.topology.zones.index(zone)}: near -> {state}: why"
+        record = beliefs.parse_zone_state(round(at_s * SECOND), name, line, config.topology.zones)
+        assert record == ZoneStateLogged(round(at_s * SECOND), name, zone, "near", state, "why")
+        records.append(record)
+    assert beliefs.parse_zone_state(0, "x", "endpoint 3 ejected", config.topology.zones) is None
+    figures = beliefs.figures(config, run_plan, records)
+    assert figures["zone_leave_s"] == pytest.approx(0.6)
+    assert figures["zone_leave_s.home"] == pytest.approx(0.4)
+    assert figures["false_leaves"] == 1
+    assert figures["zones_left"] == 1
+    assert figures["zone_return_s"] == pytest.approx(3.0)
+    assert figures["zone_state_s.left"] == pytest.approx((10.8 + 23.4 + 21 + 20) / 18)
 
 
-def model_run(monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], *words: str) -> tuple[int, str]:
-    monkeypatch.setattr(sys, "argv", ["garnetusher", "model", "run", *words])
+def model_run(monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], *arguments: str) -> tuple[int, str]:
+    monkeypatch.setattr(sys, "argv", ["garnetusher", "model", "run", *arguments])
     status = command.main()
     out = capfd.readouterr()
     return status, out.out + out.err
@@ -54,13 +54,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "small.toml").write_text(text(seconds=2))
-    tree = tmp_path / "tree" / "garnetusher" / "policy"
-    tree.mkdir(parents=True)
+    policy = tmp_path / "tree" / "garnetusher" / "policy"
+    policy.mkdir(parents=True)
     for path in (ROOT / "garnetusher" / "policy").glob("*.py"):
-        (tree / path.name).write_text(path.read_text().replace("INITIAL_SLOTS = 3.0", "INITIAL_SLOTS = 1.0"))
+        (policy / path.name).write_text(path.read_text().replace("INITIAL_SLOTS = 3.0", "INITIAL_SLOTS = 1.0"))
     digests = []
-    for words in ((), ("--tree", str(ROOT)), ("--tree", str(tree.parent.parent))):
-        _, out = model_run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--json", *words)
+    for arguments in ((), ("--tree", str(ROOT)), ("--tree", str(policy.parent.parent))):
+        _, out = model_run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--json", *arguments)
         digests.append(json.loads(out)["digest"])
     assert digests[0] == digests[1] != digests[2]
     status, out = model_run(monkeypatch, capfd, str(tmp_path / "small.toml"), "--tree", str(tmp_path))
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The objects that the lab and the simulation share: upstreams, links, plans and draws."""
+"""Tests the objects that the lab and the simulation share: upstreams, links, plans and random draws."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class JobLedger:
-    """An upstream under test, with the jobs that it holds by the actions that it has returned."""
+    """An upstream under test, with its unfinished jobs according to the actions that it has returned."""
 
     def __init__(self) -> None:
         self.machine = Upstream(Upstreams(per_zone={}, cores=2, queue_per_core=2), 1.0)
@@ -89,7 +89,7 @@
     assert 50_000 <= (machine.next_us() or 0) <= 50_002
     assert machine.wakeup(49_000) == []
     assert machine.wakeup(60_000) == [Finished(1)]
-    machine.slow_down(60_000, 2.0)  # 80,000 of work left, at the standard speed
+    machine.slow_down(60_000, 2.0)  # the work left is 80,000 us at the standard speed
     assert machine.wakeup(139_000) == []
     assert machine.wakeup(140_010) == [Finished(2)]
 
@@ -120,16 +120,16 @@
     upstreams = Upstreams(
         per_zone={}, cores=2, cold_share=0.2, warm_up_s=20, fall_s=2, overload_factor=3, queue_per_core=10_000
     )
-    for share, falls in ((0.97, False), (1.25, True)):
+    for share, crash_expected in ((0.97, False), (1.25, True)):
         machine = Upstream(upstreams, 1.0)
         machine.boot(1_000_000)
-        fell = False
+        crashed = False
         for step in range(400):
             now = 1_000_000 + step * 10_000
-            work = share * (overload_budget_us(upstreams, 1.0, 1_000_000, now) / 200)  # of a window of 200 such steps
-            fell = fell or any(isinstance(a, FellOver) for a in machine.arrive(now, step, int(work)))
-        assert fell is falls
-        assert machine.down is falls
+            work = share * (overload_budget_us(upstreams, 1.0, 1_000_000, now) / 200)  # a window has 200 such steps
+            crashed = crashed or any(isinstance(a, FellOver) for a in machine.arrive(now, step, int(work)))
+        assert crashed is crash_expected
+        assert machine.down is crash_expected
 
 
 @settings(max_examples=80, deadline=None, derandomize=True)
@@ -201,7 +201,7 @@
     assert run_plan.fault_interval_us == (500_000, 2_000_000)
 
 
-def test_plan_ends_upstreams_behind_the_cut_when_they_return_cold() -> None:
+def test_plan_stops_upstreams_after_the_cut_when_they_return_cold() -> None:
     config = small(more='[[fault]]\nat_s = 0.5\nfor_s = 1.5\nwhat = "silent"\nreturns = "cold"\nwhere = { zone = "b" }')
     run_plan = plan.make(config, 1)
     assert [link.at_us for link in run_plan.links] == [500_000, 2_000_000]
@@ -217,10 +217,10 @@
         '[[fault]]\nat_s = 20\nfor_s = 20\nwhat = "burst"\ntimes = 3\ntenant = "y"',
     )
     run_plan = plan.make(config, 3)
-    seen = [a for s in run_plan.sidecars for a in plan.arrivals(config, run_plan, s)]
-    calm = [a for a in seen if not 20e6 <= a[0] < 40e6]
-    assert 0.9 < len(calm) / (120 * 40) < 1.1
-    burst = [sum(t == tenant for at, _, t in seen if 20e6 <= at < 40e6) for tenant in (0, 1)]
+    all_arrivals = [a for s in run_plan.sidecars for a in plan.arrivals(config, run_plan, s)]
+    usual = [a for a in all_arrivals if not 20e6 <= a[0] < 40e6]
+    assert 0.9 < len(usual) / (120 * 40) < 1.1
+    burst = [sum(t == tenant for at, _, t in all_arrivals if 20e6 <= at < 40e6) for tenant in (0, 1)]
     assert 0.85 < burst[0] / 1200 < 1.15
     assert 0.9 < burst[1] / 3600 < 1.1
 
