--- a/garnetusher/model/experiment.py
+++ b/garnetusher/model/experiment.py
@@ -116,7 +116,7 @@
 
     per_zone: dict[str, Annotated[int, Meta(ge=0)]]
     cores: Count = 3
-    queue_per_core: Count = 20  # the longest queue; the upstream rejects further requests without running them
+    queue_per_core: Count = 20  # the longest queue per core; the upstream rejects further requests without running them
     speed_spread: Share = 0.1  # the largest deviation from the standard speed, up or down
     thrash: NotNegative = 0.04  # the increase of all service times per request per core beyond `thrash_at`
     thrash_at: NotNegative = 5.0
@@ -252,7 +252,7 @@
             self._check_keys_of_cut()
 
     def _check_keys_of_cut(self) -> None:
-        expected = "this key only with 'cut'; the fault is another one"
+        expected = "this key only with 'cut' as the fault"
         if self.to is not None:
             raise ExperimentError(key="to", expected=expected, found=self.what)
         if self.one_way:
@@ -274,9 +274,7 @@
     clients: Clients = msgspec.field(default_factory=Clients)
     directory: Directory = msgspec.field(default_factory=Directory)
     tenants: list[Tenant] = msgspec.field(name="tenant", default_factory=list)
-    over_share_worth: Share = (
-        0.2  # the weight of requests beyond their tenant's quota, as a share of their usual weight
-    )
+    over_share_worth: Share = 0.2  # the share of its weight that a request beyond its tenant's quota keeps
     faults: list[Fault] = msgspec.field(name="fault", default_factory=list)
     expect: dict[str, str] = {}
     open: dict[str, str] = {}  # goals not reached yet: reports show them, and they fail no run
