--- a/garnetusher/sidecar/admin/handlers.py
+++ b/garnetusher/sidecar/admin/handlers.py
@@ -41,7 +41,7 @@
         return _response(json.dumps(reports))
 
     def trace(self, request: AdminRequest) -> AdminResponse:
-        """Report the latest events, or only those of one request if `?request=` has its `X-Request-Id`."""
+        """Report the latest events; an `X-Request-Id` in `?request=` selects the events of that request."""
         trace = self._sidecar.trace
         client_request_id = request.query.removeprefix("request=")
         events = trace.find(client_request_id) if request.query else list(trace.events)
--- a/garnetusher/sidecar/admin/messages.py
+++ b/garnetusher/sidecar/admin/messages.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """A response of the admin server; `allowed_method` is the Allow header if the request used another method."""
+    """A response of the admin server; `allowed_method` is the Allow header of a 405 response, otherwise empty."""
 
     status: HTTPStatus
     text: str
--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -17,9 +17,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 16  # room for several stalled connections and some working ones
+MAX_CONNECTIONS = 16  # allows several stalled connections and some that send complete requests
 BACKLOG = 64  # maximum number of connections not accepted yet
-REQUEST_TIMEOUT_S = 2.0  # time for a request to arrive in full; callers wait 1 s for a response
+REQUEST_TIMEOUT_S = 2.0  # time limit to receive a request; callers wait only 1 s for a response
 MAX_REQUEST_BYTES = 8 * 1024
 
 
@@ -40,7 +40,7 @@
         """Wait for the request, for at most `REQUEST_TIMEOUT_S`."""
         self._transport = cast("asyncio.Transport", transport)  # a TCP transport can both read and write
         self._server.add(self)
-        response = AdminResponse(HTTPStatus.REQUEST_TIMEOUT, "the request did not arrive in full in time")
+        response = AdminResponse(HTTPStatus.REQUEST_TIMEOUT, "the request was not complete before the timeout")
         self._timeout = self._server.loop.call_later(REQUEST_TIMEOUT_S, self._respond, response)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -89,7 +89,7 @@
 
 
 class AdminServer:
-    """Server for operators, with few connections so that stalled callers leave the file descriptors to clients."""
+    """Server for operators; its connection limit keeps stalled callers from using the file descriptors of clients."""
 
     def __init__(self, routes: dict[bytes, Route]) -> None:
         self.loop = asyncio.get_running_loop()
--- a/garnetusher/sidecar/configuration.py
+++ b/garnetusher/sidecar/configuration.py
@@ -1,6 +1,7 @@
 """The configuration of one sidecar: the JSON file at the path in BALANCER_CONFIG, and values from the environment.
 
-The platform defines the keys of the file; this module maps them to the names that the sidecar uses.
+The platform that runs the sidecar defines the keys of the file. This module maps them to the names that the sidecar
+uses.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 )
 from garnetusher.sidecar.errors import NOTHING, join_path
 
-ENVIRONMENT = "environment"  # `place` of values that are not in the file
+ENVIRONMENT = "environment"  # `place` in errors about environment variables
 CONFIG_VARIABLE = "BALANCER_CONFIG"
 ADMIN_VARIABLE = "BALANCER_ADMIN"
 SOCKET_VARIABLE = "BALANCER_SOCKET_FD"
@@ -54,14 +55,14 @@
 
     Attributes:
         listen: address at which clients connect.
-        discovery: address of the discovery service, which has the endpoint list.
+        discovery: address of the discovery service, which sends the endpoint list.
         seed: seed of the policy's random draws.
         max_descriptors: maximum number of open file descriptors.
         settings: settings of the policy.
         zones: names of the zones, by their index in the settings.
         machine_types: names of the machine types, by their index in the settings.
         idle_timeout_us: idle time after which upstreams close a connection.
-        cached_endpoints: last known endpoint list, in the format of discovery; None if there is none.
+        cached_endpoints: last known endpoint list, in the format of discovery responses; None if the file has none.
         admin: address of the admin server; None if it is disabled.
         memory_bytes: memory limit.
         membership: membership section; None if membership is disabled.
@@ -196,11 +197,11 @@
 
 def _keep_zone_indexes(configuration: Configuration, previous_zones: list[str]) -> None:
     settings, names = configuration.settings, configuration.zones
-    own_names = names[settings.zone : settings.zone + 1]  # empty if the index of the own zone is out of range
+    own_zone_names = names[settings.zone : settings.zone + 1]  # empty if `settings.zone` is out of range
     regions = dict(zip(names, settings.zone_regions, strict=False))
     configuration.zones = previous_zones + [name for name in names if name not in previous_zones]
-    if own_names:
-        settings.zone = configuration.zones.index(own_names[0])
+    if own_zone_names:
+        settings.zone = configuration.zones.index(own_zone_names[0])
     settings.zone_regions = [regions.get(name, 0) for name in configuration.zones] if regions else []
 
 
@@ -218,7 +219,7 @@
     except TypeError:
         raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "lists of zone names", regions) from None
     if unassigned_zones:
-        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "each zone in a region", f"{unassigned_zones[0]} in none")
+        raise ConfigurationError(REGIONS_KEY, FLEET_KEY, "a region for each zone", f"none for {unassigned_zones[0]}")
     return [region_of[zone] for zone in zones]
 
 
--- a/garnetusher/sidecar/configuration_comparison.py
+++ b/garnetusher/sidecar/configuration_comparison.py
@@ -11,15 +11,15 @@
 
 
 def first_missing_key(previous: object, current: object, path: str = "") -> str:
-    """Return the path of a key that only the previous file has, as when the current file is truncated; "" if none."""
+    """Return the path of a key that only `previous` has, for example because the file is truncated; "" if none."""
     if isinstance(previous, Mapping):
-        return _first_missing_of_object(previous, current, path)
+        return _first_missing_key_in_object(previous, current, path)
     if isinstance(previous, list) and previous and all(isinstance(item, Mapping) for item in previous):
-        return _first_missing_of_list(previous, current, path)
+        return _first_missing_key_in_list(previous, current, path)
     return ""
 
 
-def _first_missing_of_object(previous: Mapping[str, object], current: object, path: str) -> str:
+def _first_missing_key_in_object(previous: Mapping[str, object], current: object, path: str) -> str:
     if not isinstance(current, Mapping):
         return path
     for key in previous.keys() - OPTIONAL_KEYS:
@@ -32,8 +32,8 @@
     return ""
 
 
-def _first_missing_of_list(previous: list[Mapping[str, object]], current: object, path: str) -> str:
-    """Check that each item has the keys that all previous items had; items may be added, removed or reordered."""
+def _first_missing_key_in_list(previous: list[Mapping[str, object]], current: object, path: str) -> str:
+    """Return the path of a key that all previous items have and a current one lacks; number and order may change."""
     common_keys = {key: None for key in previous[0] if all(key in item for item in previous)}
     for index, item in enumerate(current if isinstance(current, list) else [None]):
         missing = first_missing_key(common_keys, item, f"{path}.{index}")
--- a/garnetusher/sidecar/lifecycle.py
+++ b/garnetusher/sidecar/lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle state of this process, which readiness, draining and shutdown all read from one `Lifecycle` object."""
+"""The lifecycle state of this process; readiness, draining and shutdown share one `Lifecycle` object."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
         self._started = False
-        self._drained_at_s: float | None = None
-        self._stopped_at_s: float | None = None
+        self._draining_since_s: float | None = None
+        self._stopping_since_s: float | None = None
 
     @property
     def state(self) -> LifecycleState:
         """The current state."""
-        if self._stopped_at_s is not None:
+        if self._stopping_since_s is not None:
             return LifecycleState.STOPPING
-        if self._drained_at_s is not None:
+        if self._draining_since_s is not None:
             return LifecycleState.DRAINING
         return LifecycleState.SERVING if self._started else LifecycleState.STARTING
 
@@ -50,7 +50,7 @@
     @property
     def closing_for_s(self) -> float:
         """Seconds since connections began to close after their next response; 0 while they stay open."""
-        since_s = self._drained_at_s if self._stopped_at_s is None else self._stopped_at_s
+        since_s = self._draining_since_s if self._stopping_since_s is None else self._stopping_since_s
         return 0.0 if since_s is None else self._clock() - since_s
 
     def start(self) -> None:
@@ -58,15 +58,18 @@
         self._started = True
 
     def drain(self) -> None:
-        """Start draining, until `undrain`; a repeated call does not postpone the closing of idle connections."""
-        if self._drained_at_s is None:
-            self._drained_at_s = self._clock()
+        """Start draining, which lasts until `undrain`.
+
+        A repeated call does not postpone the closing of idle connections.
+        """
+        if self._draining_since_s is None:
+            self._draining_since_s = self._clock()
 
     def undrain(self) -> None:
         """Stop draining."""
-        self._drained_at_s = None
+        self._draining_since_s = None
 
     def stop(self) -> None:
         """Mark the process as shutting down, which cannot be undone."""
-        if self._stopped_at_s is None:
-            self._stopped_at_s = self._clock()
+        if self._stopping_since_s is None:
+            self._stopping_since_s = self._clock()
--- a/garnetusher/sidecar/reload.py
+++ b/garnetusher/sidecar/reload.py
@@ -11,8 +11,8 @@
 log = logging.getLogger(__name__)
 
 RETRY_INTERVAL_S = 0.05  # delay between attempts to load a file
-# When discovery moves to a new address, the sidecar must know a change that discovery sends from there within 4 s after
-# the signal. The old discovery address shuts down before that.
+# When discovery moves to a new address, the sidecar must apply a change sent from the new address within 4 s after the
+# signal. The old address shuts down before these 4 s are over.
 RETRY_FOR_S = 5.0
 
 
@@ -38,8 +38,9 @@
 class Reloader:
     """Loads a file at each signal.
 
-    A file that cannot be applied is ignored and retried for `RETRY_FOR_S` seconds: the file may be half written, or
-    this machine may be short of the resources to read it, and no second signal would follow.
+    If the file cannot be applied, the reloader keeps the current configuration and retries for `RETRY_FOR_S` seconds.
+    The file may be half written, or this machine may be short of the resources to read it. The retries are necessary
+    because no second signal follows in these cases.
     """
 
     def __init__(self, path: str, apply: Callable[[str], None]) -> None:
@@ -78,6 +79,6 @@
             if not isinstance(error, OSError):
                 self._rejected_state = state
             if log_failure:
-                log.warning("the new configuration is rejected, the current one stays in force: %r", error)
+                log.warning("rejected the new configuration and kept the current one: %r", error)
         if self._loop.time() < self._retry_until_s:
             self._timer = self._loop.call_later(RETRY_INTERVAL_S, self._try_load)
--- a/garnetusher/sidecar/service.py
+++ b/garnetusher/sidecar/service.py
@@ -47,7 +47,7 @@
         configuration: initial configuration.
         stop: event that starts the shutdown.
         on_sidecar_started: callback that receives the sidecar before it accepts clients.
-        inherited: listening socket, if the platform holds it open; this process then takes over from another one.
+        inherited: listening socket, if the platform holds it open; this process then takes over from its predecessor.
 
     Raises:
         OSError: the sidecar cannot start.
--- a/garnetusher/sidecar/shutdown.py
+++ b/garnetusher/sidecar/shutdown.py
@@ -1,7 +1,8 @@
 """Graceful shutdown: the steps between SIGTERM and the exit of the process.
 
-The drain phase still accepts new clients, or one last request on each open connection. The final phase only answers
-the requests in flight. Every request is answered before SIGKILL can arrive.
+Without a successor process, the drain phase still accepts new clients. With a successor, the drain phase accepts one
+last request on each open connection. The final phase only answers the requests in flight. Every request is answered
+before SIGKILL can arrive.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 NEW_CONNECTIONS_S = 0.5  # clients open new connections for up to 0.4 s after SIGTERM
 KILL_DELAY_S = 0.7  # SIGKILL arrives at least this long after the longest deadline
 MAX_DEADLINE_S = 3.0  # longer deadlines are capped at this value
-LAST_RESPONSE_S = 0.4  # a last request has this time plus the longest latency objective to be answered
-FINAL_RESPONSE_MARGIN_S = 0.2  # the last responses are written this long before SIGKILL because the loop may be busy
+LAST_RESPONSE_S = 0.4  # time to answer a last request, in addition to the longest latency objective
+FINAL_RESPONSE_MARGIN_S = 0.2  # the last responses precede SIGKILL by this time because the event loop may be busy
 POLL_INTERVAL_S = 0.01
 
 
@@ -60,7 +61,7 @@
 
 
 async def drain_without_successor(server: DownstreamServer) -> None:
-    """Accept clients for `NEW_CONNECTIONS_S` more, as no other process accepts them, then close the listener."""
+    """Accept clients for another `NEW_CONNECTIONS_S` because no other process accepts them, then close the listener."""
     server.close_idle(monotonic_us())
     await asyncio.sleep(NEW_CONNECTIONS_S)
     await server.stop_listening(shared=False)
@@ -72,15 +73,15 @@
     Closing an idle connection immediately would lose a request that its client is sending at that moment.
     """
     await server.stop_listening(shared=True)
-    while server.connections and server.lifecycle.closing_for_s < schedule.idle_connections_s:  # noqa: ASYNC110 also ends by time
+    while server.connections and server.lifecycle.closing_for_s < schedule.idle_connections_s:  # noqa: ASYNC110 the loop also has a time limit
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def finish_requests(server: DownstreamServer, schedule: ShutdownSchedule) -> None:
-    """Wait for the requests in flight, and reject those that have not arrived in full by the final responses.
+    """Wait for the requests in flight, and reject those that are still incomplete at `schedule.final_responses_s`.
 
-    The process does not exit by itself while any request is in flight. A request that the process cut off by exiting
-    would certainly be lost, but SIGKILL may come later than its earliest time, so the request may still complete.
+    The process does not exit by itself while any request is in flight, because an exit would certainly lose that
+    request. SIGKILL may arrive later than `schedule.kill_s`, so the request may still complete.
     """
     while _has_open_work(server, schedule):
         server.close_idle(monotonic_us())
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -20,7 +20,8 @@
 
 BASE_MEMORY_BYTES = 20 * 1024 * 1024  # memory use of the process without any requests
 USABLE_MEMORY_FRACTION = 0.75  # fraction of the limit; the rest is for short requests and allocator overhead
-# Clients use at most a third of the descriptors, counting both processes during a takeover.
+# Clients need at most a third of the descriptors, counting both processes during a takeover. The server
+# allows half of them for client connections, which leaves the rest for upstream connections.
 CLIENT_DESCRIPTOR_DIVISOR = 2
 PROCESSES_AT_TAKEOVER = 2  # both processes share the limits while one takes over from the other
 
@@ -92,7 +93,7 @@
         self.dispatcher.apply_settings(current.settings)
         self._apply_discovery(previous, current)
         log.info(
-            "the configuration is reloaded, with the request classes %s",
+            "reloaded the configuration; request classes: %s",
             ", ".join(request_class.name for request_class in current.settings.classes),
         )
 
--- a/garnetusher/sidecar/startup.py
+++ b/garnetusher/sidecar/startup.py
@@ -28,7 +28,7 @@
 
 CONFIGURATION_ERRORS = (OSError, ConfigurationError, SettingsTextError)
 FILE_TIMEOUT_S = 1.0  # a file that is absent or half written at startup is complete within this time
-RESOURCE_TIMEOUT_S = 5.0  # at startup, clients wait 30 s and other sidecars wait 10 s
+RESOURCE_TIMEOUT_S = 5.0  # clients wait 30 s and other sidecars wait 10 s for a sidecar to start
 CURRENT_LIST_TIMEOUT_S = 4.5  # a process that takes over from another must be ready within 6 s
 
 _Result = TypeVar("_Result")
@@ -131,7 +131,7 @@
     Requests of clients accepted before a current list arrives would be forwarded to endpoints that are gone.
     """
     if watcher.watch is None:
-        watcher.watch_endpoints(True)  # noqa: FBT003 immediately: the policy would delay its first call by seconds
+        watcher.watch_endpoints(True)  # noqa: FBT003 the policy would start this watch only seconds later
     wait_tasks = [asyncio.create_task(event.wait()) for event in (watcher.has_current_list, stop)]
     await asyncio.wait(wait_tasks, timeout=CURRENT_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
     for task in wait_tasks:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,7 +12,7 @@
 from tests.processes import with_value, without_key, write_configuration
 
 
-def test_load_reads_settings_when_they_have_the_names_of_the_platform(tmp_path: Path) -> None:
+def test_load_reads_settings_when_keys_are_those_of_the_platform(tmp_path: Path) -> None:
     config: Configuration = load(str(write_configuration(tmp_path)))
     assert (config.seed, config.max_descriptors, config.idle_timeout_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.machine_types) == (["a", "b"], ["m"])
@@ -74,7 +74,7 @@
     [
         (5, "fleet.regions: expected lists of zones by region, found 5"),
         ({"south": "a"}, "fleet.regions: expected lists of zones by region, found {'south': 'a'}"),
-        ({"south": ["a"]}, "fleet.regions: expected each zone in a region, found 'b in none'"),
+        ({"south": ["a"]}, "fleet.regions: expected a region for each zone, found 'none for b'"),
     ],
 )
 def test_load_names_fleet_regions_when_they_are_wrong(tmp_path: Path, regions: object, message: str) -> None:
