--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -24,7 +24,7 @@
     assert lifecycle.state is LifecycleState.STARTING
     assert not lifecycle.serving
     assert not lifecycle.closing
-    lifecycle.undrain()  # no drain to end
+    lifecycle.undrain()  # has no effect because no drain is active
     lifecycle.start()
     assert lifecycle.serving
     assert lifecycle.closing_for_s == 0.0
@@ -55,7 +55,7 @@
     assert lifecycle.serving
 
 
-def test_sidecar_serves_on_and_returns_when_it_is_drained() -> None:
+def test_sidecar_serves_during_a_drain_and_is_ready_again_when_it_ends() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_with(OK))) as instance:
             assert await instance.call_admin("GET", "/_ready") == 200
@@ -150,7 +150,7 @@
     run(test)
 
 
-def test_load_prefers_the_admin_address_of_the_environment_when_both_have_one(tmp_path: Path) -> None:
+def test_load_prefers_the_admin_address_of_the_environment_when_the_file_also_has_one(tmp_path: Path) -> None:
     path = write_configuration(tmp_path)
     assert load(str(path)).admin is None
     path.write_text(json.dumps(json.loads(path.read_text()) | {"admin": "127.0.0.1:15000"}))
--- a/tests/test_interleaving_settings.py
+++ b/tests/test_interleaving_settings.py
@@ -19,8 +19,8 @@
 
 
 def headers(tenant: str | None) -> list[tuple[bytes, bytes]]:
-    named = [(b"X-Tenant", tenant.encode())] if tenant is not None else []
-    return [(b"X-Request-Id", b"1"), (b"X-Deadline-Ms", b"900"), (b"X-Class", b"read"), *named]
+    tenant_headers = [(b"X-Tenant", tenant.encode())] if tenant is not None else []
+    return [(b"X-Request-Id", b"1"), (b"X-Deadline-Ms", b"900"), (b"X-Class", b"read"), *tenant_headers]
 
 
 def test_router_and_policy_apply_no_tenant_limits_when_the_tenant_is_unknown() -> None:
@@ -30,9 +30,9 @@
     # Without tenants in the settings, the index is 0.
     assert RequestRouter(Settings(classes())).route(b"GET", b"/read/it", headers(None)).tenant_index == 0
 
-    host, plain = PolicyHost(settings(tenants=TENANTS, over_quota_weight=0.2)), PolicyHost()
+    host, host_without_tenants = PolicyHost(settings(tenants=TENANTS, over_quota_weight=0.2)), PolicyHost()
     weights = []
-    for policy_host in (host, plain):
+    for policy_host in (host, host_without_tenants):
         policy_host.update_endpoints(upstreams(2))
         request = policy_host.balancer.requests[policy_host.arrive(class_index=1, tenant_index=2)]
         weights.append(policy_host.balancer.admission.expected_weight(request))
@@ -67,7 +67,7 @@
             assert (http_request.class_index, http_request.tenant_index) == (class_index, tenant_index)
 
 
-def test_program_names_no_class_tenant_or_zone_when_searched_for_those_of_the_sites() -> None:
+def test_program_contains_no_class_tenant_or_zone_name_when_a_site_file_defines_it() -> None:
     """The program and the deploy file contain no class, tenant or zone name of any site."""
     files = [ROOT / "deploy" / "balancer.toml"]
     for package in ("policy", "simulator", "sidecar"):
--- a/tests/test_interleaving_stop.py
+++ b/tests/test_interleaving_stop.py
@@ -107,7 +107,8 @@
             # The upstream may have executed the outstanding requests.
             assert [await client.status() for client in outstanding] == [500, 500]
             assert [await client.status() for client in (idempotent, buffered, long)] == [503] * 3
-            assert await incomplete.status() == 408  # the time limit for receiving the request ended before
+            # The time limit for receiving the request ends before the final responses are due.
+            assert await incomplete.status() == 408
             assert await wait_for_exit(process) == 0
             assert len(upstream.requests) == 3
         upstream.stop()
@@ -228,7 +229,7 @@
             loop = asyncio.get_running_loop()
             process.send_signal(signal.SIGTERM)
             stopped_at_s = loop.time()
-            # The response must not wait for 2.7 s, when the time limit for receiving the request ends.
+            # The response must arrive before the time limit for receiving the request, which ends after 2.7 s.
             assert await incomplete.status() == 503
             assert loop.time() - stopped_at_s < 2.0
             assert not upstream.requests
--- a/tests/test_readiness_and_shutdown.py
+++ b/tests/test_readiness_and_shutdown.py
@@ -36,7 +36,8 @@
 
         async with sidecar(*upstreams) as instance:
             idle_reader, idle_writer = await instance.connect()
-            # A new connection gets time to send its first request, so this one sends it before the stop.
+            # Shutdown closes an idle connection immediately only if it has sent a request. A new connection gets time
+            # to send its first one.
             idle_writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert status(await read_message(idle_reader)) == 200
             reader, writer = await instance.connect()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -143,12 +143,12 @@
         await upstream.start()
         path = write_configuration(tmp_path, known=listing(entry("u0", upstream.port)))
         document = json.loads(path.read_text())
-        slow = with_value(document, "settings.request-classes.0.aim", 10_000_000)
-        slow = with_value(slow, "settings.request-classes.0.deadline", 20_000_000)
-        path.write_text(json.dumps(slow))
+        long_deadline_document = with_value(document, "settings.request-classes.0.aim", 10_000_000)
+        long_deadline_document = with_value(long_deadline_document, "settings.request-classes.0.deadline", 20_000_000)
+        path.write_text(json.dumps(long_deadline_document))
         host, port = document["listen"].split(":")
 
-        async def ask(class_name: str) -> int:
+        async def request_status(class_name: str) -> int:
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(request(class_name, "1", b"" if class_name == "read" else b"b"))
             response = await read_message(reader)
@@ -158,16 +158,16 @@
         with program(path) as process:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await wait_for_listener(int(port))
-                assert await ask("read") == 404
-                outstanding = asyncio.create_task(ask("pay"))
+                assert await request_status("read") == 404
+                outstanding = asyncio.create_task(request_status("pay"))
                 await until(lambda: len(upstream.requests) == 1)
                 read = {"name": "read", "aim": 300000, "deadline": 900000, "effect": "idempotent", "worth": 1.0}
-                path.write_text(json.dumps(with_value(slow, "settings.request-classes", [read])))
+                path.write_text(json.dumps(with_value(long_deadline_document, "settings.request-classes", [read])))
                 process.send_signal(signal.SIGHUP)
-                while await ask("read") != 200:
+                while await request_status("read") != 200:
                     pass
                 sent_count = len(upstream.requests)
-                assert await ask("pay") == 404
+                assert await request_status("pay") == 404
                 assert len(upstream.requests) == sent_count
                 release.set()
                 assert await outstanding == 200
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -36,7 +36,7 @@
 
 @contextlib.contextmanager
 def platform_socket() -> Iterator[socket.socket]:
-    """A listening socket for clients, as the platform holds it open across processes."""
+    """Yield a listening socket for clients, like the one that the platform holds open across processes."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         sock.listen(512)
@@ -44,13 +44,13 @@
 
 
 def test_open_inherited_socket_fails_when_it_is_not_a_listening_socket() -> None:
-    with tempfile.TemporaryFile() as file, socket.socket() as plain, platform_socket() as held:
+    with tempfile.TemporaryFile() as file, socket.socket() as plain, platform_socket() as shared_socket:
         for text in ("x", "-1", "", "1e3", "999999", "9" * 30, str(file.fileno())):
             with pytest.raises(ValueError, match="BALANCER_SOCKET_FD"):
                 open_inherited_socket(text)
         with pytest.raises(ValueError, match="not a listening socket"):
             open_inherited_socket(str(os.dup(plain.fileno())))
-        open_inherited_socket(str(os.dup(held.fileno()))).close()
+        open_inherited_socket(str(os.dup(shared_socket.fileno()))).close()
 
 
 @pytest.mark.parametrize("text", ["seven", "0"])
@@ -64,20 +64,20 @@
 
 def test_successor_accepts_clients_when_discovery_has_answered() -> None:
     async def test() -> None:
-        gone, upstream, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
+        removed_upstream, upstream, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
         await upstream.start()
-        with platform_socket() as held:
-            async with sidecar(gone, discovery=discovery, inherited=held) as instance:
+        with platform_socket() as shared_socket:
+            async with sidecar(removed_upstream, discovery=discovery, inherited=shared_socket) as instance:
                 await discovery.wait_for_watch()
                 waiting = asyncio.create_task(instance.send_request(request()))
                 assert await instance.call_admin("GET", "/_ready") == 503
                 assert not waiting.done()
-                assert not gone.requests
+                assert not removed_upstream.requests
                 discovery.send_update(listing(entry("u9", upstream.port), rev=2))
                 assert status(await waiting) == 200
                 assert await instance.call_admin("GET", "/_ready") == 200
                 assert len(upstream.requests) == 1
-                assert not gone.requests
+                assert not removed_upstream.requests
         upstream.stop()
 
     run(test)
@@ -87,8 +87,8 @@
     monkeypatch.setattr(startup, "CURRENT_LIST_TIMEOUT_S", 0.2)
 
     async def test() -> None:
-        with platform_socket() as held:
-            async with sidecar(Upstream(respond_with(OK)), inherited=held) as instance:
+        with platform_socket() as shared_socket:
+            async with sidecar(Upstream(respond_with(OK)), inherited=shared_socket) as instance:
                 assert status(await instance.send_request(request())) == 200
                 assert await instance.call_admin("GET", "/_ready") == 200
 
@@ -99,10 +99,10 @@
     async def test() -> None:
         upstream, second = Upstream(respond_with(OK)), Upstream(respond_with(OK))
         old_discovery, new_discovery = Discovery(), Discovery()
-        with platform_socket() as held:
+        with platform_socket() as shared_socket:
             async with (
-                sidecar(upstream, discovery=old_discovery, inherited=held) as old,
-                sidecar(second, discovery=new_discovery, inherited=held) as new,
+                sidecar(upstream, discovery=old_discovery, inherited=shared_socket) as old,
+                sidecar(second, discovery=new_discovery, inherited=shared_socket) as new,
             ):
                 await old_discovery.wait_for_watch()
                 old_discovery.send_update(listing(rev=1, full=False))
@@ -136,7 +136,7 @@
     run(test)
 
 
-def test_predecessor_alone_exits_when_it_receives_sigterm(tmp_path: Path) -> None:
+def test_only_the_predecessor_exits_when_it_receives_sigterm(tmp_path: Path) -> None:
     async def test() -> None:
         upstream, discovery = Upstream(respond_with(OK)), Discovery()
         await upstream.start()
@@ -144,9 +144,9 @@
         known = listing(entry("u0", upstream.port))
         path = write_configuration(tmp_path, known=known, discovery=f"127.0.0.1:{discovery.port}")
 
-        async def ask(port: int, ident: str) -> int:
+        async def request_status(port: int, request_id: str) -> int:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(request("pay", ident, b"b", deadline_ms=1000))
+            writer.write(request("pay", request_id, b"b", deadline_ms=1000))
             response = await read_message(reader)
             writer.close()
             return status(response)
@@ -159,12 +159,13 @@
             writer.write(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
             response = await read_message(reader)
             writer.close()
+            # An empty line on the watch tells the sidecars that the cached list is current, so that they become ready.
             for watch in discovery.writers:
                 watch.write(b"1\r\n\n\r\n")
             return status(response) == 200
 
-        with platform_socket() as held:
-            descriptor, port = held.fileno(), held.getsockname()[1]
+        with platform_socket() as shared_socket:
+            descriptor, port = shared_socket.fileno(), shared_socket.getsockname()[1]
             first, second = free_ports(2)
             with (
                 program(
@@ -177,11 +178,11 @@
                 async with asyncio.timeout(TEST_TIMEOUT_S):
                     while not (await ready(first) and await ready(second)):  # noqa: ASYNC110 - polls two processes
                         await asyncio.sleep(0.02)
-                    assert await ask(port, "0") == 200
+                    assert await request_status(port, "0") == 200
                     old.send_signal(signal.SIGTERM)
-                    assert [await ask(port, str(number)) for number in range(1, 60)] == [200] * 59
+                    assert [await request_status(port, str(number)) for number in range(1, 60)] == [200] * 59
                     assert await asyncio.to_thread(old.wait, TEST_TIMEOUT_S) == 0
-                    assert [await ask(port, str(number)) for number in range(60, 70)] == [200] * 10
+                    assert [await request_status(port, str(number)) for number in range(60, 70)] == [200] * 10
                     assert new.poll() is None
         upstream.stop()
         discovery.stop()
@@ -189,11 +190,11 @@
     asyncio.run(test())
 
 
-def test_sidecar_accepts_as_many_clients_when_it_shares_the_socket() -> None:
+def test_sidecar_serves_clients_on_a_third_of_the_descriptors_when_it_shares_the_socket() -> None:
     async def test() -> None:
         discovery = Discovery()
-        with platform_socket() as held:
-            async with sidecar(Upstream(respond_with(OK)), discovery=discovery, inherited=held) as instance:
+        with platform_socket() as shared_socket:
+            async with sidecar(Upstream(respond_with(OK)), discovery=discovery, inherited=shared_socket) as instance:
                 await discovery.wait_for_watch()
                 discovery.send_update(listing(rev=1, full=False))
                 clients = [await instance.connect() for _ in range(200 // 3)]
@@ -208,14 +209,14 @@
 def test_successor_accepts_no_client_when_it_is_stopped_before_it_is_ready() -> None:
     async def test() -> None:
         discovery = Discovery()
-        with platform_socket() as held:
-            async with sidecar(Upstream(respond_with(OK)), discovery=discovery, inherited=held) as instance:
+        with platform_socket() as shared_socket:
+            async with sidecar(Upstream(respond_with(OK)), discovery=discovery, inherited=shared_socket) as instance:
                 await discovery.wait_for_watch()
                 _, writer = await instance.connect()
                 instance.stop.set()
                 await instance.task
-                held.setblocking(False)
-                held.accept()[0].close()  # the connection still waits in the backlog
+                shared_socket.setblocking(False)
+                shared_socket.accept()[0].close()  # the connection still waits in the backlog
                 writer.close()
 
     run(test)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -25,7 +25,7 @@
 from tests.processes import program, write_configuration
 
 
-def test_program_is_ready_and_exits_with_0_when_sigterm_comes(tmp_path: Path) -> None:
+def test_program_is_ready_and_exits_with_0_when_it_receives_sigterm(tmp_path: Path) -> None:
     path = write_configuration(tmp_path)
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
     with program(path) as process:
@@ -43,7 +43,7 @@
         assert process.wait(TEST_TIMEOUT_S) == 0
 
 
-def test_program_answers_all_requests_that_ran_when_sigterm_comes_under_load(tmp_path: Path) -> None:
+def test_program_answers_all_executed_requests_when_it_receives_sigterm_under_load(tmp_path: Path) -> None:
     async def slow(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.05)
         writer.write(OK)
@@ -52,14 +52,14 @@
         """Send requests one after another until the connection closes, which may only happen once `stopped` is set."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for number in range(10_000):
-            ident = f"{name}-{number}"
+            request_id = f"{name}-{number}"
             try:
-                writer.write(request("pay", ident, b"b"))
+                writer.write(request("pay", request_id, b"b"))
                 head, _ = await read_message(reader)
             except (asyncio.IncompleteReadError, ConnectionError):
                 assert stopped.is_set()  # the sidecar closed the connection between requests
                 break
-            answered.add(ident)
+            answered.add(request_id)
             if b"Connection: close" in head:
                 assert stopped.is_set()
                 break
