--- a/garnetusher/sidecar/admin/server.py
+++ b/garnetusher/sidecar/admin/server.py
@@ -12,7 +12,7 @@
 from garnetusher.sidecar.addresses import Address
 from garnetusher.sidecar.admin.messages import AdminRequest, AdminResponse, Route
 from garnetusher.sidecar.downstream.listener import Listener, open_listening_socket
-from garnetusher.sidecar.downstream.response_writer import REASONS
+from garnetusher.sidecar.downstream.response_writer import REASON_PHRASES
 from garnetusher.sidecar.downstream.server import LISTEN_RETRY_TIMEOUT_S
 
 log = logging.getLogger(__name__)
@@ -135,7 +135,7 @@
 def _serialize(response: AdminResponse) -> bytes:
     body = response.text.encode() + b"\n"
     lines = [
-        b"HTTP/1.1 %d %s" % (response.status, REASONS[response.status]),
+        b"HTTP/1.1 %d %s" % (response.status, REASON_PHRASES[response.status]),
         b"Content-Type: text/plain",
         b"Connection: close",
         b"Content-Length: %d" % len(body),
--- a/garnetusher/sidecar/downstream/arrival_time.py
+++ b/garnetusher/sidecar/downstream/arrival_time.py
@@ -15,7 +15,8 @@
 # Bytes that are read within this time after the set-up of a connection or after a previous read may have arrived
 # together with the connection or with the previous bytes.
 BURST_WINDOW_US = 20_000
-# While a body keeps arriving after a pause of this process, bytes read this long after the first ones are new.
+# While a body keeps arriving after a pause of this process, bytes that are read this long after the first bytes of a
+# burst count as having arrived after the pause.
 MAX_BURST_US = 500_000
 
 
@@ -42,7 +43,7 @@
     Attributes:
         accepted_us: The earliest time at which the client may have connected.
         arrived_us: The earliest time at which the most recently read bytes may have arrived.
-        paused_since_us: The time since when reading of the body is paused; 0 while it is not paused.
+        paused_since_us: The time at which reading of the body was paused; 0 while it is not paused.
     """
 
     def __init__(
@@ -67,8 +68,8 @@
         self.arrived_us = 0
         self.paused_since_us = 0
         self._read_at_us = 0  # the time of the most recent read
-        self._incomplete_at_us = 0  # the last time at which the kernel did not hold all of the rest of a paused body
-        self._complete_since_us = 0  # the earliest time at which it held all of the rest; 0 if not seen yet
+        self._incomplete_at_us = 0  # the last time at which some bytes of a paused body had not reached the kernel
+        self._complete_since_us = 0  # the earliest time at which all of a paused body may have arrived; 0 if unknown
 
     def start_reading(self) -> int:
         """Record that the event loop starts to read the connection now, and return the current time."""
@@ -104,7 +105,7 @@
         self._incomplete_at_us = 0
 
     def complete_unread_since_us(self, missing_size: int | None) -> int:
-        """Return the earliest time at which the kernel may have held all of a paused body; 0 if it is not known to.
+        """Return the earliest time at which the kernel may have held the whole rest of a paused body; 0 if unknown.
 
         The client's deadline runs from that time, although the last byte has not been read.
 
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -24,7 +24,7 @@
 
 CHECK_INTERVAL_S = 0.1  # interval between time-out checks of all connections
 BODY_MEMORY_TIMEOUT_US = 5_000_000  # maximum wait for free memory for a long body
-RESTART_RETRY_AFTER_US = 1_000_000  # a new process has replaced a stopping one by then
+RESTART_RETRY_AFTER_US = 1_000_000  # time within which a new process replaces one that is stopping
 LINGER_CHECK_INTERVAL_S = 1.0  # interval between checks whether a client has read its last response
 
 
@@ -44,9 +44,9 @@
         reader: Parses the current request.
         writer: Writes the current response.
         arrival_times: Estimates when the bytes that were read arrived.
-        has_open_request: Whether the dispatcher has a request from this connection without a final response.
-        has_sent_valid_request: Whether the client has sent a valid request. Each further request then has the full
-            read time-out.
+        has_open_request: Whether the dispatcher handles a request from this connection; False after the response.
+        has_sent_valid_request: Whether the client has sent a valid request. After the first valid request, each
+            further request has the full read time-out.
         idle_since_us: The latest time at which the connection was set up, finished a response, or discarded input.
     """
 
@@ -103,8 +103,8 @@
         """Handle the end of the client's input and return whether the connection stays open.
 
         Until something is written, the socket does not show whether the client has disconnected or has only closed
-        its sending side and waits for the response. The client therefore gets a response, but nothing more is
-        forwarded for it.
+        its sending side and waits for the response. The client therefore gets a response, but the sidecar
+        forwards no further attempts of its request.
         """
         if not (self.has_open_request and self.reader.complete):
             if self.writer.source is not None:
@@ -212,7 +212,7 @@
             self.server.dispatcher.on_body_complete(self._request_id, arrived_us)
 
     def pause_body(self) -> None:
-        """Pause reading the body because no upstream attempt takes it."""
+        """Pause reading the body because no upstream attempt is ready to receive it."""
         if self.reader.upload is None or self.reader.complete:
             return
         self.arrival_times.pause()
@@ -335,7 +335,10 @@
         self._on_response_complete()
 
     def _decide_close(self, *, close: bool) -> None:
-        """Decide whether to close after the response; the rest of an incomplete body would be read as a request."""
+        """Decide whether the connection closes after the response.
+
+        It closes if the body is incomplete, because the rest of the body would be parsed as the next request.
+        """
         if close or not self.reader.complete or self.server.lifecycle.closing:
             self._close_after_response = True
 
@@ -374,7 +377,7 @@
         """Abort the connection when the client has received the whole response and has stopped sending.
 
         Args:
-            deadline_us: The time after which a client that keeps sending is no longer waited for.
+            deadline_us: The time after which the connection is aborted even if the client keeps sending.
         """
         now_us = monotonic_us()
         still_sends = self.idle_since_us + LINGER_CHECK_INTERVAL_S * 1e6 > now_us and deadline_us > now_us
@@ -410,7 +413,9 @@
     # Time-outs
 
     def check_timeouts(self, now_us: int) -> None:
-        """Apply the time-outs; a client that sends nothing or a partial request would otherwise stay connected forever.
+        """Apply the time-outs.
+
+        Without them, a client that sends nothing or only part of a request would stay connected forever.
 
         Args:
             now_us: The time of the check, which is the same for all connections.
@@ -438,7 +443,7 @@
             self.server.dispatcher.on_body_stalled(self._request_id)
 
     def _must_respond_before_next_check(self, now_us: int) -> bool:
-        """Return whether the request's deadline nearly expires although its fully arrived body cannot be read."""
+        """Return whether a request whose body has arrived, but is not read, needs a response before the next check."""
         complete_since_us = self._complete_unread_since_us()
         http_request = self.reader.http_request
         if not complete_since_us or http_request is None:
--- a/garnetusher/sidecar/downstream/listener.py
+++ b/garnetusher/sidecar/downstream/listener.py
@@ -16,19 +16,19 @@
 )
 
 MAX_ACCEPTS_PER_ROUND = 64  # limit per event loop iteration, so that established connections are served too
-MAX_SETUP_TRIES = int(1 / RETRY_INTERVAL_S)  # tries to add an accepted connection to the event loop, in about 1 s
+MAX_SETUP_TRIES = int(1 / RETRY_INTERVAL_S)  # maximum tries to add a connection to the event loop; they take about 1 s
 
 
 class Listener:
-    """Accepts connections at one listening socket.
+    """Accepts connections on one listening socket.
 
     When accept fails for lack of descriptors or memory, asyncio's own listener pauses for a second. That is longer
     than many clients wait, and asyncio's timer still fires after the socket is closed.
 
     Attributes:
         sock: The listening socket.
-        accept_failures: Records since when accept has failed.
-        retry_timer: Resumes accepting after a shortage; None while accepting is not paused by one.
+        accept_failures: Records the start of the current series of accept failures.
+        retry_timer: Resumes accepting after a shortage; None unless a shortage has paused accepting.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
                     self.pause()
                     self.retry_timer = self._loop.call_later(RETRY_INTERVAL_S, self.start)
                     return False
-                continue  # the error belongs to the connection, which the kernel has removed
+                continue  # the error concerns one connection, which the kernel has removed from the queue
             self._set_up(ShortageTolerantSocket.adopt(connection))
         return False
 
--- a/garnetusher/sidecar/downstream/request_reader.py
+++ b/garnetusher/sidecar/downstream/request_reader.py
@@ -16,9 +16,9 @@
 MAX_HEAD_SIZE = 16 * 1024  # bytes
 READ_TIMEOUT_US = 2_700_000  # time for a whole request; a new client must get a response or a close within 3 s
 FIRST_BODY_TIMEOUT_US = 900_000  # time for the first body bytes after the head, which may have taken 2 s
-MIN_BODY_RATE = 32_000  # bytes/s that extend the deadline as fast as time passes; half the rate of a slow client
-MAX_DEADLINE_AHEAD_US = 5_000_000  # the maximum time from now to which body bytes extend the deadline
-MAX_FRAMING_SIZE = 64 * 1024  # bytes of chunked framing that any body may have
+MIN_BODY_RATE = 32_000  # bytes/s; at this rate, the deadline moves with the clock; half the rate of a slow client
+MAX_DEADLINE_AHEAD_US = 5_000_000  # maximum time from now until a deadline that body bytes extend
+MAX_FRAMING_SIZE = 64 * 1024  # bytes of chunked framing that a body of any size may have
 MAX_FRAMING_PER_BODY_BYTE = 16  # additional framing bytes per body byte, because chunks may be of any size
 READINESS_TARGET = b"/up"
 
@@ -38,7 +38,7 @@
         state: The part of the request that is being read.
         message_started_us: The time at which the first bytes of the request were read; 0 before that.
         deadline_us: The time at which reading times out.
-        has_extra_bytes: Whether more bytes followed the request before its response.
+        has_extra_bytes: Whether the client sent more bytes after the request without waiting for the response.
         keep_alive: Whether the client wants to keep the connection open after the response.
         is_http_1_0: Whether the client uses HTTP/1.0, which has no chunked framing.
         body: The buffered part of the body.
@@ -59,7 +59,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Reset the state for the connection's next request; the deadline stays until its first bytes arrive."""
+        """Reset the state for the connection's next request; the deadline stays until that request starts."""
         self.state = ReadState.HEAD
         self.message_started_us = 0
         self.keep_alive = True
@@ -188,7 +188,7 @@
     # Parser callbacks. They ignore data after a complete request.
 
     def on_message_begin(self) -> None:
-        """Record that another request follows one that has no response yet."""
+        """Record a further request that arrives before the response to the current request."""
         if self.complete:
             self.has_extra_bytes = True
 
--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -11,7 +11,7 @@
 WRITE_BUFFER_LIMIT = 32 * 1024  # number of unsent bytes above which the source of a streamed response is paused
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 PIPELINING_RESPONSE = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -29,21 +29,21 @@
     """Return a status line with headers.
 
     Args:
-        status: A status from `REASONS`.
+        status: A status from `REASON_PHRASES`.
         headers: Header lines, each with its line end.
         close: Whether to add `Connection: close`.
     """
     connection = b"Connection: close\r\n" if close else b""
-    return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (status, REASONS[status], headers, connection)
+    return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (status, REASON_PHRASES[status], headers, connection)
 
 
 def content_type_header(content_type: bytes) -> bytes:
-    """Return a Content-Type header line, or nothing for an empty type."""
+    """Return a Content-Type header line, or empty bytes for an empty type."""
     return b"Content-Type: %s\r\n" % content_type if content_type else b""
 
 
 def retry_after_header(retry_after_us: int) -> bytes:
-    """Return a Retry-After header line, or nothing for 0."""
+    """Return a Retry-After header line, or empty bytes for a delay of 0."""
     return b"Retry-After: %.3f\r\n" % (retry_after_us / 1e6) if retry_after_us else b""
 
 
@@ -56,7 +56,7 @@
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._blocked_since_us = 0  # start of the time without progress; 0 while writing is not paused
+        self._blocked_since_us = 0  # the time of the last progress while writing is paused; 0 while it is not paused
         self._blocked_size = 0  # the number of unsent bytes at the last check
         self.reset()
 
@@ -97,7 +97,7 @@
         self.transport.write(CONTINUE_RESPONSE)
 
     def write_pipelining_error(self) -> None:
-        """Write an error response to input that followed a request before its response."""
+        """Write an error response to bytes that the client sent without waiting for the response to its request."""
         self.transport.write(PIPELINING_RESPONSE)
 
     def write_response(self, status: int, body: bytes, headers: bytes, *, close: bool) -> None:
--- a/garnetusher/sidecar/downstream/router.py
+++ b/garnetusher/sidecar/downstream/router.py
@@ -58,43 +58,43 @@
         Raises:
             RequestRejected: The class is unknown, or the head violates the rules of the class.
         """
-        values = {name.lower(): value for name, value in headers}
-        class_index = self._find_class(target, values)
-        self._check_class_rules(class_index, method, values)
-        affinity_key = values.get(b"x-key")
-        cost_hint = values.get(b"x-cost-hint")
+        header_values = {name.lower(): value for name, value in headers}
+        class_index = self._find_class(target, header_values)
+        self._check_class_rules(class_index, method, header_values)
+        affinity_key = header_values.get(b"x-key")
+        cost_hint = header_values.get(b"x-cost-hint")
         return HttpRequest(
             method,
             target,
             [(name, value) for name, value in headers if name.lower() not in CONNECTION_HEADERS],
             b"",
             monotonic_us(),
-            client_timeout_us=1000 * parse_integer(values.get(b"x-deadline-ms", b""), "X-Deadline-Ms"),
+            client_timeout_us=1000 * parse_integer(header_values.get(b"x-deadline-ms", b""), "X-Deadline-Ms"),
             class_index=class_index,
-            tenant_index=self._tenant_index(values),
+            tenant_index=self._tenant_index(header_values),
             affinity_key=hash(affinity_key) & AFFINITY_KEY_MASK if affinity_key else 0,
             expected_work_us=parse_integer(cost_hint, "X-Cost-Hint") if cost_hint else 0,
-            client_retry=values.get(b"x-retry") == b"1",
-            client_request_id=values[b"x-request-id"].decode("latin-1"),
+            client_retry=header_values.get(b"x-retry") == b"1",
+            client_request_id=header_values[b"x-request-id"].decode("latin-1"),
         )
 
-    def _find_class(self, target: bytes, values: dict[bytes, bytes]) -> int:
-        """Return the index of the class that the first path segment names; an X-Class header must name the same."""
+    def _find_class(self, target: bytes, header_values: dict[bytes, bytes]) -> int:
+        """Return the index of the class in the first path segment; an X-Class header, if present, must match it."""
         class_name = target.split(b"?")[0].lstrip(b"/").split(b"/")[0]
         class_index = self.class_indexes.get(class_name)
-        if class_index is None or values.get(b"x-class", class_name) != class_name:
+        if class_index is None or header_values.get(b"x-class", class_name) != class_name:
             raise RequestRejected(404, "unknown class")
         return class_index
 
-    def _check_class_rules(self, class_index: int, method: bytes, values: dict[bytes, bytes]) -> None:
-        if not values.get(b"x-request-id"):
+    def _check_class_rules(self, class_index: int, method: bytes, header_values: dict[bytes, bytes]) -> None:
+        if not header_values.get(b"x-request-id"):
             raise RequestRejected(400, "no X-Request-Id")
         effect = self.settings.classes[class_index].effect
         if method != (b"GET" if effect == "idempotent" else b"POST"):
             raise RequestRejected(400, "not the method of this class")
-        if effect == "deduplicated" and not values.get(b"idempotency-key"):
+        if effect == "deduplicated" and not header_values.get(b"idempotency-key"):
             raise RequestRejected(400, "no Idempotency-Key")
 
-    def _tenant_index(self, values: dict[bytes, bytes]) -> int:
-        """Return the tenant's index, or the number of tenants for an unknown or missing one."""
-        return self.tenant_indexes.get(values.get(b"x-tenant", b""), len(self.tenant_indexes))
+    def _tenant_index(self, header_values: dict[bytes, bytes]) -> int:
+        """Return the tenant's index, or the number of tenants if the tenant is unknown or missing."""
+        return self.tenant_indexes.get(header_values.get(b"x-tenant", b""), len(self.tenant_indexes))
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -32,7 +32,7 @@
         router: The router for the current settings; replaced when the settings change.
         connections: All connections in the order in which they were set up.
         body_memory: Limits the memory for bodies that exceed the buffer limit.
-        event_loop_lag: Estimates how long ago the bytes that are read now may have arrived.
+        event_loop_lag: Estimates the earliest time at which bytes that are read now may have arrived.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients should send requests here."""
+        """Whether clients should send requests to this sidecar."""
         return self.dispatcher.ready and self.lifecycle.serving
 
     @property
@@ -125,8 +125,8 @@
         loop = asyncio.get_running_loop()
         loop.call_later(CHECK_INTERVAL_S, self.check_connections)
         now_us = monotonic_us()
-        # After a pause of the process, this timer may run before the event loop has read what arrived meanwhile. For
-        # two more iterations, the estimate therefore uses the previous check.
+        # After a pause of the process, this timer may run before the event loop has read the bytes that arrived during
+        # the pause. For two more iterations, the estimate therefore uses the previous check.
         loop.call_soon(loop.call_soon, self.event_loop_lag.record_check, now_us, int(CHECK_INTERVAL_S * 1e6))
         for connection in list(self.connections):
             connection.check_timeouts(now_us)
@@ -141,7 +141,7 @@
         retry that request.
 
         Args:
-            idle_since_us: The latest start of the idle time of a connection to close.
+            idle_since_us: The limit; connections that became idle later stay open.
         """
         new_idle_since_us = min(idle_since_us, monotonic_us() - MIN_IDLE_US)
         for connection in list(self.connections):
--- a/tests/downstream.py
+++ b/tests/downstream.py
@@ -58,8 +58,8 @@
         def on_request(self, http_request: HttpRequest, sink: object) -> int:
             return 1
 
-    client = DownstreamConnection(
+    client_connection = DownstreamConnection(
         DownstreamServer(cast(RequestDispatcher, NullDispatcher()), settings, 100, Lifecycle())
     )
-    client.connection_made(transport or NullTransport())
-    return client
+    client_connection.connection_made(transport or NullTransport())
+    return client_connection
--- a/tests/net.py
+++ b/tests/net.py
@@ -99,9 +99,9 @@
     """
 
     async def script(
-        upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        response = responses[min(number, len(responses) - 1)]
+        response = responses[min(request_index, len(responses) - 1)]
         if not response:
             writer.transport.abort()
             raise ConnectionResetError
@@ -112,7 +112,7 @@
 
 
 async def never_respond(
-    upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     await reader.read()
     raise ConnectionResetError
@@ -186,11 +186,11 @@
 
 
 def attempt_at(
-    pool: ConnectionPool, address: Address, ended: Callable[[AttemptResult], None], body: bytes = b""
+    pool: ConnectionPool, address: Address, on_ended: Callable[[AttemptResult], None], body: bytes = b""
 ) -> UpstreamAttempt:
     """Return an attempt that may be written at any time; its head starts with `POST /pay`."""
-    call = HttpRequest(b"POST", b"/pay", [], body, 0, 0, 1)
-    return UpstreamAttempt(pool.loop, address, call, permit_write, ended, lambda head, source: None)
+    http_request = HttpRequest(b"POST", b"/pay", [], body, 0, 0, 1)
+    return UpstreamAttempt(pool.loop, address, http_request, permit_write, on_ended, lambda head, source: None)
 
 
 def free_ports(count: int) -> list[int]:
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -79,46 +79,46 @@
 @pytest.mark.parametrize("sent", [[], [b"GET /read HT"], [request(), b"GET /read HT"]])
 def test_connection_closes_within_3_s_when_request_stays_incomplete(sent: list[bytes]) -> None:
     async def test() -> None:
-        client = new_connection()
+        client_connection = new_connection()
         for data in sent:
-            client.data_received(data)
-            if client.has_open_request:
-                client.send_response(FinalResponse(Disposition.FAILED))
-        started_us = client.reader.message_started_us or client.arrival_times.accepted_us
-        client.check_timeouts(started_us + 2_400_000)
-        assert not client.closing
-        client.check_timeouts(started_us + 2_900_000)
+            client_connection.data_received(data)
+            if client_connection.has_open_request:
+                client_connection.send_response(FinalResponse(Disposition.FAILED))
+        started_us = client_connection.reader.message_started_us or client_connection.arrival_times.accepted_us
+        client_connection.check_timeouts(started_us + 2_400_000)
+        assert not client_connection.closing
+        client_connection.check_timeouts(started_us + 2_900_000)
         for _ in range(2):  # the event loop iterations in which a pending request would be read
             await asyncio.sleep(0)
-        assert client.closing
+        assert client_connection.closing
 
     run(test)
 
 
 def test_connection_stays_open_when_idle_between_requests() -> None:
     async def test() -> None:
-        client = new_connection()
-        client.data_received(request())
-        client.send_response(FinalResponse(Disposition.FAILED))
-        client.check_timeouts(client.arrival_times.accepted_us + 60_000_000)
-        assert client.idle
+        client_connection = new_connection()
+        client_connection.data_received(request())
+        client_connection.send_response(FinalResponse(Disposition.FAILED))
+        client_connection.check_timeouts(client_connection.arrival_times.accepted_us + 60_000_000)
+        assert client_connection.idle
 
     run(test)
 
 
-def test_server_closes_unproven_connections_first_when_at_limit() -> None:
+def test_server_closes_connections_without_valid_request_first_when_at_limit() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_with(OK))) as running:  # limited to 200 descriptors
             reader, writer = await running.connect()
             writer.write(request())
             assert status(await read_message(reader)) == 200
-            unproven_clients = [await running.connect() for _ in range(150)]
-            for _, unproven_writer in unproven_clients:
-                unproven_writer.write(b"GET /read HT")
+            incomplete_clients = [await running.connect() for _ in range(150)]
+            for _, incomplete_writer in incomplete_clients:
+                incomplete_writer.write(b"GET /read HT")
             writer.write(request())
             assert status(await read_message(reader)) == 200
-            for _, unproven_writer in unproven_clients:
-                unproven_writer.close()
+            for _, incomplete_writer in incomplete_clients:
+                incomplete_writer.close()
             writer.close()
 
     run(test)
--- a/tests/test_interleaving_clients.py
+++ b/tests/test_interleaving_clients.py
@@ -24,7 +24,7 @@
         respond = asyncio.Event()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             await respond.wait()
             writer.write(OK)
@@ -71,7 +71,7 @@
         respond = asyncio.Event()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(response[:-1])
             await respond.wait()
@@ -98,7 +98,7 @@
         respond = asyncio.Event()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             await respond.wait()
             writer.transport.abort()
@@ -126,16 +126,16 @@
     async def test() -> None:
         upstream = Upstream(respond_with(OK))
         async with sidecar(upstream) as running:
-            _, first = await running.connect()
-            first.write(upload_request(b"x" * 200_000)[:-1])
+            _, first_writer = await running.connect()
+            first_writer.write(upload_request(b"x" * 200_000)[:-1])
             await asyncio.sleep(0.2)
-            _, second = await running.connect()
-            second.write(upload_request(b"y" * 180_000))
-            await second.drain()
+            _, second_writer = await running.connect()
+            second_writer.write(upload_request(b"y" * 180_000))
+            await second_writer.drain()
             await asyncio.sleep(0.2)
-            second.close()
+            second_writer.close()
             await asyncio.sleep(3 * MAX_FORWARD_DELAY_S)
-            first.transport.abort()
+            first_writer.transport.abort()
             await asyncio.sleep(0.3)
             assert not upstream.requests
             response = await running.send_request(upload_request(b"z" * 180_000))  # memory for this body is free again
--- a/tests/test_streamed_bodies.py
+++ b/tests/test_streamed_bodies.py
@@ -16,9 +16,9 @@
 from tests.streams import LONG_BODY, FunctionUpstream, read_body, upload_request
 
 
-@pytest.mark.parametrize("chunks", [0, 4000])
+@pytest.mark.parametrize("chunk_size", [0, 4000])
 @pytest.mark.parametrize("size", [10, 70_000, len(LONG_BODY)])
-def test_sidecar_forwards_body_unchanged_in_every_length_and_framing(size: int, chunks: int) -> None:
+def test_sidecar_forwards_body_unchanged_in_every_length_and_framing(size: int, chunk_size: int) -> None:
     async def test() -> None:
         received = []
 
@@ -30,7 +30,7 @@
         async with sidecar(FunctionUpstream(handle)) as running:
             reader, writer = await running.connect()
             for _ in range(2):
-                writer.write(upload_request(LONG_BODY[:size], chunks, "X-Mine: 1\r\n"))
+                writer.write(upload_request(LONG_BODY[:size], chunk_size, "X-Mine: 1\r\n"))
                 assert await read_message(reader) != (b"", b"")
                 assert received.pop()[1] == LONG_BODY[:size]
             writer.close()
@@ -38,7 +38,7 @@
     run(test)
 
 
-def test_sidecar_streams_long_body_and_starts_its_deadline_at_the_end_of_body() -> None:
+def test_sidecar_streams_long_body_and_starts_deadline_at_end_of_body() -> None:
     async def test() -> None:
         first_part_received = asyncio.Event()
 
@@ -185,36 +185,36 @@
 
     source = RecordingSource()
     reading_states, not_replayable_calls = source.reading_states, source.not_replayable_calls
-    body = Upload(b"held", None, source)
+    upload = Upload(b"held", None, source)
     first, second = RecordingSink(), RecordingSink()
-    assert body.attach(first) == b"held"
-    body.detach(first)
+    assert upload.attach(first) == b"held"
+    upload.detach(first)
     assert reading_states == [True, False]
     assert not not_replayable_calls
-    assert body.attach(second) == b"held"
-    body.detach(first)  # no effect, because another attempt is attached
-    body.feed(b"more")
-    body.finish()
+    assert upload.attach(second) == b"held"
+    upload.detach(first)  # no effect, because another attempt is attached
+    upload.feed(b"more")
+    upload.finish()
     assert second.received == b"more."
     assert not_replayable_calls == [True]
-    assert body.buffered == b""
+    assert upload.buffered == b""
     assert reading_states[-1]
 
 
 def test_connection_rejects_body_when_its_class_is_removed_before_the_end() -> None:
     async def test() -> None:
-        client = new_connection()
+        client_connection = new_connection()
         data = request("pay", body=LONG_BODY)
-        client.data_received(data[:1000])
-        client.server.router = RequestRouter(Settings([RequestClass("read", 1_000_000, 2_000_000)]))
-        client.data_received(data[1000:70_000])
-        assert client.closing
-        assert not client.has_open_request
+        client_connection.data_received(data[:1000])
+        client_connection.server.router = RequestRouter(Settings([RequestClass("read", 1_000_000, 2_000_000)]))
+        client_connection.data_received(data[1000:70_000])
+        assert client_connection.closing
+        assert not client_connection.has_open_request
 
     run(test)
 
 
-def test_sidecar_sheds_when_upstream_stops_taking_long_body(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sidecar_sheds_when_upstream_stops_reading_long_body(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "STALL_TIMEOUT_US", 500_000)
 
     async def test() -> None:
--- a/tests/test_streaming_memory.py
+++ b/tests/test_streaming_memory.py
@@ -89,16 +89,16 @@
 
     async def test() -> None:
         transport = RecordingTransport()
-        client = new_connection(transport)
-        client.server.body_memory.free = 0
-        client.server.router = RequestRouter(Settings(classes(), max_retry_after_us=2_000_000))
-        client.data_received(request("pay", body=LONG_BODY)[:70_000])
-        assert not client.has_open_request
-        client.check_timeouts(client.arrival_times.paused_since_us + 4_000_000)
+        client_connection = new_connection(transport)
+        client_connection.server.body_memory.free = 0
+        client_connection.server.router = RequestRouter(Settings(classes(), max_retry_after_us=2_000_000))
+        client_connection.data_received(request("pay", body=LONG_BODY)[:70_000])
+        assert not client_connection.has_open_request
+        client_connection.check_timeouts(client_connection.arrival_times.paused_since_us + 4_000_000)
         assert not transport.sent
-        client.check_timeouts(client.arrival_times.paused_since_us + 6_000_000)
+        client_connection.check_timeouts(client_connection.arrival_times.paused_since_us + 6_000_000)
         assert transport.sent.startswith(b"HTTP/1.1 503 ")
         assert b"Retry-After: 2.000\r\n" in transport.sent
-        assert not client.server.body_memory.waiting
+        assert not client_connection.server.body_memory.waiting
 
     run(test)
