--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -103,8 +103,8 @@
         """Handle the end of the client's input and return whether the connection stays open.
 
         Until something is written, the socket does not show whether the client has disconnected or has only closed
-        its sending side and waits for the response. The client therefore gets a response, but the sidecar
-        forwards no further attempts of its request.
+        its sending side and waits for the response. The client therefore gets a response, but the sidecar forwards no
+        further attempts of its request.
         """
         if not (self.has_open_request and self.reader.complete):
             if self.writer.source is not None:
