--- a/garnetusher/sidecar/discovery/endpoint_list.py
+++ b/garnetusher/sidecar/discovery/endpoint_list.py
@@ -18,14 +18,14 @@
 )
 from garnetusher.sidecar.discovery.start_times import StartTimes
 
-# Number of entries that are parsed or applied in one iteration of the event loop, which takes about 5 ms. An iteration
-# with 10,000 entries would delay all requests by 100 ms.
+# Maximum number of entries that one iteration of the event loop parses or applies; such an iteration takes about 5 ms.
+# An iteration with 10,000 entries would delay all requests by 100 ms.
 BATCH_SIZE = 500
 
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """The changes that an endpoint list makes: an event for the policy, and the addresses of the listed endpoints."""
+    """The result of applying a list or a batch: an event for the policy, and the addresses of the endpoints."""
 
     event: EndpointsUpdated
     addresses: dict[int, Address]
@@ -50,7 +50,7 @@
         self._entries: list[ListEntry] | None = None
 
     def entries(self) -> list[ListEntry]:
-        """Return the entries of the batch, which the first call parses.
+        """Return the parsed entries of the batch; the first call parses them.
 
         Raises:
             EndpointListError: an entry is malformed.
@@ -67,8 +67,8 @@
     Each uid gets a numeric id, and start times are converted to the sidecar's monotonic clock.
 
     Attributes:
-        zones: names of the zones; the policy identifies a zone by its index here.
-        machine_types: names of the machine types; the policy identifies a machine type by its index here.
+        zones: names of the zones; the policy identifies a zone by its index in this list.
+        machine_types: names of the machine types; the policy identifies a machine type by its index in this list.
         endpoint_ids: numeric id of each listed endpoint, by uid.
     """
 
@@ -80,12 +80,12 @@
         self._start_times = StartTimes(monotonic_us)
 
     def split(self, received: RawList) -> list[ListBatch]:
-        """Return a list as batches; applying them in order has the same effect as applying the list as a whole.
+        """Return the batches of `received`; applying them in order has the same effect as applying all of it.
 
-        A long snapshot becomes deltas; the first of them remove the endpoints that are no longer listed.
+        A long snapshot becomes several deltas, which first remove the endpoints that the snapshot does not list.
 
         Raises:
-            EndpointListError: an entry has no valid start time or uid; other errors are raised when a batch is parsed.
+            EndpointListError: an entry has no valid start time or uid; parsing the batches detects other invalid values.
         """
         # The start times of the whole list are observed first, as they affect the estimate for every entry.
         self._start_times.observe(parse_start_times_ms(received.entries))
@@ -111,7 +111,7 @@
             version: version of the list.
 
         Returns:
-            The update for the policy and for the connections.
+            The event for the policy, and the addresses of the endpoints in `entries`.
         """
         self._start_times.observe(entry.started_ms for entry in entries)
         endpoints: list[Endpoint] = []
--- a/garnetusher/sidecar/discovery/list_reader.py
+++ b/garnetusher/sidecar/discovery/list_reader.py
@@ -62,8 +62,8 @@
         try:
             document: object = json.loads(self._partial_list)
         except json.JSONDecodeError as error:
-            is_cut_short = error.pos >= len(error.doc)
-            if not self._partial_list.startswith(b"{") or not is_cut_short:
+            is_truncated = error.pos >= len(error.doc)
+            if not self._partial_list.startswith(b"{") or not is_truncated:
                 raise
             return None
         self._partial_list = b""
--- a/garnetusher/sidecar/discovery/messages.py
+++ b/garnetusher/sidecar/discovery/messages.py
@@ -28,7 +28,7 @@
 STATUSES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 REMOVED_ADDRESS: Address = ("0.0.0.0", 1)  # placeholder in an entry that reports a removal
 
-WHOLE_LIST = -1  # stands in place of an entry's index for the list itself
+WHOLE_LIST = -1  # an index that denotes the list itself instead of one of its entries
 _CONVERSION_ERRORS = (TypeError, KeyError, ValueError, OverflowError)
 _Number = TypeVar("_Number", int, float)
 
@@ -45,11 +45,11 @@
         uid: name of the endpoint, unique and never reused; a string in the protocol, but any JSON scalar is accepted.
         address: address on which the endpoint listens.
         zone: name of the endpoint's zone; only compared with the configured names, so its type is not checked.
-        machine_type: name of the endpoint's machine type; not type-checked either.
+        machine_type: name of the endpoint's machine type; its type is not checked, as for `zone`.
         cell: group of replicas that the endpoint belongs to.
         status: whether requests may be sent to the endpoint.
         weight: relative capacity of the endpoint.
-        started_ms: start time of the endpoint in Unix time; 0 means long ago.
+        started_ms: start time of the endpoint in Unix time; 0 means that it started too long ago to matter.
     """
 
     uid: Hashable
@@ -88,7 +88,7 @@
 
 
 def parse_cached_list(document: object) -> RawList:
-    """Return the cached endpoint list in a JSON document, which is always a snapshot, even if it has no key for that.
+    """Return the cached endpoint list in a JSON document; it is always a snapshot, even if `KEY_SNAPSHOT` is missing.
 
     Raises:
         EndpointListError: the document is not an endpoint list.
--- a/garnetusher/sidecar/discovery/start_times.py
+++ b/garnetusher/sidecar/discovery/start_times.py
@@ -2,10 +2,10 @@
 
 No wall clock can be trusted alone, neither this machine's nor another's: either may have been stepped by seconds or by
 an hour. If the estimate makes a newly started endpoint too old, all sidecars together send it the load of a warmed-up
-endpoint, and it fails. If the estimate makes the endpoint too young, it only serves less during one warm-up. So this
-module uses the lowest possible value of the current Unix time: the newest start time that a list has reported, which is
-in the past, plus the time that has passed since the report. The wall clock is an upper limit for this value, as one
-endpoint's clock may be ahead.
+endpoint, and it fails. If the estimate makes the endpoint too young, the endpoint only gets less load during one
+warm-up. So this module uses the lowest possible value of the current Unix time: the newest start time that a list has
+reported, plus the time that has passed since the report. The current time cannot be lower, as a reported start time is
+in the past. The wall clock is an upper limit for this value, as one endpoint's clock may be ahead.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
         """
         self._clock_us = clock_us
         self._wall_us = wall_us
-        self._wall_offset_us: int | None = None  # lowest possible Unix time minus monotonic time
+        self._wall_offset_us: int | None = None  # lowest possible difference between Unix time and monotonic time
         self._estimates: dict[Hashable, StartEstimate] = {}
 
     def observe(self, starts_ms: Iterable[int]) -> None:
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list for changes, over one long-lived HTTP call to discovery at a time."""
+"""Watches the endpoint list for changes, over one long-lived HTTP request to discovery at a time."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 
 log = logging.getLogger(__name__)
 
-# The sidecar is assumed to know a change 6 s after discovery has it, plus 1 s of grace, even if the change has not
-# arrived. Within that time the watcher must detect a silent watch and reconnect twice.
+# The sidecar counts as knowing a change 6 s after discovery has it, even if the change has not arrived. A draining
+# endpoint may get new attempts for 1 s more. Within these 7 s the watcher must detect a silent watch and reconnect
+# twice.
 SILENCE_TIMEOUT_S = 3.0  # discovery sends an empty line every 2 s
 RESPONSE_TIMEOUT_S = 2.5  # time limit for the first bytes of a response, which may be an empty line
-RECONNECT_DELAY_S = 0.25  # discovery answers at once and at low cost; short compared with the 1 s that a drain leaves
+RECONNECT_DELAY_S = 0.25  # well below the 1 s that a drain allows; discovery answers at once and at low cost
 
 Listener = Callable[[EndpointsUpdated, dict[int, Address]], None]
 
@@ -40,7 +41,7 @@
 
 
 class WatchConnection(asyncio.Protocol):
-    """One watch call to discovery; a healthy call never ends, so any end of it is a failure."""
+    """One watch of the endpoint list; a healthy watch never ends, so any end of a watch is a failure."""
 
     def __init__(self, watcher: EndpointWatcher) -> None:
         self.state = WatchState.CONNECTING
@@ -91,12 +92,12 @@
         self.fail()
 
     def fail(self, *, reconnect: bool = False) -> None:
-        """End the call; with `reconnect` the watcher opens another watch even if it does not watch permanently."""
+        """End the watch; with `reconnect` the watcher opens another one even if it does not watch permanently."""
         self._abort()
-        self._watcher.on_connection_failed(self, reconnect=reconnect)
+        self._watcher.on_watch_failed(self, reconnect=reconnect)
 
     def close(self) -> None:
-        """End the call and ignore data that still arrives."""
+        """End the watch and ignore data that still arrives."""
         self.state = WatchState.CLOSED
         self._abort()
 
@@ -130,16 +131,17 @@
 class EndpointWatcher:
     """Watches the endpoint list: permanently, or while the policy requests it.
 
-    The watcher notifies the policy of each failure of a watch that the policy requested. The watcher itself reopens a
-    permanent watch and, once, a watch that became silent after discovery had answered it: in a large fleet these calls
-    are spread over the 2 s between empty lines.
+    The watcher itself reopens a permanent watch. If the policy requested the watch, the watcher notifies the policy of
+    a failure, unless discovery had answered and then became silent: in this case the watcher itself opens a new watch.
+    In a large fleet, such reconnects do not reach discovery all at once, as they are spread over the 2 s between empty
+    lines.
 
     Attributes:
         address: address on which discovery listens.
         version: version of the last list that was applied completely.
-        watch: the current watch call, or None.
+        watch: the current watch, or None.
         watches_permanently: whether the watcher reopens its watch without a request from the policy.
-        has_current_list: event that is set once discovery has answered and the list is no longer the cached one.
+        has_current_list: event that is set once a list from discovery is fully applied, or discovery reports no change.
         pending_steps: remaining work on received lists.
     """
 
@@ -153,9 +155,9 @@
         self.watches_permanently = False
         self.has_current_list = asyncio.Event()
         self.pending_steps: deque[Step] = deque()
-        self.last_activity_s = 0.0  # time on the event loop's clock
+        self.last_activity_s = 0.0  # time of the last data or of the watch's start, on the event loop's clock
         self.connect_task: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = None  # timer for the next silence check or the next call
+        self._timer: asyncio.TimerHandle | None = None  # timer for the next silence check or the next watch
 
     def load_cached(self, document: object) -> None:
         """Apply the cached endpoint list; if it is malformed, the sidecar starts without a list."""
@@ -170,12 +172,12 @@
         self._notify(update)
 
     def watch_permanently(self) -> None:
-        """Start a watch without a request from the policy, which makes no requests if changes are pushed."""
+        """Start a permanent watch; if changes are pushed, the policy does not request a watch."""
         self.watches_permanently = True
         self._open_watch()
 
     def change_address(self, address: Address) -> None:
-        """Watch at a new address; data from the old address is ignored from now on, as it may be outdated."""
+        """Watch the list at a new address; data from the old address is ignored from now on, as it may be outdated."""
         self.address = address
         log.info("the address of discovery has changed to %s:%d", *address)
         self._open_watch()
@@ -198,7 +200,7 @@
             watch.close()
 
     def note_activity(self) -> None:
-        """Record the current time as that of the last data from discovery."""
+        """Record the current time as the time of the last activity, from which silence is measured."""
         self.last_activity_s = self.loop.time()
 
     def on_no_change(self) -> None:
@@ -206,8 +208,8 @@
         if not self.pending_steps:
             self.has_current_list.set()
 
-    def on_connection_failed(self, watch: WatchConnection, *, reconnect: bool = False) -> None:
-        """Handle the end of a call: open another watch after a short delay, or notify the policy."""
+    def on_watch_failed(self, watch: WatchConnection, *, reconnect: bool = False) -> None:
+        """Handle the end of a watch: open another one after a short delay, or notify the policy."""
         if watch is not self.watch:
             return
         self.stop()
@@ -220,7 +222,7 @@
         """Apply a short list at once, or a long one in batches so that requests are processed in between.
 
         A long list is parsed completely before its first batch is applied. The version changes only when the last batch
-        is applied: discovery must send the changes that are not applied yet to a watch that starts earlier.
+        is applied: if a new watch starts before that, discovery must send the unapplied changes again.
 
         Raises:
             EndpointListError: the list is malformed; none of its entries are applied.
@@ -246,10 +248,10 @@
         try:
             await self.loop.create_connection(lambda: watch, *self.address)
         except (OSError, ValueError):  # ValueError: the host name is invalid
-            self.on_connection_failed(watch)
+            self.on_watch_failed(watch)
 
     def _check_silence(self) -> None:
-        """End a watch that is silent for too long; a connection to an unreachable machine would stay open forever."""
+        """End a watch that is silent for too long; the connection to an unreachable machine would stay open forever."""
         if self.watch is None:
             return
         was_answered = self.watch.state is WatchState.STREAMING
@@ -259,14 +261,14 @@
             self._timer = self.loop.call_later(remaining_s, self._check_silence)
             return
         log.warning("closing the watch: discovery has sent no data within the time limit")
-        # Does not wait for the policy's next poll, which may come more than 6 s after the watch became silent.
+        # The watcher itself reconnects, as the policy's next poll may come more than 6 s after the watch became silent.
         self.watch.fail(reconnect=was_answered)
 
     def _run_step(self) -> None:
         """Run the first pending step, and leave the others to later iterations of the event loop."""
         step = self.pending_steps[0]
         try:
-            update = self._run(step)
+            update = self._process(step)
         except Exception:
             self.pending_steps.clear()
             raise
@@ -280,7 +282,7 @@
         else:
             self.has_current_list.set()
 
-    def _run(self, step: Step) -> EndpointUpdate | None:
+    def _process(self, step: Step) -> EndpointUpdate | None:
         entries = step.batch.entries()
         if step.kind is StepKind.PARSE:
             return None
--- a/tests/test_discovery_messages.py
+++ b/tests/test_discovery_messages.py
@@ -1,4 +1,4 @@
-"""Tests the parsing of endpoint lists from JSON, and errors that name the wrong key and its path."""
+"""Tests the parsing of endpoint lists from JSON, and errors that name the key and the path of an invalid value."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("document", [None, 5, "list", [], {"rev": "x", "all": True, "targets": []}])
-def test_parse_list_fails_when_the_document_is_not_a_list(document: object) -> None:
+def test_parse_list_fails_when_the_document_is_not_an_endpoint_list(document: object) -> None:
     with pytest.raises(EndpointListError):
         parse_list(document)
 
--- a/tests/test_interleaving_watch.py
+++ b/tests/test_interleaving_watch.py
@@ -1,4 +1,4 @@
-"""Tests the watch on the endpoint list with its events forced into one order: requests, data, timeouts, replacement."""
+"""Tests the watch of the endpoint list with requests, data, timeouts and replacements in a fixed order."""
 
 from __future__ import annotations
 
@@ -229,7 +229,7 @@
 def test_endpoint_watcher_applies_a_drain_at_once_when_it_is_the_first_change_after_a_reconnect() -> None:
     async def test() -> None:
         upstreams, discovery = [Upstream(respond_with(OK)), Upstream(respond_with(OK))], Discovery()
-        async with sidecar(*upstreams, discovery=discovery) as it:
+        async with sidecar(*upstreams, discovery=discovery) as running:
             await discovery.wait_for_watch()
             discovery.writers[-1].transport.abort()
             await discovery.wait_for_watch()
@@ -237,7 +237,7 @@
             discovery.send_update(listing(rev=3, full=False))
             await asyncio.sleep(0.1)
             for number in range(6):
-                assert status(await it.send_request(request(request_id=str(number)))) == 200
+                assert status(await running.send_request(request(request_id=str(number)))) == 200
             assert len(upstreams[1].requests) == 6
 
     run(test)
@@ -253,9 +253,9 @@
 def test_attempt_and_watch_fail_at_once_when_the_host_cannot_be_resolved(host: str) -> None:
     async def test() -> None:
         unresolvable = entry("u0", 1) | {"endpoint": f"{host}:1"}
-        async with sidecar(known=listing(unresolvable), connect_timeout_us=60_000_000) as it:
+        async with sidecar(known=listing(unresolvable), connect_timeout_us=60_000_000) as running:
             async with asyncio.timeout(10):  # the request's own deadline is 15 s
-                assert status(await it.send_request(request("pay", body=b"b"))) == 503
+                assert status(await running.send_request(request("pay", body=b"b"))) == 503
         update_kinds: list[UpdateKind] = []
         watcher = EndpointWatcher(
             (host, 1), EndpointList(["a"], ["m"]), lambda event, addresses: update_kinds.append(event.update_kind)
@@ -287,7 +287,7 @@
             watch.connection_made(FakeTransport())
             watch.data_received(response)
         initial_count = loop.connect_count
-        loop.advance(6.9)  # the sidecar is assumed to know a change after 6 s, plus 1 s of grace
+        loop.advance(6.9)  # 6 s until a change counts as known, plus 1 s for drains
         assert loop.connect_count == initial_count + 2
         assert harness.watcher.watch is not watch
         harness.watcher.watches_permanently = False
@@ -345,8 +345,8 @@
     run(test)
 
 
-def test_endpoint_watcher_reconnects_once_then_reports_failure_when_a_requested_watch_is_silent() -> None:
-    """The watcher itself reconnects once, as the policy of a large fleet may poll again too late."""
+def test_endpoint_watcher_replaces_silent_requested_watches_then_reports_failure_when_a_call_gets_no_response() -> None:
+    """The watcher itself replaces a watch that became silent, as the policy of a large fleet may poll too late."""
 
     async def test() -> None:
         update_kinds: list[UpdateKind] = []
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -14,19 +14,19 @@
 from tests.policy_host import START_US, PolicyHost, settings, upstreams
 
 
-def polling_world() -> PolicyHost:
+def polling_host() -> PolicyHost:
     host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000))
     host.update_endpoints(upstreams(4), UpdateKind.CACHED)
     return host
 
 
 def polls(host: PolicyHost) -> list[int]:
-    """Return the positions in the log of the actions that poll the list."""
+    """Return the positions in `host.actions` of the actions that poll the endpoint list."""
     return [i for i, action in enumerate(host.actions) if isinstance(action, WatchEndpoints)]
 
 
 def test_policy_polls_the_list_when_updates_are_not_pushed() -> None:
-    host = polling_world()
+    host = polling_host()
     host.advance(2_000_000)
     assert len(polls(host)) >= 1
 
@@ -47,7 +47,7 @@
 
 
 def test_delays_between_polls_grow_up_to_a_limit_when_polls_fail() -> None:
-    host = polling_world()
+    host = polling_host()
     host.advance(2_000_000)
     delays_us = []
     for _ in range(12):
@@ -55,7 +55,7 @@
         delays_us.append(wait_for_next_poll(host))
     assert delays_us[0] <= 750_000
     assert max(delays_us) > 2_000_000
-    assert max(delays_us) <= 20_000_000  # after a failed poll, up to four poll intervals are allowed
+    assert max(delays_us) <= 20_000_000  # two poll intervals; up to four are allowed after a failed poll
 
 
 def fleet_poll_delays(failed: bool) -> list[int]:
@@ -82,7 +82,7 @@
 
 
 def poll_delays_after_failures(failures: int) -> list[int]:
-    """Return the delays after which 200 sidecars poll again, once this number of calls of each has failed."""
+    """Return the delays after which 200 sidecars poll again when the given number of calls has failed in each sidecar."""
     delays_us = []
     for number in range(200):
         host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=200), number)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("failures", [1, 2, 4])
 def test_large_fleet_polls_early_enough_to_get_a_change_within_6_s_when_calls_fail(failures: int) -> None:
-    """A failing call takes up to 2.5 s, as does the next one; the delay between them must fit into the rest of 6 s."""
+    """Each call, failed or not, takes up to 2.5 s of the 6 s; the delay before it must fit into the remaining 3.5 s."""
     delays_us = poll_delays_after_failures(failures)
     assert delays_us[-1] <= 3_500_000
     most_polls = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 500_000) for start_us in delays_us)
@@ -107,7 +107,7 @@
 
 
 def test_second_failure_before_the_next_poll_does_not_add_a_poll() -> None:
-    host = polling_world()
+    host = polling_host()
     host.advance(2_000_000)
     earlier_count = len(polls(host))
     host.deliver(EndpointsUpdated(UpdateKind.FAILED))
@@ -118,7 +118,7 @@
 
 
 def test_policy_polls_again_within_the_poll_interval_when_a_call_gets_no_response() -> None:
-    host = polling_world()
+    host = polling_host()
     host.advance(10_000_000)
     assert len(polls(host)) >= 2
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("wall_error_s", [-10.0, -HOUR_S])
-def test_start_times_let_a_known_endpoint_age_when_the_wall_clock_is_behind(wall_error_s: float) -> None:
+def test_start_times_keep_the_estimate_of_a_known_endpoint_when_the_wall_clock_is_behind(wall_error_s: float) -> None:
     clocks = FakeClocks(wall_error_s)
     assert clocks.estimated_ages_s(new=-2.0) == {"new": 0.0}
     clocks.elapsed_s = 24.0
