--- a/garnetusher/sidecar/discovery/endpoint_list.py
+++ b/garnetusher/sidecar/discovery/endpoint_list.py
@@ -85,7 +85,7 @@
         A long snapshot becomes several deltas, which first remove the endpoints that the snapshot does not list.
 
         Raises:
-            EndpointListError: an entry has no valid start time or uid; parsing the batches detects other invalid values.
+            EndpointListError: an entry has no valid start time or uid; parsing a batch detects other invalid values.
         """
         # The start times of the whole list are observed first, as they affect the estimate for every entry.
         self._start_times.observe(parse_start_times_ms(received.entries))
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -82,7 +82,7 @@
 
 
 def poll_delays_after_failures(failures: int) -> list[int]:
-    """Return the delays after which 200 sidecars poll again when the given number of calls has failed in each sidecar."""
+    """Return the delays after which 200 sidecars poll again after each has made this number of failed calls."""
     delays_us = []
     for number in range(200):
         host = PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000, fleet_size=200), number)
