--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -226,7 +226,7 @@
         self.reader.extend_deadline()
         self.transport.resume_reading()
 
-    def body_not_replayable(self) -> None:
+    def mark_body_not_replayable(self) -> None:
         """Tell the dispatcher that the body cannot be replayed, because it exceeds the buffer."""
         self.server.dispatcher.on_not_replayable(self._request_id)
 
--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets that tolerate a temporary shortage of memory, and the errors that this host causes and not a peer."""
+"""Sockets that tolerate a temporary shortage of memory, and the errors that this host causes, not a peer."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 
 # The time between tries of a call that fails with a local error; it is short compared with the shortest deadlines.
 RETRY_INTERVAL_S = 0.02
-MAX_FAILURE_GAP_US = 50_000  # a call that succeeds this soon after a failed call returns what that call missed
-# The whole process blocks while it retries to add a descriptor to epoll, so the interval is shorter.
+# If a call succeeds within this time after a failed call, the data or connection that it returns is regarded as
+# available since the failed call.
+MAX_FAILURE_GAP_US = 50_000
+# The whole process blocks while it retries to add a descriptor to epoll, so it retries more often than other calls.
 EPOLL_RETRY_TIMEOUT_S = 0.5
 EPOLL_RETRY_INTERVAL_S = RETRY_INTERVAL_S / 4
 
@@ -56,7 +58,7 @@
     """Consecutive failed calls to read bytes or accept a connection, and when the first of them failed.
 
     A call that succeeds within MAX_FAILURE_GAP_US of a failed call returns what the failed call should have returned.
-    What a later call returns may have arrived since.
+    What a later call returns may have arrived after the failure.
     """
 
     __slots__ = ("_first_failure_us", "_last_failure_us")
@@ -73,7 +75,11 @@
         self._last_failure_us = now_us
 
     def since_us(self) -> int:
-        """Return the earliest arrival time of what a successful call returns now; 0 if no call failed before it."""
+        """Return the time since which a call that succeeds now would have succeeded without the failures.
+
+        Returns:
+            The time of the first failure; 0 if no call failed within the last MAX_FAILURE_GAP_US.
+        """
         now_us = time.monotonic_ns() // 1000
         return self._first_failure_us if now_us <= self._last_failure_us + MAX_FAILURE_GAP_US else 0
 
@@ -128,7 +134,7 @@
             return False
 
     def unread_size(self) -> int:
-        """Return the number of bytes that wait in the kernel to be read; 0 if the kernel can't tell."""
+        """Return the number of bytes that wait in the kernel to be read; 0 if the kernel reports an error."""
         size = array.array("i", [0])
         try:
             fcntl.ioctl(self.fileno(), termios.FIONREAD, size)
@@ -137,7 +143,7 @@
         return size[0]
 
     def reset_at_close(self) -> None:
-        """Make a later close reset the connection, so that the peer does not take it for an orderly end."""
+        """Make a later close reset the connection, so that the peer does not see an orderly close."""
         with contextlib.suppress(OSError):
             super().setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
 
@@ -166,6 +172,6 @@
             time.sleep(EPOLL_RETRY_INTERVAL_S)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Remove the descriptor and add it again: the call in `selectors` loses the descriptor if it fails."""
+        """Remove the descriptor and add it again, as the inherited method unregisters the descriptor if epoll fails."""
         self.unregister(fileobj)
         return self.register(fileobj, events, data)
--- a/garnetusher/sidecar/streaming.py
+++ b/garnetusher/sidecar/streaming.py
@@ -12,7 +12,8 @@
 MAX_BODY_SIZE = 32 * 1024 * 1024  # bytes; the limit for a body or a response
 # A peer that reads or sends nothing for this time has failed; a slow peer may take seconds.
 STALL_TIMEOUT_US = 10_000_000
-UPLOAD_MEMORY_SIZE = 256 * 1024  # bytes that a long body takes at most, including what is read and not yet written
+# The maximum memory for one long body in bytes, including the bytes that are read but not yet written.
+UPLOAD_MEMORY_SIZE = 256 * 1024
 READ_BUFFER_SIZE = 64 * 1024  # bytes per read; each stream that waits for its peer holds this many
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -23,9 +24,10 @@
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """Reads bounded parts into one buffer that all connections share, as each part is processed immediately.
+    """Reads parts of bounded size into one buffer for all connections.
 
-    The event loop by itself reads up to 256 KiB at a time, and hundreds of streams would each hold that much.
+    The connections can share the buffer because each part is processed immediately. With a protocol that does not
+    provide a buffer, the event loop reads up to 256 KiB at a time, and hundreds of streams would each hold that much.
     """
 
     _buffer = memoryview(bytearray(READ_BUFFER_SIZE))
@@ -79,7 +81,7 @@
     def resume_body(self) -> None:
         """Resume reading."""
 
-    def body_not_replayable(self) -> None:
+    def mark_body_not_replayable(self) -> None:
         """Record that an attempt has taken more of the body than is buffered, so that no other attempt can send it."""
 
 
@@ -131,7 +133,7 @@
             self._source.pause_body()
 
     def set_source_reading(self, *, enabled: bool) -> None:
-        """Resume or pause reading from the client, as the connection of the attempt can or cannot take the body.
+        """Resume or pause reading from the client, depending on whether the attempt can send more of the body.
 
         Args:
             enabled: True to resume, False to pause.
@@ -150,8 +152,8 @@
         if self.replayable:
             self.replayable = False
             self._buffer = bytearray()
-            self._source.body_not_replayable()
-        if self._sink is not None:  # body_not_replayable may have abandoned the attempt
+            self._source.mark_body_not_replayable()
+        if self._sink is not None:  # mark_body_not_replayable may have abandoned the attempt
             self._sink.write_body_chunk(data)
 
     def finish(self) -> None:
@@ -166,7 +168,7 @@
 
     Attributes:
         free: the number of further bodies that fit into the memory.
-        waiting: the callbacks that start the waiting bodies.
+        waiting: the callbacks that start to read the waiting bodies.
     """
 
     def __init__(self, size: int) -> None:
--- a/garnetusher/sidecar/upstream/attempt.py
+++ b/garnetusher/sidecar/upstream/attempt.py
@@ -64,10 +64,11 @@
         self.short_of_local_resources = False
 
     def permitted_head(self) -> bytes | None:
-        """Return the bytes to write now, without the body if it is streamed.
+        """Return the first bytes to write, if the attempt may still be written.
 
         Returns:
-            The head and a buffered body. None if the attempt may not be written; it then ends as NOT_WRITTEN.
+            The head and the buffered body; a streamed body is not included. None if the attempt may not be written; it
+            then ends as NOT_WRITTEN.
         """
         permit = self._authorize_write()
         if isinstance(permit, WritePermit):
@@ -82,7 +83,7 @@
             self.end(AttemptResult(Outcome.NOT_WRITTEN))
 
     def abandon(self) -> None:
-        """Abandon the attempt: its connection is closed once the attempt was written, and kept while being opened."""
+        """Abandon the attempt: close its connection if the attempt was written, but keep one that is being opened."""
         self.abandoned = True
         connection, self.connection = self.connection, None
         if connection is None:
--- a/garnetusher/sidecar/upstream/connecting.py
+++ b/garnetusher/sidecar/upstream/connecting.py
@@ -21,7 +21,7 @@
     """Opens a connection for each attempt that has no idle connection to reuse.
 
     Attributes:
-        connect_timeout_us: the longest time that connecting may take; 0 means for as long as the attempt waits.
+        connect_timeout_us: the longest time that connecting may take; 0 means no limit.
     """
 
     def __init__(
@@ -56,16 +56,17 @@
                 connection.attempt = None
                 connection.sock.close()
             if not attempt.abandoned and not attempt.written:
-                local = attempt.short_of_local_resources
-                attempt.end(AttemptResult(Outcome.NOT_WRITTEN if local else Outcome.CONNECT_FAILED))
+                failed_locally = attempt.short_of_local_resources
+                attempt.end(AttemptResult(Outcome.NOT_WRITTEN if failed_locally else Outcome.CONNECT_FAILED))
 
     async def _connect(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
         """Connect for an attempt, with retries after local errors, which are no evidence against the upstream.
 
         Returns:
             An established connection; it carries the attempt unless the attempt has been abandoned in the meantime.
-            None if the attempt was abandoned before a try: within the iteration of the event loop that started it, the
-            attempt may be abandoned and its request sent to another upstream.
+            None if the attempt was abandoned before the next try. This can also happen before the first try, because
+            this task runs only in the next iteration of the event loop; by then the request may have been sent to
+            another upstream.
 
         Raises:
             OSError: the upstream can't be reached.
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -127,7 +127,7 @@
             self._finish_complete()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the attempt; a request that was written completely may have run, an incomplete one has not."""
+        """End the attempt; the upstream may have run a completely written request, but never runs an incomplete one."""
         self.closed = True
         self._pool.remove_idle(self)
         if self.attempt is not None:
@@ -139,8 +139,8 @@
     def is_usable(self) -> bool:
         """Return whether a request can be written on the connection.
 
-        If the kernel already holds the end of the connection or stray bytes that were not read yet, a request that is
-        written now would be lost.
+        A request would be lost if the upstream has already closed the connection, or if stray bytes from the upstream
+        are still unread in the kernel.
         """
         if self.closed or self._transport is None or self._transport.is_closing():
             return False
@@ -153,7 +153,7 @@
         return False
 
     def send(self, attempt: UpstreamAttempt) -> bool:
-        """Write an attempt if that is still permitted; return whether it was."""
+        """Write an attempt if that is still permitted; return whether it was permitted."""
         writer = self.request_writer
         head = attempt.permitted_head()
         if head is None:
@@ -176,7 +176,7 @@
         return True
 
     def detach_upload(self, attempt: UpstreamAttempt) -> None:
-        """Stop taking the long body of an attempt."""
+        """Stop passing the long body of an attempt to this connection."""
         if attempt.request.upload is not None and self._request_writer is not None:
             attempt.request.upload.detach(self._request_writer)
 
--- a/garnetusher/sidecar/upstream/idle_reuse.py
+++ b/garnetusher/sidecar/upstream/idle_reuse.py
@@ -4,11 +4,12 @@
 
 from dataclasses import dataclass
 
-# The sidecar closes an idle connection this long before the upstream does. Otherwise the upstream may close it while a
-# request is in flight to it.
+# The sidecar closes an idle connection this long before the upstream does. Otherwise the upstream could close the
+# connection while a request is in flight on it.
 IDLE_TIMEOUT_MARGIN_US = 300_000
-TRUSTED_IDLE_US = 25_000  # shorter idle times mean steady use; losses never lower the limit below this
-# Stray second responses arrived 1 to 4 ms after the first one. This must be less than TRUSTED_IDLE_US.
+# Losses never lower the limit below this time, because a connection in steady use is idle for less than this.
+MIN_IDLE_LIMIT_US = 25_000
+# A stray second response arrives 1 to 4 ms after the first one. This time must be less than MIN_IDLE_LIMIT_US.
 RESPONSE_GRACE_US = 10_000
 MAX_LOSS_SHARE = 0.25  # well above the share of requests that a bad network loses on connections of any idle time
 # The weight of one reuse in the moving average: five losses in a dozen reuses exceed MAX_LOSS_SHARE.
@@ -49,12 +50,12 @@
     An upstream may close an idle connection earlier than the settings say, without notice; the next request on that
     connection is lost. The estimator keeps a moving average of the share of lost requests for each range of
     idle times; each range is twice as long as the one before. Resets that affect connections of every idle time do not
-    lower the limit below TRUSTED_IDLE_US.
+    lower the limit below MIN_IDLE_LIMIT_US.
     """
 
     def __init__(self, max_idle_us: int) -> None:
         self.max_idle_us = max_idle_us
-        self.loss_shares = [0.0] * (max_idle_us // TRUSTED_IDLE_US).bit_length()  # one share for each range
+        self.loss_shares = [0.0] * (max_idle_us // MIN_IDLE_LIMIT_US).bit_length()  # one share for each range
 
     @classmethod
     def for_idle_timeout(cls, idle_timeout_us: int) -> IdleReuseEstimator:
@@ -67,11 +68,11 @@
             (index for index, share in enumerate(self.loss_shares) if share > MAX_LOSS_SHARE),
             len(self.loss_shares),
         )
-        return min(self.max_idle_us, TRUSTED_IDLE_US << range_index)
+        return min(self.max_idle_us, MIN_IDLE_LIMIT_US << range_index)
 
     def record_reuse(self, idle_us: int, *, lost: bool) -> None:
         """Record that a connection was reused after `idle_us`, and whether its request was lost."""
-        range_index = (idle_us // TRUSTED_IDLE_US).bit_length() - 1
+        range_index = (idle_us // MIN_IDLE_LIMIT_US).bit_length() - 1
         if 0 <= range_index < len(self.loss_shares):
             self.loss_shares[range_index] += (lost - self.loss_shares[range_index]) * LOSS_WEIGHT
 
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -97,7 +97,7 @@
         self.loop.call_later(delay_s, self.send_after_grace, connection, attempt)
 
     def send_after_grace(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
-        """Write an attempt on its reserved connection, unless one of them has ended in the meantime."""
+        """Write an attempt on its reserved connection, unless it was abandoned or the connection is unusable."""
         if not connection.is_usable():
             connection.close()
             if not attempt.abandoned:
@@ -115,8 +115,8 @@
     def restart_attempt(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
         """Close a connection that could not send any byte for lack of local resources, and open a new one.
 
-        The event loop would send the buffered head later, with a deadline header that is too long by then. A new
-        connection writes a new head with the time that remains at that moment.
+        The event loop would send the buffered head later, when less time remains than its X-Deadline-Ms header says. A
+        new connection writes a new head with the time that remains at that moment.
         """
         attempt.written, attempt.connection = False, None
         connection.attempt = None
@@ -133,7 +133,7 @@
     # Idle connections
 
     def put_idle(self, connection: UpstreamConnection) -> None:
-        """Add a connection that has just become idle to the idle connections."""
+        """Record that a connection becomes idle now, and add it to the idle connections."""
         connection.idle_timing.since_us = monotonic_us()
         self._add_idle(connection)
 
--- a/garnetusher/sidecar/upstream/request_writer.py
+++ b/garnetusher/sidecar/upstream/request_writer.py
@@ -11,7 +11,7 @@
 
 
 def request_head(request: HttpRequest, address: Address, remaining_us: int) -> bytes:
-    """Return the head of an attempt: the client's headers, with the time that remains in X-Deadline-Ms."""
+    """Return the head of an attempt: the client's headers, and X-Deadline-Ms with the remaining time."""
     host, port = address
     lines = [b"%s %s HTTP/1.1\r\nHost: %s:%d" % (request.method, request.target, host.encode(), port)]
     lines.extend([b"%s: %s" % header for header in request.headers])
@@ -52,7 +52,7 @@
         return self.transport.get_write_buffer_size() < len(head) or self.transport.is_closing()
 
     def start_body(self, upload: Upload) -> None:
-        """Write the part of a long body that has arrived, and let the rest follow as it arrives."""
+        """Write the part of a long body that has arrived; the upload passes on the rest as it arrives."""
         self.body_incomplete = True
         self._chunked = upload.length is None
         self.write_body_chunk(upload.attach(self))
--- a/garnetusher/sidecar/upstream/response_reader.py
+++ b/garnetusher/sidecar/upstream/response_reader.py
@@ -235,10 +235,10 @@
         self.status = self._parser.get_status_code()
         if self.status >= 200:
             self.state = _BODY
-        announced = self.length or 0
-        if announced > MAX_BODY_SIZE:
+        content_length = self.length or 0
+        if content_length > MAX_BODY_SIZE:
             raise ResponseTooLargeError(ResponsePart.BODY, MAX_BODY_SIZE)
-        if self.status == 200 and announced > MAX_BUFFERED_SIZE:
+        if self.status == 200 and content_length > MAX_BUFFERED_SIZE:
             self.start_streaming()
 
     def on_body(self, data: bytes) -> None:
--- a/tests/faulty_host.py
+++ b/tests/faulty_host.py
@@ -60,7 +60,7 @@
 async def program_on_faulty_host(
     folder: Path, wall_step_s: float = 0.0, failing: tuple[Call, int, int] | None = None, **config: Any
 ) -> AsyncIterator[FaultyHostProgram]:
-    """Run the program as the deploy file starts it, until it listens.
+    """Run the program as the deploy file starts it; the body of the `async with` starts when the program listens.
 
     Args:
         folder: the folder for the configuration and the injected faults.
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -30,7 +30,7 @@
 
 
 def chunked(data: bytes, size: int, extra: bytes = b"") -> bytes:
-    """Return data in chunks of `size` bytes, each with a chunk extension."""
+    """Return data in chunks of `size` bytes, each with the chunk extension `extra`."""
     return b"".join(
         b"%x%s\r\n%s\r\n" % (len(data[offset : offset + size]), extra, data[offset : offset + size])
         for offset in range(0, len(data), size)
@@ -54,7 +54,7 @@
 
 
 def upload_request(body: bytes, chunk_size: int = 0, extra: str = "") -> bytes:
-    """Return an at_most_once request with a long body, in chunks of `chunk_size` bytes or, if 0, with a length."""
+    """Return an at_most_once request with a long body; it has Content-Length if `chunk_size` is 0, or else chunks."""
     if not chunk_size:
         return request("pay", body=body, extra=extra)
     head = request("pay", extra=extra).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
--- a/tests/test_host_faults.py
+++ b/tests/test_host_faults.py
@@ -106,7 +106,9 @@
     run(test)
 
 
-def test_long_body_is_answered_in_time_when_it_waits_complete_for_its_upstream(tmp_path: Path) -> None:
+def test_long_body_is_answered_in_time_when_it_is_complete_but_its_upstream_accepts_no_connection(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         with full_backlog_port() as port:
             async with program_on_faulty_host(
@@ -146,7 +148,7 @@
 
 
 async def time_for_two_requests_s(folder: Path, error: int) -> float:
-    """Return how long two requests take in turn, when accept fails once for the first of them."""
+    """Return how long two consecutive requests take when accept fails once for the first of them."""
     upstream = Upstream(respond_with(OK))
     await upstream.start()
     async with program_on_faulty_host(
@@ -163,12 +165,12 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_accept_goes_on_soon_when_resources_are_short_for_a_moment(tmp_path: Path, error: int) -> None:
+def test_accept_is_retried_soon_when_resources_are_short_for_a_moment(tmp_path: Path, error: int) -> None:
     run(lambda: assert_served_soon(tmp_path, error))
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.EPERM, errno.EPROTO, errno.ENETUNREACH, errno.ETIMEDOUT])
-def test_accept_goes_on_soon_when_one_connection_fails(tmp_path: Path, error: int) -> None:
+def test_accept_is_retried_soon_when_one_connection_fails(tmp_path: Path, error: int) -> None:
     run(lambda: assert_served_soon(tmp_path, error))
 
 
@@ -193,8 +195,8 @@
             for number, (_, writer) in enumerate(clients):
                 writer.write(request("read", str(number), deadline_ms=1500))
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                answers = [status(await read_message(reader)) for reader, _ in clients]
-            assert set(answers) <= {200, 503}
+                statuses = [status(await read_message(reader)) for reader, _ in clients]
+            assert set(statuses) <= {200, 503}
             assert await asyncio.to_thread(running.process.wait) == 0
             assert running.process.stderr is not None
             errors = running.process.stderr.read().decode()
@@ -206,14 +208,14 @@
 
 def slow_start_settings(**bounds: Any) -> dict[str, Any]:
     """Return LONG_TIMEOUT_SETTINGS with a long slow start of upstreams."""
-    rules = LONG_TIMEOUT_SETTINGS["invariants"] | {
+    invariants = LONG_TIMEOUT_SETTINGS["invariants"] | {
         "cold-share": 0.13,
         "warm-up": 24_000_000,
         "overload-factor": 3.0,
         "fall": 3_000_000,
     }
     return LONG_TIMEOUT_SETTINGS | {
-        "invariants": rules,
+        "invariants": invariants,
         "registry-mode": "pushed",
         "bounds": LONG_TIMEOUT_SETTINGS["bounds"] | bounds,
     }
@@ -251,7 +253,7 @@
 
 @pytest.mark.parametrize("fault_kind", ["half written", "no descriptor left"])
 def test_reload_is_retried_when_the_new_file_cannot_be_read_yet(tmp_path: Path, fault_kind: str) -> None:
-    """The old address of discovery serves no watch any more; a sidecar that kept it would miss all later drains."""
+    """A sidecar that keeps the old address of discovery gets no updates from there and misses all later drains."""
 
     async def test() -> None:
         old, new = Discovery(), Discovery()
@@ -398,7 +400,7 @@
 
 
 @pytest.mark.parametrize("fault_kind", ["absent", "half written"])
-def test_process_starts_when_its_file_is_there_a_moment_later(tmp_path: Path, fault_kind: str) -> None:
+def test_process_starts_when_its_configuration_file_is_complete_a_moment_later(tmp_path: Path, fault_kind: str) -> None:
     async def test() -> None:
         path = write_configuration(tmp_path)
         text = path.read_text()
--- a/tests/test_interleaving_idle.py
+++ b/tests/test_interleaving_idle.py
@@ -47,7 +47,7 @@
 
 
 def test_first_request_of_a_new_connection_is_awaited_when_the_process_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream_server, "MIN_IDLE_US", 20_000_000)  # no busy host takes longer than this
+    monkeypatch.setattr(downstream_server, "MIN_IDLE_US", 20_000_000)  # longer than the test takes on a busy host
 
     async def test() -> None:
         async with sidecar(Upstream(respond_with(OK))) as running:
@@ -64,7 +64,7 @@
     run(test)
 
 
-def test_first_request_of_a_silent_connection_is_served_when_its_read_limit_has_just_passed(
+def test_first_request_of_a_silent_connection_is_served_when_its_read_timeout_has_just_passed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -90,8 +90,8 @@
     run(test)
 
 
-@pytest.mark.parametrize("rounds", range(4))
-def test_oldest_connection_is_not_evicted_when_its_next_request_has_arrived(rounds: int) -> None:
+@pytest.mark.parametrize("loop_iterations", range(4))
+def test_oldest_connection_is_not_evicted_when_its_next_request_has_arrived(loop_iterations: int) -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_with(OK))) as running:
             with socket.create_connection(("127.0.0.1", running.port)) as oldest:
@@ -106,7 +106,7 @@
                 assert await next_status(newest) == 200  # the number of connections has now reached its limit
                 excess = socket.create_connection(("127.0.0.1", running.port))
                 oldest.setblocking(True)
-                for _ in range(rounds):  # iterations of the event loop, which sets up the new connection in one of them
+                for _ in range(loop_iterations):  # the event loop sets up the new connection in one of its iterations
                     await asyncio.sleep(0)
                 oldest.send(request(request_id="2"))
                 assert await next_status(oldest) == 200
--- a/tests/test_interleaving_long.py
+++ b/tests/test_interleaving_long.py
@@ -43,7 +43,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("failure", ["malformed", "stalls", "leaves"])
+@pytest.mark.parametrize("failure", ["malformed", "stalls", "closes"])
 def test_started_response_is_reset_when_rest_of_body_fails(failure: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """If the rest of the body fails after the response has started, the client must see an incomplete response."""
 
--- a/tests/test_streamed_bodies.py
+++ b/tests/test_streamed_bodies.py
@@ -180,7 +180,7 @@
         def resume_body(self) -> None:
             self.reading_states.append(True)
 
-        def body_not_replayable(self) -> None:
+        def mark_body_not_replayable(self) -> None:
             self.not_replayable_calls.append(True)
 
     source = RecordingSource()
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -55,7 +55,7 @@
             assert 0 <= estimator.limit_us() <= max_idle_us
 
 
-def test_pool_closes_connections_idle_as_long_when_requests_are_lost() -> None:
+def test_pool_closes_connections_idle_for_a_time_after_which_requests_are_lost() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 10_000_000), ("127.0.0.1", 1)
         pool.sweep_timer.cancel()
