--- a/garnetusher/cli/curves.py
+++ b/garnetusher/cli/curves.py
@@ -71,7 +71,7 @@
     Args:
         experiment: the experiment to run.
         sizes: numbers of sidecars.
-        policies: policy names from `garnetusher.model.baselines.NAMES`.
+        policies: policy names from `garnetusher.model.baselines.POLICY_NAMES`.
         grow: one of `GROWTH_MODES`; it decides whether upstreams and load grow with the sidecars.
         seeds: seeds of the runs; each policy runs at each size once per seed.
         progress: a function that is called after each run.
--- a/garnetusher/cli/decision_cost.py
+++ b/garnetusher/cli/decision_cost.py
@@ -9,7 +9,7 @@
 
 from garnetusher.cli import markdown
 from garnetusher.cli.markdown import Column, number_column
-from garnetusher.model.steady import Listing, Steady, change, listing
+from garnetusher.model.steady import EndpointListUpdate, SteadyLoad, endpoint_list, status_update
 
 LIST_LENGTHS = (10, 100, 1000, 10_000)
 SEED = 1
@@ -52,14 +52,14 @@
 
 def measure(upstreams: int, *, all_warming: bool) -> DecisionCost:
     """Send a steady stream of requests through one balancer and measure its CPU time."""
-    steady = Steady(SEED)
-    complete_list = listing(upstreams, all_warming)
+    steady = SteadyLoad(SEED)
+    complete_list = endpoint_list(upstreams, all_warming)
     list_ms = _event_ms(steady, complete_list)
-    same_list_ms = _event_ms(steady, listing(upstreams, all_warming))
+    same_list_ms = _event_ms(steady, endpoint_list(upstreams, all_warming))
     _round_us(steady)  # the first round fills caches and is not measured
     request_us = statistics.median([_round_us(steady) for _ in range(ROUNDS)])
     sent_share = steady.sent / steady.requests
-    change_ms = max(_event_ms(steady, change(complete_list, index, CHANGES)) for index in range(CHANGES))
+    change_ms = max(_event_ms(steady, status_update(complete_list, index, CHANGES)) for index in range(CHANGES))
     return DecisionCost(
         upstreams=upstreams,
         all_warming=all_warming,
@@ -71,17 +71,17 @@
     )
 
 
-def _round_us(steady: Steady) -> float:
+def _round_us(steady: SteadyLoad) -> float:
     """Return the mean CPU time of one request in a round, in microseconds."""
     started_ns = time.process_time_ns()
     for _ in range(REQUESTS_PER_ROUND):
-        steady.ask()
+        steady.send_request()
     return (time.process_time_ns() - started_ns) / 1000 / REQUESTS_PER_ROUND
 
 
-def _event_ms(steady: Steady, event: Listing) -> float:
+def _event_ms(steady: SteadyLoad, event: EndpointListUpdate) -> float:
     started_ns = time.process_time_ns()
-    steady.tell(event)
+    steady.handle(event)
     return (time.process_time_ns() - started_ns) / 1e6
 
 
--- a/garnetusher/cli/model_commands.py
+++ b/garnetusher/cli/model_commands.py
@@ -177,8 +177,8 @@
     if schedule.part not in parts:
         cli.fail(f"{file}: part: expected one of {', '.join(parts)}, got {schedule.part!r}")
     part = parts[schedule.part]
-    broken = part.play(schedule)
-    cli.say("\n".join(part.tell(schedule)))
+    broken = part.run(schedule)
+    cli.say("\n".join(part.describe(schedule)))
     cli.say(
         f"broke {broken.text}"
         if broken is not None
@@ -195,7 +195,7 @@
         list[int] | None, typer.Option("--sidecars", min=1, help="Number of sidecars in the fleet.")
     ] = None,
     policies: Annotated[
-        list[str] | None, typer.Option("--policy", help=f"One of {', '.join(baseline_policies.NAMES)}.")
+        list[str] | None, typer.Option("--policy", help=f"One of {', '.join(baseline_policies.POLICY_NAMES)}.")
     ] = None,
     grow: Annotated[
         str, typer.Option(help="What grows: `fleet`, with upstreams and load, or `sidecars` alone.")
@@ -208,11 +208,13 @@
     experiment = experiment_or_fail(file)
     run_seeds = seeds_or_fail(seeds)
     for name in policies or []:
-        require_choice(name, baseline_policies.NAMES, "--policy")
+        require_choice(name, baseline_policies.POLICY_NAMES, "--policy")
     require_choice(grow, curves.GROWTH_MODES, "--grow")
     fleet_sizes = sorted(set(sizes or curves.SIZES))
     with cli.progress(f"{experiment.name} at {len(fleet_sizes)} sizes") as progress:
-        points = curves.measure(experiment, fleet_sizes, policies or [baseline_policies.OWN], grow, run_seeds, progress)
+        points = curves.measure(
+            experiment, fleet_sizes, policies or [baseline_policies.OWN_POLICY], grow, run_seeds, progress
+        )
     paths = curves.draw(experiment.name, grow, points, out)
     if as_json:
         cli.say_json(curves.CurveDocument(experiment.name, grow, list(run_seeds), points, list(map(str, paths))))
--- a/garnetusher/cli/policy_comparison.py
+++ b/garnetusher/cli/policy_comparison.py
@@ -47,8 +47,8 @@
     """Run the experiment under each policy with each seed."""
     comparison = PolicyComparison(experiment.name, list(seeds), {})
     with ProcessPoolExecutor() as pool:
-        for index, policy in enumerate(baselines.NAMES):
-            progress(policy, index / len(baselines.NAMES))
+        for index, policy in enumerate(baselines.POLICY_NAMES):
+            progress(policy, index / len(baselines.POLICY_NAMES))
             variant = structs.replace(experiment, sidecars=structs.replace(experiment.sidecars, policy=policy))
             runs = pool.map(run_experiment, repeat(variant, len(seeds)), seeds)
             comparison.policies[policy] = _means([run.result.figures for run in runs])
--- a/garnetusher/cli/presence.py
+++ b/garnetusher/cli/presence.py
@@ -9,7 +9,7 @@
 
 from msgspec import structs
 
-from garnetusher.model.presence import Presence, Scenario, run_scenario
+from garnetusher.model.presence import MembershipResult, Scenario, run_scenario
 
 SIZES = (10, 100, 1000)
 COLUMNS = (
@@ -30,13 +30,13 @@
 )
 
 
-def _run(size: int, loss: float, starved: float, seed: int) -> Presence:
+def _run(size: int, loss: float, starved: float, seed: int) -> MembershipResult:
     return run_scenario(Scenario(size, loss, int(starved * size), seed, cpu_ns=time.thread_time_ns))
 
 
 def measure(
     sizes: list[int], loss: float, starved: float, seeds: range, progress: Callable[[str, float], None]
-) -> list[Presence]:
+) -> list[MembershipResult]:
     """Run the scenario for each size and seed on all cores, with the largest sizes first.
 
     Args:
@@ -60,14 +60,14 @@
     return sorted(results, key=lambda result: (result.members, result.seed))
 
 
-def table(results: list[Presence]) -> str:
+def table(results: list[MembershipResult]) -> str:
     """Return a Markdown table with a row for each run."""
     lines = [f"| {' | '.join(COLUMNS)} |", f"|{' ---: |' * len(COLUMNS)}"]
     lines += [f"| {' | '.join(f'{structs.asdict(result)[name]:g}' for name in COLUMNS)} |" for result in results]
     return "\n".join(lines)
 
 
-def draw(results: list[Presence], path: Path) -> None:
+def draw(results: list[MembershipResult], path: Path) -> None:
     """Plot times and traffic by the size of the fleet."""
     import matplotlib  # noqa: PLC0415  the import is slow and only this command needs it
 
--- a/garnetusher/cli/schedule_search.py
+++ b/garnetusher/cli/schedule_search.py
@@ -56,7 +56,7 @@
 
     def _failure_lines(self, failure: FailingSchedule) -> list[str]:
         schedule = failure.schedule
-        steps = PARTS[self.part].tell(schedule)[-SHOWN_STEPS:]
+        steps = PARTS[self.part].describe(schedule)[-SHOWN_STEPS:]
         return [
             f"seed {schedule.seed}, {len(schedule.steps)} steps of {failure.drawn_steps}: {failure.broken.text}",
             *("  " + step for step in steps),
--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -261,9 +261,9 @@
         experiment = experiments.load(file)
     except config.FileError as error:
         cli.fail(str(error))
-    if experiment.sidecars.policy != baselines.OWN:
+    if experiment.sidecars.policy != baselines.OWN_POLICY:
         cli.fail(
-            f"{file}: sidecars.policy: expected {baselines.OWN!r} on real processes, got "
+            f"{file}: sidecars.policy: expected {baselines.OWN_POLICY!r} on real processes, got "
             f"{experiment.sidecars.policy!r}; `garnetusher model run` plays it"
         )
     return experiment
--- a/garnetusher/model/baselines.py
+++ b/garnetusher/model/baselines.py
@@ -1,9 +1,9 @@
-"""Well-known load-balancing policies to compare the product's own with, on the same draws.
+"""Well-known load-balancing policies, with which the product's own policy is compared on the same random draws.
 
-Each keeps the rules (one answer, no unsafe repeat, nothing new to a draining upstream), knows the endpoint list and its
-own attempts in flight, and retries what may be repeated while attempts and time remain. None queues or sheds before an
-attempt has failed, and none knows that an upstream is warming up: a fleet of them may overload one, which the checker
-then reports.
+Each baseline follows the rules: one answer for each request, no unsafe retry, no new attempt on a draining upstream.
+It knows the endpoint list and its own attempts in flight, and it retries requests that may be repeated while attempts
+and time remain. No baseline queues or sheds a request before an attempt has failed, and none knows that an upstream is
+warming up. A fleet with a baseline may therefore overload an upstream, which the checker then reports.
 """
 
 from __future__ import annotations
@@ -30,15 +30,21 @@
 NOT_EXECUTED = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN)
 
 
-class Decisions(Protocol):
-    """A policy: it decides on the requests of one sidecar."""
+class Policy(Protocol):
+    """A policy, which decides on the requests of one sidecar."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         """Return the actions that follow from an event."""
 
 
 class _Request:
-    """A request without its final answer."""
+    """A request without a final answer.
+
+    Attributes:
+        event: The event with which the request arrived.
+        tried: The IDs of the endpoints that the request was forwarded to.
+        outcomes: The outcomes of the ended attempts.
+    """
 
     def __init__(self, event: RequestArrived) -> None:
         self.event = event
@@ -50,15 +56,15 @@
     """A policy that differs from the other baselines only in how it selects an endpoint.
 
     Attributes:
-        rng: Where the selection draws from.
-        in_flight: This sidecar's attempts in flight, by endpoint.
-        turn: The counter of a round robin, from a random start.
+        rng: The source of random numbers for the selection.
+        in_flight: The number of this sidecar's attempts in flight, by endpoint ID.
+        round_robin_counter: The counter of the round-robin selection, which starts at a random number.
     """
 
     def __init__(self, settings: Settings, seed: int, select: EndpointSelector) -> None:
         self.rng = random.Random(seed)
         self.in_flight: dict[int, int] = {}
-        self.turn = self.rng.randrange(2**30)
+        self.round_robin_counter = self.rng.randrange(2**30)
         self._settings = settings
         self._select = select
         self._ready: dict[int, Endpoint] = {}
@@ -89,7 +95,7 @@
                 self._ready.pop(endpoint.id, None)
 
     def _forward(self, request_id: int) -> list[Action]:
-        """Forward to a ready endpoint, preferably one that the request has not been sent to."""
+        """Forward a request to a ready endpoint, preferably one that the request has not been forwarded to."""
         request = self._requests[request_id]
         candidates = [endpoint_id for endpoint_id in self._ready if endpoint_id not in request.tried]
         candidates = candidates or list(self._ready)
@@ -114,12 +120,12 @@
         return self._finish(event.request_id)
 
     def _may_retry(self, now_us: int, request: _Request, outcome: Outcome) -> bool:
-        repeatable = self._class_of(request).effect == "idempotent" or outcome in NOT_EXECUTED
+        may_repeat = self._class_of(request).effect == "idempotent" or outcome in NOT_EXECUTED
         attempts_left = len(request.tried) < self._settings.max_attempts
-        return repeatable and attempts_left and now_us < request.event.deadline_us
+        return may_repeat and attempts_left and now_us < request.event.deadline_us
 
     def _finish(self, request_id: int) -> list[Action]:
-        """Give the final answer to a request that was not served: shed only if a repeat does no harm."""
+        """Give the final answer to a request that was not served; shed it only if a retry is safe."""
         request = self._requests.pop(request_id)
         not_executed = all(outcome in NOT_EXECUTED for outcome in request.outcomes)
         if not_executed or self._class_of(request).effect == "idempotent":
@@ -138,39 +144,41 @@
 
 
 def _select_least_requests(balancer: BaselineBalancer, candidates: list[int]) -> int:
-    """Select the endpoint with the fewest of this sidecar's attempts in flight; among equals a random one."""
-    fewest = min(balancer.in_flight.get(endpoint_id, 0) for endpoint_id in candidates)
-    return balancer.rng.choice([e for e in candidates if balancer.in_flight.get(e, 0) == fewest])
+    """Select the endpoint with the fewest attempts of this sidecar in flight; break ties at random."""
+    min_in_flight = min(balancer.in_flight.get(endpoint_id, 0) for endpoint_id in candidates)
+    return balancer.rng.choice(
+        [candidate for candidate in candidates if balancer.in_flight.get(candidate, 0) == min_in_flight]
+    )
 
 
 def _select_better_of_two(balancer: BaselineBalancer, candidates: list[int]) -> int:
-    """Select the better of two random ones (Mitzenmacher, "The Power of Two Choices", 2001)."""
+    """Select the less loaded of two random endpoints (Mitzenmacher, "The Power of Two Choices", 2001)."""
     first = balancer.rng.choice(candidates)
     second = balancer.rng.choice(candidates)
     return min(first, second, key=lambda endpoint_id: balancer.in_flight.get(endpoint_id, 0))
 
 
 def _select_round_robin(balancer: BaselineBalancer, candidates: list[int]) -> int:
-    balancer.turn += 1
-    return candidates[balancer.turn % len(candidates)]
+    balancer.round_robin_counter += 1
+    return candidates[balancer.round_robin_counter % len(candidates)]
 
 
-OWN = "slots"  # the product's own policy
+OWN_POLICY = "slots"  # the product's own policy, `Balancer`
 _SELECTORS: dict[str, EndpointSelector] = {
     "random": _select_random,
     "least": _select_least_requests,
     "two": _select_better_of_two,
     "round_robin": _select_round_robin,
 }
-NAMES = (OWN, *_SELECTORS)
+POLICY_NAMES = (OWN_POLICY, *_SELECTORS)
 
 
-def decisions(name: str, settings: Settings, seed: int, now_us: int) -> Decisions:
-    """Return the policy of a name for one sidecar.
+def create_policy(name: str, settings: Settings, seed: int, now_us: int) -> Policy:
+    """Return a new instance of the named policy for one sidecar.
 
     Raises:
         KeyError: No policy has this name.
     """
-    if name == OWN:
+    if name == OWN_POLICY:
         return Balancer(settings, seed, now_us)
     return BaselineBalancer(settings, seed, _SELECTORS[name])
--- a/garnetusher/model/explore/__init__.py
+++ b/garnetusher/model/explore/__init__.py
@@ -1,9 +1,9 @@
-"""Run seeded schedules of events against a core, and shrink those that break a rule.
+"""Runs seeded schedules of events against a component without I/O, and shrinks the schedules that break a rule.
 
-A part of the product is explored through the four methods of `Part`. A schedule is plain data: it is drawn from its
-seed, run with no clock and no I/O, and saved as JSON. One that breaks a rule is shrunk by delta debugging (Zeller and
-Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002): fewer steps, a smaller setup, smaller numbers,
-as long as the same rule breaks.
+The explorer uses a component through the four methods of `Part`. A schedule is plain data: it is drawn from its seed,
+runs without a real clock and without I/O, and is saved as JSON. A schedule that breaks a rule is shrunk by delta
+debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002): the shrinker removes
+steps, simplifies the setup and reduces numbers as long as the same rule breaks.
 """
 
 from __future__ import annotations
@@ -15,11 +15,17 @@
 import msgspec
 from msgspec import Struct, structs
 
-MAX_SHRINK_RUNS = 3000  # for one schedule
+MAX_SHRINK_RUNS = 3000  # limits how often one schedule is run while it is shrunk
 
 
 class Step(Struct, frozen=True, array_like=True):
-    """One event; the part defines what its numbers mean."""
+    """One event of a schedule.
+
+    Attributes:
+        what: The name of the event.
+        a: The first number; the part defines its meaning.
+        b: The second number; the part defines its meaning.
+    """
 
     what: str
     a: int = 0
@@ -27,7 +33,14 @@
 
 
 class Schedule(Struct, frozen=True):
-    """All that is needed to run it again."""
+    """A sequence of events with all that is needed to run it again.
+
+    Attributes:
+        part: The name of the part that runs the schedule.
+        seed: The seed from which the schedule was drawn; the part's own random draws depend on it too.
+        setup: The initial settings by name; the part defines their meaning.
+        steps: The events in order.
+    """
 
     part: str
     seed: int
@@ -35,8 +48,14 @@
     steps: list[Step]
 
 
-class Broken(Struct, frozen=True):
-    """A rule that did not hold, and the number of the step after which it did not."""
+class BrokenRule(Struct, frozen=True):
+    """A rule that did not hold during a schedule.
+
+    Attributes:
+        rule: The name of the rule.
+        text: A description of the violation.
+        step: The index of the step after which the rule did not hold; the number of steps if this was found at the end.
+    """
 
     rule: str
     text: str
@@ -44,96 +63,111 @@
 
 
 class FailingSchedule(Struct, frozen=True):
-    """A schedule that breaks a rule, as `model replay` reads it."""
+    """A schedule that breaks a rule, in the form that `garnetusher model replay` reads.
+
+    Attributes:
+        schedule: The schedule after shrinking.
+        broken: The rule that the schedule breaks.
+        drawn_steps: The number of steps before shrinking.
+    """
 
     schedule: Schedule
-    broken: Broken
-    drawn_steps: int  # before it was shrunk
+    broken: BrokenRule
+    drawn_steps: int
 
 
 class Part(Protocol):
-    """A part of the product that can be explored."""
+    """A component that the explorer can test.
+
+    Attributes:
+        name: The name of the part in schedules and commands.
+    """
 
     name: str
 
     def draw(self, seed: int, steps: int) -> Schedule:
-        """Return the schedule of a seed, of so many steps at the most."""
+        """Return the schedule of a seed, with at most `steps` steps."""
 
-    def play(self, schedule: Schedule) -> Broken | None:
-        """Run a schedule on a new core; return the first rule that broke, or None."""
+    def run(self, schedule: Schedule) -> BrokenRule | None:
+        """Run a schedule on a new instance of the component; return the first broken rule, or None."""
 
-    def simpler(self, setup: dict[str, int]) -> Iterator[dict[str, int]]:
-        """Yield simpler setups than this one."""
+    def simpler_setups(self, setup: dict[str, int]) -> Iterator[dict[str, int]]:
+        """Yield setups that are simpler than this one."""
 
-    def tell(self, schedule: Schedule) -> list[str]:
-        """Describe a schedule, a line for each step."""
+    def describe(self, schedule: Schedule) -> list[str]:
+        """Run a schedule; return lines of text that describe its setup, its steps and their effects."""
 
 
 def explore(part: Part, seeds: Iterable[int], steps: int) -> Iterator[tuple[int, FailingSchedule | None]]:
-    """Run the schedule of each seed; yield each seed with its shrunk failure, if any."""
+    """Run the schedule of each seed; yield each seed and its failure after shrinking, or None."""
     for seed in seeds:
         schedule = part.draw(seed, steps)
-        broken = part.play(schedule)
+        broken = part.run(schedule)
         yield seed, None if broken is None else shrink(part, schedule, broken)
 
 
-def shrink(part: Part, schedule: Schedule, broken: Broken) -> FailingSchedule:
-    """Return the smallest schedule found that breaks the same rule."""
-    shrinker = _Shrinker(part, _until_breach(schedule, broken), broken)
+def shrink(part: Part, schedule: Schedule, broken: BrokenRule) -> FailingSchedule:
+    """Return the smallest schedule that was found to break the same rule."""
+    shrinker = _Shrinker(part, _cut_after_violation(schedule, broken), broken)
     shrinker.run()
     return FailingSchedule(shrinker.best, shrinker.broken, len(schedule.steps))
 
 
-def _until_breach(schedule: Schedule, broken: Broken) -> Schedule:
+def _cut_after_violation(schedule: Schedule, broken: BrokenRule) -> Schedule:
     return structs.replace(schedule, steps=schedule.steps[: broken.step + 1])
 
 
 class _Shrinker:
-    """The smallest failing schedule so far, made smaller until nothing more can be left out."""
+    """Shrinks a failing schedule until no further reduction breaks the same rule.
+
+    Attributes:
+        best: The smallest failing schedule so far.
+        broken: The rule that this schedule breaks.
+    """
 
-    def __init__(self, part: Part, schedule: Schedule, broken: Broken) -> None:
+    def __init__(self, part: Part, schedule: Schedule, broken: BrokenRule) -> None:
         self._part = part
         self.best = schedule
         self.broken = broken
         self._runs = 0
 
     def run(self) -> None:
-        """Shrink until a round brings nothing, or the runs are used up."""
-        before = None
-        while before != self.best and self._runs < MAX_SHRINK_RUNS:
-            before = self.best
+        """Repeat all reductions until none of them helps or the limit on runs is reached."""
+        previous_best = None
+        while previous_best != self.best and self._runs < MAX_SHRINK_RUNS:
+            previous_best = self.best
             self._remove_steps()
-            for setup in self._part.simpler(self.best.setup):
+            for setup in self._part.simpler_setups(self.best.setup):
                 self._accept(structs.replace(self.best, setup=setup))
             self._reduce_numbers()
 
     def _accept(self, schedule: Schedule) -> bool:
-        """Run a smaller schedule; keep it as the best and return True if it breaks the same rule."""
+        """Run a smaller schedule; if it breaks the same rule, store it as the best one and return True."""
         if self._runs >= MAX_SHRINK_RUNS:
             return False
         self._runs += 1
-        broken = self._part.play(schedule)
+        broken = self._part.run(schedule)
         if broken is None or broken.rule != self.broken.rule:
             return False
-        self.best = _until_breach(schedule, broken)
+        self.best = _cut_after_violation(schedule, broken)
         self.broken = broken
         return True
 
     def _remove_steps(self) -> None:
-        size = max(1, len(self.best.steps) // 2)
+        chunk_size = max(1, len(self.best.steps) // 2)
         while True:
-            place = 0
-            while place < len(self.best.steps):
-                rest = self.best.steps[:place] + self.best.steps[place + size :]
-                if not self._accept(structs.replace(self.best, steps=rest)):
-                    place += size
-            if size == 1:
+            start = 0
+            while start < len(self.best.steps):
+                remaining = self.best.steps[:start] + self.best.steps[start + chunk_size :]
+                if not self._accept(structs.replace(self.best, steps=remaining)):
+                    start += chunk_size
+            if chunk_size == 1:
                 return
-            size //= 2
+            chunk_size //= 2
 
     def _reduce_numbers(self) -> None:
         index = 0
-        while index < len(self.best.steps):  # which become fewer if an accepted schedule breaks the rule earlier
+        while index < len(self.best.steps):  # an accepted schedule has fewer steps if it breaks earlier
             step = self.best.steps[index]
             smaller_steps = (
                 Step(step.what),
@@ -141,24 +175,24 @@
                 Step(step.what, step.a, step.b // 2),
             )
             for smaller in smaller_steps:
-                if smaller != step and self._accept(self._with_step(index, smaller)):
+                if smaller != step and self._accept(self._replace_step(index, smaller)):
                     break
             index += 1
 
-    def _with_step(self, index: int, step: Step) -> Schedule:
+    def _replace_step(self, index: int, step: Step) -> Schedule:
         return structs.replace(self.best, steps=[*self.best.steps[:index], step, *self.best.steps[index + 1 :]])
 
 
 def save(failure: FailingSchedule, path: Path) -> None:
-    """Write a failure to a file as JSON."""
+    """Write a failing schedule to a file as JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(failure), indent=1) + b"\n")
 
 
 def load(path: Path) -> FailingSchedule:
-    """Read a failure from a file.
+    """Read a failing schedule from a file.
 
     Raises:
         OSError: The file cannot be read.
-        msgspec.MsgspecError: It is no failing schedule; the text says why.
+        msgspec.MsgspecError: The file does not contain a failing schedule; the message says why.
     """
     return msgspec.json.decode(path.read_bytes(), type=FailingSchedule)
--- a/garnetusher/model/explore/membership.py
+++ b/garnetusher/model/explore/membership.py
@@ -1,7 +1,8 @@
-"""Membership under any order of deliveries, losses, kills, restarts, pauses and splits (garnetusher/model/members.py).
+"""Explores membership under random orders of kills, restarts, pauses, splits and lost datagrams.
 
-Three rules have to hold: a member's own (generation, incarnation) never goes back; what all members take as their parts
-of a limit adds up to no more than one; and once faults stop, all running members agree on who runs.
+The simulated network and its nodes are in garnetusher/model/members.py. Three rules have to hold: a member's own
+(generation, incarnation) never decreases; the shares of a fleet-wide limit that all members use add up to at most one;
+and after all faults have ended, all running members agree on which members are running.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from garnetusher.errors import GarnetusherError
 from garnetusher.membership.fleet_size import HOLD_FAILED_US
 from garnetusher.membership.state import Phase
-from garnetusher.model.explore import Broken, Schedule, Step
+from garnetusher.model.explore import BrokenRule, Schedule, Step
 from garnetusher.model.members import SETTLE_US, Members, Node
 
-SEEDS = 2  # of the nodes, that others join through
-CALM_US = 20_000_000  # after the last fault: longer than a joiner waits between attempts, twice over
-UNDER_LIMIT = 1.0001  # what parts of a limit may add up to, with rounding
+SEED_NODES = 2  # the first nodes of the list, through which all nodes join
+CONVERGENCE_US = 20_000_000  # more than twice the longest wait of a joining member between two attempts
+MAX_TOTAL_SHARE = 1.0001  # the shares of a limit may add up to one, plus a margin for rounding
 HOUR_US = 3_600_000_000
-MAX_ARGUMENT = 1000  # of a drawn step, exclusive
+MAX_ARGUMENT = 1000  # exclusive limit of the numbers that are drawn for a step
 ADVANCE_LIMITS_MS = (50, 500, 500, 4000, 10_000)
 GARBAGE_SENDER = ("10.9.9.9", 1)
 GARBAGE = [b"", b"\0" * 17, b"\0" * 16 + b"\xc1", b"\0" * 16 + b"\x97\x01\xa5other", b"x" * 1400, bytes(range(200))]
@@ -32,7 +33,11 @@
 
 
 class RuleBrokenError(GarnetusherError):
-    """A rule did not hold."""
+    """A rule did not hold.
+
+    Attributes:
+        rule: The name of the rule.
+    """
 
     def __init__(self, rule: str, text: str) -> None:
         super().__init__(text)
@@ -40,12 +45,12 @@
 
 
 class Membership:
-    """`Part` for `garnetusher.membership`."""
+    """The `Part` that explores `garnetusher.membership`."""
 
     name = "membership"
 
     def draw(self, seed: int, steps: int) -> Schedule:
-        """Draw the schedule of a seed."""
+        """Return the schedule of a seed, with at most `steps` steps."""
         rng = random.Random(seed)
         setup = {
             "nodes": rng.choice([2, 3, 3, 4, 5]),
@@ -57,43 +62,43 @@
         names = rng.choices(list(weights), list(weights.values()), k=rng.randint(max(4, steps // 4), steps))
         return Schedule(self.name, seed, setup, [_draw_step(rng, name) for name in names])
 
-    def simpler(self, setup: dict[str, int]) -> Iterator[dict[str, int]]:
-        """Yield smaller settings."""
+    def simpler_setups(self, setup: dict[str, int]) -> Iterator[dict[str, int]]:
+        """Yield setups in which one value is smaller."""
         for name, value in setup.items():
-            least = 2 if name == "nodes" else 0
-            for smaller in (least, value - 1):
-                if least <= smaller < value:
+            minimum = 2 if name == "nodes" else 0
+            for smaller in (minimum, value - 1):
+                if minimum <= smaller < value:
                     yield setup | {name: smaller}
 
-    def play(self, schedule: Schedule) -> Broken | None:
-        """Run the schedule; return the first rule that broke."""
-        run = _Run(schedule.setup, schedule.seed)
+    def run(self, schedule: Schedule) -> BrokenRule | None:
+        """Run a schedule on new nodes; return the first broken rule, or None."""
+        schedule_run = _Run(schedule.setup, schedule.seed)
         completed = 0
         try:
             for step in schedule.steps:
-                run.apply(step)
-                run.check_rules()
+                schedule_run.apply(step)
+                schedule_run.check_rules()
                 completed += 1
-            run.check_convergence()
+            schedule_run.check_convergence()
         except RuleBrokenError as broken:
-            return Broken(broken.rule, str(broken), completed)
-        except Exception as error:  # any exception would end the process
-            return Broken(f"crash: {type(error).__name__}", repr(error), completed)
+            return BrokenRule(broken.rule, str(broken), completed)
+        except Exception as error:  # an exception of any type would end the process
+            return BrokenRule(f"crash: {type(error).__name__}", repr(error), completed)
         return None
 
-    def tell(self, schedule: Schedule) -> list[str]:
-        """Run the schedule; return its steps and what each member logged."""
-        run = _Run(schedule.setup, schedule.seed)
+    def describe(self, schedule: Schedule) -> list[str]:
+        """Run a schedule; return its steps and the log events of the members as lines of text."""
+        schedule_run = _Run(schedule.setup, schedule.seed)
         lines = [", ".join(f"{name} {value}" for name, value in schedule.setup.items())]
         try:
             for step in schedule.steps:
-                lines.append(f"{run.members.clock.now_us / 1e6:.3f} s  {step.what} {step.a} {step.b}")
-                run.apply(step)
-                lines += run.new_log_lines()
-                run.check_rules()
-            run.check_convergence()
-        except Exception as error:  # the broken rule, or the crash, that the caller wants to see
-            lines += [*run.new_log_lines(), f"    {type(error).__name__}: {error}"]
+                lines.append(f"{schedule_run.members.clock.now_us / 1e6:.3f} s  {step.what} {step.a} {step.b}")
+                schedule_run.apply(step)
+                lines += schedule_run.new_log_lines()
+                schedule_run.check_rules()
+            schedule_run.check_convergence()
+        except Exception as error:  # the broken rule or the crash, which the caller wants to see
+            lines += [*schedule_run.new_log_lines(), f"    {type(error).__name__}: {error}"]
         return lines
 
 
@@ -107,7 +112,7 @@
     """One run of a schedule.
 
     Attributes:
-        members: the nodes and the network.
+        members: The nodes and the network.
     """
 
     def __init__(self, setup: dict[str, int], seed: int) -> None:
@@ -116,14 +121,14 @@
         self.members.duplication = setup["doubled"] / 100
         self.members.is_cut = self._is_cut
         self._nodes = [self.members.add(f"n{index}") for index in range(setup["nodes"])]
-        self._highest: dict[str, tuple[int, int]] = {}  # (generation, incarnation) that a name has had
-        self._logged: dict[str, int] = {}  # log events by node that `new_log_lines` has returned
+        self._highest_incarnations: dict[str, tuple[int, int]] = {}  # highest (generation, incarnation) of each name
+        self._returned_log_events: dict[str, int] = {}  # number of log events of each node that were returned
         self._one_way_cuts: set[tuple[str, str]] = set()
-        self._sides: dict[str, int] = {}  # of a split, by name
-        self._divided_since_us = 0  # since when some nodes can't hear others; 0 = all can
-        self._limits_excused = False  # some node can't know of another that counts
+        self._split_sides: dict[str, int] = {}  # side of each node in a network split, by name
+        self._divided_since_us = 0  # when a cut or split began; 0 = all nodes are connected
+        self._excess_expected = False  # whether a node may not know of another one that uses a share
         self._limits_checked_from_us = 0
-        # names of steps are part of stored schedules
+        # stored schedules contain the names of steps
         self._handlers: dict[str, Callable[[int, int], None]] = {
             "advance": self._advance,
             "kill": self._kill,
@@ -138,7 +143,7 @@
             "garbage": self._send_garbage,
         }
         for node in self._nodes:
-            self.members.start(node, self._nodes[:SEEDS])
+            self.members.start(node, self._nodes[:SEED_NODES])
         self.members.run(SETTLE_US)
         self._limits_checked_from_us = self.members.clock.now_us + SETTLE_US
 
@@ -152,10 +157,10 @@
     def _is_cut(self, sender: Node, recipient: Node) -> bool:
         if (sender.name, recipient.name) in self._one_way_cuts:
             return True
-        return self._sides.get(sender.name, 0) != self._sides.get(recipient.name, 0)
+        return self._split_sides.get(sender.name, 0) != self._split_sides.get(recipient.name, 0)
 
     def _suspend_limits(self) -> None:
-        """Give the nodes time to learn of each other before limits are checked again."""
+        """Postpone the check of limits until the nodes have had time to learn of each other."""
         from_us = self.members.clock.now_us + 2 * SETTLE_US
         self._limits_checked_from_us = max(self._limits_checked_from_us, from_us)
 
@@ -167,17 +172,18 @@
     def _kill(self, node_number: int, _: int) -> None:
         self.members.kill(self._node(node_number))
 
-    def _restart(self, node_number: int, disk_number: int) -> None:
-        """Restart a node, in three of four cases with what it had persisted."""
+    def _restart(self, node_number: int, persisted_number: int) -> None:
+        """Restart a node; in three of four cases it reads its persisted state."""
         node = self._node(node_number)
         self.members.kill(node)
-        disk = disk_number % 4 > 0
-        if not disk:
-            self._highest.pop(node.name, None)  # what was not persisted may go back
+        read_persisted = persisted_number % 4 > 0
+        if not read_persisted:
+            # without its persisted state a node may start with a lower value
+            self._highest_incarnations.pop(node.name, None)
             node.persisted = None
-        self.members.start(node, self._nodes[:SEEDS], disk=disk)
+        self.members.start(node, self._nodes[:SEED_NODES], read_persisted=read_persisted)
         self._suspend_limits()
-        self._limits_excused = self._limits_excused or self._is_divided
+        self._excess_expected = self._excess_expected or self._is_divided
 
     def _leave(self, node_number: int, _: int) -> None:
         self.members.leave(self._node(node_number))
@@ -193,24 +199,24 @@
         sender, recipient = self._node(sender_number), self._node(recipient_number)
         if sender is not recipient:
             self._one_way_cuts.add((sender.name, recipient.name))
-            self._note_division()
+            self._record_division()
 
     def _split(self, mask: int, _: int) -> None:
-        self._sides = {node.name: mask >> index & 1 for index, node in enumerate(self._nodes)}
-        self._note_division()
+        self._split_sides = {node.name: mask >> index & 1 for index, node in enumerate(self._nodes)}
+        self._record_division()
 
-    def _note_division(self) -> None:
+    def _record_division(self) -> None:
         self._divided_since_us = self._divided_since_us or self.members.clock.now_us
 
     def _heal(self, _: int, __: int) -> None:
         self._one_way_cuts.clear()
-        self._sides.clear()
+        self._split_sides.clear()
         self._divided_since_us = 0
-        self._limits_excused = False
+        self._excess_expected = False
         self._suspend_limits()
 
     def _skew_clock(self, node_number: int, hours: int) -> None:
-        """Let the wall clock, which generations are taken from, jump by up to a day either way."""
+        """Set the offset of the wall clock, which determines generations, to at most a day in either direction."""
         self.members.clock_skew_us[self._node(node_number).name] = (hours % 48 - 24) * HOUR_US
 
     def _send_garbage(self, node_number: int, garbage_number: int) -> None:
@@ -227,7 +233,7 @@
         """Check the rules that hold at any time.
 
         Raises:
-            RuleBrokenError: one does not hold.
+            RuleBrokenError: A rule does not hold.
         """
         self._check_incarnations()
         self._check_limits()
@@ -236,50 +242,63 @@
         for node in self._nodes:
             if node.member is not None and node.member.phase == Phase.PRESENT:
                 own = (node.member.generation, node.member.incarnation)
-                highest = self._highest.get(node.name, own)
+                highest = self._highest_incarnations.get(node.name, own)
                 if own < highest:
-                    raise RuleBrokenError(rule="incarnation", text=f"{node.name} went back from {highest} to {own}")
-                self._highest[node.name] = own
+                    raise RuleBrokenError(
+                        rule="incarnation",
+                        text=f"{node.name} decreased its (generation, incarnation) from {highest} to {own}",
+                    )
+                self._highest_incarnations[node.name] = own
 
     def _check_limits(self) -> None:
         members, now_us = self.members, self.members.clock.now_us
-        instances = [(node.name, members.fleet_size(node).instances) for node in members.present_nodes()]
-        total = sum(1 / number for _, number in instances)
+        fleet_sizes = [(node.name, members.fleet_size(node).instances) for node in members.present_nodes()]
+        total = sum(1 / fleet_size for _, fleet_size in fleet_sizes)
         present_since = [node.require_member().present_since_us for node in members.present_nodes()]
         if self._is_divided and self._division_hides_members(present_since):
-            self._limits_excused = True
+            self._excess_expected = True
         is_settled = all(now_us - since_us >= 2 * SETTLE_US for since_us in present_since)
-        is_checked = now_us >= self._limits_checked_from_us and is_settled and not self._limits_excused
-        if is_checked and total > UNDER_LIMIT:
-            raise RuleBrokenError(rule="limits", text=f"parts add up to {total:.2f}: {instances}")
+        is_checked = now_us >= self._limits_checked_from_us and is_settled and not self._excess_expected
+        if is_checked and total > MAX_TOTAL_SHARE:
+            raise RuleBrokenError(
+                rule="limits", text=f"shares of a limit add up to {total:.2f}; fleet sizes: {fleet_sizes}"
+            )
 
     def _division_hides_members(self, present_since: list[int]) -> bool:
-        """Return whether a division outlasts the hold of failed members, or somebody has joined during it."""
+        """Return whether nodes may stop counting running nodes, or may never have counted them, because of a division.
+
+        This is the case if the division lasts longer than failed members are still counted, or if a node has joined
+        during the division or shortly before it.
+        """
         if self.members.clock.now_us - self._divided_since_us >= HOLD_FAILED_US:
             return True
         return any(since_us >= self._divided_since_us - 2 * SETTLE_US for since_us in present_since)
 
     def check_convergence(self) -> None:
-        """End all faults; then whoever runs has to agree on who runs.
+        """End all faults and check that all running members agree on which members are running.
 
         Raises:
-            RuleBrokenError: they do not agree.
+            RuleBrokenError: The members do not agree, or another rule does not hold.
         """
         members = self.members
         self._end_faults()
-        members.run(CALM_US)
+        members.run(CONVERGENCE_US)
         running = sorted(node.name for node in self._nodes if node.running)
         for node in members.present_nodes():
             active = members.active_names(node)
             if active != running:
-                raise RuleBrokenError(rule="convergence", text=f"{node.name} believes in {active}; there are {running}")
+                raise RuleBrokenError(
+                    rule="convergence", text=f"{node.name} considers {active} active; {running} are running"
+                )
         joined = sorted(node.name for node in members.present_nodes())
         if joined != running:
-            raise RuleBrokenError(rule="convergence", text=f"only {joined} have joined of {running}")
+            raise RuleBrokenError(
+                rule="convergence", text=f"only {joined} of the running members {running} have joined"
+            )
         digests = {node.require_member().view.digest for node in members.present_nodes()}
         if len(digests) > 1:
             raise RuleBrokenError(
-                rule="convergence", text=f"{len(digests)} different views though the same names count"
+                rule="convergence", text=f"{len(digests)} different views, although all have the same active members"
             )
         self.check_rules()
 
@@ -289,17 +308,17 @@
         self._heal(0, 0)
         for node in self._nodes:
             members.resume(node)
-        if not any(node.running for node in self._nodes[:SEEDS]):
-            members.start(self._nodes[0], self._nodes[:SEEDS])  # without a seed a joiner finds nobody
+        if not any(node.running for node in self._nodes[:SEED_NODES]):
+            members.start(self._nodes[0], self._nodes[:SEED_NODES])  # a node can join only through a seed
 
     # Log
 
     def new_log_lines(self) -> list[str]:
-        """Return what the members logged since the last call, by time."""
+        """Return the log events since the last call as lines of text, sorted by time."""
         lines = []
         for node in self._nodes:
-            new_events = node.log[self._logged.get(node.name, 0) :]
-            self._logged[node.name] = len(node.log)
+            new_events = node.log[self._returned_log_events.get(node.name, 0) :]
+            self._returned_log_events[node.name] = len(node.log)
             for at_us, logged in new_events:
                 fields = " ".join(f"{name}={value}" for name, value in logged.fields.items())
                 lines.append((at_us, f"    {at_us / 1e6:.3f} {node.name}: {logged.event} {fields}"))
--- a/garnetusher/model/explore/module.py
+++ b/garnetusher/model/explore/module.py
@@ -1,7 +1,8 @@
-"""The decision module under any order of legal events: rules, slots, timers, and one answer for each request.
+"""Explores the decision module, `garnetusher.policy`, under random orders of legal events.
 
-The host is garnetusher/model/contract.py. A schedule's numbers point into what is there when it is played (the third
-attempt that is out, the fifth upstream), so that it still means something with some of its steps gone.
+The host in garnetusher/model/contract.py checks the rules, the slots, the timers, and that each request has exactly one
+answer. The numbers of a step select from what exists when the step runs, such as the third outstanding attempt or the
+fifth upstream. The remaining steps therefore keep a meaning when the shrinker removes some.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from collections.abc import Iterator
 
 from garnetusher.model.contract import ContractViolation, Host
-from garnetusher.model.explore import Broken, Schedule, Step
+from garnetusher.model.explore import BrokenRule, Schedule, Step
 from garnetusher.policy.events import (
     Endpoint,
     EndpointStatus,
@@ -41,29 +42,32 @@
     ),
     RequestClass("feed", 200_000, 900_000, effect="deduplicated", deduplication_window_us=9_000_000, streaming=True),
 ]
-OUTCOMES = [o for o in Outcome if o is not Outcome.TIMEOUT]
-STATES = list(EndpointStatus)
+OUTCOMES = [outcome for outcome in Outcome if outcome is not Outcome.TIMEOUT]
+STATUSES = list(EndpointStatus)
 WARM_UP_US = 20_000_000
-LAST_US = 6_000_000  # after the last step: longer than any request may wait
-# how a schedule's steps are mixed: one temper a seed, so that some are all storm and some are quiet
-TEMPERS: list[dict[str, int]] = [
+FINAL_ADVANCE_US = 6_000_000  # after the last step; longer than any request may wait
+# Weights of the steps. Each seed chooses one set, so that some schedules have many faults and others have few.
+STEP_WEIGHTS: list[dict[str, int]] = [
     {"arrive": 50, "end": 40, "advance": 10, "list": 2, "restart": 1, "quit": 1, "stream": 1},
-    {"arrive": 40, "end": 10, "advance": 30, "sleep": 5, "quit": 5},  # silence, and a process that is starved
+    # few responses, and a process that gets little CPU time
+    {"arrive": 40, "end": 10, "advance": 30, "sleep": 5, "quit": 5},
     {"arrive": 20, "end": 20, "advance": 5, "list": 20, "restart": 10, "full": 5, "fail": 5, "cached": 2},
-    {"arrive": 60, "fault": 40, "advance": 10, "restart": 2},  # all fails
+    {"arrive": 60, "fault": 40, "advance": 10, "restart": 2},  # all attempts fail
     {"arrive": 30, "end": 25, "advance": 15, "order": 5, "retune": 5, "fleet": 4, "whole": 8, "passed": 4, "list": 2},
     {"arrive": 30, "end": 25, "advance": 20, "sleep": 3, "stream": 10, "quit": 5, "fault": 10},
-    {"arrive": 40, "end": 15, "advance": 20, "fault": 10, "leave": 10, "hasten": 5, "list": 3},  # clients go, it ends
+    # clients that half-close their connections, and deadlines that move closer, as at the end of the process
+    {"arrive": 40, "end": 15, "advance": 20, "fault": 10, "leave": 10, "hasten": 5, "list": 3},
 ]
-BAD = [Outcome.ERROR, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.RESET]
+FAILED_OUTCOMES = [Outcome.ERROR, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
 class Module:
-    """`Part` for `garnetusher.policy.Balancer`."""
+    """The `Part` that explores `garnetusher.policy.Balancer`."""
 
     name = "module"
 
     def draw(self, seed: int, steps: int) -> Schedule:
+        """Return the schedule of a seed, with at most `steps` steps."""
         rng = random.Random(seed)
         setup = {
             "upstreams": rng.choice([1, 2, 4, 8, 20]),
@@ -77,203 +81,245 @@
             "regions": rng.randrange(2),
             "cold": rng.randrange(2),
         }
-        temper = rng.choice(TEMPERS)
-        names = rng.choices(list(temper), list(temper.values()), k=rng.randint(steps // 4, steps))
-        return Schedule(self.name, seed, setup, [self._step(rng, name) for name in names])
+        weights = rng.choice(STEP_WEIGHTS)
+        names = rng.choices(list(weights), list(weights.values()), k=rng.randint(steps // 4, steps))
+        return Schedule(self.name, seed, setup, [self._draw_step(rng, name) for name in names])
 
-    def _step(self, rng: random.Random, what: str) -> Step:
+    def _draw_step(self, rng: random.Random, name: str) -> Step:
         a, b = rng.randrange(1000), 0
-        if what == "arrive":
+        if name == "arrive":
             a, b = rng.randrange(len(CLASSES)), rng.choice([0, rng.randrange(1, 2_000_000), rng.randrange(1, 5_000)])
-        elif what in ("end", "fault"):
+        elif name in ("end", "fault"):
             b = rng.randrange(1000)
-        elif what in ("advance", "sleep"):
+        elif name in ("advance", "sleep"):
             a = rng.choice([0, rng.randrange(2_000), rng.randrange(100_000), rng.randrange(2_000_000)])
-        elif what == "list":
-            b = rng.randrange(len(STATES))
-        elif what == "restart":
+        elif name == "list":
+            b = rng.randrange(len(STATUSES))
+        elif name == "restart":
             b = rng.randrange(WARM_UP_US * 3 // 2)
-        elif what == "order":
+        elif name == "order":
             b = rng.randrange(2)
-        return Step(what, a, b)
+        return Step(name, a, b)
 
-    def simpler(self, setup: dict[str, int]) -> Iterator[dict[str, int]]:
+    def simpler_setups(self, setup: dict[str, int]) -> Iterator[dict[str, int]]:
+        """Yield setups in which one value is smaller."""
         for name, value in setup.items():
-            least = 1 if name in ("upstreams", "zones", "instances", "max_attempts") else 0
-            for other in (least, value // 2):
-                if least <= other < value:
-                    yield setup | {name: other}
-
-    def play(self, schedule: Schedule) -> Broken | None:
-        run, done = _Run(schedule.setup, schedule.seed), 0
+            minimum = 1 if name in ("upstreams", "zones", "instances", "max_attempts") else 0
+            for smaller in (minimum, value // 2):
+                if minimum <= smaller < value:
+                    yield setup | {name: smaller}
+
+    def run(self, schedule: Schedule) -> BrokenRule | None:
+        """Run a schedule on a new balancer; return the first broken rule, or None."""
+        schedule_run, completed = _Run(schedule.setup, schedule.seed), 0
         try:
-            run.begin()
+            schedule_run.send_initial_list()
             for step in schedule.steps:
-                run.step(step)
-                run.host.check_slots()
-                done += 1
-            run.host.advance(LAST_US)
-            run.host.check_slots()
-        except ContractViolation as breach:
-            return Broken(breach.rule, str(breach), done)
-        except Exception as error:  # whatever it raises: the process would be gone
-            return Broken(f"crash: {type(error).__name__}", repr(error), done)
+                schedule_run.apply(step)
+                schedule_run.host.check_slots()
+                completed += 1
+            schedule_run.host.advance(FINAL_ADVANCE_US)
+            schedule_run.host.check_slots()
+        except ContractViolation as violation:
+            return BrokenRule(violation.rule, str(violation), completed)
+        except Exception as error:  # an exception of any type would end the process
+            return BrokenRule(f"crash: {type(error).__name__}", repr(error), completed)
         return None
 
-    def tell(self, schedule: Schedule) -> list[str]:
-        """What was told to the module and what it did, until something broke."""
-        run = _Run(schedule.setup, schedule.seed)
+    def describe(self, schedule: Schedule) -> list[str]:
+        """Run a schedule; return its steps and the actions of the balancer as lines of text, up to a broken rule."""
+        schedule_run = _Run(schedule.setup, schedule.seed)
         lines = [", ".join(f"{name} {value}" for name, value in schedule.setup.items())]
         try:
-            run.begin()
-            for step in [*schedule.steps, Step("advance", LAST_US)]:
-                said, at_us = len(run.host.actions), run.host.now_us
+            schedule_run.send_initial_list()
+            for step in [*schedule.steps, Step("advance", FINAL_ADVANCE_US)]:
+                previous_actions, at_us = len(schedule_run.host.actions), schedule_run.host.now_us
                 lines.append(f"{at_us / 1e6:.6f} s  {step.what} {step.a} {step.b}")
                 try:
-                    run.step(step)
+                    schedule_run.apply(step)
                 finally:
-                    lines += [f"    {action}" for action in run.host.actions[said:]]
-                run.host.check_slots()
-        except Exception as error:  # the breach, or the crash, that the story is about
+                    lines += [f"    {action}" for action in schedule_run.host.actions[previous_actions:]]
+                schedule_run.host.check_slots()
+        except Exception as error:  # the broken rule or the crash, which the caller wants to see
             lines.append(f"    {type(error).__name__}: {error}")
         return lines
 
 
 class _Run:
-    """One play."""
+    """One run of a schedule.
+
+    Each event of a schedule has a method of the same name. Stored schedules contain these names. A number that selects
+    an object is taken modulo the number of objects.
+
+    Attributes:
+        setup: The setup of the schedule.
+        host: The host with the balancer.
+    """
 
     def __init__(self, setup: dict[str, int], seed: int) -> None:
         self.setup = setup
         self.host = Host(self.settings(setup["max_attempts"]), seed)
 
     def settings(self, max_attempts: int) -> Settings:
-        s = self.setup
+        """Return the settings of the setup with a limit on attempts."""
+        setup = self.setup
         return Settings(
             CLASSES,
             [Tenant("north", 20.0, 0.5), Tenant("south", 20.0, 0.5)],
             over_quota_weight=0.2,
-            fleet_size=s["instances"],
+            fleet_size=setup["instances"],
             batch_interval_us=4000,
             max_attempts=max_attempts,
-            cancel_attempts=bool(s["cancel"]),
+            cancel_attempts=bool(setup["cancel"]),
             max_retry_after_us=1_000_000,
             connect_timeout_us=150_000,
-            hedging=bool(s["second_copies"]),
-            poll_endpoints=bool(s["on_request"]),
+            hedging=bool(setup["second_copies"]),
+            poll_endpoints=bool(setup["on_request"]),
             poll_interval_us=10_000_000,
             warm_up_initial_fraction=0.2,
             warm_up_us=WARM_UP_US,
             overload_factor=2.5,
             overload_window_us=1_000_000,
-            cross_zone_cost=0.02 * s["fee"],
-            zone_regions=[0, 0, 1] if s["regions"] else [],
+            cross_zone_cost=0.02 * setup["fee"],
+            zone_regions=[0, 0, 1] if setup["regions"] else [],
         )
 
-    def entry(self, number: int, state: EndpointStatus = EndpointStatus.READY, started_us: int = 0) -> Endpoint:
+    def endpoint(self, number: int, status: EndpointStatus = EndpointStatus.READY, started_us: int = 0) -> Endpoint:
+        """Return the entry of an upstream for the endpoint list."""
         number %= self.setup["upstreams"]
         zone = number % self.setup["zones"]
-        return Endpoint(100 + number, state, zone, 0, number // 2, 1.0, started_us)
+        return Endpoint(100 + number, status, zone, 0, number // 2, 1.0, started_us)
 
-    def begin(self) -> None:
+    def send_initial_list(self) -> None:
+        """Send a cached endpoint list with all upstreams; with `cold` in the setup they started one second ago."""
         started_us = self.host.now_us - 1_000_000 if self.setup["cold"] else 0
         self.host.update_endpoints(
-            [self.entry(n, started_us=started_us) for n in range(self.setup["upstreams"])], UpdateKind.CACHED
+            [self.endpoint(n, started_us=started_us) for n in range(self.setup["upstreams"])], UpdateKind.CACHED
         )
 
-    def step(self, step: Step) -> None:
+    def apply(self, step: Step) -> None:
+        """Apply one step."""
         getattr(self, step.what)(step.a, step.b)
 
-    # What can happen; numbers are taken modulo what there is
+    # Events
 
-    def arrive(self, cls: int, patience_us: int) -> None:
+    def arrive(self, class_index: int, client_timeout_us: int) -> None:
+        """Send a request; a client timeout of 0 means that the client sets none."""
         self.host.arrive(
-            cls % len(CLASSES), patience_us or None, tenant_index=cls % 3, client_retry=patience_us % 5 == 1
+            class_index % len(CLASSES),
+            client_timeout_us or None,
+            tenant_index=class_index % 3,
+            client_retry=client_timeout_us % 5 == 1,
         )
 
-    def _out(self) -> list[tuple[int, int]]:
-        return [(ident, n) for ident, owed in self.host.request_records.items() for n in owed.outstanding_indexes()]
-
-    def end(self, which: int, how: int) -> None:
-        """Two in three are well."""
-        out = self._out()
-        if out:
-            outcome = OUTCOMES[how % len(OUTCOMES)] if how % 3 == 0 else Outcome.OK
-            self.host.end(*out[which % len(out)], outcome)
+    def _outstanding_attempts(self) -> list[tuple[int, int]]:
+        """Return the request ID and the index of each outstanding attempt."""
+        return [
+            (request_id, attempt_index)
+            for request_id, record in self.host.request_records.items()
+            for attempt_index in record.outstanding_indexes()
+        ]
 
-    def fault(self, which: int, how: int) -> None:
-        out = self._out()
-        if out:
-            self.host.end(*out[which % len(out)], BAD[how % len(BAD)])
+    def end(self, attempt_number: int, outcome_number: int) -> None:
+        """End an outstanding attempt, in at least two of three cases with success."""
+        attempts = self._outstanding_attempts()
+        if attempts:
+            outcome = OUTCOMES[outcome_number % len(OUTCOMES)] if outcome_number % 3 == 0 else Outcome.OK
+            self.host.end(*attempts[attempt_number % len(attempts)], outcome)
+
+    def fault(self, attempt_number: int, outcome_number: int) -> None:
+        """End an outstanding attempt with a failure."""
+        attempts = self._outstanding_attempts()
+        if attempts:
+            self.host.end(
+                *attempts[attempt_number % len(attempts)], FAILED_OUTCOMES[outcome_number % len(FAILED_OUTCOMES)]
+            )
 
-    def advance(self, by_us: int, _: int) -> None:
-        self.host.advance(by_us)
+    def advance(self, duration_us: int, _: int) -> None:
+        """Advance the time; timers fire on time."""
+        self.host.advance(duration_us)
 
-    def sleep(self, by_us: int, _: int) -> None:
-        self.host.advance(by_us, pause_us=by_us)
+    def sleep(self, duration_us: int, _: int) -> None:
+        """Advance the time while the process does not run, so that timers fire late."""
+        self.host.advance(duration_us, pause_us=duration_us)
 
-    def list(self, number: int, state: int) -> None:
-        self.host.update_endpoints([self.entry(number, STATES[state % len(STATES)])], UpdateKind.DELTA)
+    def list(self, number: int, status_number: int) -> None:
+        """Change the status of an upstream in the endpoint list."""
+        self.host.update_endpoints([self.endpoint(number, STATUSES[status_number % len(STATUSES)])], UpdateKind.DELTA)
 
     def restart(self, number: int, age_us: int) -> None:
-        self.host.update_endpoints([self.entry(number, started_us=self.host.now_us - age_us)], UpdateKind.DELTA)
+        """Change the start time of an upstream in the endpoint list."""
+        self.host.update_endpoints([self.endpoint(number, started_us=self.host.now_us - age_us)], UpdateKind.DELTA)
 
     def full(self, count: int, _: int) -> None:
-        self.host.update_endpoints([self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))])
+        """Send a complete endpoint list with some or all upstreams."""
+        self.host.update_endpoints([self.endpoint(n) for n in range(count % (self.setup["upstreams"] + 1))])
 
     def cached(self, count: int, _: int) -> None:
+        """Send a cached endpoint list with some or all upstreams."""
         self.host.update_endpoints(
-            [self.entry(n) for n in range(count % (self.setup["upstreams"] + 1))], UpdateKind.CACHED
+            [self.endpoint(n) for n in range(count % (self.setup["upstreams"] + 1))], UpdateKind.CACHED
         )
 
     def fail(self, _: int, __: int) -> None:
+        """Report a failed poll of the endpoint list, if the balancer polls."""
         if self.host.settings.poll_endpoints:
             self.host.deliver(EndpointsUpdated(UpdateKind.FAILED))
 
-    def quit(self, which: int, _: int) -> None:
-        open_ = [ident for ident, owed in self.host.request_records.items() if not owed.completed]
-        if open_:
-            self.host.disconnect_client(open_[which % len(open_)])
-
-    def _open(self, which: int) -> int | None:
-        """A request that has come whole and has no answer, nor the beginning of one."""
-        open_ = [
-            i
-            for i, owed in self.host.request_records.items()
-            if not (owed.completed or owed.body_incomplete or owed.response_started)
+    def quit(self, request_number: int, _: int) -> None:
+        """Close the connection of a client whose request is open."""
+        open_requests = [request_id for request_id, record in self.host.request_records.items() if not record.completed]
+        if open_requests:
+            self.host.disconnect_client(open_requests[request_number % len(open_requests)])
+
+    def _unanswered_request(self, request_number: int) -> int | None:
+        """Return the ID of a request whose body is complete and whose response has not started, or None."""
+        unanswered = [
+            request_id
+            for request_id, record in self.host.request_records.items()
+            if not (record.completed or record.body_incomplete or record.response_started)
         ]
-        return open_[which % len(open_)] if open_ else None
-
-    def leave(self, which: int, _: int) -> None:
-        ident = self._open(which)
-        if ident is not None:
-            self.host.half_close_client(ident)
-
-    def hasten(self, which: int, by: int) -> None:
-        """As at the end of the process: to half of the time that is left, or to none."""
-        ident = self._open(which)
-        if ident is not None:
-            now_us, due_us = self.host.now_us, self.host.request_records[ident].event.deadline_us
-            self.host.change_deadline(ident, now_us + (max(0, due_us - now_us) // 2 if which % 3 else 0))
-
-    def stream(self, which: int, _: int) -> None:
-        owed = self.host.request_records
-        out = [
-            (i, n)
-            for i, n in self._out()
-            if CLASSES[owed[i].event.class_index].streaming and not owed[i].response_started and not owed[i].completed
+        return unanswered[request_number % len(unanswered)] if unanswered else None
+
+    def leave(self, request_number: int, _: int) -> None:
+        """Half-close the connection of a client that waits for its response."""
+        request_id = self._unanswered_request(request_number)
+        if request_id is not None:
+            self.host.half_close_client(request_id)
+
+    def hasten(self, request_number: int, _: int) -> None:
+        """Halve the remaining time of a request, or set its deadline to now, as a shutdown of the process does."""
+        request_id = self._unanswered_request(request_number)
+        if request_id is not None:
+            now_us, deadline_us = self.host.now_us, self.host.request_records[request_id].event.deadline_us
+            self.host.change_deadline(
+                request_id, now_us + (max(0, deadline_us - now_us) // 2 if request_number % 3 else 0)
+            )
+
+    def stream(self, attempt_number: int, _: int) -> None:
+        """Start the response of an outstanding attempt of a streaming class."""
+        records = self.host.request_records
+        attempts = [
+            (request_id, attempt_index)
+            for request_id, attempt_index in self._outstanding_attempts()
+            if CLASSES[records[request_id].event.class_index].streaming
+            and not records[request_id].response_started
+            and not records[request_id].completed
         ]
-        if out:
-            self.host.start_response(*out[which % len(out)])
+        if attempts:
+            self.host.start_response(*attempts[attempt_number % len(attempts)])
 
-    def order(self, zone: int, leave: int) -> None:
-        self.host.deliver(ZoneOverridden(zone % self.setup["zones"], bool(leave)))
+    def order(self, zone: int, evacuate: int) -> None:
+        """Override the state of a zone."""
+        self.host.deliver(ZoneOverridden(zone % self.setup["zones"], bool(evacuate)))
 
     def fleet(self, count: int, _: int) -> None:
+        """Change the size of the fleet."""
         self.host.deliver(FleetSizeChanged(count % 50))
 
-    def retune(self, most: int, _: int) -> None:
-        """New settings, classes as they are, with another limit on attempts."""
-        settings = self.settings(1 + most % 5)
+    def retune(self, attempt_limit: int, _: int) -> None:
+        """Change the settings: the classes stay, and the limit on attempts changes."""
+        settings = self.settings(1 + attempt_limit % 5)
         self.host.settings = settings
         self.host.deliver(
             SettingsChanged(
@@ -283,16 +329,20 @@
             )
         )
 
-    def whole(self, cls: int, _: int) -> None:
-        """A request whose body is still to come."""
-        self.host.arrive(cls % len(CLASSES), None, body_complete=False)
-
-    def passed(self, which: int, _: int) -> None:
-        """More of a body has gone on than is held, or its last byte has come."""
-        coming = [i for i, owed in self.host.request_records.items() if owed.body_incomplete and not owed.completed]
-        if coming:
-            ident = coming[which % len(coming)]
-            if which % 2:
-                self.host.deliver(RequestNotReplayable(ident))
+    def whole(self, class_index: int, _: int) -> None:
+        """Send a request whose body is incomplete."""
+        self.host.arrive(class_index % len(CLASSES), None, body_complete=False)
+
+    def passed(self, request_number: int, _: int) -> None:
+        """Complete the body of a request, or report that its forwarded part no longer fits the buffer for replays."""
+        incomplete = [
+            request_id
+            for request_id, record in self.host.request_records.items()
+            if record.body_incomplete and not record.completed
+        ]
+        if incomplete:
+            selected_id = incomplete[request_number % len(incomplete)]
+            if request_number % 2:
+                self.host.deliver(RequestNotReplayable(selected_id))
             else:
-                self.host.complete_body(ident)
+                self.host.complete_body(selected_id)
--- a/garnetusher/model/members.py
+++ b/garnetusher/model/members.py
@@ -1,6 +1,6 @@
-"""Members in virtual time: datagrams that are delayed, lost, duplicated or cut off, and processes that fail.
+"""Simulates members in virtual time: datagrams are delayed, lost, duplicated or blocked, and processes fail.
 
-Processes are killed, paused, starved and restarted, with or without what they had persisted.
+Processes are killed, paused, starved and restarted, with or without their persisted state.
 """
 
 from __future__ import annotations
@@ -24,27 +24,35 @@
 CLUSTER = "model"
 ROLE = "sidecar"
 PORT = 7000
-MIN_LATENCY_US = 2_000  # one way; a random part adds up to as much again
-SETTLE_US = 3_000_000  # after which all others count a newcomer, and it may use its part of the limits
-SOCKET_BUFFER_DATAGRAMS = 2000  # that wait for a paused process
+MIN_LATENCY_US = 2_000  # one way; a random part adds up to the same amount
+SETTLE_US = 3_000_000  # after this time all others count a new member, and it may use its share of the limits
+SOCKET_BUFFER_DATAGRAMS = 2000  # further datagrams to a paused process are lost
 SEED_BITS = 62
 
 
 class NodeNotRunningError(GarnetusherError):
-    """A node that has no process was asked for its view."""
+    """An operation needs the process of a node that has none."""
 
 
 @dataclass(slots=True)
 class Node:
-    """One name, its current process and its disk.
+    """A name with its current process and its disk.
 
     Attributes:
-        persisted: what is on disk.
-        starts: how many processes have had the name.
-        paused: stopped by a signal, so events wait.
-        timer_us: when the next timer is set to fire; -1 = none.
-        log: log events and their times.
-        stop_reason: why the member stopped by itself, or empty.
+        name: The name of the member.
+        address: The address of the member.
+        zone: The zone of the member.
+        member: The current process, or None.
+        estimator: The current process's estimator of the fleet size, or None before the first process.
+        persisted: The state on disk, or None.
+        start_count: The number of processes that have had the name.
+        paused: Whether a signal has stopped the process, so that its events wait.
+        waiting_events: The events that wait while the process is paused.
+        timer_us: The time when the next timer fires; -1 = none.
+        sent_bytes: The size of all datagrams that the name has sent.
+        sent_datagrams: The number of datagrams that the name has sent.
+        log: The log events and their times.
+        stop_reason: The reason why the member stopped by itself, or empty.
     """
 
     name: str
@@ -53,9 +61,9 @@
     member: Member | None = None
     estimator: FleetSizeEstimator | None = None
     persisted: Persist | None = None
-    starts: int = 0
+    start_count: int = 0
     paused: bool = False
-    waiting: list[Event] = field(default_factory=list)
+    waiting_events: list[Event] = field(default_factory=list)
     timer_us: int = -1
     sent_bytes: int = 0
     sent_datagrams: int = 0
@@ -69,14 +77,14 @@
 
     @property
     def present(self) -> bool:
-        """Whether the process has joined, and is not paused."""
+        """Whether the process has joined and is not paused."""
         return self.member is not None and self.member.phase == Phase.PRESENT and not self.paused
 
     def require_member(self) -> Member:
         """Return the current process.
 
         Raises:
-            NodeNotRunningError: there is none.
+            NodeNotRunningError: There is no process.
         """
         if self.member is None:
             message = f"{self.name} has no running process"
@@ -85,24 +93,26 @@
 
 
 def never_cut(_sender: Node, _recipient: Node) -> bool:
-    """Return that datagrams pass: the network without a cut."""
+    """Return False for all datagrams: the network blocks none of them."""
     return False
 
 
 def _ignore_change(_node: Node, _now_us: int, _change: MemberChanged) -> None:
-    """Do nothing with a change of a node's view."""
+    """Ignore a change of a node's view."""
 
 
 class Members:
-    """All nodes and the network between them.
+    """All nodes and the simulated network between them.
 
     Attributes:
-        loss: share of datagrams that are lost.
-        duplication: share of datagrams that are delivered twice.
-        is_cut: whether datagrams from the first node to the second are dropped.
-        delays_us: by name of a starved process, how much later each of its events is handled.
-        member_changed: called with the node whose view changed, the time and the change.
-        clock_skew_us: by name, of the wall clock that generations are taken from.
+        clock: The virtual time.
+        loss: The share of datagrams that are lost.
+        duplication: The share of datagrams that are sent twice.
+        nodes: The nodes by name.
+        is_cut: A function that returns whether the network drops datagrams from the first node to the second.
+        delays_us: The delay of each event of a starved process, by name.
+        member_changed: A function that receives the node whose view has changed, the time and the change.
+        clock_skew_us: The offset of the wall clock, which determines generations, by name.
     """
 
     def __init__(
@@ -125,40 +135,40 @@
         self._seed = seed
         self._floor = floor
         self._keys = keys or []
-        self._by_address: dict[Address, Node] = {}
+        self._nodes_by_address: dict[Address, Node] = {}
 
     def add(self, name: str, zone: str = "z") -> Node:
-        """Add a name that has no process yet, at an address of its own."""
-        index = len(self._by_address)
+        """Add a node without a process; it gets its own address."""
+        index = len(self._nodes_by_address)
         host = f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}"
         node = Node(name, (host, PORT), zone)
         self.nodes[name] = node
-        self._by_address[node.address] = node
+        self._nodes_by_address[node.address] = node
         return node
 
-    def start(self, node: Node, seeds: list[Node], *, replaces: bool = False, disk: bool = True) -> None:
-        """Start a process of that name.
+    def start(self, node: Node, seeds: list[Node], *, replaces: bool = False, read_persisted: bool = True) -> None:
+        """Start a process on a node.
 
         Args:
-            node: the name.
-            seeds: nodes through which it joins.
-            replaces: it takes over from a process of its name.
-            disk: it reads what an earlier process has persisted.
+            node: The node.
+            seeds: The nodes through which the process joins.
+            replaces: Whether the process takes over from a running process of the same name.
+            read_persisted: Whether the process reads the state that an earlier process persisted.
         """
         now_us = self.clock.now_us
-        node.starts += 1
+        node.start_count += 1
         host, port = node.address
         seed_addresses = [seed.address for seed in seeds]
         settings = MemberSettings(node.name, ROLE, node.zone, host, port, seed_addresses, replaces)
-        generation = self._next_generation(node, node.persisted if disk else None)
-        seed = stable_hash(self._seed, node.name, node.starts)
+        generation = self._next_generation(node, node.persisted if read_persisted else None)
+        seed = derive_seed(self._seed, node.name, node.start_count)
         member = Member(settings, Codec(CLUSTER, self._keys), generation, seed, now_us)
         node.member = member
         node.estimator = FleetSizeEstimator(self._floor)
         node.paused = False
         node.timer_us = -1
         node.stop_reason = ""
-        node.waiting.clear()
+        node.waiting_events.clear()
         self.clock.at(now_us, self._fire_timer, node, member)
 
     def _next_generation(self, node: Node, persisted: Persist | None) -> int:
@@ -166,7 +176,7 @@
         return max(1 + wall_clock_ms, persisted.generation + 1 if persisted else 1)
 
     def kill(self, node: Node) -> None:
-        """End the process without a word."""
+        """End the process without a message to the others."""
         node.member = None
         node.paused = False
 
@@ -175,34 +185,34 @@
         node.paused = True
 
     def resume(self, node: Node) -> None:
-        """Let a paused process go on, with the datagrams that have waited."""
+        """Continue a paused process, which then handles the waiting events."""
         if not node.paused:
             return
         node.paused = False
-        waiting, node.waiting = node.waiting, []
+        waiting, node.waiting_events = node.waiting_events, []
         for event in waiting[:SOCKET_BUFFER_DATAGRAMS]:
             self._dispatch(node, event)
         if node.member is not None:
             self._dispatch(node, TimerFired())
 
     def leave(self, node: Node) -> None:
-        """Let the process leave."""
+        """Ask the process to leave the fleet."""
         self._dispatch(node, LeaveRequested())
 
     def run(self, duration_us: int) -> None:
-        """Let virtual time pass."""
+        """Advance the virtual time."""
         self.clock.run(self.clock.now_us + duration_us)
 
     def deliver(self, recipient: Node, sender: Address, data: bytes) -> None:
-        """Deliver a datagram now."""
+        """Deliver a datagram at the current time."""
         if recipient.running:
             self._dispatch(recipient, DatagramReceived(data, sender))
 
     def send(self, sender: Node, action: SendDatagram) -> None:
-        """Put a datagram on the network."""
+        """Send a datagram through the network, which may drop, duplicate or delay it."""
         sender.sent_bytes += len(action.data)
         sender.sent_datagrams += 1
-        recipient = self._by_address.get(action.address)
+        recipient = self._nodes_by_address.get(action.address)
         if recipient is None:
             return
         copies = 2 if self.duplication and self._random.random() < self.duplication else 1
@@ -218,16 +228,16 @@
         if member is None:
             return
         if node.paused:
-            node.waiting.append(event)
+            node.waiting_events.append(event)
             return
         for action in member.handle(self.clock.now_us, event):
-            self._carry_out(node, action)
+            self._execute(node, action)
         if member.phase != Phase.STOPPED and not 0 <= node.timer_us <= member.next_timer_us:
             node.timer_us = member.next_timer_us
             at_us = member.next_timer_us + self.delays_us.get(node.name, 0)
             self.clock.at(at_us, self._fire_timer, node, member)
 
-    def _carry_out(self, node: Node, action: Action) -> None:
+    def _execute(self, node: Node, action: Action) -> None:
         match action:
             case SendDatagram():
                 self.send(node, action)
@@ -244,25 +254,25 @@
         if member is not node.member:
             return
         node.timer_us = -1
-        if not node.paused:  # `resume` fires it otherwise
+        if not node.paused:  # `resume` fires the timer of a paused process
             self._dispatch(node, TimerFired())
 
-    # What is believed
+    # Views
 
     def entries(self, node: Node) -> dict[str, Entry]:
         """Return the entries of a node's view."""
         return node.require_member().view.entries
 
     def active_names(self, node: Node) -> list[str]:
-        """Return the names that a node believes active."""
+        """Return the names that a node considers active."""
         return sorted(name for name, entry in self.entries(node).items() if is_active(entry))
 
     def failed_names(self, node: Node) -> list[str]:
-        """Return the names that a node believes failed."""
+        """Return the names that a node considers failed."""
         return sorted(name for name, entry in self.entries(node).items() if entry.state == State.FAILED)
 
     def fleet_size(self, node: Node) -> FleetSize:
-        """Return by what a node divides the fleet's limits now."""
+        """Return the fleet size by which a node currently divides the limits of the fleet."""
         member = node.require_member()
         if node.estimator is None:
             message = f"{node.name} has no running process"
@@ -274,6 +284,6 @@
         return [node for node in self.nodes.values() if node.present]
 
 
-def stable_hash(*words: object) -> int:
-    """Return a seed for one purpose, the same under every hash seed of Python."""
-    return random.Random("\0".join(map(str, words))).getrandbits(SEED_BITS)
+def derive_seed(*purpose: object) -> int:
+    """Return a seed for one purpose, which does not depend on the hash seed of Python."""
+    return random.Random("\0".join(map(str, purpose))).getrandbits(SEED_BITS)
--- a/garnetusher/model/presence.py
+++ b/garnetusher/model/presence.py
@@ -1,7 +1,7 @@
-"""What membership costs and how fast it is, by the size of the fleet: one scenario in virtual time.
+"""Measures the cost and the reaction times of membership in one scenario in virtual time.
 
-A fleet joins all at once, runs undisturbed, loses one member, and is split in two and healed. Some members may be
-starved from the time when all have joined.
+All members of a fleet join at the same time, the fleet runs undisturbed, one member is killed, and the network is split
+in two and healed. Some members may be starved from the time when all have joined.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 from garnetusher.membership.view import State
 from garnetusher.model.members import Members, Node, never_cut
 
-CHECK_INTERVAL_US = 250_000  # between two comparisons of all views
+CHECK_INTERVAL_US = 250_000  # time between two checks of all views
 JOIN_LIMIT_US = 40_000_000
-SETTLE_US = 3_000_000  # between the last join and the undisturbed time
+SETTLE_US = 3_000_000  # time between the last join and the undisturbed phase
 UNDISTURBED_US = 10_000_000
 DETECTION_LIMIT_US = 10_000_000
 SPLIT_LIMIT_US = 30_000_000
 HEAL_LIMIT_US = 30_000_000
-STARVED_DELAY_US = 300_000  # by which each event of a starved process is handled late
-SEEDS = 2  # of the nodes, that all join through
+STARVED_DELAY_US = 300_000  # delay of each event of a starved process
+SEED_NODES = 2  # the first nodes of the list, through which all nodes join
 NOT_REACHED = -1.0
 
 
-class Presence(Struct):
-    """Results of one run; times in seconds, -1 where the state was not reached.
+class MembershipResult(Struct):
+    """The results of one run; times are in seconds, and -1 means that a state was not reached.
 
     Attributes:
-        members: size of the fleet.
-        loss: share of datagrams that are lost.
-        starved: members that are starved.
-        seed: of the run.
-        joined_s: until all know all.
-        bytes_a_second: of datagrams that a member sends while undisturbed.
-        datagrams_a_second: that a member sends while undisturbed.
-        noticed_p50_s: from a kill until a member believes it failed, median over the others.
-        noticed_p99_s: the same, 99th percentile.
-        noticed: members that believed it failed.
-        accused: running members that any other believed failed before the split.
-        split_s: until both halves agree on who is left.
-        healed_s: from the end of the split until all views are equal.
-        cpu_us: of this machine, for a member and an undisturbed second; 0 where the caller gives no clock.
+        members: The size of the fleet.
+        loss: The share of datagrams that are lost.
+        starved: The number of starved members.
+        seed: The seed of the run.
+        joined_s: The time until all members know all others.
+        bytes_a_second: The size of the datagrams that a member sends per undisturbed second.
+        datagrams_a_second: The number of datagrams that a member sends per undisturbed second.
+        noticed_p50_s: The median time from the kill until another member considers the killed one failed.
+        noticed_p99_s: The 99th percentile of this time.
+        noticed: The number of members that considered the killed one failed.
+        accused: The number of running members that any other member considered failed before the split.
+        split_s: The time from the split until one half agrees on its remaining members.
+        healed_s: The time from the end of the split until all views are equal.
+        cpu_us: The CPU time of this machine per member and undisturbed second; 0 if the caller gives no clock.
     """
 
     members: int
@@ -65,15 +65,15 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """What to run.
+    """The parameters of a run.
 
     Attributes:
-        size: members of the fleet.
-        loss: share of datagrams that are lost.
-        starved: members that are starved.
-        seed: of the run.
-        split: whether to split the fleet at the end.
-        cpu_ns: a clock of used processor time.
+        size: The number of members in the fleet.
+        loss: The share of datagrams that are lost.
+        starved: The number of starved members.
+        seed: The seed of the run.
+        split: Whether to split the fleet at the end.
+        cpu_ns: A function that returns the CPU time used so far, in nanoseconds.
     """
 
     size: int
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class _Cost:
-    """What one member costs in an undisturbed second."""
+    """The cost of one member per undisturbed second."""
 
     datagrams: float
     bytes_sent: float
@@ -94,39 +94,43 @@
 
 
 class _FailureLog:
-    """When each node first believed another failed."""
+    """Records when each node first considered another node failed.
+
+    Attributes:
+        times_us: The times by the name of the failed node, then by the name of the observing node.
+    """
 
     def __init__(self) -> None:
-        self.times_us: dict[str, dict[str, int]] = {}  # by failed name, then by believer
+        self.times_us: dict[str, dict[str, int]] = {}
 
     def member_changed(self, node: Node, now_us: int, change: MemberChanged) -> None:
         if change.entry.state == State.FAILED:
             self.times_us.setdefault(change.entry.name, {}).setdefault(node.name, now_us)
 
 
-def run_scenario(scenario: Scenario) -> Presence:
-    """Run one fleet through the scenario."""
+def run_scenario(scenario: Scenario) -> MembershipResult:
+    """Run the scenario with one fleet and return the results."""
     members = Members(scenario.seed, loss=scenario.loss)
     nodes = [members.add(f"m{index:04}") for index in range(scenario.size)]
     for node in nodes:
-        members.start(node, nodes[:SEEDS])
-    joined_s = _run_until(members, JOIN_LIMIT_US, lambda: _all_see(nodes, len(nodes)))
-    for node in nodes[SEEDS : SEEDS + scenario.starved]:
+        members.start(node, nodes[:SEED_NODES])
+    joined_s = _run_until(members, JOIN_LIMIT_US, lambda: _all_have_active_count(nodes, len(nodes)))
+    for node in nodes[SEED_NODES : SEED_NODES + scenario.starved]:
         members.delays_us[node.name] = STARVED_DELAY_US
     failures = _FailureLog()
     members.member_changed = failures.member_changed
     members.run(SETTLE_US)
     cost = _measure_cost(members, nodes, scenario.cpu_ns)
-    victim = nodes[scenario.size // 2]
+    killed_node = nodes[scenario.size // 2]
     killed_us = members.clock.now_us
-    members.kill(victim)
+    members.kill(killed_node)
     members.run(DETECTION_LIMIT_US)
-    detection_s = sorted((at - killed_us) / 1e6 for at in failures.times_us.get(victim.name, {}).values())
-    accused = len(failures.times_us.keys() - {victim.name})
+    detection_s = sorted((at_us - killed_us) / 1e6 for at_us in failures.times_us.get(killed_node.name, {}).values())
+    accused = len(failures.times_us.keys() - {killed_node.name})
     split_s = healed_s = NOT_REACHED
     if scenario.split:
-        split_s, healed_s = _split_and_heal(members, nodes, victim)
-    return Presence(
+        split_s, healed_s = _split_and_heal(members, nodes, killed_node)
+    return MembershipResult(
         members=scenario.size,
         loss=scenario.loss,
         starved=scenario.starved,
@@ -147,44 +151,44 @@
 def _measure_cost(members: Members, nodes: list[Node], cpu_ns: Callable[[], int]) -> _Cost:
     datagrams = sum(node.sent_datagrams for node in nodes)
     bytes_sent = sum(node.sent_bytes for node in nodes)
-    began_us, began_cpu_ns = members.clock.now_us, cpu_ns()
+    started_us, started_cpu_ns = members.clock.now_us, cpu_ns()
     members.run(UNDISTURBED_US)
-    member_seconds = len(nodes) * (members.clock.now_us - began_us) / 1e6
+    member_seconds = len(nodes) * (members.clock.now_us - started_us) / 1e6
     return _Cost(
         datagrams=(sum(node.sent_datagrams for node in nodes) - datagrams) / member_seconds,
         bytes_sent=(sum(node.sent_bytes for node in nodes) - bytes_sent) / member_seconds,
-        cpu_us=(cpu_ns() - began_cpu_ns) / 1000 / member_seconds,
+        cpu_us=(cpu_ns() - started_cpu_ns) / 1000 / member_seconds,
     )
 
 
-def _split_and_heal(members: Members, nodes: list[Node], victim: Node) -> tuple[float, float]:
-    """Return the seconds until one half agrees on its members, and until all views are equal after the split."""
-    remaining = [node for node in nodes if node is not victim]
+def _split_and_heal(members: Members, nodes: list[Node], killed_node: Node) -> tuple[float, float]:
+    """Return the time until one half agrees on its members, and the time from the heal until all views are equal."""
+    remaining = [node for node in nodes if node is not killed_node]
     half_names = {node.name for node in nodes[: len(nodes) // 2]}
     half = [node for node in remaining if node.name in half_names]
     members.is_cut = lambda sender, recipient: (sender.name in half_names) != (recipient.name in half_names)
-    split_s = _run_until(members, SPLIT_LIMIT_US, lambda: _all_see(half, len(half)))
+    split_s = _run_until(members, SPLIT_LIMIT_US, lambda: _all_have_active_count(half, len(half)))
     members.is_cut = never_cut
     healed_s = _run_until(members, HEAL_LIMIT_US, lambda: _all_agree(remaining))
     return split_s, healed_s
 
 
-def _all_see(nodes: list[Node], count: int) -> bool:
+def _all_have_active_count(nodes: list[Node], count: int) -> bool:
     return all(node.member is not None and node.member.view.active_count == count for node in nodes)
 
 
 def _all_agree(nodes: list[Node]) -> bool:
     digests = {node.member.view.digest for node in nodes if node.member}
-    return len(digests) == 1 and _all_see(nodes, len(nodes))
+    return len(digests) == 1 and _all_have_active_count(nodes, len(nodes))
 
 
 def _run_until(members: Members, limit_us: int, reached: Callable[[], bool]) -> float:
-    """Return after how many seconds a check found the state reached."""
-    began_us = members.clock.now_us
-    while members.clock.now_us - began_us < limit_us:
+    """Return the time in seconds until a check finds the state reached, or -1 if the limit passes first."""
+    started_us = members.clock.now_us
+    while members.clock.now_us - started_us < limit_us:
         members.run(CHECK_INTERVAL_US)
         if reached():
-            return (members.clock.now_us - began_us) / 1e6
+            return (members.clock.now_us - started_us) / 1e6
     return NOT_REACHED
 
 
--- a/garnetusher/model/sidecar.py
+++ b/garnetusher/model/sidecar.py
@@ -133,10 +133,10 @@
         if self._simulation.membership is not None:
             self._simulation.membership.start(self.name)
 
-    def _new_balancer(self) -> baselines.Decisions:
+    def _new_balancer(self) -> baselines.Policy:
         seed = int(draw.uniform(self._simulation.plan.seed, "sidecar", self.name, self._starts) * 2**63)
         policy_name = self._simulation.experiment.sidecars.policy
-        return baselines.decisions(policy_name, self.settings, seed, self._policy_now_us())
+        return baselines.create_policy(policy_name, self.settings, seed, self._policy_now_us())
 
     def _end(self) -> None:
         """End the process and close its connections to the upstreams."""
--- a/garnetusher/model/steady.py
+++ b/garnetusher/model/steady.py
@@ -1,4 +1,4 @@
-"""A steady stream of requests through one `Balancer`, to see what its decisions cost: no machines, no links."""
+"""Sends a steady stream of requests through one `Balancer`, without machines and links, to measure its CPU cost."""
 
 from __future__ import annotations
 
@@ -19,35 +19,58 @@
 )
 from garnetusher.policy.settings import RequestClass, Settings
 
-Listing = EndpointsUpdated
-GAP_US = 10_000  # between requests: a hundred a second
-ANSWER_US = 80_000  # eight are out at any time
+EndpointListUpdate = EndpointsUpdated
+REQUEST_INTERVAL_US = 10_000  # 100 requests per second
+RESPONSE_TIME_US = 80_000  # eight attempts are outstanding at any time
 START_US = 10**12
 ZONES = 3
-WARM_UP_US = 10**10  # long beside a measurement: what is cold at its start is so at its end
+WARM_UP_US = 10**10  # far longer than a measurement, so that an endpoint stays cold throughout
 
 
-def listing(count: int, cold: bool) -> EndpointsUpdated:
-    """A whole list, spread over three zones; all of it old, or all of it started at
-    different times of the last warm-up."""
+def endpoint_list(count: int, cold: bool) -> EndpointsUpdated:
+    """Return a complete endpoint list, spread over three zones.
+
+    Args:
+        count: The number of endpoints.
+        cold: Whether all endpoints are warming up, with different start times; otherwise all are warm.
+    """
     return EndpointsUpdated(
         UpdateKind.SNAPSHOT,
         [
-            Endpoint(i + 1, zone=i % ZONES, started_us=START_US - WARM_UP_US * 9 // 10 * i // count if cold else 0)
-            for i in range(count)
+            Endpoint(
+                index + 1,
+                zone=index % ZONES,
+                started_us=START_US - WARM_UP_US * 9 // 10 * index // count if cold else 0,
+            )
+            for index in range(count)
         ],
     )
 
 
-def change(whole: EndpointsUpdated, number: int, of: int) -> EndpointsUpdated:
-    """The `number`th of so many changes of one entry, spread over the list: ready as it was, or draining."""
-    entry = whole.endpoints[number * len(whole.endpoints) // of]
-    state = EndpointStatus.DRAINING if number % 2 else EndpointStatus.READY
-    return EndpointsUpdated(UpdateKind.DELTA, [Endpoint(entry.id, state, entry.zone, started_us=entry.started_us)])
+def status_update(full_list: EndpointsUpdated, index: int, count: int) -> EndpointsUpdated:
+    """Return one of several updates of one endpoint each, whose endpoints are spread over the list.
+
+    Args:
+        full_list: The complete endpoint list.
+        index: The index of the update; with an even index the endpoint stays ready, with an odd one it is draining.
+        count: The number of updates.
+    """
+    entry = full_list.endpoints[index * len(full_list.endpoints) // count]
+    status = EndpointStatus.DRAINING if index % 2 else EndpointStatus.READY
+    return EndpointsUpdated(UpdateKind.DELTA, [Endpoint(entry.id, status, entry.zone, started_us=entry.started_us)])
+
 
+class SteadyLoad:
+    """The balancer of one sidecar in a fleet of 100, with a constant request rate and response time.
 
-class Steady:
-    """One sidecar among a hundred. Call `ask` for each request; it ends those whose answers are due by then."""
+    Attributes:
+        now_us: The current time.
+        balancer: The balancer.
+        in_flight: The outstanding attempts in order: end time, request ID, attempt index, endpoint ID.
+        timer_us: The time of the next timer; 0 = none.
+        requests: The number of requests so far.
+        sent: The number of requests that the balancer forwarded.
+    """
 
     def __init__(self, seed: int) -> None:
         classes = [RequestClass("read", 400_000, 1_500_000, effect="idempotent")]
@@ -70,26 +93,27 @@
             seed,
             START_US,
         )
-        self.out: deque[tuple[int, int, int, int]] = deque()  # (due, request, attempt, upstream)
+        self.in_flight: deque[tuple[int, int, int, int]] = deque()
         self.timer_us = 0
         self.requests = self.sent = 0
 
-    def tell(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
+        """Send an event to the balancer and carry out its actions."""
         for action in self.balancer.handle(self.now_us, event):
             if isinstance(action, Forward):
                 self.sent += 1
-                self.out.append((self.now_us + ANSWER_US, action.request_id, 0, action.endpoint_id))
+                self.in_flight.append((self.now_us + RESPONSE_TIME_US, action.request_id, 0, action.endpoint_id))
             elif isinstance(action, SetTimer):
                 self.timer_us = action.at_us
 
-    def ask(self) -> None:
-        """One more request."""
-        self.now_us += GAP_US
+    def send_request(self) -> None:
+        """Advance the time to the next request, end the attempts that are due, and send the request."""
+        self.now_us += REQUEST_INTERVAL_US
         if 0 < self.timer_us <= self.now_us:
             self.timer_us = 0
-            self.tell(TimerFired(0))
-        while self.out and self.out[0][0] <= self.now_us:
-            _, request, attempt, upstream = self.out.popleft()
-            self.tell(AttemptEnded(request, attempt, upstream, Outcome.OK, ANSWER_US, True))
+            self.handle(TimerFired(0))
+        while self.in_flight and self.in_flight[0][0] <= self.now_us:
+            _, request_id, attempt_index, endpoint_id = self.in_flight.popleft()
+            self.handle(AttemptEnded(request_id, attempt_index, endpoint_id, Outcome.OK, RESPONSE_TIME_US, True))
         self.requests += 1
-        self.tell(RequestArrived(self.requests, self.now_us + 1_500_000))
+        self.handle(RequestArrived(self.requests, self.now_us + 1_500_000))
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from garnetusher.model.steady import Steady, listing
+from garnetusher.model.steady import SteadyLoad, endpoint_list
 from garnetusher.policy.balancer import Balancer
 from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.events import Endpoint, EndpointStatus, Outcome, UpdateKind, ZoneOverridden
@@ -161,10 +161,10 @@
 
 def lines_per_request(count: int, warming: bool) -> float:
     """Return the number of source lines that one request executes, after 100 requests to reach a steady state."""
-    steady = Steady(1)
-    steady.tell(listing(count, warming))
+    steady = SteadyLoad(1)
+    steady.handle(endpoint_list(count, warming))
     for _ in range(100):
-        steady.ask()
+        steady.send_request()
     lines = 0
 
     def trace(frame: FrameType, event: str, arg: object) -> Any:
@@ -176,7 +176,7 @@
     sys.settrace(trace)
     try:
         for _ in range(200):
-            steady.ask()
+            steady.send_request()
     finally:
         sys.settrace(previous_trace)
     return lines / 200
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The explorer finds what is wrong, makes it small, and plays it again; the module as it is breaks nothing."""
+"""The explorer finds injected bugs, shrinks and replays the schedules, and finds no broken rule without a bug."""
 
 from __future__ import annotations
 
@@ -18,32 +18,34 @@
 from garnetusher.policy.timers import TimerQueue
 from tests.test_files import call
 
-FOUND_WITHIN = 400  # schedules; 2,000 are allowed
+SEED_LIMIT = 400  # exclusive; up to 2,000 schedules are allowed
 
 
-def keeps_a_slot(patch: pytest.MonkeyPatch) -> None:
-    """The slot of an attempt whose connection broke is not freed."""
-    free = AttemptForwarder.free_slot
+def leaks_slots_after_resets(patch: pytest.MonkeyPatch) -> None:
+    """Do not free the slot of an attempt whose connection was reset."""
+    free_slot = AttemptForwarder.free_slot
     patch.setattr(
-        AttemptForwarder, "free_slot", lambda self, attempt: attempt.outcome is Outcome.RESET or free(self, attempt)
+        AttemptForwarder,
+        "free_slot",
+        lambda self, attempt: attempt.outcome is Outcome.RESET or free_slot(self, attempt),
     )
 
 
-def repeats_after_a_reset(patch: pytest.MonkeyPatch) -> None:
-    """An attempt whose connection broke is taken for one that never ran."""
+def retries_unsafely_after_resets(patch: pytest.MonkeyPatch) -> None:
+    """Treat an attempt whose connection was reset as never executed."""
 
-    def first(self: RequestState) -> AttemptState | None:
-        never = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN, Outcome.RESET)
-        return next((attempt for attempt in self.attempts if attempt.outcome not in never), None)
+    def first_possibly_executed(self: RequestState) -> AttemptState | None:
+        not_executed = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN, Outcome.RESET)
+        return next((attempt for attempt in self.attempts if attempt.outcome not in not_executed), None)
 
-    patch.setattr(RequestState, "first_possibly_executed", first)
+    patch.setattr(RequestState, "first_possibly_executed", first_possibly_executed)
 
 
-def arms_no_second_timer(patch: pytest.MonkeyPatch) -> None:
-    """Once a timer has been asked for, no other ever is."""
+def arms_only_the_first_timer(patch: pytest.MonkeyPatch) -> None:
+    """Arm no further timer after the first one."""
     arm = TimerQueue.arm
 
-    def once(self: TimerQueue, readmissions_us: list[int] | None) -> None:
+    def arm_once(self: TimerQueue, readmissions_us: list[int] | None) -> None:
         if (
             not any(isinstance(action, SetTimer) for action in self._context.actions)
             and self.armed_us == 0
@@ -52,49 +54,51 @@
             arm(self, readmissions_us)
             self.armed_once = self.armed_us > 0  # type: ignore[attr-defined]
 
-    patch.setattr(TimerQueue, "arm", once)
+    patch.setattr(TimerQueue, "arm", arm_once)
 
 
-def sends_on_for_who_has_left(patch: pytest.MonkeyPatch) -> None:
-    """That a client sends nothing more is not heard."""
+def ignores_half_closed_clients(patch: pytest.MonkeyPatch) -> None:
+    """Ignore that a client has half-closed its connection."""
     patch.setattr(RequestLifecycle, "on_client_half_closed", lambda self, event: None)
 
 
-def first_find(seeds: range) -> FailingSchedule:
-    for _, find in explore.explore(Module(), seeds, 120):
-        if find is not None:
-            return find
-    raise AssertionError(f"nothing found in {len(seeds)} schedules")
+def first_failure(seeds: range) -> FailingSchedule:
+    for _, failure in explore.explore(Module(), seeds, 120):
+        if failure is not None:
+            return failure
+    raise AssertionError(f"no rule was broken in {len(seeds)} schedules")
 
 
 @pytest.mark.parametrize(
-    ("bug", "rule"),
+    ("inject_bug", "rule"),
     [
-        (keeps_a_slot, "slots"),
-        (repeats_after_a_reset, "rule 2"),
-        (arms_no_second_timer, "rule 1"),
-        (sends_on_for_who_has_left, "left"),
+        (leaks_slots_after_resets, "slots"),
+        (retries_unsafely_after_resets, "rule 2"),
+        (arms_only_the_first_timer, "rule 1"),
+        (ignores_half_closed_clients, "left"),
     ],
 )
-def test_explorer_finds_shrinks_and_replays_when_a_bug_is_seeded(
-    bug: Callable[[pytest.MonkeyPatch], None], rule: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_explorer_finds_shrinks_and_replays_a_failure_when_a_bug_is_injected(
+    inject_bug: Callable[[pytest.MonkeyPatch], None], rule: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as patch:
-        bug(patch)
-        find = first_find(range(1, FOUND_WITHIN))
-        assert find.broken.rule == rule
-        assert len(find.schedule.steps) <= 20 < find.drawn_steps
-        explore.save(find, tmp_path / "find.json")
-        again = explore.load(tmp_path / "find.json")
-        assert Module().play(again.schedule) == find.broken
-        assert find.broken.text in Module().tell(again.schedule)[-1]
-    assert Module().play(find.schedule) is None  # it is the bug that breaks it
-
-
-def test_explorer_finds_nothing_and_repeats_schedules_when_the_policy_is_correct(
+        inject_bug(patch)
+        failure = first_failure(range(1, SEED_LIMIT))
+        assert failure.broken.rule == rule
+        assert len(failure.schedule.steps) <= 20 < failure.drawn_steps
+        explore.save(failure, tmp_path / "failure.json")
+        loaded = explore.load(tmp_path / "failure.json")
+        assert Module().run(loaded.schedule) == failure.broken
+        assert failure.broken.text in Module().describe(loaded.schedule)[-1]
+    assert Module().run(failure.schedule) is None  # without the bug no rule is broken
+
+
+def test_explorer_finds_no_broken_rule_and_draws_equal_schedules_when_the_policy_is_correct(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    status, out, _ = call(capsys, monkeypatch, "model", "explore", "module", "--seeds", "1:500", "--out", str(tmp_path))
-    assert (status, list(tmp_path.iterdir())) == (0, []), out
-    assert out.startswith("module: 500 schedules")
+    status, output, _ = call(
+        capsys, monkeypatch, "model", "explore", "module", "--seeds", "1:500", "--out", str(tmp_path)
+    )
+    assert (status, list(tmp_path.iterdir())) == (0, []), output
+    assert output.startswith("module: 500 schedules")
     assert [Module().draw(seed, 120) for seed in range(5)] == [Module().draw(seed, 120) for seed in range(5)]
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""`model curve` and `model fidelity`: a fleet that grows, and plays of the lab laid beside virtual time."""
+"""Tests of `model curve`, which measures fleets of growing size, and `model fidelity`, which compares lab runs."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from tests.experiment import ROOT, small, text
 
 
-def call(*words: str) -> subprocess.CompletedProcess[str]:
+def run_model_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "garnetusher", "model", *words],
+        [sys.executable, "-m", "garnetusher", "model", *arguments],
         check=False,
         cwd=ROOT,
         capture_output=True,
@@ -28,47 +28,48 @@
     )
 
 
-def test_a_curve_has_a_point_for_each_size_and_policy_and_a_plot_for_each_cost(tmp_path: Path) -> None:
-    points = curves.measure(small(), [2, 8], ["slots", "random"], "sidecars", range(1, 3), lambda what, part: None)
-    assert [(p.policy, p.sidecars, p.upstreams) for p in points] == [
+def test_curve_has_a_point_for_each_size_and_policy_and_a_plot_for_each_cost(tmp_path: Path) -> None:
+    points = curves.measure(small(), [2, 8], ["slots", "random"], "sidecars", range(1, 3), lambda activity, share: None)
+    assert [(point.policy, point.sidecars, point.upstreams) for point in points] == [
         ("slots", 2, 6),
         ("slots", 8, 6),
         ("random", 2, 6),
         ("random", 8, 6),
     ]
-    few, many = points[0].figures, points[1].figures
-    assert many["connections_per_request"] > few["connections_per_request"]  # each keeps its own
-    assert few["decision_us"] > 0
-    assert few["list_calls_a_sidecar"] == many["list_calls_a_sidecar"] == 1
+    small_fleet, large_fleet = points[0].figures, points[1].figures
+    # each sidecar has its own connections
+    assert large_fleet["connections_per_request"] > small_fleet["connections_per_request"]
+    assert small_fleet["decision_us"] > 0
+    assert small_fleet["list_calls_a_sidecar"] == large_fleet["list_calls_a_sidecar"] == 1
     paths = curves.draw("small", "sidecars", points, tmp_path)
     assert len(paths) == len(curves.PLOTS)
     assert all("<svg" in path.read_text() for path in paths)
-    grown = curves.measure(small(), [4], ["slots"], "fleet", range(1, 2), lambda what, part: None)[0]
-    assert (grown.upstreams, grown.requests_per_s) == (12, 240)
+    grown_point = curves.measure(small(), [4], ["slots"], "fleet", range(1, 2), lambda activity, share: None)[0]
+    assert (grown_point.upstreams, grown_point.requests_per_s) == (12, 240)
 
 
-def test_fidelity_tells_what_is_apart_and_leaves_late_plays_out(tmp_path: Path) -> None:
+def test_fidelity_reports_figures_outside_the_tolerance_and_excludes_late_runs(tmp_path: Path) -> None:
     (tmp_path / "small.toml").write_text(text())
     folders = []
-    for seed, served, late in ((1, 0.0, False), (2, -0.2, False), (3, -0.9, True)):
-        found = run_experiment(small(), seed).result
-        found.figures[fidelity.SERVED_WEIGHT] += served
-        found.late = late
+    for seed, served_change, late in ((1, 0.0, False), (2, -0.2, False), (3, -0.9, True)):
+        run_result = run_experiment(small(), seed).result
+        run_result.figures[fidelity.SERVED_WEIGHT] += served_change
+        run_result.late = late
         folders.append(tmp_path / str(seed))
         folders[-1].mkdir()
-        result.write(found, folders[-1] / "result.json")
-    for which, apart in ((folders[:1], False), (folders[::2], False), (folders, True)):
-        (row,) = fidelity.measure(fidelity.read_lab_runs(which, tmp_path), lambda what, part: None)
-        assert row.within_tolerance != apart
-        assert row.seeds == ([1, 2] if apart else [1])
+        result.write(run_result, folders[-1] / "result.json")
+    for run_folders, differs in ((folders[:1], False), (folders[::2], False), (folders, True)):
+        (row,) = fidelity.measure(fidelity.read_lab_runs(run_folders, tmp_path), lambda activity, share: None)
+        assert row.within_tolerance != differs
+        assert row.seeds == ([1, 2] if differs else [1])
         assert row.real["refused"] == row.virtual["refused"]
-    done = call("fidelity", *map(str, folders), "--library", str(tmp_path))
-    assert done.returncode == 1
-    assert "0.1000 !" in done.stdout
+    completed = run_model_command("fidelity", *map(str, folders), "--library", str(tmp_path))
+    assert completed.returncode == 1
+    assert "0.1000 !" in completed.stdout
 
 
 @pytest.mark.parametrize(
-    ("words", "told"),
+    ("arguments", "message"),
     [
         (("curve", "experiments/fleet.toml", "--policy", "best"), "--policy best: expected one of"),
         (("curve", "experiments/fleet.toml", "--grow", "all"), "--grow all: expected one of"),
@@ -76,16 +77,16 @@
         (("fidelity", "nowhere"), "nowhere/result.json"),
     ],
 )
-def test_a_wrong_call_is_told_in_a_line(words: tuple[str, ...], told: str) -> None:
-    done = call(*words)
-    assert done.returncode == 2
-    assert told in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+def test_command_prints_one_line_when_an_argument_is_invalid(arguments: tuple[str, ...], message: str) -> None:
+    completed = run_model_command(*arguments)
+    assert completed.returncode == 2
+    assert message in completed.stderr
+    assert len(completed.stderr.splitlines()) == 1
 
 
-def test_a_curve_is_one_document_where_that_is_asked_for(tmp_path: Path) -> None:
+def test_curve_prints_one_json_document_when_json_is_requested(tmp_path: Path) -> None:
     (tmp_path / "small.toml").write_text(text(seconds=1))
-    done = call(
+    completed = run_model_command(
         "curve",
         str(tmp_path / "small.toml"),
         "--sidecars",
@@ -96,6 +97,6 @@
         str(tmp_path / "out"),
         "--json",
     )
-    found = json.loads(done.stdout)
-    assert found["points"][0]["sidecars"] == 2
-    assert all(Path(path).is_file() for path in found["plots"])
+    document = json.loads(completed.stdout)
+    assert document["points"][0]["sidecars"] == 2
+    assert all(Path(path).is_file() for path in document["plots"])
--- a/tests/test_membership_exploration.py
+++ b/tests/test_membership_exploration.py
@@ -40,7 +40,7 @@
 ) -> None:
     inject_fault(monkeypatch)
     part = Membership()
-    broken = next((b for seed in range(1, 200) if (b := part.play(part.draw(seed, STEPS))) is not None), None)
+    broken = next((b for seed in range(1, 200) if (b := part.run(part.draw(seed, STEPS))) is not None), None)
     assert broken is not None
     assert broken.rule in ("convergence", "limits")
 
@@ -53,4 +53,4 @@
     other after their seed had died.
     """
     part = Membership()
-    assert part.play(part.draw(seed, 120)) is None
+    assert part.run(part.draw(seed, 120)) is None
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -82,7 +82,7 @@
             assert all(endpoint.slots_used == 0 for endpoint in sidecar.balancer.endpoints.values())
 
 
-@pytest.mark.parametrize("policy", [name for name in baselines.NAMES if name != baselines.OWN])
+@pytest.mark.parametrize("policy", [name for name in baselines.POLICY_NAMES if name != baselines.OWN_POLICY])
 def test_baseline_policy_keeps_the_rules_when_upstreams_are_warm(policy: str) -> None:
     config = small(seconds=4, more=f"[[fault]]\nat_s = 1\nfor_s = 1\n{FAULTS['one way']}")
     config.sidecars.policy = policy  # type: ignore[assignment]
