--- a/garnetusher/lab/clients.py
+++ b/garnetusher/lab/clients.py
@@ -1,8 +1,8 @@
-"""The applications beside the sidecars: open-loop arrivals, calls, retries, deadlines, early disconnects.
+"""The client applications of the sidecars: open-loop arrivals, calls, retries, timeouts and early disconnects.
 
-An application starts and stops with its sidecar, as on the platform: requests that are due meanwhile are not sent. It
-never waits for a response before the next arrival. A request is dated from when it was due, so that a stall anywhere,
-also of the lab, counts in full.
+An application starts and stops with its sidecar, as on the platform; requests that are due while it is down are not
+sent. Arrivals do not wait for earlier responses. The latency of a request counts from the time at which the request
+was due, so it includes every delay, also one of the lab itself.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import httptools
 
 from garnetusher.errors import GarnetusherError
-from garnetusher.lab.clockwork import Clockwork
+from garnetusher.lab.run_clock import RunClock
 from garnetusher.model.client import LATE_ANSWER_WAIT_US, Client
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, SidecarPlan, Step, arrivals
@@ -33,35 +33,36 @@
     UnexpectedBytes,
 )
 
-RESTART_STOP_DELAY_US = 300_000  # from SIGTERM until the application sends no more requests
-IDLE_CLOSE_RACE_US = 50_000  # a used connection that closes so soon after a request may have closed before it came
-READY_POLL_INTERVAL_S = 0.05  # between readiness checks of a sidecar that starts
-READY_TIMEOUT_S = 0.5  # of one such check
+RESTART_STOP_DELAY_US = 300_000  # the time from SIGTERM until the application stops sending requests
+# A reused connection that closes this soon after a request may have been closed before the request arrived.
+IDLE_CLOSE_RACE_US = 50_000
+READY_POLL_INTERVAL_S = 0.05  # the time between readiness checks of a starting sidecar
+READY_TIMEOUT_S = 0.5  # the time limit of one readiness check
 READY_REQUEST = b"GET /up HTTP/1.1\r\nHost: api.internal\r\n\r\n"
-REJECTED_STATUSES = (429, 503)  # say that the request has not run
+REJECTED_STATUSES = (429, 503)  # with these statuses, the request has not run
 
 
 class NoTransportError(GarnetusherError):
-    """A connection is used before it is up."""
+    """A connection is used before it is established."""
 
     def __init__(self) -> None:
-        super().__init__("connection: expected a stream transport, as after connecting, got none")
+        super().__init__("connection: expected an established stream transport, got none")
 
 
 @dataclass(slots=True, eq=False)
 class _ClientCall:
-    """One call of a request; a retry is a further call.
+    """One call of a request; each retry by the client is another call.
 
     Attributes:
-        call_id: Its id, which is its request's for the first call.
-        request_id: The id of the request.
-        class_index: The request's class.
-        tenant_index: The request's tenant.
-        due_us: When the request's first call was due.
-        retry_index: 0 for the first call.
-        timeout_at_us: When the client stops to wait.
-        completed: The client waits no more.
-        resent: It was sent once more, as an idle connection closed just as it was written.
+        call_id: The ID of the call; the first call has the ID of its request.
+        request_id: The ID of the request.
+        class_index: The index of the request class in the experiment.
+        tenant_index: The index of the tenant in the experiment.
+        due_us: The time at which the first call of the request was due.
+        retry_index: The number of earlier calls of the request; 0 for the first call.
+        timeout_at_us: The time at which the client stops waiting for a response.
+        completed: Whether the client has stopped waiting for a response.
+        resent: Whether the call was sent again because its idle connection closed while the call was written.
     """
 
     call_id: str
@@ -76,7 +77,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection of the application to its sidecar; it carries one call at a time."""
+    """A connection from the application to its sidecar; it carries one call at a time."""
 
     def __init__(self, application: Application) -> None:
         self.application = application
@@ -92,7 +93,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether a call can be sent on it."""
+        """Whether a call can be sent on the connection."""
         return self.transport is not None and not self.transport.is_closing()
 
     def send(self, call: _ClientCall, request: bytes) -> None:
@@ -114,10 +115,10 @@
         if self.transport is not None:
             self.transport.abort()
 
-    # Called by the event loop
+    # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         if not isinstance(transport, asyncio.Transport):
             raise NoTransportError
         self.transport = transport
@@ -137,21 +138,21 @@
         """Report the end of the connection."""
         self.application.connection_lost(self)
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Report a second response to a call."""
+        """Report a second response to a call as unexpected data."""
         if self.call is None and self.last_call_id:
             self.application.unexpected_data(self)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take the Retry-After."""
+        """Store the value of Retry-After."""
         if name.lower() == b"retry-after":
             with contextlib.suppress(ValueError):
                 self.retry_after_us = int(float(value) * 1e6)
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
@@ -172,11 +173,11 @@
 
     Attributes:
         connections: All open connections.
-        not_asked: Requests that were not sent, as the application was down with its sidecar.
+        not_asked: The number of requests that were not sent because the application was down with its sidecar.
     """
 
     def __init__(
-        self, clock: Clockwork, experiment: Experiment, plan: Plan, sidecar: SidecarPlan, address: tuple[str, int]
+        self, clock: RunClock, experiment: Experiment, plan: Plan, sidecar: SidecarPlan, address: tuple[str, int]
     ) -> None:
         self.clock = clock
         self.connections: set[ClientConnection] = set()
@@ -193,7 +194,7 @@
         self._end_us = round(plan.seconds * 1e6)
 
     def begin(self) -> None:
-        """Schedule the arrivals, and what the plan does to the application."""
+        """Schedule the first arrival, and the steps of the plan for the application."""
         self._schedule_arrival()
         for step in self._sidecar.steps:
             self.clock.at(step.at_us, self._apply_fault, step)
@@ -294,10 +295,10 @@
         body = "" if idempotent else "{}"
         return ("\r\n".join(lines) + "\r\n\r\n" + body).encode()
 
-    # How a call ends
+    # Ends of calls
 
     def response_received(self, connection: ClientConnection, call: _ClientCall, status: int) -> None:
-        """Record a response, and schedule a retry where it was no success."""
+        """Record a response, and schedule a retry unless it is a success."""
         words = connection.body.decode("latin-1").split()
         answers_call = status == 200 and len(words) == 2 and words[1] == call.call_id
         upstream = words[0] if answers_call else ""
@@ -317,7 +318,10 @@
             self._schedule_retry(call, not_run=status in REJECTED_STATUSES, retry_after_us=connection.retry_after_us)
 
     def connection_lost(self, connection: ClientConnection) -> None:
-        """Send the call of an idle connection that closed at that moment once more; fail any other call."""
+        """Fail the call in progress on a closed connection, or resend it if the connection may have closed while idle.
+
+        A call is resent at most once.
+        """
         self.connections.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
@@ -337,7 +341,7 @@
             self._schedule_retry(call, not_run=False)
 
     def unexpected_data(self, connection: ClientConnection) -> None:
-        """Record bytes that answer no call."""
+        """Record bytes that belong to no call, and reset the connection."""
         self.clock.write(UnexpectedBytes(self.clock.now_us(), connection.last_call_id, self._sidecar.name))
         connection.abort()
 
@@ -350,7 +354,7 @@
         self._schedule_retry(call, not_run=False)
 
     def _stop_watching(self, connection: ClientConnection, call: _ClientCall) -> None:
-        """Record that no response came even long after the timeout."""
+        """Record that no response has arrived even `LATE_ANSWER_WAIT_US` after the timeout."""
         if connection.call is call:
             connection.call = None
             self.clock.write(ResponseMissing(self.clock.now_us(), call.call_id, self._sidecar.name))
@@ -379,7 +383,7 @@
             _ClientCall(call_id, call.request_id, call.class_index, call.tenant_index, call.due_us, retry_index)
         )
 
-    # The application's own process
+    # Process faults
 
     def _apply_fault(self, step: Step) -> None:
         now_us = self.clock.now_us()
@@ -413,7 +417,7 @@
 
 
 async def is_ready(address: tuple[str, int], timeout_s: float = READY_TIMEOUT_S) -> bool:
-    """Return whether a sidecar answers its readiness check with success."""
+    """Return whether a sidecar passes its readiness check."""
     writer: asyncio.StreamWriter | None = None
     try:
         async with asyncio.timeout(timeout_s):
--- a/garnetusher/lab/discovery.py
+++ b/garnetusher/lab/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery as the protocol describes it, for each sidecar at an address of its own and behind a link."""
+"""A stand-in for the discovery service, which implements its protocol for snapshots and watches.
+
+Each sidecar reaches it at a separate address, through a separate link.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from msgspec import structs
 
 from garnetusher.lab import link_sockets
-from garnetusher.lab.clockwork import Clockwork
+from garnetusher.lab.run_clock import RunClock
 from garnetusher.lab.sidecar_settings import STANDARD_MODEL
 from garnetusher.model import draw
 from garnetusher.model.experiment import Directory
@@ -19,8 +22,8 @@
 from garnetusher.model.plan import LONG_AGO, ListStep, Plan
 from garnetusher.model.records import DiscoveryCalled, ListUpdateSent
 
-KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines of a watch
-MAX_STORED_CHANGES = 1000  # a watch that asks for older ones gets a snapshot
+KEEPALIVE_INTERVAL_S = 2.0  # the time between the empty lines that keep a watch alive
+MAX_STORED_CHANGES = 1000  # a watch that needs older changes receives a snapshot
 HOSTS_PATH = "/discovery/hosts"
 NOT_FOUND_RESPONSE = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 OVERLOADED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -29,7 +32,7 @@
 
 
 def entry(uid: str, zone: str, endpoint: str, state: str, boot_ms: int) -> dict[str, Any]:
-    """Return one upstream in the protocol's form."""
+    """Return the entry of an upstream in the endpoint list, as the discovery protocol defines it."""
     return {
         "uid": uid,
         "endpoint": endpoint,
@@ -53,42 +56,42 @@
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
 
-    # Called by the link
+    # Callbacks of the link
 
     def data_arrived(self, data: bytes) -> None:
-        """Parse what has come through the link."""
+        """Parse bytes that the link has delivered."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.connection.abort()
 
     def closed_by_sidecar(self) -> None:
-        """End its watch."""
+        """End the watch of this connection."""
         self.closed = True
         self.server.watchers.pop(self, None)
 
     def data_undelivered(self, data: bytes) -> None:
-        """Do nothing: no record is kept of calls that were written into a cut link."""
+        """Do nothing: calls that the sidecar sends while the link is cut are not recorded."""
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Pass a complete request on."""
+        """Pass a complete request to the server."""
         target, self._target = self._target.decode("latin-1"), b""
         self.server.request_received(self, target)
 
-    # Called by the server
+    # Methods for the server
 
     def send_watch_event(self, document: dict[str, Any], steps: list[ListStep]) -> None:
-        """Send an event of a watch; `steps` are the changes that it tells."""
+        """Send an event to a watching sidecar; `steps` are the changes that the event contains."""
         self._send_chunk(json.dumps(document).encode() + b"\n", steps)
 
     def send_keepalive(self) -> None:
-        """Send the empty line of a watch that has no changes."""
+        """Send an empty line, which keeps a watch without changes alive."""
         self._send_chunk(b"\n", [])
 
     def _send_chunk(self, data: bytes, steps: list[ListStep]) -> None:
@@ -97,14 +100,14 @@
 
 
 class DiscoveryServer:
-    """The endpoint list with its changes, and the sidecars that poll or watch it.
+    """The discovery service: the endpoint list, its recent changes, and the sidecars that poll or watch the list.
 
     Attributes:
-        watchers: The connections that watch, each with the revision that it has.
+        watchers: The connections with a watch, and the last revision sent to each one.
         listeners: The listening socket of each sidecar.
     """
 
-    def __init__(self, clock: Clockwork, plan: Plan, addresses: dict[str, dict[str, str]], settings: Directory) -> None:
+    def __init__(self, clock: RunClock, plan: Plan, addresses: dict[str, dict[str, str]], settings: Directory) -> None:
         self.clock = clock
         self.plan = plan
         self.watchers: dict[SidecarConnection, int] = {}
@@ -112,18 +115,18 @@
         self._addresses = addresses
         self._settings = settings
         self._max_push_delay_us = round(settings.spread_ms * 1000)
-        self._busy_until_us = 0  # when all waiting calls will have been answered
-        self._unix_zero_ms = 0  # the wall clock at time 0 of the run
+        self._busy_until_us = 0  # the time at which all waiting calls will be answered
+        self._unix_zero_ms = 0  # the wall clock time at the start of the run
         self._revision = 1
         self._listed: dict[str, ListStep] = {
             upstream.uid: ListStep(0, upstream.uid, upstream.zone, "active")
             for upstream in plan.upstreams
             if upstream.from_us == 0
         }
-        self._changes: list[tuple[int, ListStep]] = []  # with the revision that each made
+        self._changes: list[tuple[int, ListStep]] = []  # the latest changes, each with its revision
 
     def link(self, sidecar: str, host: str, normal_conditions: LinkConditions) -> None:
-        """Open the listener of one sidecar."""
+        """Open the listener for one sidecar."""
         seed = int(draw.uniform(self.plan.seed, "link", "directory", sidecar) * 2**32)
         listener = link_sockets.Listener(
             self.clock, host, lambda connection: SidecarConnection(self, sidecar, connection), seed, normal_conditions
@@ -132,7 +135,7 @@
         self.listeners[sidecar] = listener
 
     def begin(self, unix_zero_ms: int) -> None:
-        """Schedule the plan's changes of the list."""
+        """Schedule the changes of the endpoint list; `unix_zero_ms` is the wall clock time at the start of the run."""
         self._unix_zero_ms = unix_zero_ms
         for step in self.plan.listed:
             self.clock.at(step.at_us, self._change_list, step)
@@ -146,7 +149,7 @@
     # Calls
 
     def request_received(self, connection: SidecarConnection, target: str) -> None:
-        """Answer calls one after another; a call is rejected while too many wait."""
+        """Answer a call after those that wait; reject it if too many calls wait."""
         call_us = int(self._settings.call_ms * 1000)
         now_us = self.clock.now_us()
         if not call_us:
@@ -159,7 +162,7 @@
             self.clock.at(self._busy_until_us, self._answer, connection, target)
 
     def _answer(self, connection: SidecarConnection, target: str) -> None:
-        if connection.closed:  # the sidecar has not waited for its turn
+        if connection.closed:  # the sidecar has closed the connection while the call waited
             return
         url = urlsplit(target)
         if url.path != HOSTS_PATH:
@@ -192,12 +195,12 @@
         self.watchers[connection] = self._revision
 
     def record_delivery(self, sidecar: str, steps: list[ListStep]) -> None:
-        """Record that changes of the list have been written to a sidecar."""
+        """Record that changes of the list have been delivered to a sidecar."""
         now_us = self.clock.now_us()
         for step in steps:
             self.clock.write(ListUpdateSent(now_us, sidecar, step.uid, step.state, step.started_us))
 
-    # The list
+    # Endpoint list
 
     def _document(self, sidecar: str, steps: list[ListStep], *, snapshot: bool) -> dict[str, Any]:
         targets = [
@@ -215,7 +218,8 @@
     def _change_list(self, step: ListStep) -> None:
         before = self._listed.get(step.uid)
         if before is not None and step.started_us == LONG_AGO:
-            step = structs.replace(step, started_us=before.started_us)  # only a start changes it
+            # Only a start of the upstream changes its start time.
+            step = structs.replace(step, started_us=before.started_us)
         self._revision += 1
         self._changes.append((self._revision, step))
         del self._changes[:-MAX_STORED_CHANGES]
--- a/garnetusher/lab/link_sockets.py
+++ b/garnetusher/lab/link_sockets.py
@@ -1,8 +1,9 @@
-"""Sockets behind simulated links: each pair of a node and a sidecar has a listening socket, and a link, of its own.
+"""Sockets behind simulated links: each pair of a node and a sidecar has its own listening socket and its own link.
 
-The node's code runs behind the link, in this process, so no byte is copied through another one. A cut closes nothing:
-what arrives is read and kept, what is sent is kept, and new connections never come up, because the listening socket's
-queue is filled until the kernel drops further requests to connect (`listen(2)`, a backlog of 0).
+The stand-in for the node runs in the same process as the link, so data is not copied through another process. A cut
+closes no connection: data in both directions is held back, and new connections are not established. For the latter,
+the accept queue of the listening socket is filled, so that the kernel drops further connection requests (`listen(2)`
+with a backlog of 0).
 """
 
 from __future__ import annotations
@@ -17,36 +18,36 @@
 from typing import Protocol
 
 from garnetusher.errors import GarnetusherError
-from garnetusher.lab.clockwork import Clockwork
+from garnetusher.lab.run_clock import RunClock
 from garnetusher.model.link import LinkConditions, StreamLink
 
 BACKLOG = 512
-FILLER_CONNECTIONS = 4  # one fills a queue of length 0; the others make sure
-MIN_DELAY_US = 400  # a shorter delay is left out: the loop's timers are no finer than a millisecond
+FILLER_CONNECTIONS = 4  # one fills a queue with a backlog of 0; the others are a safety margin
+MIN_DELAY_US = 400  # shorter delays are not simulated: the timers of the event loop have a resolution of 1 ms
 
 
 class UnexpectedTransportError(GarnetusherError):
-    """The event loop gave a connection a transport that is no byte stream."""
+    """The event loop passed a connection a transport that is not a byte stream."""
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
         super().__init__(f"connection: expected a stream transport, got {type(transport).__name__}")
 
 
 class ConnectionHandler(Protocol):
-    """The node's side of a connection."""
+    """The node's end of a connection."""
 
     def data_arrived(self, data: bytes) -> None:
-        """Handle bytes that have come through the link."""
+        """Handle bytes that the link has delivered."""
 
     def closed_by_sidecar(self) -> None:
-        """Handle that the sidecar has closed, as far as the node can know."""
+        """Handle that the sidecar has closed the connection; during a cut this is reported after the cut."""
 
     def data_undelivered(self, data: bytes) -> None:
-        """Handle that bytes were written into a cut link, and stay there."""
+        """Handle that the sidecar sent bytes while the link was cut, so they are held back."""
 
 
 def _passes_at_once(link: StreamLink) -> bool:
-    """Whether what is sent now arrives now, as nothing delays it by more than timers can tell."""
+    """Return whether data sent now arrives now, because its delay is below the resolution of the timers."""
     conditions = link.conditions
     return conditions.delay_us < MIN_DELAY_US and not (
         conditions.cut or conditions.loss or conditions.bytes_per_s or link.bytes_in_transit
@@ -54,7 +55,13 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a sidecar, as the node sees it through the link."""
+    """The node's end of one connection, behind the link.
+
+    Attributes:
+        listener: The listener that has accepted the connection.
+        transport: The transport, once the connection is established.
+        handler: The node's handler of the connection.
+    """
 
     def __init__(self, listener: Listener) -> None:
         self.listener = listener
@@ -62,7 +69,7 @@
         self._clock = listener.clock
         self._inbound = StreamLink(listener.to_node, listener.rng)
         self._outbound = StreamLink(listener.to_sidecar, listener.rng)
-        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()  # one for each write in `_outbound`
+        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()  # one per write in `_outbound`
         self._timer: asyncio.TimerHandle | None = None
         self._closed_by_sidecar = False
         self._close_reported = False
@@ -70,14 +77,14 @@
         self.handler = listener.make_handler(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; called by the loop."""
+        """Store the transport; called by the event loop."""
         if not isinstance(transport, asyncio.Transport):
             raise UnexpectedTransportError(transport)
         self.transport = transport
         self.listener.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Send data of the sidecar through the link; called by the loop."""
+        """Send data of the sidecar through the link; called by the event loop."""
         if self.listener.to_node.cut:
             self.handler.data_undelivered(data)
         if self._closed_by_node:
@@ -89,15 +96,15 @@
         self._deliver()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the sidecar has closed; called by the loop."""
+        """Handle that the sidecar has closed the connection; called by the event loop."""
         self._closed_by_sidecar = True
         if self.listener.to_node.cut or self._closed_by_node:
-            # What the cut holds back is lost: a sidecar that has closed sends nothing again.
+            # The held data is lost: a sidecar that has closed the connection retransmits nothing.
             self._inbound = StreamLink(self.listener.to_node, self.listener.rng)
         self._deliver()
 
     def write(self, data: bytes, on_delivered: Callable[[], None] | None = None) -> None:
-        """Send data towards the sidecar; `on_delivered` is called when it has come through the link."""
+        """Send data to the sidecar; `on_delivered` is called when the link has delivered the data."""
         if self._closed_by_node or self._closed_by_sidecar or self.transport is None:
             return
         if _passes_at_once(self._outbound):
@@ -110,31 +117,31 @@
         self._deliver()
 
     def close(self) -> None:
-        """Close in order: what has been written is still delivered."""
+        """Close the connection after all written data is delivered."""
         self._closed_by_node = True
         if self.transport is not None and not self._outbound.bytes_in_transit:
             self.transport.close()
 
     def abort(self) -> None:
-        """Reset the connection; behind a cut the sidecar can't be told, so the transport stays open."""
+        """Reset the connection; during a cut the reset can't reach the sidecar, so the transport stays open."""
         self._closed_by_node = True
         if self.transport is not None and not self.listener.to_sidecar.cut:
             self.transport.abort()
 
     def restore_to_node(self) -> None:
-        """Carry on after a cut of the direction to the node."""
+        """Resume delivery to the node after a cut."""
         self._inbound.end_cut(self._clock.now_us())
         self._deliver()
 
     def restore_to_sidecar(self) -> None:
-        """Carry on after a cut of the direction to the sidecar; a reset that it held back is sent now."""
+        """Resume delivery to the sidecar after a cut; a reset that was held back is sent now."""
         self._outbound.end_cut(self._clock.now_us())
         if self._closed_by_node and self.transport is not None:
             self.transport.abort()
         self._deliver()
 
     def _deliver(self) -> None:
-        """Deliver what has arrived by now, in both directions."""
+        """Deliver the data that is due, in both directions."""
         now_us = self._clock.now_us()
         self._deliver_to_node(now_us)
         self._deliver_to_sidecar(now_us)
@@ -177,19 +184,22 @@
 
 
 class Listener:
-    """The listening socket of one pair, and the conditions of its link in both directions.
+    """The listening socket of one pair of a node and a sidecar, and the conditions of its link in both directions.
 
     Attributes:
+        clock: The clock of the run.
+        make_handler: Creates the node's handler of a new connection.
+        rng: The random number generator of the links.
         to_node: The conditions from the sidecar to the node.
         to_sidecar: The conditions from the node to the sidecar.
         connections: The open connections.
-        host: The address.
+        host: The IP address of the socket.
         port: The port; 0 before the first `open`.
     """
 
     def __init__(
         self,
-        clock: Clockwork,
+        clock: RunClock,
         host: str,
         make_handler: Callable[[Connection], ConnectionHandler],
         seed: int,
@@ -208,7 +218,7 @@
         self._tasks: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
-        """Listen, at a port of the kernel's choice the first time and at the same one later."""
+        """Start to listen; the kernel chooses a port the first time, and later calls use the same port."""
         if self._socket is not None:
             return
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -224,7 +234,7 @@
             self.clock.loop.add_reader(sock.fileno(), self._accept)
 
     def refuse(self) -> None:
-        """Refuse new connections; open ones stay."""
+        """Refuse new connections; open connections are not closed."""
         self._release_backlog()
         if self._socket is not None:
             self.clock.loop.remove_reader(self._socket.fileno())
@@ -232,7 +242,7 @@
             self._socket = None
 
     def cut(self, *, to_node: bool, to_sidecar: bool) -> None:
-        """Cut the given directions; cuts add up."""
+        """Cut the given directions; cuts of one direction are counted."""
         was_cut = self._cut
         self.to_node.cut += int(to_node)
         self.to_sidecar.cut += int(to_sidecar)
@@ -241,7 +251,7 @@
             self._fill_backlog(self._socket)
 
     def restore(self, *, to_node: bool, to_sidecar: bool) -> None:
-        """End a cut of the given directions; a direction works again when all its cuts have ended."""
+        """End one cut of each given direction; a direction is restored when all its cuts have ended."""
         self.to_node.cut -= int(to_node)
         self.to_sidecar.cut -= int(to_sidecar)
         if not self._cut and self._socket is not None:
@@ -255,7 +265,7 @@
                 connection.restore_to_sidecar()
 
     def abort_all(self) -> None:
-        """Reset all connections; behind a cut this reaches the sidecar only when the cut has ended."""
+        """Reset all connections; during a cut, the resets reach the sidecar after the cut."""
         for connection in list(self.connections):
             connection.abort()
             if not self.to_sidecar.cut:
@@ -270,7 +280,7 @@
 
     @property
     def _cut(self) -> bool:
-        """Whether no connection can come up, as that takes both directions."""
+        """Whether either direction is cut; a new connection needs both."""
         return bool(self.to_node.cut or self.to_sidecar.cut)
 
     def _accept(self) -> None:
@@ -288,7 +298,7 @@
             task.add_done_callback(self._tasks.discard)
 
     def _fill_backlog(self, listening_socket: socket.socket) -> None:
-        """Fill the queue: with room in it the kernel would complete connections that nobody accepts."""
+        """Fill the accept queue; otherwise the kernel would establish connections that are never accepted."""
         self.clock.loop.remove_reader(listening_socket.fileno())
         listening_socket.listen(0)
         for _ in range(FILLER_CONNECTIONS):
@@ -298,9 +308,9 @@
             self._fillers.append(filler)
 
     def _release_backlog(self) -> None:
-        """Close the fillers, and accept and close what is queued.
+        """Close the filler connections, and accept and close all queued connections.
 
-        A sidecar's own connection in the queue is reset with them, as by a machine that has started anew.
+        A sidecar's connection in the queue is closed too, as after a restart of the machine.
         """
         fillers, self._fillers = self._fillers, []
         for filler in fillers:
--- a/garnetusher/lab/soak/faults.py
+++ b/garnetusher/lab/soak/faults.py
@@ -21,7 +21,7 @@
 from garnetusher.lab.soak.records import EndpointStatus, ProcessEventKind, now_s
 from garnetusher.lab.soak.sidecar_process import SidecarProcess
 from garnetusher.lab.soak.upstream import SimulatedUpstream
-from garnetusher.lab.syscall_faults import SHORT_TRANSFER, Call, FaultBoard
+from garnetusher.lab.syscall_faults import SHORT_TRANSFER, Call, FaultTable
 
 DRAIN_S = 1.5  # an upstream is removed this long, plus the duration of the fault, after its drain is announced
 REPLACEMENT_S = 1.0  # a removed upstream is restarted and listed again after this time
@@ -117,10 +117,10 @@
             await sidecar.restart(signal_number, self._longest_deadline_s)
         elif fault.kind in (FaultKind.RELOAD, FaultKind.RELOAD_BURST, FaultKind.TRUNCATED_FILE):
             await self._reload(fault, number)
-        elif sidecar.board is not None and fault.kind == FaultKind.WALL_CLOCK:
-            sidecar.board.step_wall_clock(fault.value)
-        elif sidecar.board is not None:
-            _inject_syscall_fault(fault, sidecar.board)
+        elif sidecar.fault_table is not None and fault.kind == FaultKind.WALL_CLOCK:
+            sidecar.fault_table.step_wall_clock(fault.value)
+        elif sidecar.fault_table is not None:
+            _inject_syscall_fault(fault, sidecar.fault_table)
 
     async def _reload(self, fault: Fault, number: int) -> None:
         sidecar = self._nodes.sidecars[number]
@@ -159,14 +159,14 @@
         client.active_faults.discard(fault.kind)
 
 
-def _inject_syscall_fault(fault: Fault, board: FaultBoard) -> None:
+def _inject_syscall_fault(fault: Fault, fault_table: FaultTable) -> None:
     error = fault.error or SHORT_TRANSFER
     once = fault.value == 0.0
     share = fault.value
     if error == errno.EINTR:
         # The interpreter retries an interrupted call, which would never return if every call were interrupted.
         share = min(share, LARGEST_INTERRUPT_SHARE)
-    board.inject(
+    fault_table.inject(
         Call(fault.call),
         error,
         0.0 if once else min(fault.duration_s, LONGEST_SYSCALL_FAULT_S),
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from garnetusher.lab.syscall_faults import DOCUMENTED, Call
+from garnetusher.lab.syscall_faults import DOCUMENTED_ERRORS, Call
 
 LOAD_S = 12.0
 QUIET_START_S = 1.0  # no fault begins in the first QUIET_START_S of the load
@@ -260,7 +260,9 @@
 def _draw_syscall_error(rng: random.Random) -> dict[str, Any]:
     call = rng.choice(SERVICE_CALLS)
     errors = [
-        error for error in DOCUMENTED[call] if error not in CONNECTION_ENDING_ERRORS or call in CONNECTION_MAKING_CALLS
+        error
+        for error in DOCUMENTED_ERRORS[call]
+        if error not in CONNECTION_ENDING_ERRORS or call in CONNECTION_MAKING_CALLS
     ]
     return {"call": int(call), "error": rng.choice(errors), "value": rng.choice((0.0, 0.3, 1.0))}
 
--- a/garnetusher/lab/soak/run.py
+++ b/garnetusher/lab/soak/run.py
@@ -87,8 +87,8 @@
 
     def failed_calls(self) -> int:
         """Return how many system calls of the sidecars failed by injection."""
-        boards = [sidecar.board for sidecar in self.nodes.sidecars if sidecar.board is not None]
-        return sum(board.hits(call) for board in boards for call in Call)
+        fault_tables = [sidecar.fault_table for sidecar in self.nodes.sidecars if sidecar.fault_table is not None]
+        return sum(fault_table.hits(call) for fault_table in fault_tables for call in Call)
 
     async def _open(self) -> None:
         """Open the simulated nodes, inject the faults that precede the start, and start the sidecars."""
--- a/garnetusher/lab/soak/sidecar_process.py
+++ b/garnetusher/lab/soak/sidecar_process.py
@@ -18,7 +18,7 @@
 
 from garnetusher.lab.sidecars import deploy_file, die_with_parent
 from garnetusher.lab.soak.records import ProcessEvent, ProcessEventKind, Records, now_s
-from garnetusher.lab.syscall_faults import FaultBoard
+from garnetusher.lab.syscall_faults import FaultTable
 
 KILL_GAP_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this time
 LONGEST_DRAIN_S = 3.0  # the wait for SIGKILL uses this value in place of a longer deadline
@@ -54,7 +54,9 @@
         self.number = setup.number
         self.address = (setup.host, _port(setup.number, SERVICE_PORT_OFFSET))
         self.log = setup.folder / "log.txt"
-        self.board = FaultBoard(setup.folder / "faults", setup.number + 1) if setup.injects_syscall_faults else None
+        self.fault_table = (
+            FaultTable(setup.folder / "faults", setup.number + 1) if setup.injects_syscall_faults else None
+        )
         self.process: asyncio.subprocess.Process | None = None
         self.restarting = False
         self._setup = setup
@@ -188,7 +190,7 @@
             name: value for name, value in os.environ.items() if not name.startswith(REMOVED_VARIABLE_PREFIXES)
         }
         own = {"BALANCER_NAME": f"s{self.number}", "BALANCER_CONFIG": str(self._configuration)}
-        return inherited | own | (self.board.environment() if self.board is not None else {})
+        return inherited | own | (self.fault_table.environment() if self.fault_table is not None else {})
 
 
 def _port(sidecar: int, offset: int) -> int:
--- a/garnetusher/lab/soak/sweep.py
+++ b/garnetusher/lab/soak/sweep.py
@@ -26,7 +26,7 @@
     RequestClass,
 )
 from garnetusher.lab.soak.run import BrokenRule, run_plan
-from garnetusher.lab.syscall_faults import DOCUMENTED, SHORT_TRANSFER, Call
+from garnetusher.lab.syscall_faults import DOCUMENTED_ERRORS, SHORT_TRANSFER, Call
 
 SIDECARS = 3
 SERVICE_FAULT_S = 1.0  # the time of the fault while the sidecars serve
@@ -123,7 +123,7 @@
     """Run the plans of all errors, `jobs` of them in parallel, and return the table."""
     errors = [
         SyscallError(call, error, once)
-        for call, errors in DOCUMENTED.items()
+        for call, errors in DOCUMENTED_ERRORS.items()
         for error in errors
         for once in (True, False)
     ]
--- a/garnetusher/lab/syscall_faults.c
+++ b/garnetusher/lab/syscall_faults.c
@@ -1,9 +1,9 @@
-/* Makes system calls of one process fail, or transfer less than asked, by a plan in a file that it shares with the lab.
+/* Makes system calls of one process fail, or transfer fewer bytes than requested, as a shared file specifies.
  *
- * Loaded with LD_PRELOAD. GARNETUSHER_FAULTS names the file; its layout is that of garnetusher/lab/syscall_faults.py.
- * Without it, and in programs that are not Python, nothing is changed. A fault never makes a call that it fails: the
- * caller sees the error and the kernel sees nothing. Sockets of other families than AF_INET are left alone, so the
- * event loop's own wake-up channel works on.
+ * The library is loaded with LD_PRELOAD. GARNETUSHER_FAULTS is the path of the file; garnetusher/lab/syscall_faults.py
+ * writes it with the layout of `struct board`. Without this variable, and in programs other than Python, the library
+ * changes nothing. A call that fails is not passed to the kernel: only the caller sees the error. Faults do not apply
+ * to sockets of families other than AF_INET, so the event loop can still wake itself up through its socket pair.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -26,20 +26,20 @@
             GETSOCKOPT, SHUTDOWN, POLL, OPEN, WRITE, CALLS };
 
 #define RECORDS 64
-#define SHORT_TRANSFER (-1) /* in place of an error: the call moves fewer bytes than asked */
+#define SHORT_TRANSFER (-1) /* used instead of an errno: the call transfers fewer bytes than requested */
 
 struct record {
     int32_t call;
     int32_t error;
-    uint32_t per_mille; /* of the calls in its time */
-    int32_t left;       /* so many more calls fail; negative: any number */
-    int64_t from_ns, until_ns; /* of the monotonic clock */
+    uint32_t per_mille; /* probability that a call fails while the fault lasts, in thousandths */
+    int32_t left;       /* number of calls that can still fail; negative: no limit */
+    int64_t from_ns, until_ns; /* start and end on the monotonic clock */
 };
 
 struct board {
     uint32_t seed, used;
-    int64_t wall_step_ns; /* added to the wall clock */
-    int64_t hits[CALLS];  /* calls that were changed */
+    int64_t wall_step_ns; /* offset added to the wall clock */
+    int64_t hits[CALLS];  /* calls that failed or transferred fewer bytes */
     int64_t calls[CALLS]; /* calls made */
     struct record records[RECORDS];
 };
@@ -72,7 +72,7 @@
     return random_state;
 }
 
-/* The error for this call, SHORT_TRANSFER, or 0 to let it through. */
+/* Returns the errno with which this call fails, SHORT_TRANSFER, or 0 if the call is not changed. */
 static int fault(enum call call) {
     if (board == NULL)
         return 0;
@@ -170,7 +170,7 @@
     return real(fd, level, name, value, size);
 }
 
-/* How much a transfer of `size` bytes may move; -1 with errno set if it fails. */
+/* Returns how many of `size` bytes the call may transfer; returns -1 and sets errno if the call fails. */
 static ssize_t allowed(enum call call, int fd, size_t size) {
     int error = is_tcp(fd) ? fault(call) : 0;
     if (error > 0) {
@@ -223,7 +223,7 @@
     return real(fds, count, timeout);
 }
 
-/* Of files only the configuration is meant: a name that ends in .json. */
+/* Faults of `open` apply only to the configuration, a file whose name ends in .json. */
 static int is_configuration(const char *path) {
     size_t size = strlen(path);
     return size > 5 && strcmp(path + size - 5, ".json") == 0;
--- a/garnetusher/lab/syscall_faults.py
+++ b/garnetusher/lab/syscall_faults.py
@@ -1,7 +1,8 @@
-"""Fails system calls of a process under test, shortens its reads and writes, and steps its wall clock.
+"""Injection of faults into the system calls of a process under test.
 
-The process is started with a library in LD_PRELOAD (syscall_faults.c), which is compiled with `cc` when it is first
-wanted. It and this module share a file: a `FaultBoard`, on which faults can be put at any time while the process runs.
+Faults make calls fail, make reads and writes transfer fewer bytes, or step the wall clock. The process loads
+a library through LD_PRELOAD (syscall_faults.c), which is compiled with `cc` on first use. The library and this module
+share a memory-mapped file, `FaultTable`, so faults can be added at any time while the process runs.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("syscall_faults.c")
-SHORT_TRANSFER = -1  # in place of an error: fewer bytes are moved than were asked for
-MOST_FAULTS = 64
-_HEAD = struct.Struct("=IIq")
-_COUNT = struct.Struct("=q")
+SHORT_TRANSFER = -1  # used instead of an errno: the call transfers fewer bytes than requested
+MAX_FAULTS = 64
+_HEADER = struct.Struct("=IIq")
+_COUNTER = struct.Struct("=q")
 _RECORD = struct.Struct("=iiIiqq")
 _FOREVER_NS = 1 << 62
 
 
 class Call(enum.IntEnum):
-    """The calls that can be made to fail, by their place in the library."""
+    """The system calls that can fail, numbered as in `enum call` of syscall_faults.c."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -49,84 +50,111 @@
 
 
 class CompilerError(RuntimeError):
-    """The library could not be compiled; `str` says why."""
+    """The library could not be compiled; the message gives the reason."""
 
 
 def library() -> Path:
-    """The compiled library; raises CompilerError where there is no working `cc`."""
+    """Return the path of the library, and compile it if necessary.
+
+    Raises:
+        CompilerError: If there is no `cc` on PATH, or if it fails.
+    """
     compiler = shutil.which("cc")
     if compiler is None:
-        raise CompilerError("faults in system calls need a C compiler: expected `cc` on PATH")
+        raise CompilerError("system call faults need a C compiler: expected `cc` on PATH")
     digest = hashlib.sha256(SOURCE.read_bytes()).hexdigest()[:16]
-    built = Path(tempfile.gettempdir()) / f"garnetusher-faults-{os.getuid()}-{digest}.so"
-    if not built.exists():
-        partial = built.with_suffix(f".{os.getpid()}")
-        done = subprocess.run(
-            [compiler, "-shared", "-fPIC", "-O2", "-o", str(partial), str(SOURCE), "-ldl"],
+    library_path = Path(tempfile.gettempdir()) / f"garnetusher-faults-{os.getuid()}-{digest}.so"
+    if not library_path.exists():
+        partial_path = library_path.with_suffix(f".{os.getpid()}")
+        completed = subprocess.run(
+            [compiler, "-shared", "-fPIC", "-O2", "-o", str(partial_path), str(SOURCE), "-ldl"],
             capture_output=True,
             text=True,
             check=False,
         )
-        if done.returncode != 0:
-            raise CompilerError(f"{SOURCE.name}: cc ended with {done.returncode}: {done.stderr.strip()[-500:]}")
-        partial.replace(built)
-    return built
+        if completed.returncode != 0:
+            raise CompilerError(
+                f"{SOURCE.name}: cc failed with exit status {completed.returncode}: {completed.stderr.strip()[-500:]}"
+            )
+        partial_path.replace(library_path)
+    return library_path
+
+
+class FaultTable:
+    """The faults of one process, in a file with the layout of `struct board` in syscall_faults.c.
 
+    A table can be created before the process starts, and stays in effect when the process restarts.
 
-class FaultBoard:
-    """The faults of one process; may be made before it starts and outlives its restarts."""
+    Attributes:
+        path: The shared file.
+        size: The size of the file in bytes.
+        memory: The mapped file.
+        used: The number of faults in the table.
+    """
 
     def __init__(self, path: Path, seed: int = 1) -> None:
         self.path = path
-        self.size = _HEAD.size + 2 * len(Call) * _COUNT.size + MOST_FAULTS * _RECORD.size
-        path.write_bytes(_HEAD.pack(seed & 0xFFFF_FFFF, 0, 0).ljust(self.size, b"\0"))
+        self.size = _HEADER.size + 2 * len(Call) * _COUNTER.size + MAX_FAULTS * _RECORD.size
+        path.write_bytes(_HEADER.pack(seed & 0xFFFF_FFFF, 0, 0).ljust(self.size, b"\0"))
         with path.open("r+b") as file:
             self.memory = mmap.mmap(file.fileno(), self.size)
         self.used = 0
 
     def environment(self) -> dict[str, str]:
-        """What the process has to be told."""
+        """Return the environment variables with which the process must start."""
         return {"LD_PRELOAD": str(library()), "GARNETUSHER_FAULTS": str(self.path)}
 
     def inject(
         self, call: Call, error: int, for_s: float = 0.0, count: int = -1, per_mille: int = 1000, after_s: float = 0.0
     ) -> None:
-        """Fail a call with this errno, from `after_s` on: for some seconds (0: for good), `count` times at the most
-        (negative: any number), and of the calls in that time so many in a thousand."""
-        if self.used == MOST_FAULTS:
-            raise ValueError(f"expected at most {MOST_FAULTS} faults for one process")
+        """Add a fault that makes a system call fail.
+
+        Args:
+            call: The system call.
+            error: The errno with which it fails, or `SHORT_TRANSFER`.
+            for_s: The duration of the fault in seconds; 0 means until `clear`.
+            count: The maximum number of calls that fail; a negative number means no limit.
+            per_mille: The probability that a call fails while the fault lasts, in thousandths.
+            after_s: The time until the fault starts, in seconds.
+
+        Raises:
+            ValueError: If the table is full.
+        """
+        if self.used == MAX_FAULTS:
+            raise ValueError(f"fault table: expected at most {MAX_FAULTS} faults for one process")
         from_ns = time.monotonic_ns() + int(after_s * 1e9)
         until_ns = from_ns + int(for_s * 1e9) if for_s > 0 else _FOREVER_NS
         record = _RECORD.pack(call, error, per_mille, count, from_ns, until_ns)
-        place = self.size - (MOST_FAULTS - self.used) * _RECORD.size
-        self.memory[place : place + _RECORD.size] = record
+        offset = self.size - (MAX_FAULTS - self.used) * _RECORD.size
+        self.memory[offset : offset + _RECORD.size] = record
         self.used += 1
         self.memory[4:8] = struct.pack("=I", self.used)
 
     def clear(self) -> None:
-        """Let all calls through again."""
+        """Remove all faults from the table."""
         self.used = 0
         self.memory[4:8] = struct.pack("=I", 0)
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Move the wall clock away from the true time by so much; the monotonic clock runs on."""
+        """Set the offset of the wall clock from the true time; the monotonic clock is not changed."""
         self.memory[8:16] = struct.pack("=q", int(seconds * 1e9))
 
     def hits(self, call: Call) -> int:
-        """How many calls were changed so far."""
-        return self._counter(_HEAD.size, call)
+        """Return the number of calls that have failed or transferred fewer bytes because of a fault."""
+        return self._counter(_HEADER.size, call)
 
     def calls(self, call: Call) -> int:
-        """How many calls were made so far."""
-        return self._counter(_HEAD.size + len(Call) * _COUNT.size, call)
+        """Return the number of calls made so far."""
+        return self._counter(_HEADER.size + len(Call) * _COUNTER.size, call)
 
     def _counter(self, start: int, call: Call) -> int:
-        place = start + call * _COUNT.size
-        return int(_COUNT.unpack(self.memory[place : place + _COUNT.size])[0])
+        offset = start + call * _COUNTER.size
+        return int(_COUNTER.unpack(self.memory[offset : offset + _COUNTER.size])[0])
 
 
-# What Linux documents for each call and what can happen to a correct program for a moment (man 2 and 7 ip, tcp).
-DOCUMENTED: dict[Call, tuple[int, ...]] = {
+# The errors that Linux documents for each call (section 2 of the manual, ip(7) and tcp(7)), as far as a correct program
+# can encounter them temporarily.
+DOCUMENTED_ERRORS: dict[Call, tuple[int, ...]] = {
     Call.ACCEPT: (
         errno.EAGAIN,
         errno.EINTR,
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 servers for simulated upstreams.
 
-`garnetusher.model.upstream` decides what is served when; this module has the sockets, the requests and the faults.
+`garnetusher.model.upstream` simulates the machine; this module handles the sockets, the requests and the faults.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import httptools
 
 from garnetusher.lab import link_sockets
-from garnetusher.lab.clockwork import Clockwork
+from garnetusher.lab.run_clock import RunClock
 from garnetusher.model import draw
 from garnetusher.model.experiment import Experiment, RequestClass
 from garnetusher.model.link import LinkConditions
@@ -28,10 +28,11 @@
 HEALTHY_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 SUCCESS_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n"
 REQUEST_ID_HEADER = b"x-request-id"
-HEALTH_PATHS = (b"/alive", b"/metrics/load")
-IDLE_CHECK_INTERVAL_S = 0.5  # between checks for connections that have been idle for too long
+HEALTH_CHECK_PATHS = (b"/alive", b"/metrics/load")
+IDLE_CHECK_INTERVAL_S = 0.5  # the time between checks for connections that exceed the idle timeout
 
-AttemptEnd = Literal["served", "error", "turned_away", "cancelled", "reset", "dropped"]  # `UpstreamAttemptEnded.how`
+# The values of `UpstreamAttemptEnded.how`.
+AttemptEnd = Literal["served", "error", "turned_away", "cancelled", "reset", "dropped"]
 
 
 @dataclass(slots=True)
@@ -58,10 +59,10 @@
         server.connections.add(self)
         self.accepted = len(server.connections) <= server.max_connections
 
-    # Called by the link
+    # Callbacks of the link
 
     def data_arrived(self, data: bytes) -> None:
-        """Parse what has come through the link."""
+        """Parse bytes that the link has delivered."""
         if not self.reading:
             self.reading = True
             self.request_started_us = self.server.clock.now_us()
@@ -72,29 +73,29 @@
             self.server.connection_closed(self)
 
     def closed_by_sidecar(self) -> None:
-        """Cancel what it carries."""
+        """Cancel the attempt in progress on this connection."""
         self.server.connection_closed(self)
 
     def data_undelivered(self, data: bytes) -> None:
-        """Record the requests that were written into a cut link."""
+        """Record the requests that the sidecar sent while the link was cut."""
         for line in data.split(b"\r\n"):
             name, _, value = line.partition(b":")
             if name.lower() == REQUEST_ID_HEADER:
                 self.server.record_undelivered(self, value.strip().decode("latin-1"))
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take the request's id."""
+        """Store the request ID."""
         if name.lower() == REQUEST_ID_HEADER:
             self._request_id = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """Pass a complete request on."""
+        """Pass a complete request to the server."""
         self.reading = False
         target, self._target = self._target, b""
         request_id, self._request_id = self._request_id, ""
@@ -104,7 +105,7 @@
 class UpstreamServer:
     """One upstream: the simulated machine, a listener for each sidecar, and the sidecars' connections."""
 
-    def __init__(self, clock: Clockwork, experiment: Experiment, seed: int, plan: UpstreamPlan) -> None:
+    def __init__(self, clock: RunClock, experiment: Experiment, seed: int, plan: UpstreamPlan) -> None:
         self.clock = clock
         self.plan = plan
         self.connections: set[SidecarConnection] = set()
@@ -115,10 +116,10 @@
         self._random = random.Random(f"{seed} {plan.uid}")
         self._machine = Upstream(self._settings, plan.speed)
         self._attempts: dict[int, _AttemptInProgress] = {}
-        self._last_attempt = 0
+        self._last_attempt_number = 0
         self._error_share = self._settings.error_share
         self._reset_share = 0.0
-        self._errors_on_arrival = False  # a fault: errors come at once, before any work
+        self._errors_on_arrival = False  # whether a fault makes requests fail on arrival, before any work
         self._classes = {c.name.encode(): c for c in experiment.classes}
         self._timer: asyncio.TimerHandle | None = None
         self._fault_handlers: dict[str, Callable[[int, Step], None]] = {
@@ -135,7 +136,7 @@
         }
 
     def link(self, sidecar: str, host: str, normal_conditions: LinkConditions) -> None:
-        """Open the listener of one sidecar."""
+        """Open the listener for one sidecar."""
         seed = int(draw.uniform(self._seed, "link", self.plan.uid, sidecar) * 2**32)
         listener = link_sockets.Listener(
             self.clock, host, lambda connection: SidecarConnection(self, sidecar, connection), seed, normal_conditions
@@ -143,10 +144,10 @@
         self.listeners[sidecar] = listener
         listener.open()
         if self.plan.from_us > 0:
-            listener.refuse()  # the upstream starts later, but the list needs its port now
+            listener.refuse()  # the upstream starts later, but the endpoint list needs its port now
 
     def begin(self) -> None:
-        """Schedule the plan's faults."""
+        """Schedule the steps of the plan."""
         for step in self.plan.steps:
             self.clock.at(step.at_us, self.apply_fault, step)
         if self.plan.from_us > 0:
@@ -161,7 +162,7 @@
     # Faults
 
     def apply_fault(self, step: Step) -> None:
-        """Carry out a step of the plan, and record it."""
+        """Apply a step of the plan, and record it."""
         now_us = self.clock.now_us()
         handler = self._fault_handlers.get(step.what)
         if handler is not None:
@@ -173,7 +174,7 @@
         self._refuse_connections()
 
     def _vanish(self, now_us: int, step: Step) -> None:
-        """Die behind a cut, so that no sidecar sees a connection close."""
+        """Terminate the machine while its links are cut, so that no sidecar sees a connection close."""
         self._drop_all_attempts(now_us)
         self._abort_connections()
 
@@ -228,7 +229,7 @@
     def request_received(self, connection: SidecarConnection, target: bytes, request_id: str) -> None:
         """Answer a health check, or record an attempt and start its work."""
         now_us = self.clock.now_us()
-        if target in HEALTH_PATHS:
+        if target in HEALTH_CHECK_PATHS:
             connection.connection.write(HEALTHY_RESPONSE)
             return
         request_class = self._classes.get(target.split(b"?")[0].lstrip(b"/").split(b"/")[0])
@@ -246,22 +247,23 @@
             self._start_work(attempt, work_us)
 
     def _work_us(self, request_class: RequestClass, request_id: str, *, on_new_connection: bool) -> int:
-        first_attempt_id = ".".join(request_id.split(".")[:2])  # a client's retries are the same work
+        # A client's retries need the same work as its first call.
+        first_attempt_id = ".".join(request_id.split(".")[:2])
         work_us = draw.work_us(self._seed, first_attempt_id, request_class.work_ms, request_class.work_cv)
         if on_new_connection:
             work_us += int(self._settings.handshake_ms * 1000)
         return work_us
 
     def _handshake_us(self, connection: SidecarConnection) -> int:
-        """Return the time on the way that a handshake takes before the first request of a connection."""
+        """Return the network delay of the handshake that precedes the first request of a connection."""
         one_way_trips = 2 * self._settings.handshake_trips if connection.unused else 0.0
         return int(one_way_trips * connection.connection.listener.to_node.delay_us)
 
     def _record_attempt(
         self, now_us: int, connection: SidecarConnection, request_id: str, work_us: int
     ) -> _AttemptInProgress:
-        self._last_attempt += 1
-        attempt = _AttemptInProgress(self._last_attempt, request_id, connection)
+        self._last_attempt_number += 1
+        attempt = _AttemptInProgress(self._last_attempt_number, request_id, connection)
         self.clock.write(
             Attempt(
                 now_us,
@@ -280,7 +282,7 @@
         return attempt
 
     def _fails_on_arrival(self, attempt: _AttemptInProgress) -> bool:
-        """Reject, fail or reset an attempt where the limit of connections or a fault demands it."""
+        """Reject, fail or reset an attempt if the connection limit or a fault requires it; return whether it ended."""
         if not attempt.connection.accepted:
             self._respond(attempt, NOT_RUN_RESPONSE, "turned_away")
             return True
@@ -300,16 +302,16 @@
             self._handle_actions(self._machine.arrive(self.clock.now_us(), attempt.number, work_us))
 
     def record_undelivered(self, connection: SidecarConnection, request_id: str) -> None:
-        """Record a request that was written into a cut link."""
+        """Record a request that the sidecar sent while the link was cut."""
         self.clock.write(AttemptUndelivered(self.clock.now_us(), request_id, self.plan.uid, connection.sidecar))
 
     def connection_closed(self, connection: SidecarConnection) -> None:
-        """Cancel the attempt that a connection carries."""
+        """Cancel the attempt in progress on a connection."""
         self.connections.discard(connection)
         if connection.attempt is None:
             return
         self._handle_actions(self._machine.cancel(self.clock.now_us(), connection.attempt.number))
-        if connection.attempt is not None:  # the machine may have finished it at this very moment
+        if connection.attempt is not None:  # the actions of the machine may have ended the attempt
             self._end_attempt(connection.attempt.number, "cancelled")
 
     # The simulated machine
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -19,9 +19,9 @@
 from msgspec import Struct, field
 
 from garnetusher.lab.clients import Application
-from garnetusher.lab.clockwork import Clockwork
 from garnetusher.lab.discovery import DiscoveryServer
 from garnetusher.lab.link_sockets import Listener
+from garnetusher.lab.run_clock import RunClock
 from garnetusher.lab.upstreams import UpstreamServer
 from garnetusher.model.experiment import Experiment, Topology
 from garnetusher.model.link import LinkConditions
@@ -107,7 +107,7 @@
     def __init__(self, job: WorkerJob) -> None:
         self.job = job
         self.journal = Journal(Path(job.journal))
-        self.clock = Clockwork(job.name, self.journal)
+        self.clock = RunClock(job.name, self.journal)
         self.upstreams: list[UpstreamServer] = []
         self.discovery: DiscoveryServer | None = None
         self.applications: list[Application] = []
--- a/tests/faulty_host.py
+++ b/tests/faulty_host.py
@@ -13,7 +13,7 @@
 from subprocess import Popen
 from typing import Any
 
-from garnetusher.lab.syscall_faults import Call, FaultBoard
+from garnetusher.lab.syscall_faults import Call, FaultTable
 from tests.net import TEST_TIMEOUT_S, read_message, wait_for_listener
 from tests.processes import program, write_configuration
 from tests.runner import status
@@ -24,7 +24,7 @@
     """A running program, the faults injected into its system calls, and the address of its listener."""
 
     process: Popen[bytes]
-    faults: FaultBoard
+    faults: FaultTable
     address: tuple[str, int]
     config: Path
 
@@ -70,7 +70,7 @@
     """
     path = write_configuration(folder, **config)
     host, port = json.loads(path.read_text())["listen"].split(":")
-    faults = FaultBoard(folder / "faults")
+    faults = FaultTable(folder / "faults")
     faults.step_wall_clock(wall_step_s)
     if failing is not None:
         call, error, count = failing
