--- a/garnetusher/__main__.py
+++ b/garnetusher/__main__.py
@@ -92,14 +92,14 @@
     except Exit as error:
         status = error.exit_code
     except Abort:
-        status = ExitStatus.NOT_HELD
+        status = ExitStatus.FAILURE
     except CommandError as error:
         status = _report(str(error), error.status)
     except TyperException as error:
         status = _report_usage_error(error.format_message())
     except KeyboardInterrupt:
-        status = _report("stopped; nothing was left running", ExitStatus.NOT_HELD)
-    return int(status or ExitStatus.HELD)
+        status = _report("stopped; nothing was left running", ExitStatus.FAILURE)
+    return int(status or ExitStatus.SUCCESS)
 
 
 def _report(message: str, status: ExitStatus) -> ExitStatus:
--- a/garnetusher/cli/__init__.py
+++ b/garnetusher/cli/__init__.py
@@ -3,13 +3,13 @@
 from garnetusher.cli.console import Progress, progress, say, say_json
 from garnetusher.cli.errors import CommandError, ExitStatus, fail, finish
 
-HELD = ExitStatus.HELD
-NOT_HELD = ExitStatus.NOT_HELD
+SUCCESS = ExitStatus.SUCCESS
+FAILURE = ExitStatus.FAILURE
 USAGE_ERROR = ExitStatus.USAGE_ERROR
 
 __all__ = [
-    "HELD",
-    "NOT_HELD",
+    "FAILURE",
+    "SUCCESS",
     "USAGE_ERROR",
     "CommandError",
     "ExitStatus",
--- a/garnetusher/cli/admin_client.py
+++ b/garnetusher/cli/admin_client.py
@@ -10,7 +10,7 @@
 
 from garnetusher import cli
 
-TIMEOUT_S = 2.0  # a running sidecar answers immediately
+TIMEOUT_S = 2.0  # a short timeout suffices because a running sidecar answers immediately
 ADDRESS_VARIABLE = "BALANCER_ADMIN"
 
 AdminAddress = Annotated[str, typer.Option(help=f"Admin address of the sidecar; ${ADDRESS_VARIABLE} if not given.")]
@@ -23,18 +23,18 @@
     text: str
 
 
-def call(at: str, method: str, path: str) -> AdminResponse:
+def call(admin_address: str, method: str, path: str) -> AdminResponse:
     """Send a request to the admin address of a sidecar and return the response.
 
     Args:
-        at: the admin address as `host:port`; if empty, the address in `$BALANCER_ADMIN`.
+        admin_address: the address as `host:port`; if empty, the value of `$BALANCER_ADMIN`.
         method: the HTTP method.
         path: the path with its query.
 
     Raises:
         CommandError: the address is malformed, or the sidecar does not answer in time.
     """
-    address = at or os.environ.get(ADDRESS_VARIABLE, "")
+    address = admin_address or os.environ.get(ADDRESS_VARIABLE, "")
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal():
         cli.fail(f"--at: expected host:port, got {address!r}")
@@ -44,6 +44,6 @@
         response = connection.getresponse()
         return AdminResponse(response.status, response.read().decode())
     except OSError as error:
-        cli.fail(f"no answer from {address}: {error}", cli.NOT_HELD)
+        cli.fail(f"no answer from {address}: {error}", cli.FAILURE)
     finally:
         connection.close()
--- a/garnetusher/cli/config_commands.py
+++ b/garnetusher/cli/config_commands.py
@@ -40,15 +40,15 @@
 def check(file: Annotated[Path, typer.Argument(help="The experiment, in TOML.")], *, as_json: JsonFlag = False) -> None:
     """Report whether an experiment file is valid; if not, name the invalid key and the expected value."""
     try:
-        checked = experiment.load(file)
+        loaded = experiment.load(file)
     except config.FileError as error:
         if as_json:
             cli.say_json(InvalidFile(str(file), ok=False, why=str(error)))
         cli.fail(str(error))
     if as_json:
-        cli.say_json(ValidFile(str(file), ok=True, name=checked.name))
+        cli.say_json(ValidFile(str(file), ok=True, name=loaded.name))
     else:
         cli.say(
-            f"{file}: experiment {checked.name}, {sum(checked.upstreams.per_zone.values())} upstreams, "
-            f"{sum(checked.sidecars.per_zone.values())} sidecars, {len(checked.faults)} faults: valid"
+            f"{file}: experiment {loaded.name}, {sum(loaded.upstreams.per_zone.values())} upstreams, "
+            f"{sum(loaded.sidecars.per_zone.values())} sidecars, {len(loaded.faults)} faults: valid"
         )
--- a/garnetusher/cli/curves.py
+++ b/garnetusher/cli/curves.py
@@ -80,21 +80,23 @@
         The points, by policy and then by size.
     """
     cases = [_Case(policy, size) for size in sorted(sizes, reverse=True) for policy in policies]
-    fleets = {case: _fleet(experiment, case, grow) for case in cases}
+    experiment_by_case = {case: _scale_for_case(experiment, case, grow) for case in cases}
     scheduled = [(case, seed) for case in cases for seed in seeds]
     runs_by_case: dict[_Case, list[CompletedRun]] = {case: [] for case in cases}
     with ProcessPoolExecutor() as pool:
-        runs = pool.map(run_experiment, [fleets[case] for case, _ in scheduled], [seed for _, seed in scheduled])
+        runs = pool.map(
+            run_experiment, [experiment_by_case[case] for case, _ in scheduled], [seed for _, seed in scheduled]
+        )
         for completed, ((case, _), run) in enumerate(zip(scheduled, runs, strict=True), 1):
             runs_by_case[case].append(run)
             progress(f"{case.policy}, {case.sidecars} sidecars", completed / len(scheduled))
     ordered = [_Case(policy, size) for policy in policies for size in sorted(sizes)]
-    return [_point(case.policy, fleets[case], runs_by_case[case]) for case in ordered]
+    return [_point(case.policy, experiment_by_case[case], runs_by_case[case]) for case in ordered]
 
 
-def _fleet(experiment: Experiment, case: _Case, grow: str) -> Experiment:
-    grown = scaled(experiment, case.sidecars, sidecars_only=grow == GROW_SIDECARS)
-    return structs.replace(grown, sidecars=structs.replace(grown.sidecars, policy=case.policy))
+def _scale_for_case(experiment: Experiment, case: _Case, grow: str) -> Experiment:
+    scaled_experiment = scaled(experiment, case.sidecars, sidecars_only=grow == GROW_SIDECARS)
+    return structs.replace(scaled_experiment, sidecars=structs.replace(scaled_experiment.sidecars, policy=case.policy))
 
 
 def _point(policy: str, experiment: Experiment, runs: Sequence[CompletedRun]) -> CurvePoint:
@@ -134,7 +136,7 @@
 
 
 def draw(name: str, grow: str, points: Sequence[CurvePoint], folder: Path) -> list[Path]:
-    """Draw an SVG plot of each figure in `PLOTS` by the size of the fleet, with a line for each policy.
+    """Draw an SVG plot of each figure in `PLOTS` against the size of the fleet, with a line for each policy.
 
     Args:
         name: the name of the experiment.
@@ -163,9 +165,9 @@
     figure, axes = plt.subplots(figsize=(5.2, 3.4))
     policies = list(dict.fromkeys(point.policy for point in points))
     for policy in policies:
-        line = [point for point in points if point.policy == policy]
-        sizes = [point.sidecars for point in line]
-        values = [point.figures[figure_name] for point in line]
+        policy_points = [point for point in points if point.policy == policy]
+        sizes = [point.sidecars for point in policy_points]
+        values = [point.figures[figure_name] for point in policy_points]
         axes.plot(sizes, values, marker="o", ms=4, lw=1.3, label=policy)
     axes.set_xscale("log")
     axes.set_xlabel(f"sidecars, {'upstreams and load in proportion' if grow == GROW_FLEET else 'all else the same'}")
--- a/garnetusher/cli/decision_cost.py
+++ b/garnetusher/cli/decision_cost.py
@@ -13,9 +13,9 @@
 
 LIST_LENGTHS = (10, 100, 1000, 10_000)
 SEED = 1
-ROUNDS = 7  # measured rounds, of which the median is reported
+ROUNDS = 7  # number of measured rounds; the report has the median cost of a round
 REQUESTS_PER_ROUND = 400
-CHANGES = 50  # measured changes of one entry each, of which the slowest is reported
+CHANGES = 50  # number of measured changes of one entry; the report has the cost of the slowest change
 
 COLUMNS = (
     number_column("upstreams"),
@@ -29,7 +29,7 @@
 
 
 class DecisionCost(Struct):
-    """The CPU time that the policy takes with one endpoint list.
+    """The CPU time that the policy uses with an endpoint list of one length.
 
     Attributes:
         upstreams: the number of endpoints in the list.
@@ -51,7 +51,7 @@
 
 
 def measure(upstreams: int, *, all_warming: bool) -> DecisionCost:
-    """Send a steady stream of requests through one balancer and measure its CPU time."""
+    """Measure the CPU time that one balancer uses for list updates and for a steady stream of requests."""
     steady = SteadyLoad(SEED)
     complete_list = endpoint_list(upstreams, all_warming)
     list_ms = _event_ms(steady, complete_list)
--- a/garnetusher/cli/errors.py
+++ b/garnetusher/cli/errors.py
@@ -1,4 +1,4 @@
-"""Exit statuses of commands, and the error from which `garnetusher.__main__` takes a message and an exit status."""
+"""Exit statuses of commands, and the error that ends a command with a message and an exit status."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class ExitStatus(enum.IntEnum):
     """The exit statuses of every command."""
 
-    HELD = 0  # every expectation and rule holds
-    NOT_HELD = 1  # an expectation or rule does not hold, or a process cannot be reached
+    SUCCESS = 0  # every expectation and rule holds
+    FAILURE = 1  # an expectation or rule does not hold, a process cannot be reached, or the user interrupts
     USAGE_ERROR = 2  # an argument or a file is invalid
 
 
@@ -44,9 +44,9 @@
 
 
 def finish(*, held: bool) -> NoReturn:
-    """End the command after its output, with the exit status for whether all expectations and rules hold.
+    """End a command that has printed its output; the exit status says whether all expectations and rules hold.
 
     Raises:
         typer.Exit: always.
     """
-    raise typer.Exit(ExitStatus.HELD if held else ExitStatus.NOT_HELD)
+    raise typer.Exit(ExitStatus.SUCCESS if held else ExitStatus.FAILURE)
--- a/garnetusher/cli/fidelity.py
+++ b/garnetusher/cli/fidelity.py
@@ -1,4 +1,4 @@
-"""`garnetusher model fidelity`: compares the figures in virtual time with those on real processes."""
+"""`garnetusher model fidelity`: compares runs in virtual time with runs on real processes."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.result import Result
 
-TOLERANCE = 0.05  # largest accepted difference of the served weight between real processes and virtual time
-SERVED_WEIGHT = "served_worth.whole"
+TOLERANCE = 0.05  # largest accepted difference of served worth between real processes and virtual time
+SERVED_WORTH = "served_worth.whole"
 FIGURES = (
-    SERVED_WEIGHT,
+    SERVED_WORTH,
     "served_worth.during_fault",
     "served_worth.after",
     "crossings",
@@ -38,8 +38,8 @@
     Attributes:
         name: the name of the experiment.
         seeds: the seeds of the runs.
-        real: means on real processes, without the figures that no run has.
-        virtual: means in virtual time, without the figures that no run has.
+        real: mean figures on real processes; a figure that no run has is missing.
+        virtual: mean figures in virtual time; a figure that no run has is missing.
         rules_broken: the number of broken rules in virtual time.
     """
 
@@ -51,13 +51,13 @@
 
     @property
     def within_tolerance(self) -> bool:
-        """Whether the served weights differ by at most `TOLERANCE`."""
-        return abs(self.served_weight_difference) <= TOLERANCE
+        """Whether the two values of served worth differ by at most `TOLERANCE`."""
+        return abs(self.served_worth_difference) <= TOLERANCE
 
     @property
-    def served_weight_difference(self) -> float:
-        """The weight served in virtual time minus the weight served on real processes."""
-        return self.virtual[SERVED_WEIGHT] - self.real[SERVED_WEIGHT]
+    def served_worth_difference(self) -> float:
+        """Served worth in virtual time minus served worth on real processes."""
+        return self.virtual[SERVED_WORTH] - self.real[SERVED_WORTH]
 
 
 def read_lab_runs(folders: Sequence[Path], library: Path) -> list[tuple[Result, Experiment]]:
@@ -73,9 +73,9 @@
         msgspec.MsgspecError: a result is invalid.
     """
     results = [result.read(folder / "result.json") for folder in folders]
-    names = sorted({real.name for real in results})
-    library_by_name = {name: experiments.load(library / f"{name}.toml") for name in names}
-    return [(real, library_by_name[real.name]) for real in results if not real.late]
+    names = sorted({lab_result.name for lab_result in results})
+    experiment_by_name = {name: experiments.load(library / f"{name}.toml") for name in names}
+    return [(lab_result, experiment_by_name[lab_result.name]) for lab_result in results if not lab_result.late]
 
 
 def measure(lab_runs: Sequence[tuple[Result, Experiment]], progress: Progress) -> list[Row]:
@@ -114,4 +114,4 @@
         for name in FIGURES
     ]
     mark = "" if row.within_tolerance else " !"
-    return [row.name, str(len(row.seeds)), *figures, f"{row.served_weight_difference:+.4f}{mark}"]
+    return [row.name, str(len(row.seeds)), *figures, f"{row.served_worth_difference:+.4f}{mark}"]
--- a/garnetusher/cli/members.py
+++ b/garnetusher/cli/members.py
@@ -17,17 +17,17 @@
 @app.callback(invoke_without_command=True, epilog="Example: garnetusher members --at 127.0.0.1:9100")
 def members(
     at: At = "",
-    json: Annotated[bool, typer.Option("--json", help="Print one JSON document on standard output.")] = False,  # noqa: FBT002  typer makes a flag of it
+    json: Annotated[bool, typer.Option("--json", help="Print one JSON document on standard output.")] = False,  # noqa: FBT002  typer declares a flag for this parameter
 ) -> None:
-    """Show the state of each member, its duration, and the members whose views differ from this one."""
+    """Show the state of each member and the time in this state, and list the members that disagree."""
     status, text = call(at, "GET", "/_members")
     if status == HTTPStatus.NOT_FOUND:
         cli.fail(
             "membership is not switched on at this sidecar; see fleet.membership in its configuration file",
-            cli.NOT_HELD,
+            cli.FAILURE,
         )
     if status != HTTPStatus.OK:
-        cli.fail(f"the sidecar answered {status}: {text.strip()}", cli.NOT_HELD)
+        cli.fail(f"the sidecar answered {status}: {text.strip()}", cli.FAILURE)
     document: dict[str, Any] = json_module.loads(text)
     if json:
         cli.say_json(document)
--- a/garnetusher/cli/model_commands.py
+++ b/garnetusher/cli/model_commands.py
@@ -59,7 +59,9 @@
         list[str] | None,
         typer.Option("--without", help=f"A part of the policy to disable: {', '.join(ABLATIONS)}."),
     ] = None,
-    tree: Annotated[Path | None, typer.Option(help="A checkout whose policy replaces this one.")] = None,
+    tree: Annotated[
+        Path | None, typer.Option(help="A checkout; its policy replaces the policy of this checkout.")
+    ] = None,
     as_json: JsonFlag = False,
 ) -> None:
     """Run an experiment in virtual time; print its figures and their bounds."""
@@ -89,7 +91,7 @@
                 completed.append(run)
                 progress("running", len(completed) / count)
     except StallError as error:
-        cli.fail(str(error), cli.NOT_HELD)
+        cli.fail(str(error), cli.FAILURE)
     return completed
 
 
@@ -110,7 +112,7 @@
     *,
     as_json: JsonFlag = False,
 ) -> None:
-    """Compare the policy with baseline policies on the same random draws; print the means, a row for each policy."""
+    """Compare the policy with baseline policies on the same random draws; print a row of means for each policy."""
     experiment = experiment_or_fail(file)
     run_seeds = seeds_or_fail(seeds)
     with cli.progress(f"{experiment.name} by policy") as progress:
@@ -129,7 +131,7 @@
     *,
     as_json: JsonFlag = False,
 ) -> None:
-    """Measure the CPU time of decisions on one request by the length of the endpoint list, warm and all cold."""
+    """Measure the CPU time of decisions on one request for each list length, with warm and with cold endpoints."""
     lengths = list_lengths or decision_cost.LIST_LENGTHS
     cases = [(length, all_warming) for all_warming in (False, True) for length in lengths]
     costs: list[decision_cost.DecisionCost] = []
@@ -145,8 +147,10 @@
 
 @app.command(epilog="Example: garnetusher model explore module --seeds 1:20000")
 def explore(
-    part: Annotated[str, typer.Argument(help=f"The part to explore: {', '.join(schedule_search.PARTS)}.")],
-    seeds: Annotated[str, typer.Option(help="Seeds, each of one schedule, A:B.")] = "1:2000",
+    part: Annotated[
+        str, typer.Argument(help=f"The part of the program to explore: {', '.join(schedule_search.PARTS)}.")
+    ],
+    seeds: Annotated[str, typer.Option(help="Seeds of the schedules, A:B; each seed gives one schedule.")] = "1:2000",
     max_steps: Annotated[int, typer.Option("--steps", min=4, help="Maximum number of steps in a schedule.")] = 120,
     out: Annotated[Path, typer.Option(help="Folder for the failing schedules.")] = Path("found"),
     *,
@@ -157,7 +161,7 @@
     schedule_seeds = seeds_or_fail(seeds)
     with cli.progress(f"exploring {part}") as progress:
         for result in schedule_search.search(part, schedule_seeds, max_steps):
-            progress(f"{len(result.failures)} found", result.schedules / len(schedule_seeds))
+            progress(f"{len(result.failures)} failures", result.schedules / len(schedule_seeds))
     paths = schedule_search.save_smallest(result, out)
     if as_json:
         cli.say_json(result)
@@ -251,7 +255,9 @@
 def fidelity(
     folders: Annotated[list[Path], typer.Argument(help="Output folders of `lab run`.")],
     library: Annotated[Path, typer.Option(help="Folder with the experiment files.")] = Path("experiments"),
-    tree: Annotated[Path | None, typer.Option(help="A checkout whose policy replaces this one.")] = None,
+    tree: Annotated[
+        Path | None, typer.Option(help="A checkout; its policy replaces the policy of this checkout.")
+    ] = None,
     *,
     as_json: JsonFlag = False,
 ) -> None:
--- a/garnetusher/cli/other_tree.py
+++ b/garnetusher/cli/other_tree.py
@@ -14,7 +14,7 @@
 
 TREE_OPTION = "--tree"
 RUN_COMMAND = "import sys; from garnetusher.__main__ import main; sys.exit(main())"
-POLICY = Path("garnetusher", "policy")
+POLICY_PATH = Path("garnetusher", "policy")
 
 
 def run_command(tree: Path, arguments: Sequence[str]) -> int:
@@ -35,12 +35,12 @@
     """
     tree = tree.resolve()
     remaining = _without_tree_option(arguments)
-    if not (tree / POLICY).is_dir() and (tree / "garnetusher" / "__main__.py").is_file():
+    if not (tree / POLICY_PATH).is_dir() and (tree / "garnetusher" / "__main__.py").is_file():
         return _run(tree, remaining)
-    if not (tree / POLICY / "balancer.py").is_file():
-        fail(f"{TREE_OPTION} {tree}: expected a checkout with {POLICY / 'balancer.py'}")
+    if not (tree / POLICY_PATH / "balancer.py").is_file():
+        fail(f"{TREE_OPTION} {tree}: expected a checkout with {POLICY_PATH / 'balancer.py'}")
     with tempfile.TemporaryDirectory() as folder:
-        _link_package(Path(folder), tree / POLICY)
+        _link_package(Path(folder), tree / POLICY_PATH)
         return _run(Path(folder), remaining)
 
 
@@ -56,11 +56,11 @@
 
 
 def _link_package(folder: Path, policy: Path) -> None:
-    """Create a package `garnetusher` of links to the parts of this package, except for the other policy."""
+    """Create a package `garnetusher` of links to the entries of this package, but link to the other `policy`."""
     package = folder / "garnetusher"
     package.mkdir()
-    for part in Path(garnetusher.__file__).resolve().parent.iterdir():
-        (package / part.name).symlink_to(policy if part.name == POLICY.name else part)
+    for entry in Path(garnetusher.__file__).resolve().parent.iterdir():
+        (package / entry.name).symlink_to(policy if entry.name == POLICY_PATH.name else entry)
 
 
 def _run(python_path: Path, arguments: Sequence[str]) -> int:
--- a/garnetusher/cli/policy_comparison.py
+++ b/garnetusher/cli/policy_comparison.py
@@ -34,8 +34,9 @@
 
     Attributes:
         name: the name of the experiment.
-        seeds: the seeds, with each of which every policy runs once.
-        policies: the means of the `FIGURES` that the runs of a policy have, by the name of the policy.
+        seeds: the seeds; every policy runs once with each seed.
+        policies: the mean of each of `FIGURES`, by policy name and then by figure name; a figure that
+            no run has is missing.
     """
 
     name: str
--- a/garnetusher/cli/presence.py
+++ b/garnetusher/cli/presence.py
@@ -68,13 +68,13 @@
 
 
 def draw(results: list[MembershipResult], path: Path) -> None:
-    """Plot times and traffic by the size of the fleet."""
+    """Plot times and traffic against the size of the fleet."""
     import matplotlib  # noqa: PLC0415  the import is slow and only this command needs it
 
     matplotlib.use("svg")
     from matplotlib import pyplot as plt  # noqa: PLC0415  the backend must be chosen before this import
 
-    figure, (times, costs) = plt.subplots(1, 2, figsize=(9.5, 3.4))
+    figure, (times_axes, traffic_axes) = plt.subplots(1, 2, figsize=(9.5, 3.4))
     sizes = [result.members for result in results]
     for name, label in (
         ("noticed_p50_s", "kill detected, median"),
@@ -82,15 +82,15 @@
         ("joined_s", "join of all members at once"),
         ("healed_s", "views equal after a split"),
     ):
-        times.plot(sizes, [getattr(result, name) for result in results], "o", ms=4, label=label)
-    costs.plot(sizes, [result.bytes_a_second for result in results], "o", ms=4, color="#4c72b0")
-    for axes, label in ((times, "seconds"), (costs, "bytes a second that a member sends")):
+        times_axes.plot(sizes, [getattr(result, name) for result in results], "o", ms=4, label=label)
+    traffic_axes.plot(sizes, [result.bytes_a_second for result in results], "o", ms=4, color="#4c72b0")
+    for axes, label in ((times_axes, "seconds"), (traffic_axes, "bytes a second that a member sends")):
         axes.set_xscale("log")
         axes.set_xlabel("members")
         axes.set_ylabel(label)
         axes.set_ylim(bottom=0)
         axes.grid(alpha=0.25)
-    times.legend(fontsize=8)
+    times_axes.legend(fontsize=8)
     path.parent.mkdir(parents=True, exist_ok=True)
     figure.savefig(path, bbox_inches="tight", metadata={"Date": None})
     plt.close(figure)
--- a/garnetusher/cli/runs.py
+++ b/garnetusher/cli/runs.py
@@ -1,4 +1,4 @@
-"""Runs an experiment in virtual time; worker processes can call the function and return its result."""
+"""Runs an experiment in virtual time; the arguments and the result can be passed between processes."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     Args:
         experiment: the experiment to run.
         seed: the seed of all random draws.
-        disabled: names of the ablations, which are parts of the policy to disable.
+        disabled: names of the parts of the policy to disable; keys of `ABLATIONS`.
 
     Raises:
         StallError: virtual time does not advance.
--- a/garnetusher/cli/schedule_search.py
+++ b/garnetusher/cli/schedule_search.py
@@ -17,8 +17,8 @@
 from garnetusher.model.explore.module import Module
 
 PARTS: dict[str, Part] = {part.name: part for part in (Module(), Membership())}
-SEEDS_PER_TASK = 250  # seeds in one task of a worker process
-SHOWN_STEPS = 40  # printed steps at the end of a schedule; the file has all steps
+SEEDS_PER_TASK = 250  # number of seeds that a worker process explores in one task
+SHOWN_STEPS = 40  # number of steps that are printed from the end of a schedule; the saved file has all steps
 
 
 class SearchResult(Struct):
@@ -58,7 +58,8 @@
         schedule = failure.schedule
         steps = PARTS[self.part].describe(schedule)[-SHOWN_STEPS:]
         return [
-            f"seed {schedule.seed}, {len(schedule.steps)} steps of {failure.drawn_steps}: {failure.broken.text}",
+            f"seed {schedule.seed}, {len(schedule.steps)} steps, shrunk from {failure.drawn_steps}: "
+            f"{failure.broken.text}",
             *("  " + step for step in steps),
         ]
 
@@ -72,7 +73,7 @@
         max_steps: the maximum number of steps in a schedule.
 
     Yields:
-        The current result after each group of seeds, in the order of the seeds; always the same object.
+        The current result after each group of seeds, in the order of the seeds. Each yield gives the same object.
     """
     result = SearchResult(part, [seeds[0], seeds[-1]], max_steps=max_steps)
     groups = [seeds[start : start + SEEDS_PER_TASK] for start in range(0, len(seeds), SEEDS_PER_TASK)]
--- a/garnetusher/cli/zones.py
+++ b/garnetusher/cli/zones.py
@@ -50,12 +50,12 @@
 
 @app.callback(invoke_without_command=True, epilog="Example: garnetusher zones --at 127.0.0.1:9100")
 def zones(context: typer.Context, at: AdminAddress = "", *, as_json: JsonFlag = False) -> None:
-    """Show the state of each zone, its duration and its reason."""
+    """Show the state of each zone, the time in this state and the reason for it."""
     if context.invoked_subcommand is not None:
         return
     response = call(at, "GET", "/_zones")
     if response.status != HTTPStatus.OK:
-        cli.fail(f"the sidecar answered {response.status}: {response.text.strip()}", cli.NOT_HELD)
+        cli.fail(f"the sidecar answered {response.status}: {response.text.strip()}", cli.FAILURE)
     if as_json:
         cli.say_json(msgspec.json.decode(response.text))
         return
@@ -74,12 +74,12 @@
 
 @app.command(name="return", epilog="Example: garnetusher zones return ezeiza --at 127.0.0.1:9100")
 def restore(name: str, at: AdminAddress = "") -> None:
-    """Restore a zone that an operator evacuated, in steps."""
+    """Restore a zone that an operator evacuated; its traffic returns in steps."""
     _send_order(at, ZoneOrder.RESTORE, name)
 
 
 def _send_order(at: str, order: ZoneOrder, zone: str) -> None:
     response = call(at, "POST", f"/_zone/{order.value}?zone={quote(zone)}")
     if response.status != HTTPStatus.OK:
-        cli.fail(response.text.strip(), cli.NOT_HELD)
+        cli.fail(response.text.strip(), cli.FAILURE)
     cli.say(response.text.strip())
--- a/garnetusher/config.py
+++ b/garnetusher/config.py
@@ -1,7 +1,7 @@
 """Reads TOML files into typed models and reports an invalid file in one line.
 
-A model is a `msgspec.Struct` with ``forbid_unknown_fields=True``. A struct renames a field whose key is a reserved word
-of Python.
+A model is a `msgspec.Struct` with ``forbid_unknown_fields=True``. If a key is a reserved word of Python, the field
+has another name in the struct and declares the key as its encoded name.
 """
 
 from __future__ import annotations
@@ -96,13 +96,13 @@
     """Return a hint with the known key that is closest to an unknown key, or with all known keys if none is close."""
     known = sorted(_known_keys(model, table))
     nearest = difflib.get_close_matches(key, known, 1)
-    return f"did you mean `{nearest[0]}`?" if nearest else f"known here: {', '.join(known)}"
+    return f"did you mean `{nearest[0]}`?" if nearest else f"known keys: {', '.join(known)}"
 
 
 def _dotted(path: str) -> str:
     """Convert a path of msgspec such as `.fault[2].at_s` to a dotted key such as `fault.2.at_s`.
 
-    The part `[...]`, by which msgspec means any key, becomes `*`.
+    msgspec writes `[...]` for any key of a mapping; it becomes `*`.
     """
     return path.replace("[...]", ".*").replace("[", ".").replace("]", "").lstrip(".")
 
--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -76,7 +76,7 @@
     else:
         cli.say("\n".join(found.lines))
         cli.say(f"report: {folder / 'report.html'}")
-    raise typer.Exit(cli.HELD if found.held else cli.NOT_HELD)
+    raise typer.Exit(cli.SUCCESS if found.held else cli.FAILURE)
 
 
 @app.command(epilog="Example: garnetusher lab compare experiments/calm.toml --tree . --tree ../before --pairs 6")
@@ -130,7 +130,7 @@
             cli.say(str(d))
         if late:
             cli.say(f"in {len(late)} plays the lab itself was late: they count for nothing")
-    raise typer.Exit(cli.NOT_HELD if late or any(r.broken for some in plays for r in some) else cli.HELD)
+    raise typer.Exit(cli.FAILURE if late or any(r.broken for some in plays for r in some) else cli.SUCCESS)
 
 
 @app.command(epilog="Example: garnetusher lab table found/calm-1 found/calm-2 --figure served_worth.whole")
@@ -193,7 +193,7 @@
         )
         for failure in found.failed:
             cli.say(f"seed {failure['seed']}: {failure['rules']}: {failure['first']}")
-    raise typer.Exit(cli.HELD if found.held else cli.NOT_HELD)
+    raise typer.Exit(cli.SUCCESS if found.held else cli.FAILURE)
 
 
 @app.command(epilog="Example: garnetusher lab syscalls --jobs 8 --out found/syscalls")
@@ -222,7 +222,7 @@
         cli.say_json({"rows": msgspec.to_builtins(rows)})
     else:
         cli.say("\n".join(table))
-    raise typer.Exit(cli.NOT_HELD if any(row.broken for row in rows) else cli.HELD)
+    raise typer.Exit(cli.FAILURE if any(row.broken for row in rows) else cli.SUCCESS)
 
 
 @app.command(epilog="Example: garnetusher lab size --upstreams 200 --times 16 --out found/size")
@@ -246,7 +246,7 @@
     else:
         cli.say(f"| what | {upstreams} upstreams | {upstreams * times} | limit | |\n| --- | ---: | ---: | ---: | --- |")
         cli.say("\n".join(row.line() for row in rows))
-    raise typer.Exit(cli.HELD if all(row.kept for row in rows) else cli.NOT_HELD)
+    raise typer.Exit(cli.SUCCESS if all(row.kept for row in rows) else cli.FAILURE)
 
 
 def _range(seeds: str) -> range:
@@ -283,7 +283,7 @@
         except LabError as error:
             cli.fail(str(error), cli.USAGE_ERROR)
         except (asyncio.CancelledError, KeyboardInterrupt):
-            cli.fail("stopped; nothing was left running", cli.NOT_HELD)
+            cli.fail("stopped; nothing was left running", cli.FAILURE)
         found, requests = result.evaluate(
             experiment, plan, played.records, played.events, played.late_share, played.not_asked
         )
--- a/garnetusher/logs.py
+++ b/garnetusher/logs.py
@@ -1,6 +1,6 @@
 """Structured logs: one JSON object per line, with a stable event name from `EVENTS`.
 
-`docs/logs.md` lists the same names, which a test compares. Every line has `at` (UTC, ISO 8601), `level`,
+`docs/logs.md` lists the same names; a test compares the two lists. Every line has `at` (UTC, ISO 8601), `level`,
 `event`, and the fields that `EVENTS` lists for the event.
 """
 
--- a/garnetusher/simulator/__main__.py
+++ b/garnetusher/simulator/__main__.py
@@ -60,7 +60,7 @@
             raise protocol.ProtocolError(message)
         try:
             return [protocol.encode(instance, action) for action in balancer.handle(now_us, event)]
-        except Exception as error:  # reported to the simulator, so that the other instances keep running
+        except Exception as error:  # the reply reports the exception, and the other instances keep running
             text = f"{type(error).__name__}: {error}"
             return [protocol.encode(instance, protocol.InternalError(text))]
 
--- a/garnetusher/simulator/protocol.py
+++ b/garnetusher/simulator/protocol.py
@@ -58,7 +58,7 @@
 _PEER_MESSAGE = struct.Struct("<HH")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
-_U32_MAX = 0xFFFFFFFF
+_ALL_PEERS = 0xFFFFFFFF  # recipient number of a message to all other instances
 _MAX_TEXT_BYTES = 0xFFFF  # the length field of a text is a u16
 
 _ENDPOINT_LIST_CODE = 110
@@ -171,7 +171,7 @@
         return layout.unpack(self.read_bytes(layout.size))
 
     def read_floats(self, count: int) -> list[float]:
-        """Return the next `count` values, which belong to a load report.
+        """Return the next `count` floats, which are the values of a load report.
 
         Raises:
             ProtocolError: a value is not finite, or fewer values are left.
@@ -319,7 +319,7 @@
 
 
 def _write_peer_message(instance: int, action: SendToPeer) -> bytes:
-    recipient_id = _U32_MAX if action.recipient_id is None else action.recipient_id
+    recipient_id = _ALL_PEERS if action.recipient_id is None else action.recipient_id
     return _pack_peer_message(instance, recipient_id, len(action.payload)) + action.payload
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,14 +12,14 @@
 
 from tests import known_red
 
-KNOWN_FAILURES = pytest.StashKey[list[known_red.KnownRed]]()
+KNOWN_FAILURES = pytest.StashKey[list[known_red.KnownFailure]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
     config.addinivalue_line("markers", "violates: the test makes the write gate record a violation")
     try:
         config.stash[KNOWN_FAILURES] = known_red.read(config.rootpath / "KNOWN-RED.txt")
-    except known_red.KnownRedError as error:
+    except known_red.KnownFailureError as error:
         raise pytest.UsageError(str(error)) from None
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -14,12 +14,12 @@
 SEPARATOR = " | "
 
 
-class KnownRedError(ValueError):
+class KnownFailureError(ValueError):
     """The list of known failures is malformed."""
 
 
 @dataclass(frozen=True, slots=True)
-class KnownRed:
+class KnownFailure:
     """One test that is expected to fail."""
 
     test: str  # node id of the test, with or without a parameter
@@ -31,28 +31,28 @@
         return node_id == self.test or node_id.startswith(self.test + "[")
 
 
-def read(path: Path) -> list[KnownRed]:
+def read(path: Path) -> list[KnownFailure]:
     """Read the list; a missing file means an empty list.
 
     Raises:
-        KnownRedError: a line is malformed, or there are more than `MAX_LINES`.
+        KnownFailureError: a line is malformed, or there are more than `MAX_LINES`.
     """
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
     if len(lines) > MAX_LINES:
-        raise KnownRedError(f"{path.name}: expected at most {MAX_LINES} lines, got {len(lines)}")
+        raise KnownFailureError(f"{path.name}: expected at most {MAX_LINES} lines, got {len(lines)}")
     return [_parse(path, line_number, line) for line_number, line in enumerate(lines, 1)]
 
 
-def _parse(path: Path, line_number: int, line: str) -> KnownRed:
+def _parse(path: Path, line_number: int, line: str) -> KnownFailure:
     fields = [field.strip() for field in line.split(SEPARATOR)]
     if len(fields) != 3 or not all(fields) or "::" not in fields[0]:
-        raise KnownRedError(f"{path.name}, line {line_number}: expected 'path::test | cause | issue', got {line!r}")
-    return KnownRed(*fields)
+        raise KnownFailureError(f"{path.name}, line {line_number}: expected 'path::test | cause | issue', got {line!r}")
+    return KnownFailure(*fields)
 
 
-def select_unmatched(entries: Iterable[KnownRed], node_ids: Iterable[str]) -> list[KnownRed]:
+def select_unmatched(entries: Iterable[KnownFailure], node_ids: Iterable[str]) -> list[KnownFailure]:
     """Return the entries that name none of these tests."""
-    existing = list(node_ids)
-    return [entry for entry in entries if not any(entry.covers(node_id) for node_id in existing)]
+    existing_node_ids = list(node_ids)
+    return [entry for entry in entries if not any(entry.covers(node_id) for node_id in existing_node_ids)]
--- a/tests/options.py
+++ b/tests/simulator_settings.py
@@ -1,6 +1,6 @@
 """Settings text of one balancer instance, in the format of the simulator's protocol."""
 
-OPTIONS = """\
+SETTINGS_TEXT = """\
 accounts.count=2
 accounts.0.allowance-per-s=215.0
 accounts.0.name=north
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -56,7 +56,7 @@
     assert completed.stderr.decode().splitlines() == ["garnetusher: batch 1: truncated header: 2 of 16 bytes"]
 
 
-def test_deploy_file_lists_every_policy_module_that_decides() -> None:
+def test_deploy_file_lists_every_policy_module_that_makes_decisions() -> None:
     # These modules define types and state without decisions; state.py covers classes, tenants, requests and attempts.
     without_decisions = {"__init__.py", "actions.py", "events.py", "settings.py", "settings_text.py", "state.py"}
     modules = {path.name for path in (ROOT / "garnetusher" / "policy").glob("*.py")}
@@ -71,8 +71,22 @@
         assert lines[0].startswith('"""'), name
 
 
-def test_policy_classes_have_only_named_constants_and_plain_numbers() -> None:
-    plain_numbers = {0, 1, 2, 4, 8, 20, 0.02, 0.1, 0.2, 0.25, 0.3, 0.5, 1_000_000}  # not fitted to a deployment
+def test_policy_classes_have_only_named_constants_and_generic_numbers() -> None:
+    generic_numbers = {
+        0,
+        1,
+        2,
+        4,
+        8,
+        20,
+        0.02,
+        0.1,
+        0.2,
+        0.25,
+        0.3,
+        0.5,
+        1_000_000,
+    }  # generic values that do not depend on a deployment
     tree = ast.parse("".join((ROOT / name).read_text() for name in DEPLOY["policy"]))
     classes = [node for node in tree.body if isinstance(node, ast.ClassDef)]
     numbers = {
@@ -81,7 +95,7 @@
         for node in ast.walk(class_node)
         if isinstance(node, ast.Constant) and type(node.value) in (int, float)
     }
-    assert numbers - plain_numbers == set()
+    assert numbers - generic_numbers == set()
     assert "deployment" not in ast.dump(tree).lower()
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -16,7 +16,7 @@
 from garnetusher.policy.lifecycle import RequestLifecycle
 from garnetusher.policy.state import AttemptState, RequestState
 from garnetusher.policy.timers import TimerQueue
-from tests.test_files import call
+from tests.test_files import run_command
 
 SEED_LIMIT = 400  # exclusive; up to 2,000 schedules are allowed
 
@@ -96,7 +96,7 @@
 def test_explorer_finds_no_broken_rule_and_draws_equal_schedules_when_the_policy_is_correct(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    status, output, _ = call(
+    status, output, _ = run_command(
         capsys, monkeypatch, "model", "explore", "module", "--seeds", "1:500", "--out", str(tmp_path)
     )
     assert (status, list(tmp_path.iterdir())) == (0, []), output
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -17,7 +17,7 @@
 
 FAULT = "[[fault]]\nat_s = 1\n"
 
-# the replaced text, its replacement, and the words that the error message must contain
+# Each entry has the replaced text, its replacement, and the texts that the error message must contain.
 INVALID_FILES: list[tuple[str, str, list[str]]] = [
     ("seconds = 3", "secnds = 3", ["secnds", "did you mean `seconds`"]),
     ("seconds = 3", "seconds = 0", ["seconds", "> 0"]),
@@ -49,7 +49,9 @@
 ]
 
 
-def call(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, *arguments: str) -> tuple[int, str, str]:
+def run_command(
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, *arguments: str
+) -> tuple[int, str, str]:
     monkeypatch.setattr(sys, "argv", ["garnetusher", *arguments])
     status = garnetusher_main.main()
     output = capsys.readouterr()
@@ -69,7 +71,7 @@
     assert old in experiment_text
     path = tmp_path / "bad.toml"
     path.write_text(experiment_text.replace(old, new, 1).replace("{more}", ""))
-    status, out, err = call(capsys, monkeypatch, "lab", "run", str(path), "--out", str(tmp_path / "out"))
+    status, out, err = run_command(capsys, monkeypatch, "lab", "run", str(path), "--out", str(tmp_path / "out"))
     assert (status, out) == (2, "")
     assert len(err.splitlines()) == 1
     assert str(path) in err, err
@@ -78,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "message"),
+    ("arguments", "message"),
     [
         (["lab", "run", "no-such.toml"], "no-such.toml: can't be read"),
         (["lab", "run"], "Missing argument"),
@@ -88,11 +90,11 @@
         (["lab", "run", "experiments/calm.toml", "--out", "docs"], "expected a new or empty folder"),
     ],
 )
-def test_command_prints_one_line_when_the_call_is_wrong(
-    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, words: list[str], message: str
+def test_command_prints_one_line_when_the_arguments_are_invalid(
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, arguments: list[str], message: str
 ) -> None:
     monkeypatch.chdir(ROOT)
-    status, _, err = call(capsys, monkeypatch, *words)
+    status, _, err = run_command(capsys, monkeypatch, *arguments)
     assert status == 2
     assert message in err
     assert len(err.splitlines()) == 1
@@ -104,7 +106,7 @@
     files = sorted((ROOT / "experiments").glob("*.toml"))
     assert len(files) >= 10
     for path in files:
-        status, out, _ = call(capsys, monkeypatch, "config", "check", str(path), "--json")
+        status, out, _ = run_command(capsys, monkeypatch, "config", "check", str(path), "--json")
         assert status == 0
         assert json.loads(out) == {"file": str(path), "ok": True, "name": path.stem}
         assert experiment.load(path).about
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -53,7 +53,7 @@
     folders = []
     for seed, served_change, late in ((1, 0.0, False), (2, -0.2, False), (3, -0.9, True)):
         run_result = run_experiment(small(), seed).result
-        run_result.figures[fidelity.SERVED_WEIGHT] += served_change
+        run_result.figures[fidelity.SERVED_WORTH] += served_change
         run_result.late = late
         folders.append(tmp_path / str(seed))
         folders[-1].mkdir()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-TESTS = """
+SAMPLE_TESTS = """
 import pytest
 
 def test_good(): pass
@@ -27,7 +27,7 @@
     source_folder = Path(__file__).parent
     for name in ("conftest.py", "known_red.py", "__init__.py"):
         shutil.copy(source_folder / name, tests / name)
-    (tests / "test_it.py").write_text(TESTS)
+    (tests / "test_it.py").write_text(SAMPLE_TESTS)
     (folder / "pytest.ini").write_text(
         "[pytest]\ntestpaths = tests\npythonpath = .\naddopts = -q -p no:cacheprovider\n"
     )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -117,7 +117,7 @@
             assert process.poll() is None
             kinds, listening = descriptors(process.pid)
         assert len(listening) == 1 + admin
-        # The event loop has an epoll descriptor and a pair of sockets by which signals wake it.
+        # The event loop has an epoll descriptor and a pair of sockets through which signals wake it.
         assert kinds.count("anon_inode") == 1
         assert kinds.count("unix") == 2
         assert kinds.count("file") == 0
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -38,7 +38,7 @@
 )
 from garnetusher.simulator import __main__ as simulator_main
 from garnetusher.simulator import protocol
-from tests.options import OPTIONS
+from tests.simulator_settings import SETTINGS_TEXT
 
 ENDPOINT_LIST_RECORD = (
     "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
@@ -94,7 +94,7 @@
 )
 
 
-def instance_started(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
+def instance_started(text: str = SETTINGS_TEXT, instance: int = 3, seed: int = 9) -> bytes:
     raw = text.encode()
     return struct.pack("<BHQI", 100, instance, seed, len(raw)) + raw
 
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "message"),
     [
         (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
         (bytes.fromhex(EMPTY_FRAME) + bytes.fromhex(THREE_RECORD_FRAME)[:30], "batch 1: truncated body"),
@@ -194,25 +194,28 @@
         ),
         (frame([instance_started("instances=3\nnonsense")]), "settings line 2: expected path=value"),
         (
-            frame([instance_started(OPTIONS.replace("instances=3", "instances=many"))]),
+            frame([instance_started(SETTINGS_TEXT.replace("instances=3", "instances=many"))]),
             "setting instances: expected a number",
         ),
-        (frame([instance_started(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
-        (frame([instance_started(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
-        (frame([instance_started(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
-        (frame([instance_started(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
+        (frame([instance_started(SETTINGS_TEXT.replace("instances=3\n", ""))]), "setting instances is missing"),
+        (
+            frame([instance_started(SETTINGS_TEXT.replace("most-tries=4", "most-tries=-4"))]),
+            "max_attempts of 1 or more",
+        ),
+        (frame([instance_started(SETTINGS_TEXT.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
+        (frame([instance_started(SETTINGS_TEXT.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
     ],
 )
-def test_malformed_frame_raises_an_error_of_one_line(data: bytes, words: str) -> None:
+def test_malformed_frame_raises_a_one_line_error(data: bytes, message: str) -> None:
     with pytest.raises(protocol.ProtocolError) as caught:
         serve(data)
-    assert words in str(caught.value)
+    assert message in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
 def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
-    settings = settings_text.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
-    assert settings == settings_text.parse_settings(OPTIONS)
+    settings = settings_text.parse_settings(SETTINGS_TEXT + "brand-new.key=1\nfees.fleet=0.2\n")
+    assert settings == settings_text.parse_settings(SETTINGS_TEXT)
     assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
     assert settings.classes[2].deduplication_window_us == 1_200_000
     assert settings.classes[2].deduplication_scope == "cell"
@@ -224,7 +227,7 @@
 
 
 def test_load_report_names_are_translated_and_unknown_ones_kept() -> None:
-    settings = settings_text.parse_settings(OPTIONS.replace("report.names=", "report.names=busy,q,moon"))
+    settings = settings_text.parse_settings(SETTINGS_TEXT.replace("report.names=", "report.names=busy,q,moon"))
     assert settings.load_report_names == ["utilization", "queued", "moon"]
 
 
