--- a/garnetusher/cli/decision_cost.py
+++ b/garnetusher/cli/decision_cost.py
@@ -13,9 +13,9 @@
 
 LIST_LENGTHS = (10, 100, 1000, 10_000)
 SEED = 1
-ROUNDS = 7  # number of measured rounds; the report has the median cost of a round
+ROUNDS = 7  # number of measured rounds; the table shows the median of their costs
 REQUESTS_PER_ROUND = 400
-CHANGES = 50  # number of measured changes of one entry; the report has the cost of the slowest change
+CHANGES = 50  # number of measured changes of one entry; the table shows the cost of the slowest change
 
 COLUMNS = (
     number_column("upstreams"),
--- a/garnetusher/cli/other_tree.py
+++ b/garnetusher/cli/other_tree.py
@@ -56,7 +56,7 @@
 
 
 def _link_package(folder: Path, policy: Path) -> None:
-    """Create a package `garnetusher` of links to the entries of this package, but link to the other `policy`."""
+    """Create a package `garnetusher` that links to this package, except that `policy` links to the other checkout."""
     package = folder / "garnetusher"
     package.mkdir()
     for entry in Path(garnetusher.__file__).resolve().parent.iterdir():
