--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -72,21 +72,8 @@
 
 
 def test_policy_classes_have_only_named_constants_and_generic_numbers() -> None:
-    generic_numbers = {
-        0,
-        1,
-        2,
-        4,
-        8,
-        20,
-        0.02,
-        0.1,
-        0.2,
-        0.25,
-        0.3,
-        0.5,
-        1_000_000,
-    }  # generic values that do not depend on a deployment
+    # These values do not depend on a deployment.
+    generic_numbers = {0, 1, 2, 4, 8, 20, 0.02, 0.1, 0.2, 0.25, 0.3, 0.5, 1_000_000}
     tree = ast.parse("".join((ROOT / name).read_text() for name in DEPLOY["policy"]))
     classes = [node for node in tree.body if isinstance(node, ast.ClassDef)]
     numbers = {
