--- a/garnetusher/lab/__init__.py
+++ b/garnetusher/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on real processes: stand-ins for all that a sidecar talks to, faults between them, a checker."""
+"""Runs experiments on real sidecar processes, with stand-ins for all their peers, injected faults and a checker."""
--- a/garnetusher/lab/run.py
+++ b/garnetusher/lab/run.py
@@ -1,4 +1,7 @@
-"""Run one experiment on real processes: start the lab's workers and the sidecars, wait, stop them, read the records."""
+"""Runs one experiment on real processes.
+
+A run starts the lab's workers and the sidecars, waits until the plan is over, stops them and merges their records.
+"""
 
 from __future__ import annotations
 
@@ -25,15 +28,15 @@
 from garnetusher.model.plan import DIRECTORY, Plan
 from garnetusher.model.records import AnyRecord, Journal, ProcessUsage
 
-START_DELAY_S = 0.5  # from the start order until time 0 of the run, so that each worker has read it by then
-CLIENT_WORKER_REQUESTS_PER_S = 1000  # that the clients of one process send
-UPSTREAM_WORKER_REQUESTS_PER_S = 900  # that the upstreams of one process serve
-SAMPLE_INTERVAL_S = 1.0  # between measurements of what processes use
-DRAIN_S = 1.0  # after the last deadline, so that late responses are recorded too
-WORKER_TIMEOUT_S = 60.0  # for a worker to open its sockets, or to close its journal
+START_DELAY_S = 0.5  # the time from the start order to time 0 of the run, in which each worker reads the order
+CLIENT_WORKER_REQUESTS_PER_S = 1000  # the request rate of one client process
+UPSTREAM_WORKER_REQUESTS_PER_S = 900  # the request rate that the upstreams of one process serve
+SAMPLE_INTERVAL_S = 1.0  # the interval between measurements of the processes' CPU time and memory
+DRAIN_S = 1.0  # a run continues this long after the last deadline and records late responses too
+WORKER_TIMEOUT_S = 60.0  # the time limit for a worker to open its sockets or to close its journal
 
-# The second octet of loopback addresses is drawn for a run, so that two labs seldom share a network; the third names
-# the kind of node, with more octets after it where there are many.
+# Each run draws the second octet of its loopback addresses at random, so that two concurrent runs rarely share a
+# network. The third octet identifies the kind of node; a kind with many nodes also uses the octets that follow it.
 FIRST_NETWORK = 64
 NETWORKS = 128
 DIRECTORY_HOSTS = 0
@@ -43,34 +46,37 @@
 
 log = logger()
 Message = TypeVar("Message", bound=Struct)
-Progress = Callable[[str, float], None]  # what is done, and the part of the run that is over
+Progress = Callable[[str, float], None]  # called with the current activity and the completed share of the run
 
 
 class WorkerExitedError(LabError):
-    """A process of the lab itself ended or hung before its work was done."""
+    """A worker process of the lab ended early or did not respond in time."""
 
     def __init__(self, name: str, last_lines: list[str]) -> None:
-        super().__init__(f"the lab's own {name} ended early; its last lines:\n  " + "\n  ".join(last_lines))
+        super().__init__(
+            f"the lab's worker {name} ended early or did not respond; last lines of its log:\n  "
+            + "\n  ".join(last_lines)
+        )
 
 
 class WorkerNotStartedError(LabError):
-    """A message was exchanged with a process of the lab that has not been started."""
+    """A message was to be sent to, or received from, a worker process that has not been started."""
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"the lab's own {name} has not been started")
+        super().__init__(f"the lab's worker {name} has not been started")
 
 
 class CompletedRun(Struct):
-    """What a run leaves.
+    """The records and the measurements of a completed run.
 
     Attributes:
-        plan: The plan that was carried out.
-        records: All records, in the order of time.
-        events: How many timers of the lab fired.
-        late: How many of them fired late.
-        not_asked: Requests that were not sent, as their application was down with its sidecar.
-        cores: The CPU cores of the lab and of the sidecars.
-        worker_cpu_s: What each worker used, by its name.
+        plan: The plan of the run.
+        records: All records, sorted by time.
+        events: The number of the lab's timers that fired.
+        late: The number of the lab's timers that fired late.
+        not_asked: The number of requests that were not sent because their application was down with its sidecar.
+        cores: The CPU cores of the lab, under `lab`, and of the sidecars, under `sidecars`.
+        worker_cpu_s: The CPU time of each worker, by worker name.
     """
 
     plan: Plan
@@ -83,12 +89,12 @@
 
     @property
     def late_share(self) -> float:
-        """The part of the lab's timers that fired late."""
+        """The share of the lab's timers that fired late."""
         return self.late / self.events if self.events else 0.0
 
 
 class _WorkerProcess:
-    """The main process's side of a worker."""
+    """A worker process, as the main process controls it."""
 
     def __init__(self, job: WorkerJob, log_path: Path) -> None:
         self.job = job
@@ -140,7 +146,7 @@
         return self.log_path.read_text(errors="replace").splitlines()[-sidecars.LAST_LOG_LINES :]
 
     async def kill(self) -> int:
-        """Kill it if it still runs; return how many processes that were."""
+        """Kill the process if it still runs, and return the number of killed processes."""
         if self.process is None or self.process.returncode is not None:
             return 0
         self.process.kill()
@@ -149,7 +155,11 @@
 
 
 class _CoreAssignment:
-    """Divides the CPU cores: the lab's processes have some of their own, so that it can't starve the sidecars."""
+    """Divides the CPU cores between the lab and the sidecars.
+
+    The lab's processes run on cores of their own, so that they cannot starve the sidecars of CPU time. On a
+    machine with one or two cores, the lab and the sidecars share them.
+    """
 
     def __init__(self, workers: int) -> None:
         cores = sorted(os.sched_getaffinity(0))
@@ -158,25 +168,29 @@
         self.sidecars = cores[lab_cores:] if len(cores) > 2 else cores
 
     def of_worker(self, index: int) -> list[int]:
-        """Return the core of a worker; discovery (0) shares the first with the main process, others have one each."""
+        """Return the core of a worker.
+
+        Worker 0, which runs discovery, shares the first core with the main process. Each other worker has a core of its
+        own as long as there are enough.
+        """
         return [self.lab[index % len(self.lab)]]
 
 
 async def run_experiment(experiment: Experiment, plan: Plan, tree: Path, out: Path, progress: Progress) -> CompletedRun:
-    """Run an experiment; whatever happens, no process that it started is left behind.
+    """Run an experiment, and end all processes that it started even if it fails or is cancelled.
 
     Args:
-        experiment: What is run.
-        plan: What each node does when.
+        experiment: The experiment.
+        plan: The times and the actions of each node.
         tree: The checkout whose deploy file starts the sidecars.
-        out: The folder of the run's files.
-        progress: Called with what is being done.
+        out: The folder for the files of the run.
+        progress: Called with the current activity and the completed share of the run.
 
     Raises:
-        LabError: The experiment can't be run; the message says why.
+        LabError: The run failed; the message gives the reason.
     """
     _make_folders(out)
-    for signal_number in (signal.SIGINT, signal.SIGTERM):  # SIGINT may have been inherited as ignored
+    for signal_number in (signal.SIGINT, signal.SIGTERM):  # the process may have inherited an ignored SIGINT
         asyncio.get_running_loop().add_signal_handler(signal_number, _canceller(asyncio.current_task()))
     run = _Run(experiment, plan, tree, out, progress)
     try:
@@ -199,7 +213,7 @@
 
 
 class _Run:
-    """One run of an experiment, with all processes and files that it owns."""
+    """A run of an experiment, which owns its processes and files."""
 
     def __init__(self, experiment: Experiment, plan: Plan, tree: Path, out: Path, progress: Progress) -> None:
         self.experiment = experiment
@@ -221,7 +235,7 @@
         self.cores = _CoreAssignment(len(self.upstream_parts) + len(self.client_parts))
 
     def now_us(self) -> int:
-        """Return the time since the start of the run."""
+        """Return the time since time 0 of the run, in microseconds."""
         return (time.monotonic_ns() - self.zero_ns) // 1000
 
     async def run(self) -> CompletedRun:
@@ -234,7 +248,7 @@
         return await self._finish()
 
     async def _start_processes(self) -> Fleet:
-        """Start everything in the order in which addresses become known: upstreams, discovery, sidecars, clients."""
+        """Start the upstreams, discovery, the sidecars and the clients; each needs the addresses of those before it."""
         os.sched_setaffinity(0, self.cores.of_worker(0))
         endpoints = await self._start_upstreams()
         discovery_addresses = await self._start_discovery(endpoints)
@@ -244,7 +258,7 @@
         return fleet
 
     async def _start_upstreams(self) -> dict[str, dict[str, str]]:
-        """Return the address of each upstream for each sidecar."""
+        """Start the upstreams, and return the address of each upstream for each sidecar."""
         hosts = {upstream.uid: self._host(UPSTREAM_HOSTS, i) for i, upstream in enumerate(self.plan.upstreams)}
         workers = []
         for i, part in enumerate(self.upstream_parts):
@@ -257,7 +271,7 @@
         return endpoints
 
     async def _start_discovery(self, endpoints: dict[str, dict[str, str]]) -> dict[str, str]:
-        """Return the address of discovery for each sidecar."""
+        """Start discovery, and return its address for each sidecar."""
         job = self._job("directory", DIRECTORY, [], core_index=0)
         job.endpoints = endpoints
         job.hosts = {DIRECTORY: self._host(DIRECTORY_HOSTS, 0)}
@@ -287,7 +301,7 @@
         return Fleet(settings, self.journal.write, self.now_us)
 
     def _host(self, first_octet: int, index: int) -> str:
-        """Return a loopback address of a node's own."""
+        """Return the loopback address of one node."""
         return f"127.{self.network}.{first_octet + index // HOSTS_PER_OCTET}.{1 + index % HOSTS_PER_OCTET}"
 
     def _job(
@@ -309,7 +323,7 @@
         return worker
 
     async def _begin(self, fleet: Fleet) -> None:
-        """Set time 0 of the run, for all processes alike."""
+        """Set the common time 0 of all processes of the run."""
         order = StartOrder(time.monotonic_ns() + int(START_DELAY_S * 1e9), int((time.time() + START_DELAY_S) * 1000))
         self.zero_ns = order.zero_ns
         fleet.unix_zero_ms = order.unix_ms
@@ -326,7 +340,11 @@
         )
 
     async def _wait(self, fleet: Fleet) -> None:
-        """Wait until the last response can have come; a worker that exits early ends the run."""
+        """Wait for the end of the plan, and then for the longest deadline and the drain time.
+
+        Raises:
+            WorkerExitedError: A worker ended early, which also ends the run.
+        """
         longest_deadline_s = max(c.deadline_ms for c in self.experiment.classes) / 1000
         end_us = int((self.plan.seconds + longest_deadline_s + DRAIN_S) * 1e6)
         meters: dict[int, psutil.Process] = {}
@@ -336,10 +354,10 @@
             self.progress("playing", max(0.0, min(1.0, self.now_us() / end_us)))
             for worker in self.workers:
                 if worker.exited:
-                    await worker.receive(WorkerReady)  # raises, with the last lines of its log
+                    await worker.receive(WorkerReady)  # raises an error with the last lines of the worker's log
 
     def _measure_usage(self, fleet: Fleet, meters: dict[int, psutil.Process]) -> None:
-        """Record CPU and memory of all processes; one that has just ended is passed over."""
+        """Record the CPU time and the memory of all processes, except those that have just ended."""
         processes = [(worker.job.name, worker.process) for worker in self.workers]
         processes += [(sidecar.plan.name, sidecar.process) for sidecar in fleet.sidecars.values()]
         for name, process in [*processes, ("lab", None)]:
@@ -381,7 +399,7 @@
         return summaries
 
     def _merge_records(self) -> list[AnyRecord]:
-        """Merge the journals of all processes into one file, and remove them."""
+        """Merge the journals of all processes into one file, remove the journals, and return the records."""
         parts = sorted((self.out / "parts").glob("*.jsonl"))
         all_records = records.merge(parts, self.out / "events.jsonl")
         for part in parts:
@@ -390,7 +408,7 @@
         return all_records
 
     async def clean_up(self) -> None:
-        """Kill whatever still runs; a second call does nothing."""
+        """Kill all processes that still run; a second call does nothing."""
         if self.cleaned_up:
             return
         self.cleaned_up = True
@@ -404,6 +422,9 @@
 
 
 def _distribute(names: list[str], parts: int) -> list[list[str]]:
-    """Distribute names evenly; neighbours are of one zone, and go to different processes."""
+    """Distribute names evenly over parts.
+
+    Adjacent names belong to nodes of the same zone and go to different parts, which run in different processes.
+    """
     parts = max(1, min(parts, len(names)))
     return [names[i::parts] for i in range(parts)]
--- a/garnetusher/lab/sidecar_settings.py
+++ b/garnetusher/lab/sidecar_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the lab writes into a sidecar's configuration file, as the platform would."""
+"""The settings that the lab writes to a sidecar's configuration file in place of the platform."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, SidecarPlan
 
-STANDARD_MODEL = "nodo-estandar"  # the platform's name for the one kind of machine that the lab has
+STANDARD_MODEL = "nodo-estandar"  # the platform's name for the only kind of machine in the lab
 DIAL_TIMEOUT_US = 200_000
 MAX_OPEN_REQUESTS = 20_000
 MAX_RETRY_AFTER_US = 2_000_000
@@ -15,13 +15,13 @@
 CLOCK_GRANULARITY_US = 1000
 ANSWER_SLACK_US = 20_000
 RETRY_WINDOW_US = 10_000_000
-MAX_WARMING_SHARE = 0.13  # of the capacity of an endpoint that has just started
+MAX_WARMING_SHARE = 0.13  # the upper limit for the share of its capacity that an endpoint has at its start
 DRAIN_GRACE_US = 1_000_000
 IDEMPOTENCY_SPAN_US = 5_000_000
 
 
 def settings_document(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> dict[str, Any]:
-    """Return the settings of one sidecar, under the platform's keys; times are in microseconds."""
+    """Return the settings of one sidecar under the keys of the platform. Durations are in microseconds."""
     upstreams = experiment.upstreams
     sidecars = experiment.sidecars
     zones = experiment.topology.zones
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -1,7 +1,8 @@
-"""The sidecar processes under test: started by the deploy file of their tree, and struck with signals, never changed.
+"""Starts the sidecar processes under test, and injects process faults by signals.
 
-Only processes started here are ever signalled, by id; each dies with the lab, however that ends (prctl(2),
-PR_SET_PDEATHSIG).
+The deploy file of the tree under test starts the sidecars, so that the lab runs them unmodified. The lab signals only
+processes that it started itself, by process id. The kernel kills each of them when the lab ends, for whatever reason
+(prctl(2), PR_SET_PDEATHSIG).
 """
 
 from __future__ import annotations
@@ -31,25 +32,25 @@
 from garnetusher.model.records import ProcessChanged, ZoneStateLogged
 
 BUILD_TIMEOUT_S = 1200
-READY_TIMEOUT_S = 30.0  # for a sidecar to become ready, as the platform waits
+READY_TIMEOUT_S = 30.0  # the platform allows a sidecar the same time to become ready
 READY_POLL_INTERVAL_S = 0.02
-KILL_DELAY_S = 3.7  # from SIGTERM to SIGKILL; a sidecar may exit sooner
-LOG_POLL_INTERVAL_S = 0.05  # between reads of the sidecars' logs
-LAST_LOG_LINES = 8  # shown when a process has died
-BUILD_ERROR_CHARACTERS = 500  # of a failed build's standard error, from its end
-SEED_MEMBERS = 3  # sidecars through which all others join the membership
+KILL_DELAY_S = 3.7  # the longest time from SIGTERM to SIGKILL; a sidecar may exit sooner
+LOG_POLL_INTERVAL_S = 0.05  # the interval between reads of the sidecars' logs
+LAST_LOG_LINES = 8  # the number of log lines that an error about an ended process quotes
+BUILD_ERROR_CHARACTERS = 500  # an error quotes this many characters from the end of a build's standard error
+SEED_MEMBERS = 3  # the number of sidecars through which all others join the membership
 SEED_RANGE = 2**63
-_PR_SET_PDEATHSIG = 1  # prctl's number for it
+_PR_SET_PDEATHSIG = 1  # the number of the option in linux/prctl.h
 
 log = logger()
 
 
 class LabError(GarnetusherError):
-    """An experiment that can't be run; `str` says why."""
+    """An experiment failed to run; the message gives the reason."""
 
 
 class DeployFileError(LabError):
-    """The deploy file of a tree can't be read."""
+    """The deploy file of a tree cannot be read."""
 
     def __init__(self, path: Path, cause: Exception) -> None:
         super().__init__(f"{path}: {cause}")
@@ -59,26 +60,31 @@
     """The build command of a tree failed."""
 
     def __init__(self, tree: Path, status: int, error_output: str) -> None:
-        super().__init__(f"{tree}: its build ended with {status}: {error_output.strip()[-BUILD_ERROR_CHARACTERS:]}")
+        super().__init__(
+            f"{tree}: the build command exited with status {status}: {error_output.strip()[-BUILD_ERROR_CHARACTERS:]}"
+        )
 
 
 class SidecarStartError(LabError):
-    """A sidecar died at its start, or was never ready."""
+    """A sidecar died at its start, or was not ready in time."""
 
     def __init__(self, sidecar: str, failure: str, last_lines: list[str]) -> None:
-        super().__init__(f"sidecar {sidecar} {failure}; its last lines:\n  " + "\n  ".join(last_lines))
+        super().__init__(f"sidecar {sidecar} {failure}; last lines of its log:\n  " + "\n  ".join(last_lines))
 
 
 def die_with_parent() -> None:
-    """Let the kernel kill this process when its parent ends; called in a child before it executes a program."""
+    """Ask the kernel to kill this process when its parent ends.
+
+    A child process calls this function before it executes a program.
+    """
     ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def deploy_file(tree: Path) -> dict[str, Any]:
-    """Read the deploy file of a tree.
+    """Return the content of a tree's deploy file.
 
     Raises:
-        DeployFileError: It is missing or no TOML.
+        DeployFileError: The file is missing or is not valid TOML.
     """
     path = tree / "deploy" / "balancer.toml"
     try:
@@ -92,7 +98,7 @@
 
     Args:
         tree: The checkout.
-        membership: Also install what the membership needs, which the deploy file leaves out.
+        membership: Whether to install the membership's requirements too, which the deploy file does not install.
 
     Raises:
         BuildError: The command failed.
@@ -116,12 +122,12 @@
 
 
 def _clean_environment() -> dict[str, str]:
-    """Return the environment without what would lead a process of the tree to the lab's own Python."""
+    """Return the environment without variables that make the tree's processes use the lab's Python or settings."""
     return {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV", "BALANCER_"))}
 
 
 def free_port(host: str) -> int:
-    """Return a TCP port that is free at present."""
+    """Return a TCP port that is free at the time of the call."""
     with socket.socket() as sock:
         sock.bind((host, 0))
         return int(sock.getsockname()[1])
@@ -129,17 +135,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What all sidecars of a run share.
+    """The settings that all sidecars of a run share.
 
     Attributes:
-        experiment: What is run.
-        plan: What each sidecar does when, and what discovery lists.
+        experiment: The experiment.
+        plan: The process faults of each sidecar and the changes of the endpoint list, with their times.
         tree: The checkout whose deploy file starts the sidecars.
-        out: The folder of the run's files.
+        out: The folder for the files of the run.
         cores: The CPU cores that the sidecars may use.
-        endpoints: The address of each upstream for each sidecar: uid, name, `host:port`.
-        discovery_addresses: The address of discovery for each sidecar.
-        hosts: The loopback address of each sidecar.
+        endpoints: The `host:port` of each upstream for each sidecar, by upstream uid and sidecar name.
+        discovery_addresses: The `host:port` of discovery for each sidecar, by sidecar name.
+        hosts: The loopback address of each sidecar, by sidecar name.
     """
 
     experiment: Experiment
@@ -153,7 +159,7 @@
 
 
 class Sidecar:
-    """One name, and the process that has it at present."""
+    """A sidecar of the plan, and the process that currently runs under its name."""
 
     def __init__(self, fleet: Fleet, plan: SidecarPlan) -> None:
         settings = fleet.settings
@@ -163,18 +169,18 @@
         self.discovery_address = settings.discovery_addresses[plan.name]
         self.address = (host, free_port(host))
         self.admin_address = f"{host}:{free_port(host)}"
-        self.member_address = f"{host}:{free_port(host)}"  # used only where the experiment has the membership on
+        self.member_address = f"{host}:{free_port(host)}"  # used only if the experiment enables the membership
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
-        self.exit_expected = False  # as the lab itself ends it
+        self.exit_expected = False  # whether the lab has ended the process itself
         self.log_path = settings.out / "logs" / f"{plan.name}.log"
-        self._log_offset = 0  # bytes of the log that have been read
+        self._log_offset = 0  # the number of bytes of the log that have been read
 
     async def spawn(self, at_us: int) -> None:
         """Start a process.
 
         Args:
-            at_us: The time whose endpoint list its configuration file has.
+            at_us: The time of the run, which determines the endpoint list in the configuration file.
         """
         fleet = self.fleet
         name = self.plan.name
@@ -240,24 +246,27 @@
         }
 
     def _before_exec(self) -> None:
-        """Run in the child; if the parent set the cores, the child might have run or ended before that."""
+        """Set the CPU cores in the child process before it executes the program.
+
+        If the parent set the cores after the start, the child could already have run on others, or have ended.
+        """
         die_with_parent()
         os.sched_setaffinity(0, self.fleet.settings.cores)
 
     def signal(self, signal_number: int) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process still runs."""
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(signal_number)
 
     def last_log_lines(self) -> list[str]:
-        """Return the end of its log."""
+        """Return the last lines of the sidecar's log."""
         if not self.log_path.exists():
             return []
         return self.log_path.read_text(errors="replace").splitlines()[-LAST_LOG_LINES:]
 
     def new_log_lines(self) -> list[str]:
-        """Return the complete lines that it has logged since the last call."""
+        """Return the complete lines that the sidecar has logged since the previous call."""
         if not self.log_path.exists() or self.log_path.stat().st_size <= self._log_offset:
             return []
         with self.log_path.open("rb") as log_file:
@@ -279,17 +288,17 @@
         self.settings = settings
         self.command = str(deploy_file(settings.tree)["run"])
         self.now_us = now_us
-        self.unix_zero_ms = 0  # the wall clock at time 0 of the run
+        self.unix_zero_ms = 0  # the wall-clock time at time 0 of the run, in Unix milliseconds
         self._write_record = write_record
         self._tasks: set[asyncio.Task[None]] = set()
         self.sidecars = {plan.name: Sidecar(self, plan) for plan in settings.plan.sidecars}
 
     def record(self, sidecar: str, change: str, pid: int = 0) -> None:
-        """Write a record of a sidecar's process."""
+        """Record a change of a sidecar's process."""
         self._write_record(ProcessChanged(self.now_us(), sidecar, change, pid))
 
     def listed_endpoints(self, sidecar: str, at_us: int) -> dict[str, Any]:
-        """Return the endpoint list as of some time; at a start that is what the sidecar last received."""
+        """Return the endpoint list at a time of the run, which a sidecar that starts then already knows."""
         plan = self.settings.plan
         started_ms = {upstream.uid: 0 for upstream in plan.upstreams if upstream.from_us == 0}
         zones = {upstream.uid: upstream.zone for upstream in plan.upstreams}
@@ -312,17 +321,17 @@
         }
 
     def membership_configuration(self, sidecar: Sidecar) -> dict[str, Any]:
-        """Return what switches a sidecar's membership on; empty where the experiment has it off."""
+        """Return the configuration of a sidecar's membership, which is empty if the experiment does not enable it."""
         if not self.settings.experiment.sidecars.membership:
             return {}
         seeds = [self.sidecars[plan.name].member_address for plan in self.settings.plan.sidecars[:SEED_MEMBERS]]
         return {"membership": {"cluster": "lab", "listen": sidecar.member_address, "seeds": seeds}}
 
     async def start(self) -> None:
-        """Start all sidecars, and return when each is ready.
+        """Start all sidecars, and wait until all of them are ready.
 
         Raises:
-            SidecarStartError: One died or was not ready in time.
+            SidecarStartError: A sidecar died or was not ready in time.
         """
         for sidecar in self.sidecars.values():
             await sidecar.spawn(0)
@@ -350,7 +359,7 @@
         return False
 
     def watch_exit(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
-        """Record the end of a process, and whether the lab was its cause."""
+        """Start a task that records the end of a process, and whether the lab caused it."""
         self._start_task(self._record_exit(sidecar, process))
 
     async def _record_exit(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
@@ -368,14 +377,17 @@
         task.add_done_callback(self._tasks.discard)
 
     def begin(self) -> None:
-        """Schedule the plan's faults, and follow the sidecars' logs."""
+        """Schedule the plan's process faults, and start to follow the sidecars' logs."""
         for sidecar in self.sidecars.values():
             for step in sidecar.plan.steps:
                 self._start_task(self._apply_fault(sidecar, step))
         self._start_task(self._follow_logs())
 
     async def _follow_logs(self) -> None:
-        """Record what the sidecars log of zones, dated by when it is read: their lines carry no time."""
+        """Record the zone states that the sidecars log.
+
+        The time of a record is when the lab read the line, because the log lines carry no time.
+        """
         zones = self.settings.experiment.topology.zones
         while True:
             for name, sidecar in self.sidecars.items():
@@ -406,7 +418,7 @@
             await self._restart(sidecar, sidecar.process)
 
     async def _restart(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
-        """Stop a sidecar as the platform does, SIGKILL after SIGTERM, and start its successor."""
+        """Stop a sidecar with SIGTERM, after a delay with SIGKILL, as the platform does; then start a new process."""
         sidecar.exit_expected = True
         sidecar.signal(signal.SIGTERM)
         self.record(sidecar.plan.name, "term", process.pid)
@@ -418,7 +430,7 @@
         await sidecar.spawn(self.now_us())
 
     async def kill(self) -> int:
-        """Kill the sidecars that still run; return how many processes that were."""
+        """Kill the sidecars that still run, and return the number of killed processes."""
         for task in list(self._tasks):
             task.cancel()
         killed = 0
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -1,7 +1,7 @@
-"""One process of the lab: it runs some upstreams, discovery, or some client applications.
+"""A worker process of the lab, which runs some of the upstreams, discovery, or some of the client applications.
 
-It reads its job and orders as JSON lines from standard input and answers by lines on standard output. It ends when its
-standard input does, so it never outlives the lab's main process.
+A worker reads its job and its orders as JSON lines from standard input, and writes replies as lines to standard output.
+It exits when its standard input ends, so it never outlives the lab's main process.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 from garnetusher.model.plan import DIRECTORY, LinkStep, Plan
 from garnetusher.model.records import Journal
 
-MAX_LINE_BYTES = 1 << 27  # enough for the addresses of thousands of pairs
-GC_THRESHOLDS = (100_000, 20, 20)  # rare collections, as each stalls the process
+MAX_LINE_BYTES = 1 << 27  # enough for the addresses of thousands of pairs of a sidecar and an upstream
+GC_THRESHOLDS = (100_000, 20, 20)  # garbage collections are rare, because each one stalls the process
 
 
 class WorkerJob(Struct):
-    """What a worker is to run.
+    """The nodes that a worker runs, and what it needs for them.
 
     Attributes:
-        role: Which nodes it has.
-        name: Its name in logs and records.
-        experiment: What is run.
-        plan: What each node does when.
-        journal: The file of its records.
-        cores: The CPU cores that it may use.
-        members: The upstreams (by uid) or the sidecars that are this worker's.
-        hosts: A loopback address for each uid, or for discovery.
-        endpoints: The address of each upstream for each sidecar: uid, name, `host:port`.
-        addresses: Where the sidecars listen.
+        role: The kind of nodes that the worker runs.
+        name: The name of the worker in logs and records.
+        experiment: The experiment.
+        plan: The times and the actions of each node.
+        journal: The path of the file for the worker's records.
+        cores: The CPU cores that the worker may use.
+        members: The uids of the worker's upstreams, or the names of the sidecars whose clients the worker runs.
+        hosts: The loopback address of each upstream, by uid, or of discovery, under `directory`.
+        endpoints: The `host:port` of each upstream for each sidecar, by upstream uid and sidecar name.
+        addresses: The host and the port on which each sidecar listens, by sidecar name.
     """
 
     role: Literal["upstreams", "directory", "clients"]
@@ -61,38 +61,38 @@
 
 
 class StartOrder(Struct):
-    """Sets time 0 of the run.
+    """The order that sets time 0 of the run.
 
     Attributes:
-        zero_ns: Time 0 on the monotonic clock, which all processes of the machine share.
-        unix_ms: The wall clock at that moment.
+        zero_ns: Time 0 on the monotonic clock, which is common to all processes of the machine.
+        unix_ms: The wall-clock time at time 0, in Unix milliseconds.
     """
 
     zero_ns: int
     unix_ms: int
 
 
-STOP_ORDER = StartOrder(0, 0)  # any line after the start order stops a worker
+STOP_ORDER = StartOrder(0, 0)  # a worker stops at any line after the start order
 
 
 class WorkerReady(Struct):
-    """All sockets of a worker are open.
+    """The message that all sockets of a worker are open.
 
     Attributes:
-        endpoints: Their addresses, as in `WorkerJob`; those of discovery are under `directory`.
+        endpoints: The addresses of the upstreams, as in `WorkerJob`, or those of discovery, under `directory`.
     """
 
     endpoints: dict[str, dict[str, str]]
 
 
 class WorkerSummary(Struct):
-    """What a worker reports when it stops.
+    """The report of a worker that has stopped.
 
     Attributes:
-        events: How many of its timers fired.
-        late: How many of them fired late.
-        cpu_s: What it used.
-        not_asked: Requests that were not sent, as their application was down with its sidecar.
+        events: The number of the worker's timers that fired.
+        late: The number of the worker's timers that fired late.
+        cpu_s: The CPU time of the worker.
+        not_asked: The number of requests that were not sent because their application was down with its sidecar.
     """
 
     events: int
@@ -102,7 +102,7 @@
 
 
 class Worker:
-    """The nodes of one process."""
+    """The nodes of one worker process."""
 
     def __init__(self, job: WorkerJob) -> None:
         self.job = job
@@ -113,7 +113,7 @@
         self.applications: list[Application] = []
 
     def prepare(self) -> WorkerReady:
-        """Open all sockets."""
+        """Create the nodes of the job, open all their sockets, and return the addresses."""
         if self.job.role == "upstreams":
             return WorkerReady(self._prepare_upstreams())
         if self.job.role == "directory":
@@ -152,7 +152,7 @@
         ]
 
     def begin(self, order: StartOrder) -> None:
-        """Start the clock, and schedule the plan on it."""
+        """Start the clock, and schedule the actions of the plan."""
         self.clock.begin(order.zero_ns)
         for upstream in self.upstreams:
             upstream.begin()
@@ -163,7 +163,7 @@
         self._schedule_link_faults()
 
     def _schedule_link_faults(self) -> None:
-        """Schedule the plan's cuts and losses, for the links whose listening side is here."""
+        """Schedule the plan's link faults for the links whose listening socket belongs to this worker."""
         listeners = {upstream.plan.uid: upstream.listeners for upstream in self.upstreams}
         if self.discovery is not None:
             listeners[DIRECTORY] = self.discovery.listeners
@@ -175,7 +175,7 @@
                 self.clock.at(step.at_us, partial(_apply_link_fault, step, affected))
 
     def close(self) -> WorkerSummary:
-        """Close all sockets and the journal."""
+        """Close all sockets and the journal, and return the worker's counts."""
         for upstream in self.upstreams:
             upstream.close()
         for application in self.applications:
@@ -198,7 +198,7 @@
 
 
 def _normal_conditions(topology: Topology, one_way_ms: float) -> LinkConditions:
-    """Return the conditions of a link that has no fault."""
+    """Return the conditions of a link without faults."""
     return LinkConditions(round(one_way_ms * 1000), topology.jitter, bytes_per_s=topology.link_kb_per_s * 1000)
 
 
@@ -212,7 +212,7 @@
 
 
 async def main() -> None:
-    """Read the job and the orders from standard input, and carry them out."""
+    """Read the job and the orders from standard input, and execute them."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
