--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -101,9 +101,8 @@
     results: list[list[result.Result]] = [[], []]
     with cli.progress(f"{experiment.name}, {pairs} pairs") as progress:
         for pair in range(pairs):
-            order = (
-                (0, 1) if pair % 2 == 0 else (1, 0)
-            )  # the alternating order lets a drift of the machine affect both trees equally
+            # The order of the two trees alternates, so that a drift of the machine affects both equally.
+            order = (0, 1) if pair % 2 == 0 else (1, 0)
             for tree_index in order:
                 run_folder = folder / f"{'ab'[tree_index]}-{pair}"
                 completed_share = sum(map(len, results)) / (2 * pairs)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Short plays on real processes: what the lab does, that it leaves nothing behind, and that its checker catches."""
+"""Short lab runs on real processes, and checks of the lab's cleanup, of its checker and of its figures."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from tests.experiment import ROOT, small, text
 from tests.processes import DEPLOY
 
-SILENT = """
+SILENT_ZONE = """
 [[fault]]
 at_s = 1
 for_s = 1
@@ -43,110 +43,128 @@
 """
 
 
-def tree(folder: Path, run: str) -> Path:
-    """A tree whose sidecars are started by this command."""
+def write_tree(folder: Path, run: str) -> Path:
+    """Write the deploy file of a tree whose sidecars start with the given command, and return the tree."""
     (folder / "deploy").mkdir()
     deploy = {"build": "true", "run": run, "sim": "false", "policy": [], "node": []}
     (folder / "deploy" / "balancer.toml").write_text("".join(f"{k} = {json.dumps(v)}\n" for k, v in deploy.items()))
     return folder
 
 
-def lab(*words: str, **more: Any) -> subprocess.Popen[str]:
+def start_lab(*arguments: str, **options: Any) -> subprocess.Popen[str]:
     return subprocess.Popen(
-        [sys.executable, "-m", "garnetusher", "lab", *words],
+        [sys.executable, "-m", "garnetusher", "lab", *arguments],
         cwd=ROOT,
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
-        **more,
+        **options,
     )
 
 
-def family(pid: int) -> list[Any]:
+def descendants(pid: int) -> list[Any]:
     return list(psutil.Process(pid).children(recursive=True))
 
 
-def gone(processes: list[Any]) -> bool:
+def all_ended(processes: list[Any]) -> bool:
     _, alive = psutil.wait_procs(processes, timeout=20)
     return not alive
 
 
-def test_a_play_ends_with_its_figures_and_its_files(tmp_path: Path) -> None:
-    file, out = tmp_path / "it.toml", tmp_path / "out"
-    file.write_text(text(more=SILENT))
-    process = lab("run", str(file), "--out", str(out), "--json")
-    told, errors = process.communicate(timeout=120)
+def test_run_writes_figures_and_files_when_experiment_completes(tmp_path: Path) -> None:
+    experiment_file, out_folder = tmp_path / "it.toml", tmp_path / "out"
+    experiment_file.write_text(text(more=SILENT_ZONE))
+    process = start_lab("run", str(experiment_file), "--out", str(out_folder), "--json")
+    output, errors = process.communicate(timeout=120)
     assert (process.returncode, errors) == (0, "")
-    document = json.loads(told)
+    document = json.loads(output)
     assert document["name"] == "small"
     assert document["seed"] == 5
     assert document["held"]
     assert document["broken"] == []
-    found = document["figures"]
-    assert found["requests"] > 250
-    assert found["served_worth.during_fault"] < found["served_worth.before"]
-    assert [e["open"] for e in document["expectations"]] == [False, False, True]
-    page = (out / "report.html").read_text()
+    measured = document["figures"]
+    assert measured["requests"] > 250
+    assert measured["served_worth.during_fault"] < measured["served_worth.before"]
+    assert [expectation["open"] for expectation in document["expectations"]] == [False, False, True]
+    page = (out_folder / "report.html").read_text()
     assert page.count("<svg") == 3
     assert "http://" not in page.replace("http://www.w3.org", "").replace("http://purl.org", "").replace(
         "http://creativecommons.org", ""
     ).replace("http://matplotlib.org", "")
-    lines = list(records.read(out / "events.jsonl"))
-    assert [r.t for r in lines] == sorted(r.t for r in lines)
-    assert (out / "latency.hlog").read_text().count("Tag=publish") >= 2
-    it = experiment.load(file)
-    assert checker.check(it, plan.make(it, 5), lines) == []
-    check_the_silence(lines)
-
-
-def check_the_silence(lines: list[records.AnyRecord]) -> None:
-    """Nothing gets through a cut, and what was written into it is on record; the other zone is served on."""
-    cut = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-b") and 1.05e6 < r.t < 2e6]
-    near = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-a") and 1.05e6 < r.t < 2e6]
-    held = [r for r in lines if isinstance(r, AttemptUndelivered)]
-    assert not cut
-    assert len(near) > 30
-    assert held
-    assert all(r.upstream.startswith("u-b") for r in held)
-    ended = [
-        r for r in lines if isinstance(r, UpstreamAttemptEnded) and r.upstream.startswith("u-b") and r.how == "served"
+    run_records = list(records.read(out_folder / "events.jsonl"))
+    assert [record.t for record in run_records] == sorted(record.t for record in run_records)
+    assert (out_folder / "latency.hlog").read_text().count("Tag=publish") >= 2
+    loaded_experiment = experiment.load(experiment_file)
+    assert checker.check(loaded_experiment, plan.make(loaded_experiment, 5), run_records) == []
+    check_silent_zone(run_records)
+
+
+def check_silent_zone(run_records: list[records.AnyRecord]) -> None:
+    """Check that no attempt passes the cut links, that the records have the undelivered ones, and others arrive."""
+    silent_zone_attempts = [
+        record
+        for record in run_records
+        if isinstance(record, Attempt) and record.upstream.startswith("u-b") and 1.05e6 < record.t < 2e6
     ]
-    after = [r for r in lines if isinstance(r, Attempt) and r.upstream.startswith("u-b") and r.t > 2.1e6]
-    assert after
-    assert ended
-
-
-def test_nothing_outlives_an_interrupt_or_a_killed_lab(tmp_path: Path) -> None:
-    file = tmp_path / "it.toml"
-    file.write_text(text(seconds=60, more='[[fault]]\nat_s = 0.2\nwhat = "stop"\nwhere = { sidecar = "a-0" }'))
-    for number, how in enumerate((signal.SIGINT, signal.SIGTERM, signal.SIGKILL)):
-        log = tmp_path / str(number) / "lab.log"
-        process = lab("run", str(file), "--out", str(log.parent), start_new_session=True)
-        while not (log.exists() and "lab.fault.applied" in log.read_text()):
+    other_zone_attempts = [
+        record
+        for record in run_records
+        if isinstance(record, Attempt) and record.upstream.startswith("u-a") and 1.05e6 < record.t < 2e6
+    ]
+    undelivered = [record for record in run_records if isinstance(record, AttemptUndelivered)]
+    assert not silent_zone_attempts
+    assert len(other_zone_attempts) > 30
+    assert undelivered
+    assert all(record.upstream.startswith("u-b") for record in undelivered)
+    served = [
+        record
+        for record in run_records
+        if isinstance(record, UpstreamAttemptEnded) and record.upstream.startswith("u-b") and record.how == "served"
+    ]
+    later_attempts = [
+        record
+        for record in run_records
+        if isinstance(record, Attempt) and record.upstream.startswith("u-b") and record.t > 2.1e6
+    ]
+    assert later_attempts
+    assert served
+
+
+def test_lab_leaves_no_process_when_interrupted_or_killed(tmp_path: Path) -> None:
+    experiment_file = tmp_path / "it.toml"
+    experiment_file.write_text(
+        text(seconds=60, more='[[fault]]\nat_s = 0.2\nwhat = "stop"\nwhere = { sidecar = "a-0" }')
+    )
+    for index, signal_number in enumerate((signal.SIGINT, signal.SIGTERM, signal.SIGKILL)):
+        log_path = tmp_path / str(index) / "lab.log"
+        process = start_lab("run", str(experiment_file), "--out", str(log_path.parent), start_new_session=True)
+        while not (log_path.exists() and "lab.fault.applied" in log_path.read_text()):
             assert process.poll() is None
             time.sleep(0.05)
-        children = family(process.pid)
-        assert len(children) >= 5  # three workers, two sidecars, one of them stopped
-        process.send_signal(how)
+        children = descendants(process.pid)
+        assert len(children) >= 5  # three workers and two sidecars, one of which is stopped
+        process.send_signal(signal_number)
         process.communicate(timeout=30)
-        assert gone(children)
-        assert process.returncode == (1 if how != signal.SIGKILL else -signal.SIGKILL)
+        assert all_ended(children)
+        assert process.returncode == (1 if signal_number != signal.SIGKILL else -signal.SIGKILL)
 
 
-def test_an_interrupt_ends_a_lab_whose_parent_ignored_it(tmp_path: Path) -> None:
-    """A shell without job control starts what it runs in the background so, and the disposition is inherited."""
-    file, log = tmp_path / "it.toml", tmp_path / "out" / "lab.log"
-    file.write_text(text(seconds=60, more='[[fault]]\nat_s = 0.2\nwhat = "stop"\nwhere = { sidecar = "a-0" }'))
-    process = lab(
+def test_interrupt_ends_lab_when_parent_ignores_the_signal(tmp_path: Path) -> None:
+    """A shell without job control starts background processes with SIGINT ignored, and children inherit that."""
+    experiment_file, log_path = tmp_path / "it.toml", tmp_path / "out" / "lab.log"
+    experiment_file.write_text(
+        text(seconds=60, more='[[fault]]\nat_s = 0.2\nwhat = "stop"\nwhere = { sidecar = "a-0" }')
+    )
+    process = start_lab(
         "run",
-        str(file),
+        str(experiment_file),
         "--out",
-        str(log.parent),
+        str(log_path.parent),
         start_new_session=True,
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_IGN),
     )
     try:
-        while not (log.exists() and "lab.fault.applied" in log.read_text()):
+        while not (log_path.exists() and "lab.fault.applied" in log_path.read_text()):
             assert process.poll() is None
             time.sleep(0.05)
         process.send_signal(signal.SIGINT)
@@ -156,29 +174,45 @@
     assert process.returncode == 1
 
 
-def test_a_sidecar_that_dies_at_its_start_ends_the_play_with_its_last_lines(tmp_path: Path) -> None:
-    it = small()
-    broken = tree(tmp_path, "echo first >&2; echo no good reason >&2; exit 3")
-    with pytest.raises(LabError, match=r"(?s)died at its start with 3.*no good reason"):  # noqa: PT012 - the plan is made inside
-        began = time.monotonic()
-        asyncio.run(run_experiment(it, plan.make(it, 1), broken, tmp_path / "out", lambda what, part: None))
-    assert time.monotonic() - began < 20
-
-
-def test_a_sidecar_that_dies_later_is_a_crash(tmp_path: Path) -> None:
-    run = DEPLOY["run"].replace("exec ", f"cd {ROOT}; (sleep 1.5; kill -9 $$) & exec ")
-    # what was open is lost with it, and its client may see that before the lab sees the process end
-    assert {"crash"} <= {b.rule for b in breaches(tmp_path, small(), run)} <= {"crash", "one_answer"}
+def test_run_fails_with_last_log_lines_when_sidecar_dies_at_start(tmp_path: Path) -> None:
+    small_experiment = small()
+    failing_tree = write_tree(tmp_path, "echo first >&2; echo no good reason >&2; exit 3")
+    with pytest.raises(LabError, match=r"(?s)died at its start with 3.*no good reason"):  # noqa: PT012 - the block makes the plan too
+        started_s = time.monotonic()
+        asyncio.run(
+            run_experiment(
+                small_experiment,
+                plan.make(small_experiment, 1),
+                failing_tree,
+                tmp_path / "out",
+                lambda activity, share: None,
+            )
+        )
+    assert time.monotonic() - started_s < 20
+
+
+def test_checker_reports_crash_when_sidecar_dies_during_run(tmp_path: Path) -> None:
+    run_command = DEPLOY["run"].replace("exec ", f"cd {ROOT}; (sleep 1.5; kill -9 $$) & exec ")
+    # Requests in progress are lost, and their clients may see that before the lab sees the process end.
+    assert (
+        {"crash"}
+        <= {breach.rule for breach in run_and_check(tmp_path, small(), run_command)}
+        <= {"crash", "one_answer"}
+    )
 
 
-def breaches(folder: Path, it: experiment.Experiment, run: str) -> list[checker.Breach]:
-    made = plan.make(it, it.seed)
-    played = asyncio.run(run_experiment(it, made, tree(folder, run), folder / "out", lambda what, part: None))
-    return checker.check(it, made, played.records)
+def run_and_check(folder: Path, tested_experiment: experiment.Experiment, run_command: str) -> list[checker.Breach]:
+    run_plan = plan.make(tested_experiment, tested_experiment.seed)
+    completed_run = asyncio.run(
+        run_experiment(
+            tested_experiment, run_plan, write_tree(folder, run_command), folder / "out", lambda activity, share: None
+        )
+    )
+    return checker.check(tested_experiment, run_plan, completed_run.records)
 
 
-# a play in which the seeded fault has its occasion, and the rule that it breaks
-OCCASIONS = {
+# For each defect of the sidecar, the rule that it breaks, and the changes to the experiment that make it do so.
+DEFECT_EXPERIMENTS = {
     "answers_twice": ("one_answer", {}),
     "repeats_unsafe": ("no_repeat", {"more": '[[fault]]\nat_s = 0\nwhat = "errors"\nshare = 0.3'}),
     "sends_to_drained": (
@@ -202,33 +236,38 @@
 }
 
 
-@pytest.mark.parametrize("deed", OCCASIONS)
-def test_a_seeded_fault_is_caught_and_the_program_itself_is_not_blamed(tmp_path: Path, deed: str) -> None:
-    rule, changes = OCCASIONS[deed]
-    it = small(**changes)  # type: ignore[arg-type]
+@pytest.mark.parametrize("defect", DEFECT_EXPERIMENTS)
+def test_checker_reports_a_breach_only_when_sidecar_has_a_seeded_defect(tmp_path: Path, defect: str) -> None:
+    rule, changes = DEFECT_EXPERIMENTS[defect]
+    defect_experiment = small(**changes)  # type: ignore[arg-type]
     (tmp_path / "bad").mkdir()
     (tmp_path / "good").mkdir()
     subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True, timeout=600)
-    bad = breaches(
+    breaches = run_and_check(
         tmp_path / "bad",
-        it,
-        f"cd {ROOT}; {DEPLOY['run'].replace('garnetusher.sidecar', f'tests.faulty.misdeeds {deed}')}",
+        defect_experiment,
+        f"cd {ROOT}; {DEPLOY['run'].replace('garnetusher.sidecar', f'tests.faulty.defective_sidecar {defect}')}",
     )
-    assert {b.rule for b in bad} == {rule}
-    assert all(b.lines for b in bad)
-    assert breaches(tmp_path / "good", it, f"cd {ROOT}; {DEPLOY['run']}") == []
+    assert {breach.rule for breach in breaches} == {rule}
+    assert all(breach.lines for breach in breaches)
+    assert run_and_check(tmp_path / "good", defect_experiment, f"cd {ROOT}; {DEPLOY['run']}") == []
 
 
-# The checker and the figures on records made by hand
+# The checker and the figures on records written by hand
 
 
-def verdicts(*lines: records.AnyRecord) -> list[str]:
-    it = small()
-    return [b.rule for b in checker.check(it, plan.make(it, 1), sorted(lines, key=lambda r: r.t))]
+def broken_rules(*run_records: records.AnyRecord) -> list[str]:
+    small_experiment = small()
+    return [
+        breach.rule
+        for breach in checker.check(
+            small_experiment, plan.make(small_experiment, 1), sorted(run_records, key=lambda record: record.t)
+        )
+    ]
 
 
-ASKED = RequestSent(1_000_000, "a-0.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_000_000)
-SENT = Attempt(1_001_000, 1, "a-0.1", "u-a-0", "a-0", 1_001_000, 20_000)
+REQUEST = RequestSent(1_000_000, "a-0.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_000_000)
+ATTEMPT = Attempt(1_001_000, 1, "a-0.1", "u-a-0", "a-0", 1_001_000, 20_000)
 SERVED = (
     UpstreamAttemptEnded(1_030_000, 1, "a-0.1", "u-a-0", "a-0", "served"),
     ResponseReceived(1_031_000, "a-0.1", "a-0", 200, "u-a-0"),
@@ -236,17 +275,17 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "rules"),
+    ("run_records", "rules"),
     [
-        ((ASKED, SENT, *SERVED), []),
-        ((ASKED, SENT, SERVED[0], ResponseReceived(1_031_000, "a-0.1", "a-0", 200, "u-b-0")), ["one_answer"]),
-        ((ASKED, SENT, SERVED[0], ResponseReceived(2_400_000, "a-0.1", "a-0", 200, "u-a-0")), []),
-        ((ASKED, SENT, SERVED[0], ResponseReceived(2_600_000, "a-0.1", "a-0", 200, "u-a-0")), ["one_answer"]),
-        ((ASKED, records.ResponseMissing(2_600_000, "a-0.1", "a-0")), ["one_answer"]),
-        ((ASKED, records.SidecarClosedConnection(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((REQUEST, ATTEMPT, *SERVED), []),
+        ((REQUEST, ATTEMPT, SERVED[0], ResponseReceived(1_031_000, "a-0.1", "a-0", 200, "u-b-0")), ["one_answer"]),
+        ((REQUEST, ATTEMPT, SERVED[0], ResponseReceived(2_400_000, "a-0.1", "a-0", 200, "u-a-0")), []),
+        ((REQUEST, ATTEMPT, SERVED[0], ResponseReceived(2_600_000, "a-0.1", "a-0", 200, "u-a-0")), ["one_answer"]),
+        ((REQUEST, records.ResponseMissing(2_600_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((REQUEST, records.SidecarClosedConnection(1_200_000, "a-0.1", "a-0")), ["one_answer"]),
         (
             (
-                ASKED,
+                REQUEST,
                 records.ProcessChanged(1_100_000, "a-0", "killed"),
                 records.SidecarClosedConnection(1_200_000, "a-0.1", "a-0"),
             ),
@@ -254,21 +293,21 @@
         ),
         (
             (
-                ASKED,
+                REQUEST,
                 records.ProcessChanged(1_100_000, "a-0", "term"),
                 records.SidecarClosedConnection(1_200_000, "a-0.1", "a-0"),
             ),
             ["one_answer"],
         ),
-        ((ASKED, SENT, *SERVED, records.UnexpectedBytes(1_040_000, "a-0.1", "a-0")), ["one_answer"]),
-        ((ASKED, ResponseReceived(1_500_000, "a-0.1", "a-0", 503)), []),
-        ((ASKED, ResponseReceived(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
-        ((SENT,), ["no_repeat"]),
-        ((ASKED, SENT, SERVED[0], ResponseReceived(1_031_000, "a-0.1", "a-0", 503)), ["no_repeat"]),
+        ((REQUEST, ATTEMPT, *SERVED, records.UnexpectedBytes(1_040_000, "a-0.1", "a-0")), ["one_answer"]),
+        ((REQUEST, ResponseReceived(1_500_000, "a-0.1", "a-0", 503)), []),
+        ((REQUEST, ResponseReceived(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
+        ((ATTEMPT,), ["no_repeat"]),
+        ((REQUEST, ATTEMPT, SERVED[0], ResponseReceived(1_031_000, "a-0.1", "a-0", 503)), ["no_repeat"]),
         (
             (
-                ASKED,
-                SENT,
+                REQUEST,
+                ATTEMPT,
                 UpstreamAttemptEnded(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "turned_away"),
                 ResponseReceived(1_003_000, "a-0.1", "a-0", 503),
             ),
@@ -276,65 +315,77 @@
         ),
         (
             (
-                ASKED,
-                SENT,
+                REQUEST,
+                ATTEMPT,
                 UpstreamAttemptEnded(1_002_000, 1, "a-0.1", "u-a-0", "a-0", "reset"),
                 Attempt(1_005_000, 1, "a-0.1", "u-b-0", "a-0", 1_005_000, 20_000),
             ),
             ["no_repeat"],
         ),
-        ((ListUpdateSent(0, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), []),
-        ((ListUpdateSent(-100_000, "a-0", "u-a-0", "leaving"), ASKED, SENT, *SERVED), ["drain"]),
+        ((ListUpdateSent(0, "a-0", "u-a-0", "leaving"), REQUEST, ATTEMPT, *SERVED), []),
+        ((ListUpdateSent(-100_000, "a-0", "u-a-0", "leaving"), REQUEST, ATTEMPT, *SERVED), ["drain"]),
         (
             (
                 ListUpdateSent(-100_000, "a-0", "u-a-0", "leaving"),
                 ListUpdateSent(900_000, "a-0", "u-a-0", "active"),
-                ASKED,
-                SENT,
+                REQUEST,
+                ATTEMPT,
                 *SERVED,
             ),
             [],
         ),
     ],
 )
-def test_a_rule_is_judged_by_its_words(lines: tuple[records.AnyRecord, ...], rules: list[str]) -> None:
-    assert verdicts(*lines) == rules
-
-
-def test_worth_is_dated_from_when_the_request_was_due_and_counted_once() -> None:
-    it = small()
-    late = RequestSent(1_000_000, "a-0.2", "a-0.2", "a-0", 0, 0, 650_000, 1_900_000)  # the lab was late with it
-    again = RequestSent(1_500_000, "a-0.1.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_200_000)
-    found = figures.requests_of(
-        it,
+def test_checker_reports_the_broken_rules_when_given_records(
+    run_records: tuple[records.AnyRecord, ...], rules: list[str]
+) -> None:
+    assert broken_rules(*run_records) == rules
+
+
+def test_latency_starts_when_request_was_due_and_retries_count_once() -> None:
+    small_experiment = small()
+    late_call = RequestSent(1_000_000, "a-0.2", "a-0.2", "a-0", 0, 0, 650_000, 1_900_000)  # the lab sent it too late
+    retry = RequestSent(1_500_000, "a-0.1.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_200_000)
+    requests = figures.requests_of(
+        small_experiment,
         [
-            ASKED,
-            late,
+            REQUEST,
+            late_call,
             ResponseReceived(1_010_000, "a-0.2", "a-0", 200, "u-a-0"),
-            again,
+            retry,
             ResponseReceived(1_390_000, "a-0.1.1", "a-0", 200, "u-a-0"),
             ResponseReceived(1_395_000, "a-0.1", "a-0", 200, "u-b-0"),
         ],
     )
-    assert [(r.ident, r.worth, r.answered_us) for r in found] == [("a-0.2", 1.0, 1_010_000), ("a-0.1", 3.0, 1_390_000)]
-    assert [r.served(it.classes[r.cls].aim_ms * 1000) for r in found] == [False, True]
+    assert [(request.ident, request.worth, request.answered_us) for request in requests] == [
+        ("a-0.2", 1.0, 1_010_000),
+        ("a-0.1", 3.0, 1_390_000),
+    ]
+    assert [request.served(small_experiment.classes[request.cls].aim_ms * 1000) for request in requests] == [
+        False,
+        True,
+    ]
 
 
-def test_a_difference_is_shown_only_where_there_is_one() -> None:
-    same = compare.difference("x", [0.9, 0.92, 0.91, 0.9, 0.9, 0.91], [0.91, 0.9, 0.92, 0.9, 0.9, 0.9])
-    assert not same.significant
-    assert "no difference shown" in str(same)
+def test_difference_is_significant_only_when_figures_differ() -> None:
+    equal = compare.difference("x", [0.9, 0.92, 0.91, 0.9, 0.9, 0.91], [0.91, 0.9, 0.92, 0.9, 0.9, 0.9])
+    assert not equal.significant
+    assert "no difference shown" in str(equal)
     better = compare.difference("x", [0.8, 0.82, 0.81, 0.8, 0.82, 0.81], [0.9, 0.91, 0.93, 0.9, 0.9, 0.92])
     assert better.significant
     assert better.low < better.mean < better.high
     assert better.low > 0.05
-    few = compare.difference("x", [0.8] * 5, [0.9] * 5)
-    assert not few.significant
-    assert "fewer than 6 are not enough" in str(few)
+    too_few = compare.difference("x", [0.8] * 5, [0.9] * 5)
+    assert not too_few.significant
+    assert "fewer than 6 are not enough" in str(too_few)
     with pytest.raises(ValueError, match="as many runs"):
         compare.difference("x", [1.0], [])
 
 
-def test_the_lab_leaves_no_process_of_these_tests() -> None:
-    mine = [p for p in psutil.Process(os.getpid()).children(recursive=True) if p.status() != psutil.STATUS_ZOMBIE]
-    assert mine == []
+def test_no_child_process_is_left_after_the_tests_of_this_file() -> None:
+    children = [
+        process
+        for process in psutil.Process(os.getpid()).children(recursive=True)
+        if process.status() != psutil.STATUS_ZOMBIE
+    ]
+    assert children == []
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -28,7 +28,7 @@
 from garnetusher.lab.soak.run import run_plan
 from garnetusher.lab.soak.size import ResourceUse, comparison_rows
 from tests.experiment import ROOT
-from tests.test_lab import tree
+from tests.test_lab import write_tree
 
 
 def small_plan(*faults: Fault, load_s: float = 3.0, rate_per_s: float = 12.0) -> Plan:
@@ -230,12 +230,12 @@
     """Run a plan on the sidecars of a start command in a worker process, and return the broken rules."""
     folder = Path(path)
     folder.mkdir()
-    return {breach.rule for breach in run_plan(plan, folder / "play", tree(folder, command)).breaches}
+    return {breach.rule for breach in run_plan(plan, folder / "play", write_tree(folder, command)).breaches}
 
 
 def test_soak_reports_a_breach_only_when_the_sidecar_program_has_a_defect(tmp_path: Path) -> None:
     build(ROOT)
-    defective_command = "cd {root}; exec .venv/bin/python -B -m tests.faulty.misdeeds {defect}"
+    defective_command = "cd {root}; exec .venv/bin/python -B -m tests.faulty.defective_sidecar {defect}"
     correct_command = f"cd {ROOT}; exec .venv/bin/python -B -m garnetusher.sidecar"
     with ProcessPoolExecutor(4) as pool:
         defective_runs = []
