--- a/garnetusher/model/__init__.py
+++ b/garnetusher/model/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments as plain data and objects without sockets, clocks or tasks, which the lab uses too."""
+"""Data types of experiments, and simulated objects that use no sockets, clocks or tasks. The lab uses both."""
--- a/garnetusher/model/beliefs.py
+++ b/garnetusher/model/beliefs.py
@@ -1,8 +1,8 @@
 """Computes figures of the zone states that sidecars logged.
 
-These states are no evidence for the rules, which `checker.py` checks on the records of upstreams and clients. The
-figures state when sidecars evacuated a faulty zone, whether an evacuation was justified, and how long sidecars took to
-use a zone normally again.
+`checker.py` does not use these states: it checks the rules on the records of upstreams and clients. The figures state
+when sidecars evacuated a faulty zone, whether an evacuation was justified, and how long sidecars took to use a zone
+normally again.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 EVACUATED = "left"
 FAULTS_WITHOUT_EVACUATION = ("restart", "burst", "list_late", "list_lies")
 # An evacuation is still justified this long after a fault, while queues are full or upstreams warm up.
-AFTERMATH_US = 5_000_000
-FAULTY_SHARE = 0.5  # a zone is faulty if more than this share of its upstreams is faulty
+FAULT_RECOVERY_US = 5_000_000
+FAULTY_SHARE = 0.5  # a zone is faulty if a fault affects more than this share of its upstreams
 
 
 def parse_zone_state(at_us: int, sidecar: str, line: str, zones: list[str]) -> ZoneStateLogged | None:
@@ -136,15 +136,15 @@
     """Return whether a record is an evacuation although no fault had affected the zone or the sidecar."""
     if record.state != EVACUATED:
         return False
-    involved = _upstreams_of(plan, record.zone) | {record.sidecar}
-    return not any(_justifies_evacuation(span, involved, record.t) for span in plan.spans)
+    nodes = _upstreams_of(plan, record.zone) | {record.sidecar}
+    return not any(_justifies_evacuation(span, nodes, record.t) for span in plan.spans)
 
 
-def _justifies_evacuation(span: Span, involved: set[str], at_us: int) -> bool:
+def _justifies_evacuation(span: Span, nodes: set[str], at_us: int) -> bool:
     """Return whether the fault affects any of these nodes and justifies an evacuation at that time."""
-    if span.what in FAULTS_WITHOUT_EVACUATION or not involved & set(span.parties):
+    if span.what in FAULTS_WITHOUT_EVACUATION or not nodes & set(span.parties):
         return False
-    return span.at_us <= at_us < span.until_us + AFTERMATH_US
+    return span.at_us <= at_us < span.until_us + FAULT_RECOVERY_US
 
 
 def _state_times(experiment: Experiment, plan: Plan, state_changes: list[ZoneStateLogged]) -> dict[str, float]:
--- a/garnetusher/model/checker.py
+++ b/garnetusher/model/checker.py
@@ -4,7 +4,8 @@
 
 1. ``one_answer``: each client call that a sidecar accepted gets one final response, at the latest half a second after
    the client timeout, and nothing after it. A response with status 200 comes from an upstream that received this call.
-   ``held_back``: a call that fails is answered as soon as the sidecar attempts nothing more for it.
+   ``held_back``: a failed call is answered within half its timeout from its start, or from the end of its last
+   attempt.
 2. ``no_repeat``: a request that is not idempotent is not sent again, and not reported as safe to retry, once it may
    have run. Upstreams receive no request that no client sent.
 3. ``drain``: a sidecar sends no new attempt to an upstream later than a second after it learned that the upstream
@@ -38,11 +39,12 @@
     UpstreamChanged,
 )
 
-TIMING_TOLERANCE_US = 50_000  # for every time limit, as runs on sockets need it
-ANSWER_TOLERANCE_US = 500_000  # a response that is late by less is no breach, although it has no worth
+TIMING_TOLERANCE_US = 50_000  # extends the limits of `held_back` and `drain`, because timing on sockets is inexact
+ANSWER_TOLERANCE_US = 500_000  # a response that is less late than this is no breach, although it adds no served worth
 DRAIN_GRACE_US = 1_000_000  # the time in which a draining upstream may still receive new attempts
-LIST_DELAY_US = 6_000_000  # after this time every sidecar is assumed to know the endpoint list
-INFORMED_SHARE = 2 / 3  # an overload is a breach if at least this share of its work is from sidecars aware of the start
+LIST_DELAY_US = 6_000_000  # the time after which every sidecar is assumed to know of an upstream's start
+# An overload is a breach if at least this share of its work is from sidecars that knew of the upstream's start.
+INFORMED_SHARE = 2 / 3
 
 STATUS_OK = 200
 STATUSES_SAFE_TO_REPEAT = (429, 503)  # these statuses state that the request did not run
@@ -65,7 +67,7 @@
 class Breach(Struct):
     """One case in which a run broke a rule."""
 
-    rule: str  # a `Rule`, or the value of one if read from a file
+    rule: str  # a `Rule`, or its value if the breach was read from a file
     t: int
     what: str  # a description in one sentence
     lines: list[str]  # the records that prove the breach
@@ -129,7 +131,7 @@
 
 
 def _idle_before_failure_us(index: RecordIndex, call: RequestSent, answer: ResponseReceived) -> int | None:
-    """Return the time without any attempt before a failure; None if it is allowed or the sidecar did not cause it."""
+    """Return the time without any attempt before a failure; None if it is within the limit or a fault explains it."""
     limit_us = (call.until_t - call.t) // 2 + TIMING_TOLERANCE_US
     if answer.t <= call.t + limit_us:
         return None
--- a/garnetusher/model/experiment.py
+++ b/garnetusher/model/experiment.py
@@ -68,15 +68,15 @@
 DIRECTORY_FAULTS = ("silent", "cut")
 SIDECAR_FAULTS = ("kill", "stop", "restart", "silent", "cut", "loss")
 UPSTREAM_FAULTS = ("kill", "stop", "restart", "silent", "cut", "refuse", "slow", "loss", "reset", "errors")
-BOUND = re.compile(r"(?P<sign><=|>=|==)\s*(?P<figure>-?\d+(\.\d+)?)")
-SHARE_TOLERANCE = 0.011  # files state shares with two digits
-NAMES_IN_MESSAGE = 12
+BOUND_PATTERN = re.compile(r"(?P<sign><=|>=|==)\s*(?P<figure>-?\d+(\.\d+)?)")
+SHARE_TOLERANCE = 0.011  # files round shares to two decimal places, so their sum may differ from 1
+MAX_NAMES_IN_MESSAGE = 12
 
 
 class ExperimentError(GarnetusherError, ValueError):
     """An invalid value in an experiment; `config.read` reports it with the file's path.
 
-    The class is a `ValueError` too because msgspec includes such an error in its own report.
+    The class is a `ValueError` too because msgspec includes the message of a `ValueError` in its `ValidationError`.
     """
 
     def __init__(self, *, key: str, expected: str, found: object = None) -> None:
@@ -90,7 +90,7 @@
     same_zone_ms: NotNegative = 0.2
     cross_zone_ms: NotNegative = 2.0
     cross_region_ms: NotNegative = 30.0
-    jitter: Share = 0.25  # the largest deviation from each latency, up or down, as a share of it
+    jitter: Share = 0.25  # the largest deviation of a latency, up or down, as a share of the latency
     link_kb_per_s: NotNegative = 0.0  # a link's bandwidth in each direction, in thousands of bytes; 0: unlimited
 
     @property
@@ -117,21 +117,21 @@
     per_zone: dict[str, Annotated[int, Meta(ge=0)]]
     cores: Count = 3
     queue_per_core: Count = 20  # the longest queue per core; the upstream rejects further requests without running them
-    speed_spread: Share = 0.1  # the largest deviation from the standard speed, up or down
-    thrash: NotNegative = 0.04  # the increase of all service times per request per core beyond `thrash_at`
-    thrash_at: NotNegative = 5.0
+    speed_spread: Share = 0.1  # the largest deviation of the speed, up or down, as a share of the standard speed
+    thrash: NotNegative = 0.04  # the share by which each request per core beyond `thrash_at` lengthens service times
+    thrash_at: NotNegative = 5.0  # the number of requests per core above which service times increase
     choke_times: Annotated[float, Meta(ge=1)] = 2.6  # the slowdown factor after a long overload; 1: no slowdown
     choke_at: Positive = 5.5  # the number of requests per core above which the upstream is overloaded
     choke_over_s: Positive = 2.0  # the duration of an overload after which the slowdown begins
     choke_below: Share = 0.34  # the number of requests per core below which the upstream recovers
     choke_rest_s: Positive = 3.5  # the time below `choke_below` after which the slowdown ends
     choke_most_s: Positive = 27.0  # the longest slowdown
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # the share of its capacity that a just started upstream has
+    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # the available share of the capacity right after a start
     warm_up_s: Positive = 18.0
     overload_factor: Positive = 3.0  # the load at which a cold upstream crashes, as a multiple of its capacity
-    fall_s: Positive = 3.0  # the time for which a cold upstream withstands that load
+    fall_s: Positive = 3.0  # the time over which the load of a cold upstream counts towards a crash
     connections_per_core: Count = 750
-    handshake_ms: NotNegative = 2.5  # the work that a new connection costs
+    handshake_ms: NotNegative = 2.5  # the work of an upstream for each new connection
     handshake_trips: NotNegative = 2.0  # the number of round trips before a new connection's first request
     idle_s: Positive = 5.0  # the time after which an upstream closes an idle connection
     error_share: Share = 0.0005
@@ -144,7 +144,7 @@
     memory_mb: Count = 192
     sockets: Count = 1024
     max_attempts: Count = 3
-    second_copies: bool = True
+    second_copies: bool = True  # whether the sidecars hedge requests
     spread: NotNegative = 0.8  # the coefficient of variation of the sidecars' request rates
     told: Annotated[int, Meta(ge=0, le=10_000)] = 0  # the fleet size in each sidecar's settings; 0: the real one
     membership: bool = False  # whether the sidecars use membership to find the fleet size
@@ -176,21 +176,21 @@
     add_s: NotNegative = 1.2  # the time from an upstream's start until the service lists it
     notice_s: NotNegative = 2.2  # the time until the service removes an upstream whose process has ended
     silent_notice_s: NotNegative = 8.0  # the time until the service removes an upstream that cannot be reached
-    spread_ms: NotNegative = 80.0  # the time between the first and the last sidecar that receives an update
+    spread_ms: NotNegative = 80.0  # the time between an update's deliveries to the first and to the last sidecar
     call_ms: NotNegative = 0.0  # the service time of a call; the service handles one call at a time
     calls_waiting: Count = 22  # the longest queue of calls; the service rejects further ones at once
 
 
 class RequestClass(Struct, forbid_unknown_fields=True):
-    """Requests with one latency objective, weight and effect."""
+    """A class of requests, which share a latency objective, a weight and an effect."""
 
     name: Annotated[str, Meta(pattern="^[a-z0-9-]+$")]
-    aim_ms: Positive
+    aim_ms: Positive  # the latency objective
     deadline_ms: Positive
     share: Share
-    work_ms: Positive
+    work_ms: Positive  # the mean work of a request on a standard core
     effect: Effect = "idempotent"
-    worth: Positive = 1.0
+    worth: Positive = 1.0  # the weight of a request in served worth
     work_cv: Annotated[float, Meta(ge=0, le=3)] = 0.9  # the coefficient of variation of the work, which is lognormal
 
     def __post_init__(self) -> None:
@@ -218,7 +218,7 @@
     directory: bool = False
     agent: str | None = None
     part: Share | None = None
-    of: Literal["upstreams", "sidecars"] = "upstreams"
+    of: Literal["upstreams", "sidecars"] = "upstreams"  # the type of the nodes
 
 
 class Fault(Struct, forbid_unknown_fields=True):
@@ -228,11 +228,11 @@
     what: FaultKind
     for_s: Positive | None = None  # None: until the end of the run
     where: Place = msgspec.field(default_factory=Place)
-    to: Place | None = None  # `cut`: the nodes at the links' other end; None: all
+    to: Place | None = None  # `cut`: the nodes at the other end of the links; None: all nodes
     one_way: bool = False  # `cut`: whether only the direction from `where` to `to` is cut
-    times: Positive | None = None  # `slow`, `burst`
-    share: Share | None = None  # `loss`, `reset`, `errors`, `list_lies`
-    by_s: NotNegative | None = None  # `list_late`
+    times: Positive | None = None  # `slow`, `burst`: the factor
+    share: Share | None = None  # `loss`, `reset`, `errors`, `list_lies`: the affected share
+    by_s: NotNegative | None = None  # `list_late`: the delay
     batch: Annotated[float, Meta(gt=0, le=1)] = 0.2  # `restart`: the share of upstreams that restart at a time
     drain_s: NotNegative = 3.0  # `restart` of upstreams: the time from `leaving` to the end of the process
     returns: Literal["warm", "cold"] = "warm"  # `silent`: the state of the upstreams once they can be reached again
@@ -277,7 +277,7 @@
     over_share_worth: Share = 0.2  # the share of its weight that a request beyond its tenant's quota keeps
     faults: list[Fault] = msgspec.field(name="fault", default_factory=list)
     expect: dict[str, str] = {}
-    open: dict[str, str] = {}  # goals not reached yet: reports show them, and they fail no run
+    open: dict[str, str] = {}  # goals that are not reached yet: reports show them, but missing them does not fail a run
 
     def __post_init__(self) -> None:
         self._check_zones()
@@ -338,8 +338,8 @@
         )
         for name, value, known in known_names:
             if value is not None and value not in known:
-                more = ", ..." if len(known) > NAMES_IN_MESSAGE else ""
-                expected = f"one of {', '.join(known[:NAMES_IN_MESSAGE])}{more}"
+                more = ", ..." if len(known) > MAX_NAMES_IN_MESSAGE else ""
+                expected = f"one of {', '.join(known[:MAX_NAMES_IN_MESSAGE])}{more}"
                 raise ExperimentError(key=f"{key}.{name}", expected=expected, found=value)
         if place.agent is not None:
             raise ExperimentError(key=f"{key}.agent", expected="a place that exists; this version has no agents")
@@ -358,7 +358,7 @@
 
 def _check_bounds(table: str, bounds: dict[str, str]) -> None:
     for name, bound in bounds.items():
-        if BOUND.fullmatch(bound) is None:
+        if BOUND_PATTERN.fullmatch(bound) is None:
             expected = 'a bound such as ">= 0.9" (<=, >= or ==, and a number)'
             raise ExperimentError(key=f"{table}.{name}", expected=expected, found=bound)
 
@@ -427,12 +427,12 @@
 
 
 def holds(bound: str, figure: float | None) -> bool:
-    """Return whether a figure is within a bound such as `<= 3.0`; a figure of None, not measured, never is.
+    """Return whether a figure is within a bound such as `<= 3.0`; False if the figure is None (not measured).
 
     Raises:
         ExperimentError: The bound is malformed.
     """
-    parsed = BOUND.fullmatch(bound)
+    parsed = BOUND_PATTERN.fullmatch(bound)
     if parsed is None:
         raise ExperimentError(key="bound", expected="a comparison sign and a number", found=bound)
     if figure is None:
--- a/garnetusher/model/fault_targets.py
+++ b/garnetusher/model/fault_targets.py
@@ -8,7 +8,7 @@
 from garnetusher.model.experiment import Experiment, Place
 from garnetusher.model.plan_types import DIRECTORY, Plan
 
-ROUNDING_TOLERANCE = 1e-9  # keeps rounding errors from selecting two nodes for a share of 0.2 of five
+ROUNDING_TOLERANCE = 1e-9  # rounding errors must not make a share of 0.2 select two of five nodes
 
 
 class FaultTargets:
@@ -37,7 +37,7 @@
         return self.part(fault_index, place.part, names)
 
     def part(self, fault_index: int, share: float | None, names: list[str]) -> list[str]:
-        """Return a random share of some nodes in their order; all of them if the share is None."""
+        """Return a random subset of the nodes, in their given order; all of them if the share is None."""
         if share is None:
             return names
         count = math.ceil(share * len(names) - ROUNDING_TOLERANCE)
--- a/garnetusher/model/figures.py
+++ b/garnetusher/model/figures.py
@@ -73,7 +73,8 @@
     found |= recovery_figures(experiment, plan, records, requests)
     found |= _usage_figures(records)
     found |= beliefs.figures(experiment, plan, records)
-    return {name: round(float(value), FIGURE_DIGITS) for name, value in found.items()}  # JSON encodes no numpy floats
+    # The conversion is necessary because msgspec cannot encode numpy floats.
+    return {name: round(float(value), FIGURE_DIGITS) for name, value in found.items()}
 
 
 def _served_worth_figures(experiment: Experiment, plan: Plan, requests: list[Request]) -> dict[str, float]:
--- a/garnetusher/model/plan.py
+++ b/garnetusher/model/plan.py
@@ -1,4 +1,4 @@
-"""Computes the plan of a run, what each node does and when, from an experiment and a seed.
+"""Computes the plan of a run from an experiment and a seed. The plan states what each node does and when.
 
 The lab and the model use the same plan. It contains the direct effects of every fault (which nodes stop, and how the
 endpoint list changes) and is complete before the run begins, so a run can be repeated from its seed.
@@ -45,8 +45,8 @@
     "make",
 ]
 
-MAX_NODES_IN_LABEL = 3  # for the label of a fault whose place has no name
-# The steps of an upstream at a fault's start and end. Each of the other faults uses one step with a value for both.
+MAX_NODES_IN_LABEL = 3  # the label of a fault without a named place lists at most this many nodes
+# The steps of an upstream at a fault's start and end. Other faults use the same step at both times, with two values.
 UPSTREAM_STEPS = {"kill": ("die", "boot"), "stop": ("hang", "resume"), "refuse": ("refuse", "accept")}
 
 
@@ -101,13 +101,15 @@
     """Divide the traffic among zones, and a zone's traffic among its sidecars by their weights."""
     weights = _sidecar_weights(experiment, seed)
     zone_of = {name: name.rpartition("-")[0] for name in weights}
-    zone_parts = _zone_parts(experiment)
-    total_parts = sum(zone_parts.values())
+    traffic_by_zone = _traffic_by_zone(experiment)
+    total_traffic = sum(traffic_by_zone.values())
     plans = []
     for name, weight in weights.items():
         zone = zone_of[name]
-        zone_weight = sum(other for other_name, other in weights.items() if zone_of[other_name] == zone)
-        rate_per_s = experiment.load.requests_per_s * zone_parts.get(zone, 0.0) / total_parts * weight / zone_weight
+        zone_weight = sum(other_weight for other_name, other_weight in weights.items() if zone_of[other_name] == zone)
+        rate_per_s = (
+            experiment.load.requests_per_s * traffic_by_zone.get(zone, 0.0) / total_traffic * weight / zone_weight
+        )
         plans.append(SidecarPlan(name, zone, rate_per_s))
     return plans
 
@@ -122,11 +124,11 @@
     return {name: float(draw.stream(seed, "traffic", name).gamma(shape)) for name in names}
 
 
-def _zone_parts(experiment: Experiment) -> dict[str, float]:
+def _traffic_by_zone(experiment: Experiment) -> dict[str, float]:
     """Return the relative traffic of each zone that has sidecars."""
     counts = experiment.sidecars.per_zone
-    parts = experiment.load.zones or {zone: float(counts.get(zone, 0)) for zone in experiment.topology.zones}
-    return {zone: part for zone, part in parts.items() if counts.get(zone, 0)}
+    traffic_by_zone = experiment.load.zones or {zone: float(counts.get(zone, 0)) for zone in experiment.topology.zones}
+    return {zone: traffic for zone, traffic in traffic_by_zone.items() if counts.get(zone, 0)}
 
 
 class _Planner:
@@ -254,12 +256,12 @@
     def _add_link_steps(self, scheduled: _ScheduledFault) -> None:
         fault = scheduled.fault
         both_ways = not fault.one_way
-        ends, from_parties = self._link_ends(scheduled)
+        ends, starts_at_parties = self._link_ends(scheduled)
         begin, end = ("loss", "loss") if fault.what == "loss" else ("cut", "mend")
         for parties, sidecars in ends:
             if not parties or not sidecars:
                 continue
-            to_sidecar, to_party = both_ways or from_parties, both_ways or not from_parties
+            to_sidecar, to_party = both_ways or starts_at_parties, both_ways or not starts_at_parties
             steps = ((scheduled.at_us, begin, fault.share or 0.0), (scheduled.until_us, end, 0.0))
             self.plan.links += [
                 LinkStep(at_us, what, parties, sidecars, to_sidecar, to_party, value) for at_us, what, value in steps
@@ -282,12 +284,12 @@
         return [(near_parties, far_sidecars), (far_parties, scheduled.sidecars)], bool(near_parties and far_sidecars)
 
     def _add_unreachable_steps(self, scheduled: _ScheduledFault) -> None:
-        """Add the effects on unreachable upstreams: the list drops them, and those that return cold end."""
+        """Add the effects on unreachable upstreams: the list removes them; those that return cold restart."""
         cold = scheduled.fault.returns == "cold" and scheduled.ends
         for uid in scheduled.upstreams:
             if cold:
-                # The upstream ends after its links are cut: otherwise its connections would be reset. It starts
-                # again when the links work again.
+                # The upstream ends 1 us after its links are cut, because its connections would be reset otherwise.
+                # It starts again when the links work again.
                 self._upstreams[uid].steps += [Step(scheduled.at_us + 1, "vanish"), Step(scheduled.until_us, "boot")]
             self._list_unavailable_upstream(uid, scheduled, self._experiment.directory.silent_notice_s, cold=cold)
 
@@ -328,7 +330,7 @@
 
 
 def _spread_time_us(scheduled: _ScheduledFault, index: int, count: int) -> int:
-    """Return the time of the change number `index` of `count` changes, spread evenly over a fault."""
+    """Return the time of the change at `index` if `count` changes are spread evenly over a fault."""
     return scheduled.at_us + (scheduled.until_us - scheduled.at_us) * index // count
 
 
--- a/garnetusher/model/plan_types.py
+++ b/garnetusher/model/plan_types.py
@@ -1,4 +1,4 @@
-"""The plan of a run, what each node does and when, as plain data that the lab and the model share.
+"""Data types for the plan of a run, which states what each node does and when. The lab and the model share them.
 
 All times are in microseconds from the start of the run.
 """
@@ -8,11 +8,11 @@
 from msgspec import Struct, field
 
 DIRECTORY = "directory"  # the discovery service's name in lists of nodes
-LONG_AGO = -1  # in place of a start time that the endpoint list does not state
+LONG_AGO = -1  # the value of a start time that the endpoint list does not state
 
 
 class Step(Struct):
-    """A planned event of one node. `value` is the factor or the share that some kinds of events have."""
+    """A planned event of one node. Some kinds of events use `value` as a factor or a share."""
 
     at_us: int
     what: str
--- a/garnetusher/model/record_index.py
+++ b/garnetusher/model/record_index.py
@@ -25,12 +25,12 @@
     line_of,
 )
 
-CATCH_UP_US = 300_000  # after a halt a process still responds late, whatever it decides
+CATCH_UP_US = 300_000  # a process may respond late for this long after a halt, regardless of its decisions
 LINK_SETTLE_US = 1_000_000  # the time for connections to be established again after a fault of links or processes
 NEVER_US = 1 << 62  # later than any record
 
 # Faults during which an attempt may leave no record at an upstream.
-FAULTS_WITHOUT_RECORD = frozenset({"cut", "silent", "refuse", "kill", "stop", "loss", "restart"})
+FAULTS_WITH_MISSING_RECORDS = frozenset({"cut", "silent", "refuse", "kill", "stop", "loss", "restart"})
 
 Interval = tuple[int, int]
 """The first and the last microsecond of an interval, both inclusive."""
@@ -56,7 +56,7 @@
         for record in records:
             self._add(record)
         self._halts = {name: _halts(changes) for name, changes in self.process_changes.items()}
-        self._without_record = _intervals_without_record(plan)
+        self._missing_record_intervals = _intervals_with_missing_records(plan)
         self._zones = {sidecar.name: sidecar.zone for sidecar in plan.sidecars}
         self._zones |= {upstream.uid: upstream.zone for upstream in plan.upstreams}
 
@@ -87,7 +87,7 @@
             ):
                 self.responses[record.id].append(record)
             case _:
-                pass  # no rule needs the others
+                pass  # no rule needs the other types of records
 
     def end_of(self, attempt: Attempt) -> UpstreamAttemptEnded | None:
         """Return the record of an attempt's end, or None if there is none."""
@@ -110,7 +110,7 @@
 
     def may_lack_record(self, from_us: int, to_us: int) -> bool:
         """Return whether an attempt within an interval may have left no record at an upstream."""
-        return _any_overlap(self._without_record, from_us, to_us)
+        return _any_overlap(self._missing_record_intervals, from_us, to_us)
 
     def evidence(self, call_id: str, *others: AnyRecord) -> list[str]:
         """Return the lines of all records of a client call, and of other records, in the order of time."""
@@ -151,5 +151,7 @@
     return halts
 
 
-def _intervals_without_record(plan: Plan) -> list[Interval]:
-    return [(span.at_us, span.until_us + LINK_SETTLE_US) for span in plan.spans if span.what in FAULTS_WITHOUT_RECORD]
+def _intervals_with_missing_records(plan: Plan) -> list[Interval]:
+    return [
+        (span.at_us, span.until_us + LINK_SETTLE_US) for span in plan.spans if span.what in FAULTS_WITH_MISSING_RECORDS
+    ]
--- a/garnetusher/model/records.py
+++ b/garnetusher/model/records.py
@@ -117,7 +117,7 @@
     """An upstream has received a complete request.
 
     Attributes:
-        n: The number of the attempt among those of the upstream.
+        n: The number of the attempt, which identifies it at its upstream.
         id: The id of the client call.
         upstream: The upstream.
         sidecar: The sidecar that sent the attempt.
@@ -195,7 +195,7 @@
 
     sidecar: str
     zone: str
-    before: str  # near, doubted, left, returning
+    before: str  # the state before the change: near, doubted, left or returning
     state: str
     why: str
 
@@ -269,7 +269,7 @@
     """Write all records of a run to one file, in the order of time, and return them.
 
     Args:
-        parts: The files of the single processes.
+        parts: The files of the individual processes.
         whole: The file to write.
     """
     records = sorted((record for part in parts for record in read(part)), key=lambda record: record.t)
--- a/garnetusher/model/recovery.py
+++ b/garnetusher/model/recovery.py
@@ -16,8 +16,8 @@
 NORMAL_TOLERANCE = 0.05  # a served share is normal if it is at most this far below the share before the fault
 NEARLY_NORMAL = 0.98  # the threshold of `back_to_098_s`, as a multiple of the served share before the fault
 NORMAL_BINS = 6  # the normal share has to last for 1.5 s
-FIRST_BINS = 2  # the first bins of those 1.5 s have to be near the normal share without the others too
-DIP_BINS = 8  # the window of `second_dip`, 2 s; half of the dips in shorter windows are random
+FIRST_BINS = 2  # the first bins of those 1.5 s also have to be near the normal share on their own
+DIP_BINS = 8  # the window of `second_dip`, 2 s; in shorter windows random variation causes half of the dips
 ABANDONED_BELOW = 0.1  # an abandoned upstream gets at most this share of its attempts before the fault
 ABANDONED_STEP_US = BIN_US // 5
 SMALLEST_WEIGHT = 1e-9  # prevents a division by zero
@@ -90,35 +90,35 @@
     if bins.offered[before].sum() <= 0:
         return {}
     found: dict[str, float] = {}
-    usual = bins.served[before].sum() / bins.offered[before].sum()
+    usual_share = bins.served[before].sum() / bins.offered[before].sum()
     fault_ends = fault_end_us < run_end_us
     from_us = fault_end_us if fault_ends else fault_begin_us
-    normal = bins.first_normal(usual - NORMAL_TOLERANCE, from_us // BIN_US)
-    if normal is not None:
-        found["back_to_normal_s"] = max(0.0, normal * BIN_US - from_us) / 1e6
-    nearly = bins.first_normal(NEARLY_NORMAL * usual, from_us // BIN_US)
-    if nearly is not None and from_us == fault_end_us:
-        found["back_to_098_s"] = max(0.0, nearly * BIN_US - from_us) / 1e6
-        found["second_dip"] = max(0.0, usual - bins.lowest_share(nearly))
+    normal_bin = bins.first_normal(usual_share - NORMAL_TOLERANCE, from_us // BIN_US)
+    if normal_bin is not None:
+        found["back_to_normal_s"] = max(0.0, normal_bin * BIN_US - from_us) / 1e6
+    nearly_normal_bin = bins.first_normal(NEARLY_NORMAL * usual_share, from_us // BIN_US)
+    if nearly_normal_bin is not None and from_us == fault_end_us:
+        found["back_to_098_s"] = max(0.0, nearly_normal_bin * BIN_US - from_us) / 1e6
+        found["second_dip"] = max(0.0, usual_share - bins.lowest_share(nearly_normal_bin))
     return found
 
 
 def _abandon_time_s(plan: Plan, span: Span, records: list[AnyRecord]) -> float | None:
     """Return the time from a fault's start until its upstreams get almost no attempts for the rest of the fault.
 
-    None if the figure does not apply. Failed connection attempts leave no record and do not count.
+    The result is None if the figure does not apply. Failed connection attempts leave no record and do not count.
     """
     upstreams = set(span.parties) & {upstream.uid for upstream in plan.upstreams}
     if not upstreams or len(upstreams) == len(plan.upstreams) or span.what == "restart":
         return None
     times_us = _attempt_times_us(records, upstreams)
     before_us = span.at_us / 2
-    usual = _count_between(times_us, before_us, span.at_us) / max(1, before_us) * BIN_US
-    if usual == 0:
+    usual_per_bin = _count_between(times_us, before_us, span.at_us) / max(1, before_us) * BIN_US
+    if usual_per_bin == 0:
         return None
     for begin_us in range(span.at_us, span.until_us, ABANDONED_STEP_US):
         remaining = _count_between(times_us, begin_us, span.until_us)
-        if remaining <= ABANDONED_BELOW * usual * max(1.0, (span.until_us - begin_us) / BIN_US):
+        if remaining <= ABANDONED_BELOW * usual_per_bin * max(1.0, (span.until_us - begin_us) / BIN_US):
             return (begin_us - span.at_us) / 1e6
     return (span.until_us - span.at_us) / 1e6
 
--- a/garnetusher/model/request_outcomes.py
+++ b/garnetusher/model/request_outcomes.py
@@ -11,7 +11,7 @@
 from garnetusher.model.records import AnyRecord, ClientConnectFailed, RequestSent, ResponseReceived
 
 QUOTA_WINDOW_US = 5_000_000  # the window in which a tenant's rate is measured
-QUOTA_TOLERANCE = 1.25  # random variation alone takes a small tenant over its rate in some windows
+QUOTA_TOLERANCE = 1.25  # a factor, because random variation alone makes a small tenant exceed its quota
 STATUS_OK = 200
 
 
--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -14,7 +14,7 @@
 from garnetusher.model.plan import Plan
 from garnetusher.model.records import AnyRecord
 
-MAX_LATE_SHARE = 0.01  # a run in which more of the lab's own timers were late is invalid
+MAX_LATE_SHARE = 0.01  # a run is invalid if more than this share of the lab's own timers was late
 
 
 class Expectation(Struct):
@@ -24,7 +24,7 @@
     bound: str
     figure: float | None  # None: the run provided nothing to measure
     held: bool
-    open: bool = False  # whether the bound is a goal not reached yet, which fails no run
+    open: bool = False  # whether the bound is a goal that is not reached yet; missing it does not fail the run
 
 
 class Result(Struct):
--- a/tests/experiment.py
+++ b/tests/experiment.py
@@ -47,6 +47,7 @@
 
 
 def text(seconds: float = 3, upstreams: int = 3, load: float = 120, machine: str = "", more: str = "") -> str:
+    """Return an experiment file; `machine` is added to its `[upstreams]`, and `more` to its end."""
     return SMALL.format(seconds=seconds, upstreams=upstreams, load=load, machine=machine, more=more)
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -43,7 +43,7 @@
             self.open_jobs.discard(job)
             self.ended.add(job)
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def record_ended_jobs(self, actions: list[Action]) -> None:
         for action in actions:
             self.end(action.lost_jobs if isinstance(action, MachineCrashed) else [action.job])
 
@@ -51,15 +51,15 @@
         if step == "arrive":
             self.last_job += 1
             self.open_jobs.add(self.last_job)
-            self.carry_out(self.machine.arrive(now_us, self.last_job, work_us))
+            self.record_ended_jobs(self.machine.arrive(now_us, self.last_job, work_us))
         elif step == "cancel" and self.open_jobs:
             job = min(self.open_jobs)
-            self.carry_out(self.machine.cancel(now_us, job))
+            self.record_ended_jobs(self.machine.cancel(now_us, job))
             self.open_jobs.discard(job)
         elif step in ("hang", "resume"):
-            self.carry_out(self.machine.set_hung(now_us, step == "hang"))
+            self.record_ended_jobs(self.machine.set_hung(now_us, step == "hang"))
         elif step == "slow":
-            self.carry_out(self.machine.slow_down(now_us, 3.0))
+            self.record_ended_jobs(self.machine.slow_down(now_us, 3.0))
         elif step == "die":
             self.end(self.machine.terminate(now_us))
         elif step == "boot" and self.machine.down:
@@ -73,7 +73,7 @@
     machine, now_us = ledger.machine, 0
     for step, wait_us, work_us in [*steps, ("resume", 0, 1), ("wait", 10**9, 1)]:
         now_us += wait_us
-        ledger.carry_out(machine.wakeup(now_us))
+        ledger.record_ended_jobs(machine.wakeup(now_us))
         ledger.apply(step, now_us, work_us)
         assert machine.job_count == len(ledger.open_jobs)
         assert len(machine.running) <= 2
@@ -167,8 +167,8 @@
     copies = [link.send(i * 100, b"%d" % i) for i in range(5_000)]
     assert 0.17 < sum(not c for c in copies) / 5_000 < 0.23
     assert 0.06 < sum(len(c) == 2 for c in copies) / 5_000 < 0.1
-    order = [data for _, data in sorted((at, data) for c in copies for at, data in c)]
-    assert order != sorted(order, key=int)
+    delivered = [data for _, data in sorted((at, data) for c in copies for at, data in c)]
+    assert delivered != sorted(delivered, key=int)
     conditions.cut = 1
     assert link.send(0, b"x") == []
 
@@ -193,10 +193,10 @@
 def test_plan_stops_and_starts_all_upstreams_when_their_zone_is_killed() -> None:
     config = small(more='[[fault]]\nat_s = 0.5\nfor_s = 1.5\nwhat = "kill"\nwhere = { zone = "b" }')
     run_plan = plan.make(config, 1)
-    lost = [u for u in run_plan.upstreams if u.steps]
-    assert [u.zone for u in lost] == ["b"] * 3
-    assert [(s.at_us, s.what) for s in lost[0].steps] == [(500_000, "die"), (2_000_000, "boot")]
-    changes = [(s.at_us, s.state, s.started_us) for s in run_plan.listed if s.uid == lost[0].uid]
+    killed = [u for u in run_plan.upstreams if u.steps]
+    assert [u.zone for u in killed] == ["b"] * 3
+    assert [(s.at_us, s.what) for s in killed[0].steps] == [(500_000, "die"), (2_000_000, "boot")]
+    changes = [(s.at_us, s.state, s.started_us) for s in run_plan.listed if s.uid == killed[0].uid]
     assert changes == [(1_000_000, "left", plan.LONG_AGO), (2_300_000, "active", 2_000_000)]
     assert run_plan.fault_interval_us == (500_000, 2_000_000)
 
@@ -218,11 +218,11 @@
     )
     run_plan = plan.make(config, 3)
     all_arrivals = [a for s in run_plan.sidecars for a in plan.arrivals(config, run_plan, s)]
-    usual = [a for a in all_arrivals if not 20e6 <= a[0] < 40e6]
-    assert 0.9 < len(usual) / (120 * 40) < 1.1
-    burst = [sum(t == tenant for at, _, t in all_arrivals if 20e6 <= at < 40e6) for tenant in (0, 1)]
-    assert 0.85 < burst[0] / 1200 < 1.15
-    assert 0.9 < burst[1] / 3600 < 1.1
+    arrivals_outside_burst = [a for a in all_arrivals if not 20e6 <= a[0] < 40e6]
+    assert 0.9 < len(arrivals_outside_burst) / (120 * 40) < 1.1
+    counts_in_burst = [sum(t == tenant for at, _, t in all_arrivals if 20e6 <= at < 40e6) for tenant in (0, 1)]
+    assert 0.85 < counts_in_burst[0] / 1200 < 1.15
+    assert 0.9 < counts_in_burst[1] / 3600 < 1.1
 
 
 def test_work_has_its_mean_and_is_the_same_when_drawn_again() -> None:
