--- a/garnetusher/model/plan.py
+++ b/garnetusher/model/plan.py
@@ -210,10 +210,10 @@
     def _add_upstream_steps(self, upstream: UpstreamPlan, scheduled: _ScheduledFault) -> None:
         fault = scheduled.fault
         begin, end = UPSTREAM_STEPS.get(fault.what, (fault.what, fault.what))
-        value, usual = (fault.times, 1.0) if fault.what == "slow" else (fault.share, 0.0)
-        upstream.steps.append(Step(scheduled.at_us, begin, value or 0.0))
+        begin_value, end_value = (fault.times, 1.0) if fault.what == "slow" else (fault.share, 0.0)
+        upstream.steps.append(Step(scheduled.at_us, begin, begin_value or 0.0))
         if scheduled.ends:
-            upstream.steps.append(Step(scheduled.until_us, end, usual))
+            upstream.steps.append(Step(scheduled.until_us, end, end_value))
         if fault.what == "kill":
             self._list_unavailable_upstream(upstream.uid, scheduled, self._experiment.directory.notice_s, cold=True)
 
--- a/garnetusher/model/records.py
+++ b/garnetusher/model/records.py
@@ -176,7 +176,7 @@
     """A sidecar has called the discovery service."""
 
     sidecar: str
-    what: str  # watch, whole, turned away
+    what: str  # watch, whole (a call for the whole list), or turned away (the service rejected the call)
 
 
 # The lab
--- a/garnetusher/model/request_state.py
+++ b/garnetusher/model/request_state.py
@@ -40,7 +40,7 @@
     written: bool = False
     ended: bool = False
     upstream_attempt_id: int = 0  # the attempt's number at the upstream
-    abandoned: bool = False
+    abandoned: bool = False  # whether the sidecar has cancelled the attempt, even before it sent the request
 
 
 @dataclass(slots=True)
--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -38,8 +38,8 @@
     expectations: list[Expectation]
     broken: list[Breach]
     events: int  # the number of events that the lab or the simulation has processed
-    cores: dict[str, list[int]] = {}  # the CPU cores that the lab assigned
-    tree: str = ""
+    cores: dict[str, list[int]] = {}  # the CPU cores that the lab assigned to itself and to the sidecars
+    tree: str = ""  # the path of the source tree that the lab ran
     digest: str = ""  # the digest of a run in virtual time; equal for the same seed and code
 
     @property
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -40,7 +40,7 @@
     assert figures["false_leaves"] == 1
     assert figures["zones_left"] == 1
     assert figures["zone_return_s"] == pytest.approx(3.0)
-    # Each time lasts until the next change or the end of the run at 32 s; the 18 pairs are those of 6 sidecars and 3 zones.
+    # A state lasts until the next change or the run's end at 32 s. There are 18 pairs of 6 sidecars and 3 zones.
     assert figures["zone_state_s.left"] == pytest.approx((10.8 + 23.4 + 21 + 20) / 18)
 
 
