--- a/garnetusher/model/result.py
+++ b/garnetusher/model/result.py
@@ -14,7 +14,7 @@
 from garnetusher.model.plan import Plan
 from garnetusher.model.records import AnyRecord
 
-MAX_LATE_SHARE = 0.01  # a run in which more of the lab's own timers were late is invalid
+MAX_LATE_SHARE = 0.01  # a run is invalid if more than this share of the lab's own timers was late
 
 
 class Expectation(Struct):
@@ -24,7 +24,7 @@
     bound: str
     figure: float | None  # None: the run provided nothing to measure
     held: bool
-    open: bool = False  # whether the bound is a goal not reached yet, which fails no run
+    open: bool = False  # whether the bound is a goal that is not reached yet; missing it does not fail the run
 
 
 class Result(Struct):
@@ -38,8 +38,8 @@
     expectations: list[Expectation]
     broken: list[Breach]
     events: int  # the number of events that the lab or the simulation has processed
-    cores: dict[str, list[int]] = {}  # the CPU cores that the lab assigned
-    tree: str = ""
+    cores: dict[str, list[int]] = {}  # the CPU cores that the lab assigned to itself and to the sidecars
+    tree: str = ""  # the path of the source tree that the lab ran
     digest: str = ""  # the digest of a run in virtual time; equal for the same seed and code
 
     @property
