--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -321,14 +321,14 @@
             if isinstance(action, JobFinished):
                 self._finish(action)
             elif isinstance(action, JobRejected):
-                if action.job in self._attempts:
-                    self._respond(self._attempts[action.job], NOT_RUN_RESPONSE, "turned_away")
+                if action.job_id in self._attempts:
+                    self._respond(self._attempts[action.job_id], NOT_RUN_RESPONSE, "turned_away")
             elif isinstance(action, MachineCrashed):
                 self._crash(action)
         self._set_timer()
 
     def _finish(self, action: JobFinished) -> None:
-        attempt = self._attempts.get(action.job)
+        attempt = self._attempts.get(action.job_id)
         if attempt is None:
             return
         if self._error_share and self._random.random() < self._error_share:
--- a/garnetusher/model/client.py
+++ b/garnetusher/model/client.py
@@ -10,7 +10,7 @@
 
 
 class Client:
-    """The clients of one sidecar; all their random draws come from a generator of their own."""
+    """The clients of one sidecar; all their random draws come from one generator, which nothing else uses."""
 
     def __init__(self, experiment: Experiment, seed: int, sidecar: str) -> None:
         self._classes = experiment.classes
@@ -44,7 +44,7 @@
             now_us: The current time.
             class_index: The request class; an idempotent request is retried after any failure.
             retry_index: The retry number of the failed call; 0 is the first call.
-            first_due_us: The scheduled time of the first call, from which the request deadline counts.
+            first_due_us: The scheduled time of the first call; the request deadline is relative to this time.
             safe_to_retry: Whether the answer states that the request did not run.
             retry_after_us: The answer's Retry-After delay; 0 if the answer has none.
 
--- a/garnetusher/model/client_node.py
+++ b/garnetusher/model/client_node.py
@@ -31,7 +31,7 @@
         self._sidecar = sidecar
         self._client = Client(simulation.experiment, simulation.plan.seed, plan.name)
         self._arrivals: Iterator[tuple[int, int, int]] = iter(arrivals(simulation.experiment, simulation.plan, plan))
-        self._requests = 0
+        self._request_count = 0
         self.active = False
         self.skipped_requests = 0
 
@@ -81,8 +81,8 @@
         if not self.active:
             self.skipped_requests += 1
             return
-        self._requests += 1
-        request_id = f"{self._sidecar.name}.{self._requests}"
+        self._request_count += 1
+        request_id = f"{self._sidecar.name}.{self._request_count}"
         self._start_call(ClientCall(request_id, request_id, class_index, tenant_index, due_us, retry_index=0))
 
     def _retry(self, call: ClientCall) -> None:
@@ -122,8 +122,8 @@
         self.call_failed(call, safe_to_retry=False, retry_after_us=0)
 
     def _check_answered(self, call: ClientCall) -> None:
-        """Record a call that its sidecar has not answered."""
-        if self._sidecar.unanswered(call) is not None:
+        """Record a call that its sidecar has not answered even after the wait for late answers."""
+        if self._sidecar.find_unanswered(call) is not None:
             self._simulation.record(ResponseMissing(self._clock.now_us, call.call_id, self._sidecar.name))
 
     def _disconnect(self, call: ClientCall) -> None:
--- a/garnetusher/model/clock.py
+++ b/garnetusher/model/clock.py
@@ -28,13 +28,13 @@
         self.now_us = 0
         self.events = 0
         self._queue: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
-        self._scheduled = 0
+        self._scheduled_count = 0
         self._digest = xxhash.xxh64()
 
     def at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> None:
         """Schedule a callback; a callback whose time has passed runs at the current instant."""
-        self._scheduled += 1
-        heapq.heappush(self._queue, (max(at_us, self.now_us), self._scheduled, callback, arguments))
+        self._scheduled_count += 1
+        heapq.heappush(self._queue, (max(at_us, self.now_us), self._scheduled_count, callback, arguments))
 
     def run(self, until_us: int) -> None:
         """Run all events up to and including a time, and advance the clock to it.
@@ -53,7 +53,7 @@
             callback(*arguments)
         self.now_us = max(self.now_us, until_us)
 
-    def note(self, text: str) -> None:
+    def add_to_digest(self, text: str) -> None:
         """Add a text and the current time to the digest of the run."""
         self._digest.update(f"{self.now_us} {text}\n".encode())
 
--- a/garnetusher/model/discovery_client.py
+++ b/garnetusher/model/discovery_client.py
@@ -16,7 +16,7 @@
     from garnetusher.model.simulation import Simulation
 
 CALL_TIMEOUT_US = 2_500_000  # the call timeout of garnetusher/sidecar/discovery
-WATCH_RETRY_US = 250_000  # the delay before the next call if the policy does not poll
+WATCH_RETRY_US = 250_000  # the delay before a failed call is repeated if the policy does not poll
 ENDPOINT_STATUSES = {
     "active": EndpointStatus.READY,
     "leaving": EndpointStatus.DRAINING,
@@ -25,23 +25,23 @@
 
 
 class EndpointCache:
-    """Endpoints by content, shared by all sidecars to reduce the memory of a large fleet."""
+    """Endpoint objects, shared by all sidecars with equal endpoints to reduce the memory of a large fleet."""
 
     def __init__(self, zones: list[str]) -> None:
         self._zones = zones
         self._endpoints: dict[tuple[int, str, str, int], Endpoint] = {}
 
-    def get(self, endpoint_id: int, step: ListStep) -> Endpoint:
+    def get(self, endpoint_id: int, entry: ListStep) -> Endpoint:
         """Return the endpoint for an entry of the endpoint list."""
-        key = (endpoint_id, step.uid, step.state, step.started_us)
+        key = (endpoint_id, entry.uid, entry.state, entry.started_us)
         known = self._endpoints.get(key)
         if known is not None:
             return known
         endpoint = Endpoint(
             endpoint_id,
-            ENDPOINT_STATUSES[step.state],
-            self._zones.index(step.zone),
-            started_us=0 if step.started_us == LONG_AGO else POLICY_EPOCH_US + step.started_us,
+            ENDPOINT_STATUSES[entry.state],
+            self._zones.index(entry.zone),
+            started_us=0 if entry.started_us == LONG_AGO else POLICY_EPOCH_US + entry.started_us,
         )
         return self._endpoints.setdefault(key, endpoint)
 
@@ -70,12 +70,13 @@
 
     def endpoints(self) -> list[Endpoint]:
         """Return the current endpoint list in full."""
-        return [self._endpoint(step) for step in self._simulation.discovery.entries]
+        return [self._endpoint(entry) for entry in self._simulation.discovery.entries]
 
     def call(self) -> None:
-        """Request the list and its further changes; this call replaces an earlier one."""
+        """Request the list and its subsequent changes; this call replaces an earlier one."""
         self._last_call_id += 1
-        self.watching = not self._polls  # without polling, changes arrive from now on, as from a host's agent
+        # a sidecar that does not poll receives changes from now on, as if from an agent on its host
+        self.watching = not self._polls
         incarnation, call_id = self._sidecar.incarnation, self._last_call_id
         deliver = partial(self._simulation.discovery.handle_call, self._sidecar, incarnation, call_id)
         self._simulation.network.send(DIRECTORY, self._sidecar.name, Direction.TO_NODE, deliver)
@@ -89,10 +90,10 @@
             return
         self.watching = True
         self._answered_call_id = call_id
-        # if calls take no time, the sidecar has started with the current list
+        # the snapshot is unnecessary if calls take no time: the sidecar has started with the current list
         if self._polls or self._simulation.experiment.directory.call_ms:
-            for step in self._simulation.discovery.entries:
-                self._record(step)
+            for entry in self._simulation.discovery.entries:
+                self._record(entry)
             self._sidecar.dispatch(EndpointsUpdated(UpdateKind.SNAPSHOT, self.endpoints()))
 
     def call_failed(self, incarnation: int, call_id: int) -> None:
@@ -101,20 +102,20 @@
             return
         if not self._is_awaited(incarnation, call_id):
             return
-        self._last_call_id += 1  # a late answer is ignored
+        self._last_call_id += 1  # a late answer has an older id and is ignored
         if self._polls:
             self._sidecar.dispatch(EndpointsUpdated(UpdateKind.FAILED))
         else:
             retry_at_us = self._clock.now_us + WATCH_RETRY_US
             self._clock.at(retry_at_us, self._call_again, incarnation, self._last_call_id)
 
-    def entry_changed(self, step: ListStep, incarnation: int) -> None:
+    def entry_changed(self, entry: ListStep, incarnation: int) -> None:
         """Pass a change of one entry to the policy."""
-        if not self._sidecar.runs_or_defers(self.entry_changed, step, incarnation):
+        if not self._sidecar.runs_or_defers(self.entry_changed, entry, incarnation):
             return
         if incarnation == self._sidecar.incarnation:
-            self._record(step)
-            self._sidecar.dispatch(EndpointsUpdated(UpdateKind.DELTA, [self._endpoint(step)]))
+            self._record(entry)
+            self._sidecar.dispatch(EndpointsUpdated(UpdateKind.DELTA, [self._endpoint(entry)]))
 
     def _is_awaited(self, incarnation: int, call_id: int) -> bool:
         return self._is_latest(incarnation, call_id) and self._answered_call_id != call_id
@@ -126,14 +127,14 @@
         if self._is_latest(incarnation, call_id):
             self.call()
 
-    def _endpoint(self, step: ListStep) -> Endpoint:
-        endpoint_id = self._endpoint_ids.get(step.uid)
+    def _endpoint(self, entry: ListStep) -> Endpoint:
+        endpoint_id = self._endpoint_ids.get(entry.uid)
         if endpoint_id is None:
             endpoint_id = len(self._endpoint_ids) + 1
-            self._endpoint_ids[step.uid] = endpoint_id
-            self._uids[endpoint_id] = step.uid
-        return self._simulation.endpoint_cache.get(endpoint_id, step)
+            self._endpoint_ids[entry.uid] = endpoint_id
+            self._uids[endpoint_id] = entry.uid
+        return self._simulation.endpoint_cache.get(endpoint_id, entry)
 
-    def _record(self, step: ListStep) -> None:
-        change = ListUpdateSent(self._clock.now_us, self._sidecar.name, step.uid, step.state, step.started_us)
+    def _record(self, entry: ListStep) -> None:
+        change = ListUpdateSent(self._clock.now_us, self._sidecar.name, entry.uid, entry.state, entry.started_us)
         self._simulation.record(change)
--- a/garnetusher/model/discovery_node.py
+++ b/garnetusher/model/discovery_node.py
@@ -24,7 +24,7 @@
         self._simulation = simulation
         self._clock = simulation.clock
         self._settings = simulation.experiment.directory
-        self._busy_until_us = 0  # when all queued calls will have been answered
+        self._busy_until_us = 0  # when the service has answered all queued calls
         self._entries = {
             upstream.uid: ListStep(0, upstream.uid, upstream.zone, "active")
             for upstream in simulation.plan.upstreams
@@ -45,7 +45,8 @@
         """Change an entry and notify each watching sidecar; the notifications are spread over `spread_ms`."""
         previous = self._entries.get(step.uid)
         if previous is not None and step.started_us == LONG_AGO:
-            step = structs.replace(step, started_us=previous.started_us)  # only a start changes the start time
+            # a change without a start time keeps the previous one
+            step = structs.replace(step, started_us=previous.started_us)
         if step.state == "left":
             self._entries.pop(step.uid, None)
         else:
@@ -58,7 +59,7 @@
             self._clock.at(self._clock.now_us + int(share * spread_us), self._notify, sidecar, step)
 
     def handle_call(self, sidecar: SimulatedSidecar, incarnation: int, call_id: int) -> None:
-        """Queue a call, or reject it if the queue is full; the answer has the list at the time of its arrival."""
+        """Queue a call, or reject it if the queue is full; the list is read when the answer arrives."""
         now_us = self._clock.now_us
         self._simulation.record(DiscoveryCalled(now_us, sidecar.name, "watch"))
         service_us = int(self._settings.call_ms * 1000)
--- a/garnetusher/model/link.py
+++ b/garnetusher/model/link.py
@@ -14,7 +14,7 @@
 RETRANSMIT_US = 200_000  # TCP's minimum retransmission timeout (RFC 6298; common implementations use 200 ms)
 MAX_BACKOFF_US = 3_000_000  # limit of the retransmission timeout, which doubles during a cut
 MAX_REORDER_DELAY_US = 3_000
-UNSCHEDULED_US = -1  # the arrival time of bytes sent during a cut
+UNSCHEDULED_US = -1  # replaces the arrival time of bytes sent during a cut, which is still unknown
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
     def take_arrived(self, now_us: int) -> list[bytes]:
         """Remove and return the data that has arrived at the other end by now, in order."""
         if self.conditions.cut:
-            return []  # data in transit at the start of the cut is lost too, and TCP retransmits it later
+            return []  # data in transit at the start of the cut is lost, and TCP retransmits it after the cut
         arrived: list[bytes] = []
         while self._in_transit and 0 <= self._in_transit[0][0] <= now_us:
             arrived.append(self._in_transit.popleft()[1])
@@ -76,7 +76,10 @@
         return None if arrival_us == UNSCHEDULED_US else arrival_us
 
     def end_cut(self, now_us: int) -> None:
-        """End a cut: TCP's next retransmission, whose backoff has grown during the cut, delivers all held bytes."""
+        """End a cut, and schedule the arrival of all bytes that have not arrived.
+
+        TCP's next retransmission delivers them; its backoff, and so the longest wait, grows with the length of the cut.
+        """
         held_since_us = now_us if self._first_held_us is None else self._first_held_us
         self._first_held_us = None
         backoff_us = min(max(now_us - held_since_us, RETRANSMIT_US), MAX_BACKOFF_US)
--- a/garnetusher/model/network.py
+++ b/garnetusher/model/network.py
@@ -48,7 +48,7 @@
 
     @property
     def cut_either_way(self) -> bool:
-        """Whether a direction is cut, so that no connection can be established."""
+        """Whether at least one direction is cut, so that no connection can be established."""
         return self.cuts_to_node > 0 or self.cuts_to_sidecar > 0
 
     @property
--- a/garnetusher/model/sidecar.py
+++ b/garnetusher/model/sidecar.py
@@ -60,10 +60,10 @@
     """One sidecar: its clients and its current process.
 
     Attributes:
-        up: Whether a process runs; a stopped process counts.
+        up: Whether a process exists; this includes a process that a signal has stopped.
         incarnation: The number of the current process; events scheduled by an earlier process are ignored.
-        pending: The requests without an answer or with attempts in flight, by id.
-        fleet_size: The fleet size that the policy received last; 0 before the first one.
+        pending: The requests that lack a final answer or have attempts in flight, by request id.
+        fleet_size: The last fleet size that the policy received; 0 if it has received none.
     """
 
     def __init__(self, simulation: Simulation, plan: SidecarPlan) -> None:
@@ -84,9 +84,9 @@
         }
         self._fault_handlers: dict[str, Callable[[], None]] = {
             "kill": self._kill,
-            "start": self._start_again,
+            "start": self._spawn,
             "restart": self._restart,
-            "stop": self._stop,
+            "stop": self._pause,
             "cont": self._resume,
         }
         self.name = plan.name
@@ -110,7 +110,7 @@
         self._fault_handlers[step.what]()
 
     def runs_or_defers(self, callback: Callable[..., object], *arguments: object) -> bool:
-        """Return whether the process runs now; if a signal has stopped it, schedule the callback for its resumption."""
+        """Return whether the process runs now; if a signal has stopped it, defer the callback until it resumes."""
         if self._deferred is not None:
             self._deferred.append(_DeferredCall(callback, arguments))
             return False
@@ -154,23 +154,23 @@
         self._record_process("killed")
         self._end()
 
-    def _start_again(self) -> None:
+    def _spawn(self) -> None:
         self._record_process("spawned")
         self._clock.at(self._clock.now_us + START_UP_US, self._start)
 
     def _restart(self) -> None:
-        """Shut down gracefully: clients send no new requests, pending requests are answered; then start again."""
+        """Start again after a graceful shutdown, in which clients send no requests and pending ones are answered."""
         self._record_process("term")
         self.clients.active = False
         end_us = self._clock.now_us + self._simulation.longest_deadline_us
         self._clock.at(end_us, self._end)
         self._clock.at(end_us + START_UP_US, self._start)
 
-    def _stop(self) -> None:
+    def _pause(self) -> None:
         self._record_process("stopped")
         self._deferred = []
         if self._simulation.membership is not None:
-            self._simulation.membership.stop(self.name)
+            self._simulation.membership.pause(self.name)
 
     def _resume(self) -> None:
         self._record_process("continued")
@@ -202,13 +202,13 @@
             )
         )
 
-    def unanswered(self, call: ClientCall) -> PendingRequest | None:
-        """Return the request of a call that has no final answer yet, else None."""
+    def find_unanswered(self, call: ClientCall) -> PendingRequest | None:
+        """Return the request of a call if it has no final answer yet, else None."""
         return next((r for r in self.pending.values() if r.call is call and not r.completed), None)
 
     def client_disconnected(self, call: ClientCall) -> None:
-        """Complete the request of a client that has closed its connection, without an answer."""
-        request = self.unanswered(call)
+        """Complete a request without an answer, because its client has closed the connection."""
+        request = self.find_unanswered(call)
         if request is not None:
             self._complete(request)
             self.dispatch(ClientDisconnected(request.request_id))
@@ -251,7 +251,7 @@
         actions = self.balancer.handle(self._policy_now_us(), event)
         simulation.decision_cpu_ns += simulation.cpu_ns() - began_ns
         for action in actions:
-            self._clock.note(f"{self.name} {digest_text(action)}")
+            self._clock.add_to_digest(f"{self.name} {digest_text(action)}")
             handler = self._action_handlers.get(type(action))
             if handler is not None:
                 handler(action)
--- a/garnetusher/model/sidecar_attempts.py
+++ b/garnetusher/model/sidecar_attempts.py
@@ -28,7 +28,7 @@
         self._idle: dict[str, list[Connection]] = {}
 
     def reset(self) -> None:
-        """Forget all connections for a new process."""
+        """Discard the idle connections of the previous process."""
         self._idle = {}
 
     # Sending
@@ -101,8 +101,8 @@
         attempt.written = True
         uid = connection.upstream
         if self._network.link(uid, self._sidecar.name).is_cut(Direction.TO_NODE):
-            held = AttemptUndelivered(self._clock.now_us, request.call.call_id, uid, self._sidecar.name)
-            self._simulation.record(held)
+            undelivered = AttemptUndelivered(self._clock.now_us, request.call.call_id, uid, self._sidecar.name)
+            self._simulation.record(undelivered)
         self._network.send(
             uid,
             self._sidecar.name,
@@ -127,7 +127,10 @@
         self.end(request, attempt, outcome)
 
     def connections_reset(self, uid: str) -> None:
-        """Reset all connections to an upstream; the sidecar sees the reset after the link's delay."""
+        """Reset all connections to an upstream.
+
+        The sidecar sees the reset after the link's delay, and does not see it if the direction to the sidecar is cut.
+        """
         self.close_idle(uid)
         for request in list(self._sidecar.pending.values()):
             for attempt in request.attempts:
@@ -172,7 +175,10 @@
                 self._close(attempt)
 
     def end(self, request: PendingRequest, attempt: AttemptInFlight, outcome: Outcome) -> None:
-        """End an attempt unless it has ended; the policy receives the event after its current call has returned."""
+        """End an attempt unless it has ended.
+
+        A separate clock event reports the outcome, so that the policy never receives it while it handles another event.
+        """
         if attempt.ended:
             return
         attempt.ended = True
--- a/garnetusher/model/sidecar_membership.py
+++ b/garnetusher/model/sidecar_membership.py
@@ -13,7 +13,7 @@
     from garnetusher.model.simulation import Simulation
 
 FLEET_SIZE_INTERVAL_US = 250_000  # the interval at which a sidecar checks the fleet size
-SEED_MEMBERS = 3  # the first sidecars of the plan are the seeds of every new member
+SEED_MEMBERS = 3  # the number of seeds of a new member, which are the first sidecars of the plan
 
 
 class SidecarMembership:
@@ -22,23 +22,23 @@
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
         self._clock = simulation.clock
-        self._planned = simulation.plan.sidecars
+        self._sidecar_plans = simulation.plan.sidecars
         self.members = Members(simulation.plan.seed, clock=self._clock)
-        for planned in self._planned:
+        for planned in self._sidecar_plans:
             self.members.add(planned.name, planned.zone)
         self.members.is_cut = self._partitioned
         self._clock.at(FLEET_SIZE_INTERVAL_US, self._update_fleet_sizes)
 
     def start(self, name: str) -> None:
         """Start the member of a sidecar's new process."""
-        seeds = [self.members.nodes[planned.name] for planned in self._planned[:SEED_MEMBERS]]
+        seeds = [self.members.nodes[planned.name] for planned in self._sidecar_plans[:SEED_MEMBERS]]
         self.members.start(self.members.nodes[name], seeds)
 
     def kill(self, name: str) -> None:
-        """End a member without notice."""
+        """End a member, which sends no message to the others."""
         self.members.kill(self.members.nodes[name])
 
-    def stop(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         """Pause the member of a process that a signal stops."""
         self.members.pause(self.members.nodes[name])
 
@@ -47,7 +47,10 @@
         self.members.resume(self.members.nodes[name])
 
     def _partitioned(self, first: Node, second: Node) -> bool:
-        """Return whether either sidecar is partitioned; one cut off from discovery counts as cut off from all."""
+        """Return whether two sidecars are partitioned from each other.
+
+        A sidecar that is cut off from discovery in both directions is also cut off from all other sidecars.
+        """
         network = self._simulation.network
         return any(network.link(DIRECTORY, node.name).cut_both_ways for node in (first, second))
 
--- a/garnetusher/model/sidecar_settings.py
+++ b/garnetusher/model/sidecar_settings.py
@@ -9,7 +9,7 @@
 from garnetusher.model.plan import Plan, SidecarPlan
 from garnetusher.policy.settings import RequestClass, Settings, Tenant
 
-POLICY_EPOCH_US = 10**12  # the policy's clock at the start of a run, so that a start time of 0 lies far in the past
+POLICY_EPOCH_US = 10**12  # the policy's time at the start of a run; an upstream that started at 0 is thus long warm
 CONNECT_TIMEOUT_US = 200_000
 POLL_INTERVAL_US = 10_000_000
 MAX_RETRY_AFTER_US = 2_000_000
@@ -57,18 +57,21 @@
 def _request_classes(experiment: Experiment) -> list[RequestClass]:
     return [
         RequestClass(
-            planned.name,
-            int(planned.aim_ms * 1000),
-            int(planned.deadline_ms * 1000),
-            planned.worth,
-            effect=planned.effect,
+            request_class.name,
+            int(request_class.aim_ms * 1000),
+            int(request_class.deadline_ms * 1000),
+            request_class.worth,
+            effect=request_class.effect,
         )
-        for planned in experiment.classes
+        for request_class in experiment.classes
     ]
 
 
 def _optional_settings(experiment: Experiment) -> dict[str, Any]:
-    """Return the settings that the policy of an earlier source tree (`model run --tree`) may lack."""
+    """Return the newer settings, without those that the loaded policy does not have.
+
+    The policy of an earlier source tree (`model run --tree`) may lack some.
+    """
     regions = list(experiment.topology.regions)
     zone_regions = [regions.index(experiment.topology.region_of(zone)) for zone in experiment.topology.zones]
     known = {field.name for field in dataclasses.fields(Settings)}
--- a/garnetusher/model/simulation.py
+++ b/garnetusher/model/simulation.py
@@ -49,13 +49,13 @@
     @property
     def longest_deadline_us(self) -> int:
         """The longest deadline of all request classes."""
-        return max(int(planned.deadline_ms * 1000) for planned in self.experiment.classes)
+        return max(int(request_class.deadline_ms * 1000) for request_class in self.experiment.classes)
 
     def run(self) -> list[AnyRecord]:
-        """Run the plan, and continue until the last answer can have arrived.
+        """Run the plan, and continue for `SETTLE_US` after the last deadline so that late answers arrive.
 
         Returns:
-            All records, in the order of time.
+            All records, sorted by time.
 
         Raises:
             StallError: Virtual time does not advance.
--- a/garnetusher/model/upstream.py
+++ b/garnetusher/model/upstream.py
@@ -23,14 +23,14 @@
 class JobFinished:
     """A job is complete."""
 
-    job: int
+    job_id: int
 
 
 @dataclass(slots=True)
 class JobRejected:
     """A job was rejected because the queue is full or the machine is down."""
 
-    job: int
+    job_id: int
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class _Job:
-    job: int
+    job_id: int
     remaining_us: float  # remaining work in microseconds on a standard core
 
 
@@ -53,7 +53,7 @@
     """One machine; after each event, `next_wakeup_us` returns the time at which to call `wakeup`.
 
     Attributes:
-        started_us: The time of the last start; None if the machine was already warm at the beginning.
+        started_us: The time of the last start; None if the machine was already warm at the start of the run.
         hung: Whether the machine accepts jobs without working on them.
         down: Whether the machine is down and rejects all jobs.
         running: The jobs that occupy a core.
@@ -71,7 +71,7 @@
         self._slowdown = 1.0  # service times are multiplied by this factor during a fault
         self._now_us = 0
         self._degradation = Degradation(settings)
-        self._recent_arrivals: deque[tuple[int, int]] = deque()  # (time, work) in the overload window
+        self._recent_arrivals: deque[tuple[int, int]] = deque()  # (arrival time, work) in the overload window
         self._recent_work_us = 0
 
     @property
@@ -84,26 +84,26 @@
         """Whether a long overload has degraded the machine."""
         return self._degradation.degraded
 
-    def arrive(self, now_us: int, job: int, work_us: int) -> list[Action]:
+    def arrive(self, now_us: int, job_id: int, work_us: int) -> list[Action]:
         """Accept or reject a job whose request has arrived."""
         actions = self.wakeup(now_us)
         if self.down:
-            return [*actions, JobRejected(job)]
+            return [*actions, JobRejected(job_id)]
         crash = self._check_overload(now_us, work_us)
         if crash is not None:
-            return [*actions, crash, JobRejected(job)]
+            return [*actions, crash, JobRejected(job_id)]
         if self._full:
-            return [*actions, JobRejected(job)]
-        self.queue.append(_Job(job, float(work_us)))
+            return [*actions, JobRejected(job_id)]
+        self.queue.append(_Job(job_id, float(work_us)))
         self._start_queued()
         self._update_degradation(now_us)
         return actions
 
-    def cancel(self, now_us: int, job: int) -> list[Action]:
+    def cancel(self, now_us: int, job_id: int) -> list[Action]:
         """Remove a job whose response is no longer needed."""
         actions = self.wakeup(now_us)
-        self.running = [other for other in self.running if other.job != job]
-        self.queue = deque(other for other in self.queue if other.job != job)
+        self.running = [other for other in self.running if other.job_id != job_id]
+        self.queue = deque(other for other in self.queue if other.job_id != job_id)
         self._start_queued()
         self._update_degradation(now_us)
         return actions
@@ -121,7 +121,8 @@
                 self._update_degradation(now_us)
                 break
             self._advance(now_us - self._now_us)
-            self._update_degradation(self._now_us)  # with the jobs that the machine held during this step
+            # the load of this step includes the jobs that finish at its end
+            self._update_degradation(self._now_us)
             actions.extend(self._take_finished())
         return actions
 
@@ -149,16 +150,16 @@
         return actions
 
     def terminate(self, now_us: int) -> list[int]:
-        """End the process, and return the lost jobs."""
+        """End the process, and return the ids of the lost jobs."""
         self.wakeup(now_us)
-        lost_jobs = [job.job for job in (*self.running, *self.queue)]
+        lost_jobs = [job.job_id for job in (*self.running, *self.queue)]
         self.running = []
         self.queue.clear()
         self.down = True
         return lost_jobs
 
     def boot(self, now_us: int) -> None:
-        """Start the process again, at the beginning of slow start."""
+        """Start the process again; slow start begins."""
         self._now_us = now_us
         self.started_us = now_us
         self.down = False
@@ -180,7 +181,7 @@
         return queue_full and len(self.running) >= settings.cores
 
     def _advance(self, max_us: int) -> None:
-        """Work until the first job finishes, for at most `max_us`."""
+        """Advance until the first job finishes, by at most `max_us` (`MAX_WARM_UP_STEP_US` after a start)."""
         step_us = max_us
         if self.started_us is not None:
             step_us = min(step_us, MAX_WARM_UP_STEP_US)
@@ -192,7 +193,7 @@
             job.remaining_us -= step_us * rate
 
     def _take_finished(self) -> list[Action]:
-        finished: list[Action] = [JobFinished(job.job) for job in self.running if job.remaining_us < 1]
+        finished: list[Action] = [JobFinished(job.job_id) for job in self.running if job.remaining_us < 1]
         if finished:
             self.running = [job for job in self.running if job.remaining_us >= 1]
             self._start_queued()
@@ -204,7 +205,7 @@
             self.running.append(self.queue.popleft())
 
     def _rate(self, now_us: int) -> float:
-        """Return the work per core and microsecond of service."""
+        """Return the work that each core completes per microsecond, in microseconds on a standard core."""
         settings = self._settings
         excess_jobs_per_core = max(0.0, self.job_count / settings.cores - settings.thrash_at)
         slowdown = self._slowdown * (settings.choke_times if self.degraded else 1.0)
@@ -224,7 +225,7 @@
         self._degradation.update(now_us, self.job_count / self._settings.cores)
 
     def _check_overload(self, now_us: int, work_us: int) -> MachineCrashed | None:
-        """Crash if too much work has arrived during slow start; rejected work counts too."""
+        """Crash the machine if too much work has arrived during slow start; rejected work counts too."""
         if self.started_us is None or self._warm_up_fraction(now_us) >= 1.0:
             self._recent_arrivals.clear()
             return None
--- a/garnetusher/model/upstream_node.py
+++ b/garnetusher/model/upstream_node.py
@@ -45,7 +45,7 @@
         self._last_attempt_id = 0
         self._vanished = False
         self._error_share = self._settings.error_share
-        self._errors_on_arrival = False  # during a fault, error responses are sent on arrival
+        self._errors_on_arrival = False  # whether a fault makes requests fail on arrival, before any work
         self._reset_share = 0.0
         self._wakeup_at_us = -1
         self._fault_handlers: dict[str, Callable[[Step], None]] = {
@@ -75,7 +75,7 @@
         self._simulation.record(UpstreamChanged(self._clock.now_us, self.uid, step.what))
 
     def _die(self, step: Step) -> None:
-        self._crash(self._machine.terminate(self._clock.now_us))
+        self._refuse_and_reset(self._machine.terminate(self._clock.now_us))
 
     def _vanish(self, step: Step) -> None:
         """End the process during a partition, so that the sidecars see no connection close."""
@@ -108,13 +108,17 @@
         self._reset_share = step.value
 
     def _refuse(self, step: Step) -> None:
-        self._crash([])
+        self._refuse_and_reset([])
 
     def _accept(self, step: Step) -> None:
         self.refusing = False
 
-    def _crash(self, lost_jobs: list[int]) -> None:
-        """Refuse new connections from now on, and reset all open ones."""
+    def _refuse_and_reset(self, lost_jobs: list[int]) -> None:
+        """Refuse new connections from now on, drop the lost jobs, and reset all open connections.
+
+        Args:
+            lost_jobs: The ids of the jobs to drop; if the list is empty, all jobs are dropped.
+        """
         self.refusing = True
         for attempt_id in lost_jobs or list(self._jobs):
             self._end_job(attempt_id, "dropped")
@@ -163,6 +167,7 @@
             self._end_job(attempt_id, "cancelled")
 
     def _work_us(self, request: PendingRequest) -> int:
+        """Return the work of a request, which is equal for the first call and all retries of the client."""
         request_class = self._simulation.experiment.classes[request.call.class_index]
         first_call_id = ".".join(request.call.call_id.split(".")[:2])
         return draw.work_us(self._simulation.plan.seed, first_call_id, request_class.work_ms, request_class.work_cv)
@@ -181,17 +186,17 @@
         for action in actions:
             if isinstance(action, MachineCrashed):
                 self._simulation.record(UpstreamChanged(self._clock.now_us, self.uid, "fell_over"))
-                self._crash(action.lost_jobs)
-            elif action.job in self._jobs:
+                self._refuse_and_reset(action.lost_jobs)
+            elif action.job_id in self._jobs:
                 self._finish(action)
         self._schedule_wakeup()
 
     def _finish(self, action: JobFinished | JobRejected) -> None:
         if isinstance(action, JobRejected):
-            self._respond(action.job, Outcome.OVERLOADED)
+            self._respond(action.job_id, Outcome.OVERLOADED)
             return
         failed = self._error_share > 0 and self._rng.random() < self._error_share
-        self._respond(action.job, Outcome.ERROR if failed else Outcome.OK)
+        self._respond(action.job_id, Outcome.ERROR if failed else Outcome.OK)
 
     def _schedule_wakeup(self) -> None:
         at_us = self._machine.next_wakeup_us()
@@ -216,9 +221,9 @@
             lambda: job.sidecar.attempts.response_arrived(job.request, job.attempt, outcome, self.uid),
         )
 
-    def _end_job(self, attempt_id: int, how: str) -> None:
+    def _end_job(self, attempt_id: int, end_kind: str) -> None:
         job = self._jobs.pop(attempt_id, None)
         if job is not None:
             call_id = job.request.call.call_id
-            ended = UpstreamAttemptEnded(self._clock.now_us, attempt_id, call_id, self.uid, job.sidecar.name, how)
+            ended = UpstreamAttemptEnded(self._clock.now_us, attempt_id, call_id, self.uid, job.sidecar.name, end_kind)
             self._simulation.record(ended)
--- a/garnetusher/model/upstream_overload.py
+++ b/garnetusher/model/upstream_overload.py
@@ -4,7 +4,7 @@
 
 from garnetusher.model.experiment import Upstreams
 
-OVERLOAD_BUDGET_TOLERANCE = 1.1  # tolerance for random bursts beyond the exact budget
+OVERLOAD_BUDGET_TOLERANCE = 1.1  # the exact budget is multiplied by this factor to tolerate random bursts
 
 
 class Degradation:
@@ -15,7 +15,7 @@
         self._enabled = settings.choke_times > 1
         self._degraded_since_us: int | None = None
         self._overloaded_since_us: int | None = None
-        self._idle_since_us: int | None = None  # the start of the mostly idle time while degraded
+        self._idle_since_us: int | None = None  # when the load of a degraded machine last fell to `choke_below`
 
     @property
     def degraded(self) -> bool:
@@ -57,10 +57,10 @@
 
 
 def overload_budget_us(settings: Upstreams, speed: float, started_us: int, now_us: int) -> float:
-    """Return the most work that a machine in slow start can receive without a crash, in the overload window ending now.
+    """Return how much work a machine in slow start can receive during the overload window without a crash.
 
     The budget is the overload factor times the machine's capacity over the window, with a tolerance for random bursts.
-    The time before the start counts with the capacity at the start (rule 4 in the protocol page).
+    For the part of the window before the start, the capacity at the start applies (rule 4 in the protocol page).
 
     Args:
         settings: The settings of the machine.
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -45,7 +45,7 @@
 
     def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            self.end(action.lost_jobs if isinstance(action, MachineCrashed) else [action.job])
+            self.end(action.lost_jobs if isinstance(action, MachineCrashed) else [action.job_id])
 
     def apply(self, step: str, now_us: int, work_us: int) -> None:
         if step == "arrive":
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Simulation runs: reproducible from their seed, without broken rules, and protected against a stalled clock."""
+"""Simulation runs: a seed determines the result, no rule is broken, and the clock reports stalled virtual time."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 }
 
 
-def model_run(hash_seed: int, *arguments: str) -> list[dict[str, object]]:
+def run_model(hash_seed: int, *arguments: str) -> list[dict[str, object]]:
     environment = os.environ | {"PYTHONHASHSEED": str(hash_seed)}
     completed = subprocess.run(
         [sys.executable, "-m", "garnetusher", "model", "run", *arguments, "--json"],
@@ -54,8 +54,8 @@
 def test_run_with_the_same_seed_is_equal_in_another_process(tmp_path: Path) -> None:
     file = tmp_path / "experiment.toml"
     file.write_text(text(more="[[fault]]\nat_s = 1\nfor_s = 1\n" + FAULTS["silent"]))
-    single = model_run(1, str(file), "--seed", "2")
-    several = model_run(77, str(file), "--seeds", "1:3")
+    single = run_model(1, str(file), "--seed", "2")
+    several = run_model(77, str(file), "--seeds", "1:3")
     assert [d["seed"] for d in several] == [1, 2, 3]
     assert len({d["digest"] for d in several}) == 3
     assert {k: v for k, v in several[1].items() if k != "took_s"} == {
@@ -83,7 +83,8 @@
 
 
 @pytest.mark.parametrize("policy", [name for name in baselines.POLICY_NAMES if name != baselines.OWN_POLICY])
-def test_baseline_policy_keeps_the_rules_when_upstreams_are_warm(policy: str) -> None:
+def test_baseline_policy_keeps_the_rules_when_one_direction_is_cut(policy: str) -> None:
+    # all upstreams stay warm, because the fault restarts none
     config = small(seconds=4, more=f"[[fault]]\nat_s = 1\nfor_s = 1\n{FAULTS['one way']}")
     config.sidecars.policy = policy  # type: ignore[assignment]
     run_plan = plan.make(config, 1)
@@ -128,12 +129,12 @@
     counts = {}
     for mode, call_ms, max_waiting in (("pushed", 0, 22), ("on_request", 40, 22), ("pushed", 400, 1)):
         directory = structs.replace(config.directory, mode=mode, call_ms=call_ms, calls_waiting=max_waiting)
-        busy = scaled(structs.replace(config, directory=directory), 10, sidecars_only=True)
-        run_plan = plan.make(busy, 1)
-        records = Simulation(busy, run_plan).run()
-        assert checker.check(busy, run_plan, records) == []
+        larger = scaled(structs.replace(config, directory=directory), 10, sidecars_only=True)
+        run_plan = plan.make(larger, 1)
+        records = Simulation(larger, run_plan).run()
+        assert checker.check(larger, run_plan, records) == []
         counts[mode, call_ms] = sum(isinstance(r, DiscoveryCalled) for r in records)
-    assert counts["pushed", 0] == 20  # one call per process
+    assert counts["pushed", 0] == 20  # one call per process: each of the 10 sidecars is killed and started again
     # a polling policy spreads its calls over seconds; a rejected watch is retried until it succeeds
     assert 10 <= counts["on_request", 40] <= 20
     assert counts["pushed", 400] > 40
