--- a/garnetusher/model/baselines.py
+++ b/garnetusher/model/baselines.py
@@ -1,9 +1,9 @@
 """Well-known load-balancing policies, with which the product's own policy is compared on the same random draws.
 
 Each baseline follows the rules: one answer for each request, no unsafe retry, no new attempt on a draining upstream.
-It knows the endpoint list and its own attempts in flight, and it retries requests that may be repeated while attempts
-and time remain. No baseline queues or sheds a request before an attempt has failed, and none knows that an upstream is
-warming up. A fleet with a baseline may therefore overload an upstream, which the checker then reports.
+It knows the endpoint list and its own attempts in flight, and it retries requests that are safe to repeat while
+attempts and time remain. No baseline queues or sheds a request before an attempt has failed, and none knows that an
+upstream is warming up. A fleet with a baseline can therefore overload an upstream, which the checker then reports.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Policy(Protocol):
-    """A policy, which decides on the requests of one sidecar."""
+    """A load-balancing policy for the requests of one sidecar."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         """Return the actions that follow from an event."""
@@ -125,7 +125,7 @@
         return may_repeat and attempts_left and now_us < request.event.deadline_us
 
     def _finish(self, request_id: int) -> list[Action]:
-        """Give the final answer to a request that was not served; shed it only if a retry is safe."""
+        """Shed a request that was not served if a retry is safe; otherwise fail it."""
         request = self._requests.pop(request_id)
         not_executed = all(outcome in NOT_EXECUTED for outcome in request.outcomes)
         if not_executed or self._class_of(request).effect == "idempotent":
--- a/garnetusher/model/explore/__init__.py
+++ b/garnetusher/model/explore/__init__.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct, structs
 
-MAX_SHRINK_RUNS = 3000  # limits how often one schedule is run while it is shrunk
+MAX_SHRINK_RUNS = 3000  # limit on the trial runs that shrink one schedule
 
 
 class Step(Struct, frozen=True, array_like=True):
@@ -54,7 +54,7 @@
     Attributes:
         rule: The name of the rule.
         text: A description of the violation.
-        step: The index of the step after which the rule did not hold; the number of steps if this was found at the end.
+        step: The index of the step after which the rule did not hold; the number of steps if the final check found it.
     """
 
     rule: str
@@ -99,7 +99,7 @@
 
 
 def explore(part: Part, seeds: Iterable[int], steps: int) -> Iterator[tuple[int, FailingSchedule | None]]:
-    """Run the schedule of each seed; yield each seed and its failure after shrinking, or None."""
+    """Run the schedule of each seed; yield each seed with its shrunk failing schedule, or with None."""
     for seed in seeds:
         schedule = part.draw(seed, steps)
         broken = part.run(schedule)
@@ -132,7 +132,7 @@
         self._runs = 0
 
     def run(self) -> None:
-        """Repeat all reductions until none of them helps or the limit on runs is reached."""
+        """Repeat all reductions until none of them is accepted or the limit on runs is reached."""
         previous_best = None
         while previous_best != self.best and self._runs < MAX_SHRINK_RUNS:
             previous_best = self.best
@@ -167,7 +167,7 @@
 
     def _reduce_numbers(self) -> None:
         index = 0
-        while index < len(self.best.steps):  # an accepted schedule has fewer steps if it breaks earlier
+        while index < len(self.best.steps):  # the list gets shorter if the rule breaks at an earlier step
             step = self.best.steps[index]
             smaller_steps = (
                 Step(step.what),
--- a/garnetusher/model/explore/membership.py
+++ b/garnetusher/model/explore/membership.py
@@ -16,8 +16,8 @@
 from garnetusher.model.explore import BrokenRule, Schedule, Step
 from garnetusher.model.members import SETTLE_US, Members, Node
 
-SEED_NODES = 2  # the first nodes of the list, through which all nodes join
-CONVERGENCE_US = 20_000_000  # more than twice the longest wait of a joining member between two attempts
+SEED_NODES = 2  # number of nodes, from the start of the list, that all nodes use as seeds
+CONVERGENCE_US = 20_000_000  # more than twice the longest pause between two attempts to join
 MAX_TOTAL_SHARE = 1.0001  # the shares of a limit may add up to one, plus a margin for rounding
 HOUR_US = 3_600_000_000
 MAX_ARGUMENT = 1000  # exclusive limit of the numbers that are drawn for a step
@@ -82,7 +82,7 @@
             schedule_run.check_convergence()
         except RuleBrokenError as broken:
             return BrokenRule(broken.rule, str(broken), completed)
-        except Exception as error:  # an exception of any type would end the process
+        except Exception as error:  # any exception counts as a failure, since it would end the process
             return BrokenRule(f"crash: {type(error).__name__}", repr(error), completed)
         return None
 
@@ -97,7 +97,7 @@
                 lines += schedule_run.new_log_lines()
                 schedule_run.check_rules()
             schedule_run.check_convergence()
-        except Exception as error:  # the broken rule or the crash, which the caller wants to see
+        except Exception as error:  # the last line reports the broken rule or the crash
             lines += [*schedule_run.new_log_lines(), f"    {type(error).__name__}: {error}"]
         return lines
 
@@ -126,9 +126,9 @@
         self._one_way_cuts: set[tuple[str, str]] = set()
         self._split_sides: dict[str, int] = {}  # side of each node in a network split, by name
         self._divided_since_us = 0  # when a cut or split began; 0 = all nodes are connected
-        self._excess_expected = False  # whether a node may not know of another one that uses a share
+        self._excess_expected = False  # whether a node is possibly unaware of another one that uses a share
         self._limits_checked_from_us = 0
-        # stored schedules contain the names of steps
+        # The names of the steps are part of stored schedules and must not change.
         self._handlers: dict[str, Callable[[int, int], None]] = {
             "advance": self._advance,
             "kill": self._kill,
@@ -178,7 +178,7 @@
         self.members.kill(node)
         read_persisted = persisted_number % 4 > 0
         if not read_persisted:
-            # without its persisted state a node may start with a lower value
+            # a node without its persisted state may start with a lower (generation, incarnation)
             self._highest_incarnations.pop(node.name, None)
             node.persisted = None
         self.members.start(node, self._nodes[:SEED_NODES], read_persisted=read_persisted)
@@ -216,7 +216,7 @@
         self._suspend_limits()
 
     def _skew_clock(self, node_number: int, hours: int) -> None:
-        """Set the offset of the wall clock, which determines generations, to at most a day in either direction."""
+        """Offset a node's wall clock by at most a day in either direction; generations derive from this clock."""
         self.members.clock_skew_us[self._node(node_number).name] = (hours % 48 - 24) * HOUR_US
 
     def _send_garbage(self, node_number: int, garbage_number: int) -> None:
@@ -253,21 +253,21 @@
     def _check_limits(self) -> None:
         members, now_us = self.members, self.members.clock.now_us
         fleet_sizes = [(node.name, members.fleet_size(node).instances) for node in members.present_nodes()]
-        total = sum(1 / fleet_size for _, fleet_size in fleet_sizes)
+        total_share = sum(1 / fleet_size for _, fleet_size in fleet_sizes)
         present_since = [node.require_member().present_since_us for node in members.present_nodes()]
         if self._is_divided and self._division_hides_members(present_since):
             self._excess_expected = True
         is_settled = all(now_us - since_us >= 2 * SETTLE_US for since_us in present_since)
         is_checked = now_us >= self._limits_checked_from_us and is_settled and not self._excess_expected
-        if is_checked and total > MAX_TOTAL_SHARE:
+        if is_checked and total_share > MAX_TOTAL_SHARE:
             raise RuleBrokenError(
-                rule="limits", text=f"shares of a limit add up to {total:.2f}; fleet sizes: {fleet_sizes}"
+                rule="limits", text=f"shares of a limit add up to {total_share:.2f}; fleet sizes: {fleet_sizes}"
             )
 
     def _division_hides_members(self, present_since: list[int]) -> bool:
         """Return whether nodes may stop counting running nodes, or may never have counted them, because of a division.
 
-        This is the case if the division lasts longer than failed members are still counted, or if a node has joined
+        This is the case if the division has lasted as long as failed members are still counted, or if a node has joined
         during the division or shortly before it.
         """
         if self.members.clock.now_us - self._divided_since_us >= HOLD_FAILED_US:
--- a/garnetusher/model/explore/module.py
+++ b/garnetusher/model/explore/module.py
@@ -2,7 +2,7 @@
 
 The host in garnetusher/model/contract.py checks the rules, the slots, the timers, and that each request has exactly one
 answer. The numbers of a step select from what exists when the step runs, such as the third outstanding attempt or the
-fifth upstream. The remaining steps therefore keep a meaning when the shrinker removes some.
+fifth upstream. The remaining steps therefore stay valid when the shrinker removes some.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 OUTCOMES = [outcome for outcome in Outcome if outcome is not Outcome.TIMEOUT]
 STATUSES = list(EndpointStatus)
 WARM_UP_US = 20_000_000
-FINAL_ADVANCE_US = 6_000_000  # after the last step; longer than any request may wait
+FINAL_ADVANCE_US = 6_000_000  # time that passes after the last step; longer than any request may wait
 # Weights of the steps. Each seed chooses one set, so that some schedules have many faults and others have few.
 STEP_WEIGHTS: list[dict[str, int]] = [
     {"arrive": 50, "end": 40, "advance": 10, "list": 2, "restart": 1, "quit": 1, "stream": 1},
@@ -55,7 +55,7 @@
     {"arrive": 60, "fault": 40, "advance": 10, "restart": 2},  # all attempts fail
     {"arrive": 30, "end": 25, "advance": 15, "order": 5, "retune": 5, "fleet": 4, "whole": 8, "passed": 4, "list": 2},
     {"arrive": 30, "end": 25, "advance": 20, "sleep": 3, "stream": 10, "quit": 5, "fault": 10},
-    # clients that half-close their connections, and deadlines that move closer, as at the end of the process
+    # clients that half-close their connections, and deadlines that move closer, as during a shutdown
     {"arrive": 40, "end": 15, "advance": 20, "fault": 10, "leave": 10, "hasten": 5, "list": 3},
 ]
 FAILED_OUTCOMES = [Outcome.ERROR, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.RESET]
@@ -122,7 +122,7 @@
             schedule_run.host.check_slots()
         except ContractViolation as violation:
             return BrokenRule(violation.rule, str(violation), completed)
-        except Exception as error:  # an exception of any type would end the process
+        except Exception as error:  # any exception counts as a failure, since it would end the process
             return BrokenRule(f"crash: {type(error).__name__}", repr(error), completed)
         return None
 
@@ -140,7 +140,7 @@
                 finally:
                     lines += [f"    {action}" for action in schedule_run.host.actions[previous_actions:]]
                 schedule_run.host.check_slots()
-        except Exception as error:  # the broken rule or the crash, which the caller wants to see
+        except Exception as error:  # the last line reports the broken rule or the crash
             lines.append(f"    {type(error).__name__}: {error}")
         return lines
 
@@ -148,8 +148,8 @@
 class _Run:
     """One run of a schedule.
 
-    Each event of a schedule has a method of the same name. Stored schedules contain these names. A number that selects
-    an object is taken modulo the number of objects.
+    Each event of a schedule has a method of the same name. Stored schedules contain these names, so they must not
+    change. A number that selects an object is taken modulo the number of objects.
 
     Attributes:
         setup: The setup of the schedule.
@@ -191,7 +191,7 @@
         return Endpoint(100 + number, status, zone, 0, number // 2, 1.0, started_us)
 
     def send_initial_list(self) -> None:
-        """Send a cached endpoint list with all upstreams; with `cold` in the setup they started one second ago."""
+        """Send a cached endpoint list with all upstreams; if the setup has `cold`, they started one second ago."""
         started_us = self.host.now_us - 1_000_000 if self.setup["cold"] else 0
         self.host.update_endpoints(
             [self.endpoint(n, started_us=started_us) for n in range(self.setup["upstreams"])], UpdateKind.CACHED
@@ -221,7 +221,7 @@
         ]
 
     def end(self, attempt_number: int, outcome_number: int) -> None:
-        """End an outstanding attempt, in at least two of three cases with success."""
+        """End an outstanding attempt; at least two of three outcomes are successes."""
         attempts = self._outstanding_attempts()
         if attempts:
             outcome = OUTCOMES[outcome_number % len(OUTCOMES)] if outcome_number % 3 == 0 else Outcome.OK
@@ -318,7 +318,7 @@
         self.host.deliver(FleetSizeChanged(count % 50))
 
     def retune(self, attempt_limit: int, _: int) -> None:
-        """Change the settings: the classes stay, and the limit on attempts changes."""
+        """Send new settings that differ only in the limit on attempts."""
         settings = self.settings(1 + attempt_limit % 5)
         self.host.settings = settings
         self.host.deliver(
--- a/garnetusher/model/members.py
+++ b/garnetusher/model/members.py
@@ -1,6 +1,6 @@
 """Simulates members in virtual time: datagrams are delayed, lost, duplicated or blocked, and processes fail.
 
-Processes are killed, paused, starved and restarted, with or without their persisted state.
+Processes are killed, paused, starved of CPU time and restarted, with or without their persisted state.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 CLUSTER = "model"
 ROLE = "sidecar"
 PORT = 7000
-MIN_LATENCY_US = 2_000  # one way; a random part adds up to the same amount
-SETTLE_US = 3_000_000  # after this time all others count a new member, and it may use its share of the limits
+MIN_LATENCY_US = 2_000  # one-way minimum; a random delay of at most the same length is added
+SETTLE_US = 3_000_000  # time until all other members count a new member and it may use its share of the limits
 SOCKET_BUFFER_DATAGRAMS = 2000  # further datagrams to a paused process are lost
 SEED_BITS = 62
 
 
 class NodeNotRunningError(GarnetusherError):
-    """An operation needs the process of a node that has none."""
+    """An operation requires a running process, but the node has none."""
 
 
 @dataclass(slots=True)
 class Node:
-    """A name with its current process and its disk.
+    """A host in the simulation, with its current member process and its persisted state.
 
     Attributes:
         name: The name of the member.
@@ -45,12 +45,12 @@
         member: The current process, or None.
         estimator: The current process's estimator of the fleet size, or None before the first process.
         persisted: The state on disk, or None.
-        start_count: The number of processes that have had the name.
-        paused: Whether a signal has stopped the process, so that its events wait.
-        waiting_events: The events that wait while the process is paused.
+        start_count: The number of processes that were started on the node.
+        paused: Whether the process is paused, as by SIGSTOP, so that its events are queued.
+        waiting_events: The events that are queued while the process is paused.
         timer_us: The time when the next timer fires; -1 = none.
-        sent_bytes: The size of all datagrams that the name has sent.
-        sent_datagrams: The number of datagrams that the name has sent.
+        sent_bytes: The total size of the datagrams that the node has sent.
+        sent_datagrams: The number of datagrams that the node has sent.
         log: The log events and their times.
         stop_reason: The reason why the member stopped by itself, or empty.
     """
@@ -72,7 +72,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether the name has a process that is a member or is joining."""
+        """Whether the node has a process that has not stopped."""
         return self.member is not None and self.member.phase != Phase.STOPPED
 
     @property
@@ -110,9 +110,9 @@
         duplication: The share of datagrams that are sent twice.
         nodes: The nodes by name.
         is_cut: A function that returns whether the network drops datagrams from the first node to the second.
-        delays_us: The delay of each event of a starved process, by name.
+        delays_us: The extra delay of each datagram and timer of a node that is starved of CPU time, by name.
         member_changed: A function that receives the node whose view has changed, the time and the change.
-        clock_skew_us: The offset of the wall clock, which determines generations, by name.
+        clock_skew_us: The offset of each node's wall clock by name; generations derive from this clock.
     """
 
     def __init__(
@@ -285,5 +285,5 @@
 
 
 def derive_seed(*purpose: object) -> int:
-    """Return a seed for one purpose, which does not depend on the hash seed of Python."""
+    """Return a seed for one purpose; the seed does not depend on PYTHONHASHSEED."""
     return random.Random("\0".join(map(str, purpose))).getrandbits(SEED_BITS)
--- a/garnetusher/model/presence.py
+++ b/garnetusher/model/presence.py
@@ -1,7 +1,7 @@
 """Measures the cost and the reaction times of membership in one scenario in virtual time.
 
 All members of a fleet join at the same time, the fleet runs undisturbed, one member is killed, and the network is split
-in two and healed. Some members may be starved from the time when all have joined.
+in two and healed. Some members can be starved of CPU time after all have joined.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 DETECTION_LIMIT_US = 10_000_000
 SPLIT_LIMIT_US = 30_000_000
 HEAL_LIMIT_US = 30_000_000
-STARVED_DELAY_US = 300_000  # delay of each event of a starved process
-SEED_NODES = 2  # the first nodes of the list, through which all nodes join
+STARVED_DELAY_US = 300_000  # extra delay of each datagram and timer of a starved member
+SEED_NODES = 2  # number of nodes, from the start of the list, that all nodes use as seeds
 NOT_REACHED = -1.0
 
 
@@ -36,15 +36,16 @@
         starved: The number of starved members.
         seed: The seed of the run.
         joined_s: The time until all members know all others.
-        bytes_a_second: The size of the datagrams that a member sends per undisturbed second.
-        datagrams_a_second: The number of datagrams that a member sends per undisturbed second.
+        bytes_a_second: The bytes that a member sends per second of the undisturbed phase.
+        datagrams_a_second: The datagrams that a member sends per second of the undisturbed phase.
         noticed_p50_s: The median time from the kill until another member considers the killed one failed.
-        noticed_p99_s: The 99th percentile of this time.
+        noticed_p99_s: The 99th percentile of the time from the kill until another member considers the killed
+            one failed.
         noticed: The number of members that considered the killed one failed.
         accused: The number of running members that any other member considered failed before the split.
         split_s: The time from the split until one half agrees on its remaining members.
         healed_s: The time from the end of the split until all views are equal.
-        cpu_us: The CPU time of this machine per member and undisturbed second; 0 if the caller gives no clock.
+        cpu_us: The real CPU time per member and second of the undisturbed phase, in microseconds; 0 without `cpu_ns`.
     """
 
     members: int
@@ -86,7 +87,7 @@
 
 @dataclass(slots=True)
 class _Cost:
-    """The cost of one member per undisturbed second."""
+    """The cost of one member per second of the undisturbed phase."""
 
     datagrams: float
     bytes_sent: float
@@ -162,7 +163,12 @@
 
 
 def _split_and_heal(members: Members, nodes: list[Node], killed_node: Node) -> tuple[float, float]:
-    """Return the time until one half agrees on its members, and the time from the heal until all views are equal."""
+    """Split the fleet and heal it.
+
+    Returns:
+        The time from the split until one half agrees on its members, and the time from the end of the split until all
+        views are equal, in seconds.
+    """
     remaining = [node for node in nodes if node is not killed_node]
     half_names = {node.name for node in nodes[: len(nodes) // 2]}
     half = [node for node in remaining if node.name in half_names]
@@ -183,7 +189,7 @@
 
 
 def _run_until(members: Members, limit_us: int, reached: Callable[[], bool]) -> float:
-    """Return the time in seconds until a check finds the state reached, or -1 if the limit passes first."""
+    """Return the time in seconds until a check finds that `reached` returns True, or -1 if the limit passes first."""
     started_us = members.clock.now_us
     while members.clock.now_us - started_us < limit_us:
         members.run(CHECK_INTERVAL_US)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -18,7 +18,7 @@
 from garnetusher.policy.timers import TimerQueue
 from tests.test_files import run_command
 
-SEED_LIMIT = 400  # exclusive; up to 2,000 schedules are allowed
+SEED_LIMIT = 400  # exclusive upper bound; up to 2,000 schedules are allowed
 
 
 def leaks_slots_after_resets(patch: pytest.MonkeyPatch) -> None:
