--- a/garnetusher/lab/soak/allowances.py
+++ b/garnetusher/lab/soak/allowances.py
@@ -1,6 +1,6 @@
 """Time allowances and exemptions that the oracle grants a sidecar.
 
-The reasons for them are pauses and ends of the sidecar's process, and lags of the process that makes the records.
+They account for pauses and ends of the sidecar's process, and for lags of the process that makes the records.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 ALLOWED_STALL_S = 0.15  # a sidecar may stall this long between reading the clock and writing
 PAUSE_AFTERMATH_S = 0.05  # a pause still explains a delay that is recorded this long after the pause
-RECORDING_DELAY_S = 0.06  # one process makes all records and may make them this late without a measured lag
+RECORDING_DELAY_S = 0.06  # a record may be this late without a measured lag, because one process makes all records
 NEW_CONNECTIONS_AFTER_TERMINATE_S = 0.45  # a terminating sidecar accepts for up to 0.4 s and then closes its listener
 RESPONSES_AFTER_TERMINATE_S = 0.7  # SIGKILL may cut off the response to a request sent later than this after SIGTERM
 RESTART_S = 5.0  # this long after SIGTERM, a new process has replaced the old one
@@ -48,7 +48,7 @@
         self._pauses = {sidecar: _pauses(events) for sidecar, events in self._events.items()}
 
     def recording_slack_s(self, recorded_s: float) -> float:
-        """Return how late a record with this time may have been made.
+        """Return by how many seconds a record with a given time may be late.
 
         A lag counts if it covers the time or ended shortly before it.
         """
@@ -74,7 +74,7 @@
         return max(0.0, max(durations, default=0.0) - ALLOWED_STALL_S)
 
     def pause_s(self, sidecar: int, at_s: float) -> float:
-        """Return the duration of the pause during which, or just after which, a time lies; 0 without such a pause."""
+        """Return the duration of the pause that contains a time or ended just before it, or 0 if there is none."""
         durations = [
             pause.duration_s
             for pause in self._pauses.get(sidecar, [])
@@ -95,7 +95,7 @@
         )
 
     def last_start_s(self, sidecar: int, before_s: float) -> float | None:
-        """Return the time of the last process start up to a time, or None without a start."""
+        """Return when the process last started at or before a time, or None if it had not started."""
         starts_s = [
             event.at_s
             for event in self._events[sidecar]
--- a/garnetusher/lab/soak/campaign.py
+++ b/garnetusher/lab/soak/campaign.py
@@ -30,14 +30,14 @@
     attempts: int
     ends: dict[str, int]
     faults: dict[str, int] = field(name="troubles")
-    fewest_pairs: int  # the number of runs in which the rarest pair of kinds overlapped
+    fewest_pairs: int  # the number of runs in which faults of the rarest pair of kinds overlapped
     rarest_pairs: list[str]
     failed: list[dict[str, Any]]
     worst_lag_s: float
 
     @property
     def held(self) -> bool:
-        """Whether all runs kept all rules."""
+        """Whether no run broke a rule."""
         return not self.failed
 
 
@@ -85,7 +85,7 @@
 
 
 def reduce_and_save(plan: Plan, rules: set[str], folder: Path, tree: Path) -> Path:
-    """Save the smallest plan found that breaks one of the rules, and return its path."""
+    """Reduce a failing plan, save the smallest plan found that breaks one of the rules, and return its path."""
     run_numbers = itertools.count()
 
     def find_broken_rules(candidate: Plan) -> set[str]:
--- a/garnetusher/lab/soak/client.py
+++ b/garnetusher/lab/soak/client.py
@@ -19,7 +19,7 @@
 
 # Clients wait this long after the deadline. A response counts as late for 0.5 s after its deadline, and then as lost.
 RESPONSE_TIMEOUT_S = 0.8
-MALFORMED_TIMEOUT_S = 4.0  # this is longer than the 3 s within which a sidecar has to close a malformed connection
+MALFORMED_TIMEOUT_S = 4.0  # clients wait longer than the 3 s within which a sidecar has to close a malformed connection
 LONG_BODY_BYTES = 150_000
 SHORT_BODY_BYTES = 20
 MAX_IDLE_CONNECTIONS = 6
@@ -97,13 +97,13 @@
         """Send requests until a given time, without waiting for responses, and then wait for the last response."""
         while now_s() < ends_s:
             await asyncio.sleep(self._random.expovariate(self._plan.rate_per_s))
-            self._start_next()
+            self._start_exchange()
         while self._tasks:
             await asyncio.wait(self._tasks)
         for connection in self._idle:
             connection.abort()
 
-    def _start_next(self) -> None:
+    def _start_exchange(self) -> None:
         if self._draw_fault(FaultKind.MALFORMED, MALFORMED_SHARE):
             exchange = self._send_malformed()
         else:
@@ -115,6 +115,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def _draw_fault(self, kind: FaultKind, share: float) -> bool:
+        """Draw whether a fault affects the current request or connection."""
         return kind in self.active_faults and self._random.random() < share
 
     async def _connect(self) -> ClientConnection | None:
@@ -150,7 +151,7 @@
     async def _exchange(
         self, request_id: str, request_class: RequestClass, reused: ClientConnection | None
     ) -> Request | None:
-        """Send a request and wait until it ends; return None if it was not written completely."""
+        """Send a request and wait for its response; return None if the client did not write all of it."""
         connection = reused or await self._connect()
         if connection is None:
             return None
@@ -204,7 +205,7 @@
         return asyncio.get_running_loop().call_later(delay_s, self._disconnect, request, connection)
 
     def _disconnect(self, request: Request, connection: ClientConnection) -> None:
-        """Close the connection before the response, by a reset or regularly."""
+        """Close the connection before the response arrives; a share of the clients resets it."""
         if request.end is not None:
             return
         request.disconnected_s = now_s()
--- a/garnetusher/lab/soak/discovery.py
+++ b/garnetusher/lab/soak/discovery.py
@@ -17,8 +17,9 @@
 
 KEEPALIVE_S = 2.0  # a watch without changes receives an empty line at this interval
 OLD_ADDRESS_OPEN_S = 1.5  # watches at an old address are closed this long after the agent moves to a new address
-KNOWN_AFTER_RELOAD_S = 4.0  # a sidecar has to know the list this long after SIGHUP
-# A sidecar has to know the list this long after its watch falls silent or discovery becomes reachable again.
+KNOWN_AFTER_RELOAD_S = 4.0  # a sidecar has to know the endpoint list at most this long after SIGHUP
+# A sidecar has to know the endpoint list at most this long after its watch falls silent or discovery becomes
+# reachable again.
 KNOWN_AFTER_SILENCE_S = 6.0
 NEVER_RELOADED_S = -1e9
 
@@ -63,9 +64,8 @@
         ]
         self._version = 1
         self._watches: list[asyncio.StreamWriter] = []
-        self._reachable = (
-            asyncio.Event()
-        )  # cleared during an outage, in which the agent sends nothing and learns of no changes
+        # This event is cleared during an outage, in which the agent sends nothing and keeps all changes in `_pending`.
+        self._reachable = asyncio.Event()
         self._reachable.set()
         self._pending: list[ListedEndpoint] = []  # the endpoints that changed during an outage
         self._silent_watches: set[asyncio.StreamWriter] = set()
--- a/garnetusher/lab/soak/faults.py
+++ b/garnetusher/lab/soak/faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a plan into the processes and simulated nodes of a run, each at its time."""
+"""Injects the faults of a plan into the processes and simulated nodes of a run at the planned times."""
 
 from __future__ import annotations
 
--- a/garnetusher/lab/soak/oracle.py
+++ b/garnetusher/lab/soak/oracle.py
@@ -29,10 +29,12 @@
 ANNOUNCED_TIME_SLACK_S = 0.15  # the announced remaining time may exceed the actual remaining time by this much
 # The sidecar may stall for 0.15 s between reading the clock and writing, and data may spend 50 ms in sockets.
 DEDUPLICATION_SLACK_S = 0.2
-DRAIN_GRACE_S = 1.05  # attempts may begin up to this long after the sidecar knows of the drain, 50 ms for sockets
+# Attempts may begin up to 1 s after the sidecar knows of the drain, and data may spend 50 ms in sockets.
+DRAIN_GRACE_S = 1.05
 FIRST_POLL_S = 6.0  # a new process that polls the endpoint list has received it at most this long after its start
 MALFORMED_CONNECTION_S = 3.0  # the sidecar closes a connection without a valid request within this time
-# One malformed connection in ten may stay open for longer, because the rule is scored by the share that does.
+# One malformed connection in ten may stay open for longer, because the rule limits the share of such connections
+# and not each connection.
 TOLERATED_MALFORMED_DIVISOR = 10
 READY_S = 10.0
 EXPECTED_EXIT_CODES = ("0", "-9", "-15")
@@ -107,13 +109,13 @@
         late_s = request.ended_s - request.sent_s - request.deadline_s
         description = f"{request.request_id} {request.class_name}"
         if request.end is End.SILENT or late_s > LATE_RESPONSE_S + self._allowances.recording_slack_s(request.ended_s):
-            text = f"{description}: {request.end} after its time and {late_s:.3f} s"
+            text = f"{description}: {request.end}, {late_s:.3f} s after the deadline"
             self._report(Rule.LOST, request.sent_s, text)
             return
         attempts = self._attempts[request.request_id]
         if request.end is End.CLOSED and (attempts or request.new_connection):
             text = (
-                f"{description}: its connection was closed with no answer after "
+                f"{description}: the sidecar closed its connection without a response after "
                 f"{request.ended_s - request.sent_s:.3f} s, {len(attempts)} attempts, new={request.new_connection}"
             )
             self._report(Rule.LOST, request.sent_s, text)
@@ -133,7 +135,9 @@
             for repeated in executed[1:]:
                 self._check_deduplication(request_class, executed[0], repeated)
         if executed and not _is_repeatable_anywhere(request_class) and request.end is End.REFUSED:
-            self._report(Rule.DUPLICATE, request.ended_s, f"{request.request_id}: refused though it had run")
+            self._report(
+                Rule.DUPLICATE, request.ended_s, f"{request.request_id}: refused although an upstream had run it"
+            )
         if len(attempts) > self._plan.max_attempts:
             self._report(Rule.ATTEMPTS, request.sent_s, f"{request.request_id}: {len(attempts)} attempts")
 
@@ -145,7 +149,7 @@
         after_s = repeated.first_byte_s - first.first_byte_s
         window_ms = self._plan.deduplication_window_ms
         if after_s > window_ms / 1000 + DEDUPLICATION_SLACK_S:
-            text = f"{first.request_id}: repeated after {after_s:.3f} s, the memory is {window_ms} ms"
+            text = f"{first.request_id}: repeated after {after_s:.3f} s, but the deduplication window is {window_ms} ms"
             self._report(Rule.DUPLICATE, repeated.first_byte_s, text)
         if not _in_same_deduplication_scope(request_class, first, repeated):
             text = f"{first.request_id}: repeated outside its {request_class.group}"
@@ -158,7 +162,7 @@
         for attempt in self._timed_attempts(request):
             after_s = attempt.first_byte_s - request.disconnected_s
             if after_s > ATTEMPT_AFTER_DISCONNECT_S + self._attempt_slack_s(request, attempt):
-                text = f"{request.request_id}: an attempt began {after_s:.3f} s after its client closed"
+                text = f"{request.request_id}: an attempt began {after_s:.3f} s after its client disconnected"
                 self._report(Rule.DISCONNECTED, attempt.first_byte_s, text)
 
     def _check_announced_time(self, request: Request) -> None:
@@ -167,7 +171,10 @@
             remaining_s = request.sent_s + request.deadline_s - attempt.first_byte_s
             slack_s = ANNOUNCED_TIME_SLACK_S + self._attempt_slack_s(request, attempt)
             if attempt.announced_remaining_s > remaining_s + slack_s:
-                text = f"{request.request_id}: told {attempt.announced_remaining_s:.3f} s with {remaining_s:.3f} s left"
+                text = (
+                    f"{request.request_id}: announced {attempt.announced_remaining_s:.3f} s "
+                    f"with {remaining_s:.3f} s left"
+                )
                 self._report(Rule.ANNOUNCED_TIME, attempt.first_byte_s, text)
 
     def _timed_attempts(self, request: Request) -> list[Attempt]:
@@ -195,7 +202,9 @@
         known_by_s = max(first.known_by_s, self._first_poll_s(attempt))
         after_s = attempt.first_byte_s - known_by_s
         if after_s > DRAIN_GRACE_S + self._allowances.recording_slack_s(attempt.first_byte_s):
-            text = f"{attempt.request_id}: sent to u{attempt.upstream} {after_s:.3f} s after {first.status} was told"
+            text = (
+                f"{attempt.request_id}: sent to u{attempt.upstream} {after_s:.3f} s after {first.status} was announced"
+            )
             self._report(Rule.DRAIN, attempt.first_byte_s, text)
 
     def _first_poll_s(self, attempt: Attempt) -> float:
@@ -210,7 +219,7 @@
         connections = self._records.malformed_connections
         overdue = [connection for connection in connections if self._exceeded_limit(connection)]
         if len(overdue) > max(1, len(connections) // TOLERATED_MALFORMED_DIVISOR):
-            text = f"{len(overdue)} of {len(connections)} got no end in 3 s"
+            text = f"{len(overdue)} of {len(connections)} were neither answered nor closed in 3 s"
             self._report(Rule.MALFORMED, overdue[0].connected_s, text)
 
     def _exceeded_limit(self, connection: MalformedConnection) -> bool:
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -157,9 +157,9 @@
         return msgspec.structs.replace(self, faults=[fault for fault in self.faults if fault is not removed])
 
     def overlapping_kinds(self) -> set[tuple[FaultKind, FaultKind]]:
-        """Return the pairs of kinds with two faults that overlap in time.
+        """Return the pairs of kinds for which the plan has two faults that overlap in time.
 
-        The second after the end of a fault counts as part of it.
+        A fault also overlaps with a fault that begins up to OVERLAP_AFTERMATH_S after its end.
         """
         return {
             (min(first.kind, second.kind), max(first.kind, second.kind))
--- a/garnetusher/lab/soak/records.py
+++ b/garnetusher/lab/soak/records.py
@@ -62,7 +62,7 @@
     new_connection: bool
     end: End | None = None
     ended_s: float = 0.0
-    disconnected_s: float = 0.0  # when the client closed before the response; 0 if it did not
+    disconnected_s: float = 0.0  # the time at which the client disconnected before the response; 0 if it did not
 
 
 @dataclass(slots=True)
@@ -106,7 +106,7 @@
 
     sidecar: int
     connected_s: float
-    closed_s: float  # when the sidecar responded or closed the connection; 0 if it did neither
+    closed_s: float  # the time at which the sidecar responded or closed the connection; 0 if it did neither
 
 
 @dataclass(slots=True)
--- a/garnetusher/lab/soak/run.py
+++ b/garnetusher/lab/soak/run.py
@@ -168,7 +168,7 @@
     started_s = now_s()
     run = SoakRun(plan, folder, tree)
     breaches = asyncio.run(run.run())
-    result = _result(run, breaches, started_s, folder)
+    result = _run_result(run, breaches, started_s, folder)
     _write_events(run.records, started_s, folder)
     if breaches:
         _write_records(run.records, folder)
@@ -177,7 +177,7 @@
     return result
 
 
-def _result(run: SoakRun, breaches: list[Breach], started_s: float, folder: Path) -> RunResult:
+def _run_result(run: SoakRun, breaches: list[Breach], started_s: float, folder: Path) -> RunResult:
     records = run.records
     ends = Counter(request.end.value for request in records.requests.values() if request.end is not None)
     return RunResult(
--- a/garnetusher/lab/soak/sidecar_process.py
+++ b/garnetusher/lab/soak/sidecar_process.py
@@ -67,7 +67,7 @@
         self._starts = 0
 
     def write_configuration(self, discovery_port: int, endpoints: dict[str, Any], *, truncated: bool = False) -> None:
-        """Write the configuration file that the platform provides.
+        """Write the configuration file that the platform provides outside the soak.
 
         If `truncated` is set, the file contains only the first two thirds of the text.
         """
@@ -110,7 +110,7 @@
         self._records.process_events.append(ProcessEvent(self.number, kind, now_s(), detail))
 
     async def wait_until_ready(self) -> bool:
-        """Wait until the sidecar reports that it is up; return False if it ends first or the wait times out."""
+        """Wait until the sidecar reports that it is up; return False if the process ends or the wait times out."""
         ends_s = now_s() + READY_TIMEOUT_S
         while now_s() < ends_s and self._is_running():
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
--- a/garnetusher/lab/soak/size.py
+++ b/garnetusher/lab/soak/size.py
@@ -32,7 +32,7 @@
     memory_mb: float = 0.0
     descriptors: int = 0
     connections: int = 0
-    list_kb: float = 0.0
+    list_kb: float = 0.0  # the size of all lists and changes that discovery sent
     served_share: float = field(name="served", default=0.0)
 
 
--- a/garnetusher/lab/soak/sweep.py
+++ b/garnetusher/lab/soak/sweep.py
@@ -29,9 +29,9 @@
 from garnetusher.lab.syscall_faults import DOCUMENTED_ERRORS, SHORT_TRANSFER, Call
 
 SIDECARS = 3
-SERVICE_FAULT_S = 1.0  # the time of the fault while the sidecars serve
+SERVICE_FAULT_S = 1.0  # the time in the load at which the fault is injected while the sidecars serve
 RELOAD_S = 1.05
-TERMINATION_FAULT_S = 2.2  # the time of the fault at which the sidecars also receive SIGTERM
+TERMINATION_FAULT_S = 2.2  # the time in the load at which the fault is injected and the sidecars receive SIGTERM
 LOAD_S = 3.6
 FAULT_DURATION_S = 0.3
 RELOAD_DURATION_S = 0.1
--- a/garnetusher/lab/soak/upstream.py
+++ b/garnetusher/lab/soak/upstream.py
@@ -87,7 +87,7 @@
         self.loop = asyncio.get_running_loop()
         self.resumed_s = 0.0  # when the listener last resumed accepting
         self._socket = socket.socket()
-        self._socket.setblocking(False)  # noqa: FBT003 - socket's own signature
+        self._socket.setblocking(False)  # noqa: FBT003 - setblocking takes no keyword arguments
         self._socket.bind((upstream.host, 0))
         self._socket.listen(BACKLOG)
         self.port = int(self._socket.getsockname()[1])
@@ -97,12 +97,12 @@
     def suspend(self) -> None:
         """Stop accepting, and fill the backlog.
 
-        Connections that arrive now are established only after a second or more.
+        Connections that arrive while the backlog is full are established only after a second or more.
         """
         self.loop.remove_reader(self._socket.fileno())
         for _ in range(BACKLOG + 2):
             filler = socket.socket()
-            filler.setblocking(False)  # noqa: FBT003 - socket's own signature
+            filler.setblocking(False)  # noqa: FBT003 - setblocking takes no keyword arguments
             filler.connect_ex((self.upstream.host, self.port))
             self._backlog_fillers.append(filler)
 
@@ -158,7 +158,7 @@
         self._schedule_idle_close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Remove the connection from those of the upstream."""
+        """Remove the connection from the open connections of the upstream."""
         self._upstream.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -171,8 +171,8 @@
     assert broken_rules(REQUEST, ATTEMPT, events=(ProcessEvent(0, ProcessEventKind.DIED, 9.0, "3"),)) == {"crash"}
     delayed_attempt = with_attempt(first_byte_s=10.31)
     assert broken_rules(REQUEST, delayed_attempt) == {"told"}
-    # A pause that begins after the client sent the request (at 10.0) explains the delay. After an earlier pause, the
-    # sidecar chose the attempt late, which the pause does not explain.
+    # A pause that begins after the client sent the request (at 10.0) explains the delay. A pause that begins
+    # earlier does not explain the delay, because the sidecar chose the attempt late.
     for pause_start_s, expected in ((10.02, set()), (9.98, {"told"})):
         assert (
             broken_rules(
@@ -211,6 +211,7 @@
 # The oracle on sidecar programs with one defect each
 
 ERRORS = Fault(FaultKind.ERRORS, 0.5, 2.0, [0, 1, 2, 3], 0.5)
+# The rule that each defect breaks, and a plan that shows the breach.
 DEFECTS = {
     "loses_requests": ("lost", small_plan()),
     "repeats_unsafe": ("duplicate", small_plan(ERRORS)),
@@ -227,7 +228,7 @@
 
 
 def rules_broken_by_program(path: str, command: str, plan: Plan) -> set[str]:
-    """Run a plan on the sidecars of a start command in a worker process, and return the broken rules."""
+    """Run a plan on sidecars that a command starts, and return the broken rules; worker processes call this."""
     folder = Path(path)
     folder.mkdir()
     return {breach.rule for breach in run_plan(plan, folder / "play", write_tree(folder, command)).breaches}
@@ -253,7 +254,7 @@
                 )
             )
         correct_runs = [
-            pool.submit(rules_broken_by_program, str(tmp_path / f"good-{n}"), correct_command, plan)
+            pool.submit(rules_broken_by_program, str(tmp_path / f"correct-{n}"), correct_command, plan)
             for n, (_, plan) in enumerate(list(DEFECTS.values())[1:6])
         ]
         reported = {defect: rule in future.result() for defect, rule, future in defective_runs}
