--- a/garnetusher/lab/soak/client.py
+++ b/garnetusher/lab/soak/client.py
@@ -151,7 +151,7 @@
     async def _exchange(
         self, request_id: str, request_class: RequestClass, reused: ClientConnection | None
     ) -> Request | None:
-        """Send a request and wait for its response; return None if the client did not write all of it."""
+        """Send a request and wait for its response; return None if the request was not written completely."""
         connection = reused or await self._connect()
         if connection is None:
             return None
@@ -205,7 +205,7 @@
         return asyncio.get_running_loop().call_later(delay_s, self._disconnect, request, connection)
 
     def _disconnect(self, request: Request, connection: ClientConnection) -> None:
-        """Close the connection before the response arrives; a share of the clients resets it."""
+        """Disconnect before the response arrives: reset a share of the connections, and close the others."""
         if request.end is not None:
             return
         request.disconnected_s = now_s()
