--- a/garnetusher/lab/soak/oracle.py
+++ b/garnetusher/lab/soak/oracle.py
@@ -29,10 +29,12 @@
 ANNOUNCED_TIME_SLACK_S = 0.15  # the announced remaining time may exceed the actual remaining time by this much
 # The sidecar may stall for 0.15 s between reading the clock and writing, and data may spend 50 ms in sockets.
 DEDUPLICATION_SLACK_S = 0.2
-DRAIN_GRACE_S = 1.05  # attempts may begin up to this long after the sidecar knows of the drain, 50 ms for sockets
+# Attempts may begin up to 1 s after the sidecar knows of the drain, and data may spend 50 ms in sockets.
+DRAIN_GRACE_S = 1.05
 FIRST_POLL_S = 6.0  # a new process that polls the endpoint list has received it at most this long after its start
 MALFORMED_CONNECTION_S = 3.0  # the sidecar closes a connection without a valid request within this time
-# One malformed connection in ten may stay open for longer, because the rule is scored by the share that does.
+# One malformed connection in ten may stay open for longer, because the rule limits the share of such connections
+# and not each connection.
 TOLERATED_MALFORMED_DIVISOR = 10
 READY_S = 10.0
 EXPECTED_EXIT_CODES = ("0", "-9", "-15")
