--- a/garnetusher/lab/clients.py
+++ b/garnetusher/lab/clients.py
@@ -1,8 +1,8 @@
 """The client applications of the sidecars: open-loop arrivals, calls, retries, timeouts and early disconnects.
 
-An application starts and stops with its sidecar, as on the platform; requests that are due while it is down are not
-sent. Arrivals do not wait for earlier responses. The latency of a request counts from the time at which the request
-was due, so it includes every delay, also one of the lab itself.
+An application starts and stops with its sidecar, as on the platform that runs sidecars; requests that are due while
+the application is down are not sent. Arrivals do not wait for earlier responses. The latency of a request counts from
+the time at which the request was due, so it includes every delay, including delays of the lab itself.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 READY_POLL_INTERVAL_S = 0.05  # the time between readiness checks of a starting sidecar
 READY_TIMEOUT_S = 0.5  # the time limit of one readiness check
 READY_REQUEST = b"GET /up HTTP/1.1\r\nHost: api.internal\r\n\r\n"
-REJECTED_STATUSES = (429, 503)  # with these statuses, the request has not run
+REJECTED_STATUSES = (429, 503)  # a response with one of these statuses means that the request has not run
 
 
 class NoTransportError(GarnetusherError):
-    """A connection is used before it is established."""
+    """A connection has no stream transport, for example because it is not established yet."""
 
     def __init__(self) -> None:
         super().__init__("connection: expected an established stream transport, got none")
@@ -62,7 +62,7 @@
         retry_index: The number of earlier calls of the request; 0 for the first call.
         timeout_at_us: The time at which the client stops waiting for a response.
         completed: Whether the client has stopped waiting for a response.
-        resent: Whether the call was sent again because its idle connection closed while the call was written.
+        resent: Whether the call was sent again because its reused connection closed right after the call was sent.
     """
 
     call_id: str
@@ -298,7 +298,7 @@
     # Ends of calls
 
     def response_received(self, connection: ClientConnection, call: _ClientCall, status: int) -> None:
-        """Record a response, and schedule a retry unless it is a success."""
+        """Record a response, and schedule a retry unless the response is a success."""
         words = connection.body.decode("latin-1").split()
         answers_call = status == 200 and len(words) == 2 and words[1] == call.call_id
         upstream = words[0] if answers_call else ""
@@ -350,10 +350,10 @@
             return
         call.completed = True
         self.clock.write(ClientTimedOut(self.clock.now_us(), call.call_id, self._sidecar.name))
-        self.clock.at(call.timeout_at_us + LATE_ANSWER_WAIT_US, self._stop_watching, connection, call)
+        self.clock.at(call.timeout_at_us + LATE_ANSWER_WAIT_US, self._report_missing_response, connection, call)
         self._schedule_retry(call, not_run=False)
 
-    def _stop_watching(self, connection: ClientConnection, call: _ClientCall) -> None:
+    def _report_missing_response(self, connection: ClientConnection, call: _ClientCall) -> None:
         """Record that no response has arrived even `LATE_ANSWER_WAIT_US` after the timeout."""
         if connection.call is call:
             connection.call = None
--- a/garnetusher/lab/discovery.py
+++ b/garnetusher/lab/discovery.py
@@ -1,6 +1,6 @@
-"""A stand-in for the discovery service, which implements its protocol for snapshots and watches.
+"""A stand-in for the discovery service; it implements the protocol for snapshots and watches.
 
-Each sidecar reaches it at a separate address, through a separate link.
+Each sidecar reaches the stand-in at a separate address, through a separate link.
 """
 
 from __future__ import annotations
@@ -115,8 +115,8 @@
         self._addresses = addresses
         self._settings = settings
         self._max_push_delay_us = round(settings.spread_ms * 1000)
-        self._busy_until_us = 0  # the time at which all waiting calls will be answered
-        self._unix_zero_ms = 0  # the wall clock time at the start of the run
+        self._busy_until_us = 0  # the time at which the last call in the queue is answered
+        self._unix_zero_ms = 0  # the wall clock time at the start of the run, in Unix milliseconds
         self._revision = 1
         self._listed: dict[str, ListStep] = {
             upstream.uid: ListStep(0, upstream.uid, upstream.zone, "active")
@@ -149,7 +149,7 @@
     # Calls
 
     def request_received(self, connection: SidecarConnection, target: str) -> None:
-        """Answer a call after those that wait; reject it if too many calls wait."""
+        """Answer a call after all calls in the queue; reject the call if the queue is full."""
         call_us = int(self._settings.call_ms * 1000)
         now_us = self.clock.now_us()
         if not call_us:
@@ -162,7 +162,7 @@
             self.clock.at(self._busy_until_us, self._answer, connection, target)
 
     def _answer(self, connection: SidecarConnection, target: str) -> None:
-        if connection.closed:  # the sidecar has closed the connection while the call waited
+        if connection.closed:  # the sidecar closed the connection while the call was in the queue
             return
         url = urlsplit(target)
         if url.path != HOSTS_PATH:
@@ -218,7 +218,7 @@
     def _change_list(self, step: ListStep) -> None:
         before = self._listed.get(step.uid)
         if before is not None and step.started_us == LONG_AGO:
-            # Only a start of the upstream changes its start time.
+            # The step is not a start of the upstream, so the upstream keeps its start time.
             step = structs.replace(step, started_us=before.started_us)
         self._revision += 1
         self._changes.append((self._revision, step))
--- a/garnetusher/lab/link_sockets.py
+++ b/garnetusher/lab/link_sockets.py
@@ -1,9 +1,9 @@
 """Sockets behind simulated links: each pair of a node and a sidecar has its own listening socket and its own link.
 
-The stand-in for the node runs in the same process as the link, so data is not copied through another process. A cut
-closes no connection: data in both directions is held back, and new connections are not established. For the latter,
-the accept queue of the listening socket is filled, so that the kernel drops further connection requests (`listen(2)`
-with a backlog of 0).
+A node is an upstream or the discovery service. The stand-in for the node runs in the same process as the link, so data
+is not copied through another process. A cut closes no connection: the link holds data back, and new connections are
+not established, because the listener fills the accept queue of its socket, so that the kernel drops further connection
+requests (`listen(2)` with a backlog of 0).
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
         """Handle bytes that the link has delivered."""
 
     def closed_by_sidecar(self) -> None:
-        """Handle that the sidecar has closed the connection; during a cut this is reported after the cut."""
+        """Handle the close of the connection by the sidecar; a close during a cut is reported after the cut."""
 
     def data_undelivered(self, data: bytes) -> None:
-        """Handle that the sidecar sent bytes while the link was cut, so they are held back."""
+        """Handle bytes that the sidecar sent during a cut; the link holds them back."""
 
 
 def _passes_at_once(link: StreamLink) -> bool:
@@ -69,7 +69,7 @@
         self._clock = listener.clock
         self._inbound = StreamLink(listener.to_node, listener.rng)
         self._outbound = StreamLink(listener.to_sidecar, listener.rng)
-        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()  # one per write in `_outbound`
+        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()  # for each write in `_outbound`
         self._timer: asyncio.TimerHandle | None = None
         self._closed_by_sidecar = False
         self._close_reported = False
@@ -96,7 +96,7 @@
         self._deliver()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Handle that the sidecar has closed the connection; called by the event loop."""
+        """Handle the close of the connection by the sidecar; called by the event loop."""
         self._closed_by_sidecar = True
         if self.listener.to_node.cut or self._closed_by_node:
             # The held data is lost: a sidecar that has closed the connection retransmits nothing.
@@ -229,33 +229,33 @@
         self.port = sock.getsockname()[1]
         self._socket = sock
         if self._cut:
-            self._fill_backlog(sock)
+            self._fill_accept_queue(sock)
         else:
             self.clock.loop.add_reader(sock.fileno(), self._accept)
 
     def refuse(self) -> None:
         """Refuse new connections; open connections are not closed."""
-        self._release_backlog()
+        self._empty_accept_queue()
         if self._socket is not None:
             self.clock.loop.remove_reader(self._socket.fileno())
             self._socket.close()
             self._socket = None
 
     def cut(self, *, to_node: bool, to_sidecar: bool) -> None:
-        """Cut the given directions; cuts of one direction are counted."""
+        """Cut the given directions; a direction stays cut until `restore` ends each of its cuts."""
         was_cut = self._cut
         self.to_node.cut += int(to_node)
         self.to_sidecar.cut += int(to_sidecar)
         if self._cut and not was_cut and self._socket is not None:
             self._accept()
-            self._fill_backlog(self._socket)
+            self._fill_accept_queue(self._socket)
 
     def restore(self, *, to_node: bool, to_sidecar: bool) -> None:
         """End one cut of each given direction; a direction is restored when all its cuts have ended."""
         self.to_node.cut -= int(to_node)
         self.to_sidecar.cut -= int(to_sidecar)
         if not self._cut and self._socket is not None:
-            self._release_backlog()
+            self._empty_accept_queue()
             self._socket.listen(BACKLOG)
             self.clock.loop.add_reader(self._socket.fileno(), self._accept)
         for connection in list(self.connections):
@@ -280,7 +280,7 @@
 
     @property
     def _cut(self) -> bool:
-        """Whether either direction is cut; a new connection needs both."""
+        """Whether either direction is cut; a new connection needs both directions."""
         return bool(self.to_node.cut or self.to_sidecar.cut)
 
     def _accept(self) -> None:
@@ -297,7 +297,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _fill_backlog(self, listening_socket: socket.socket) -> None:
+    def _fill_accept_queue(self, listening_socket: socket.socket) -> None:
         """Fill the accept queue; otherwise the kernel would establish connections that are never accepted."""
         self.clock.loop.remove_reader(listening_socket.fileno())
         listening_socket.listen(0)
@@ -307,7 +307,7 @@
             filler.connect_ex((self.host, self.port))
             self._fillers.append(filler)
 
-    def _release_backlog(self) -> None:
+    def _empty_accept_queue(self) -> None:
         """Close the filler connections, and accept and close all queued connections.
 
         A sidecar's connection in the queue is closed too, as after a restart of the machine.
--- a/garnetusher/lab/run_clock.py
+++ b/garnetusher/lab/run_clock.py
@@ -11,12 +11,12 @@
 
 from garnetusher.model.records import AnyRecord, Journal, LabActionLate
 
-LATE_US = 5_000  # a timer that fires later is late: 1/80 of the shortest latency objective in the experiment files
+LATE_US = 5_000  # a longer delay makes a timer late; 1/80 of the shortest latency objective in the experiment files
 TICK_INTERVAL_S = 0.005  # a timer fires this often to detect a delayed event loop while no other timer is due
 
 
 class RunClock:
-    """Time since the start of the run in microseconds, and timers on this time.
+    """The time since the start of the run in microseconds, and timers that fire at given times of the run.
 
     Attributes:
         loop: The running event loop.
@@ -52,13 +52,13 @@
         return self.loop.call_at(self.zero_ns / 1e9 + at_us / 1e6, self._fire, at_us, action, args)
 
     def _fire(self, at_us: int, action: Callable[..., None], args: tuple[object, ...]) -> None:
-        now = self.now_us()
+        now_us = self.now_us()
         self.events += 1
-        if now - at_us > LATE_US:
+        if now_us - at_us > LATE_US:
             self.late += 1
-            if now - self._last_late_record_us > 1_000_000:
-                self._last_late_record_us = now
-                self.write(LabActionLate(now, self.worker, now - at_us))
+            if now_us - self._last_late_record_us > 1_000_000:
+                self._last_late_record_us = now_us
+                self.write(LabActionLate(now_us, self.worker, now_us - at_us))
         action(*args)
 
     def _tick(self, due_us: int) -> None:
--- a/garnetusher/lab/syscall_faults.py
+++ b/garnetusher/lab/syscall_faults.py
@@ -152,8 +152,8 @@
         return int(_COUNTER.unpack(self.memory[offset : offset + _COUNTER.size])[0])
 
 
-# The errors that Linux documents for each call (section 2 of the manual, ip(7) and tcp(7)), as far as a correct program
-# can encounter them temporarily.
+# The errors that Linux documents for each call (section 2 of the manual, ip(7) and tcp(7)), limited to temporary errors
+# that a correct program can encounter.
 DOCUMENTED_ERRORS: dict[Call, tuple[int, ...]] = {
     Call.ACCEPT: (
         errno.EAGAIN,
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -57,7 +57,7 @@
         self._target = b""
         self._request_id = ""
         server.connections.add(self)
-        self.accepted = len(server.connections) <= server.max_connections
+        self.within_limit = len(server.connections) <= server.max_connections
 
     # Callbacks of the link
 
@@ -147,7 +147,7 @@
             listener.refuse()  # the upstream starts later, but the endpoint list needs its port now
 
     def begin(self) -> None:
-        """Schedule the steps of the plan."""
+        """Schedule the steps of the plan, and start to close idle connections."""
         for step in self.plan.steps:
             self.clock.at(step.at_us, self.apply_fault, step)
         if self.plan.from_us > 0:
@@ -174,7 +174,10 @@
         self._refuse_connections()
 
     def _vanish(self, now_us: int, step: Step) -> None:
-        """Terminate the machine while its links are cut, so that no sidecar sees a connection close."""
+        """Terminate the machine without closing a connection for any sidecar.
+
+        The plan cuts the links before this step, so the links hold the resets back.
+        """
         self._drop_all_attempts(now_us)
         self._abort_connections()
 
@@ -213,14 +216,14 @@
         for listener in self.listeners.values():
             listener.refuse()
             listener.abort_all()
-        self._forget_connections()
+        self._remove_connections()
 
     def _abort_connections(self) -> None:
         for listener in self.listeners.values():
             listener.abort_all()
-        self._forget_connections()
+        self._remove_connections()
 
-    def _forget_connections(self) -> None:
+    def _remove_connections(self) -> None:
         for connection in list(self.connections):
             self.connection_closed(connection)
 
@@ -247,15 +250,15 @@
             self._start_work(attempt, work_us)
 
     def _work_us(self, request_class: RequestClass, request_id: str, *, on_new_connection: bool) -> int:
-        # A client's retries need the same work as its first call.
-        first_attempt_id = ".".join(request_id.split(".")[:2])
-        work_us = draw.work_us(self._seed, first_attempt_id, request_class.work_ms, request_class.work_cv)
+        # Each retry by the client needs the same work as the first call of the request.
+        first_call_id = ".".join(request_id.split(".")[:2])
+        work_us = draw.work_us(self._seed, first_call_id, request_class.work_ms, request_class.work_cv)
         if on_new_connection:
             work_us += int(self._settings.handshake_ms * 1000)
         return work_us
 
     def _handshake_us(self, connection: SidecarConnection) -> int:
-        """Return the network delay of the handshake that precedes the first request of a connection."""
+        """Return the network delay of the handshake before the first request of a connection; 0 for later requests."""
         one_way_trips = 2 * self._settings.handshake_trips if connection.unused else 0.0
         return int(one_way_trips * connection.connection.listener.to_node.delay_us)
 
@@ -282,8 +285,11 @@
         return attempt
 
     def _fails_on_arrival(self, attempt: _AttemptInProgress) -> bool:
-        """Reject, fail or reset an attempt if the connection limit or a fault requires it; return whether it ended."""
-        if not attempt.connection.accepted:
+        """Reject, fail or reset an attempt if the connection limit or a fault requires it.
+
+        Return whether the attempt has ended.
+        """
+        if not attempt.connection.within_limit:
             self._respond(attempt, NOT_RUN_RESPONSE, "turned_away")
             return True
         if self._machine.hung:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -19,7 +19,7 @@
 
 HOST = "127.77.0.1"
 DATAGRAM_COUNT = 400
-RESET_WAIT_S = 0.3  # a reset on one machine arrives within this time
+RESET_WAIT_S = 0.3  # a reset between two sockets of one machine arrives within this time
 
 
 class UpperCaseEcho:
@@ -33,14 +33,16 @@
         self.connection.write(data.upper())
 
     def closed_by_sidecar(self) -> None:
-        self.received.append(b"lost")
+        self.received.append(b"closed")
 
     def data_undelivered(self, data: bytes) -> None:
         self.undelivered.append(data)
 
 
 @pytest.mark.parametrize(("to_node", "to_sidecar"), [(True, True), (True, False), (False, True)])
-def test_listener_carries_on_without_closing_when_a_cut_ends(tmp_path: Path, to_node: bool, to_sidecar: bool) -> None:
+def test_listener_resumes_delivery_without_closing_when_a_cut_ends(
+    tmp_path: Path, to_node: bool, to_sidecar: bool
+) -> None:
     async def test() -> None:
         clock, received, undelivered = RunClock("test", Journal(tmp_path / "x")), list[bytes](), list[bytes]()
         listener = link_sockets.Listener(
@@ -60,23 +62,24 @@
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(asyncio.open_connection(HOST, listener.port), 0.15)
         listener.restore(to_node=to_node, to_sidecar=to_sidecar)
-        reader, writer = await asyncio.open_connection(HOST, listener.port)  # the cancelled read has ended the old one
+        # The old connection is not read again, because its last read was cancelled.
+        reader, writer = await asyncio.open_connection(HOST, listener.port)
         writer.write(b"three")
         assert await asyncio.wait_for(reader.read(9), 5) == b"THREE"
         async with asyncio.timeout(5):
-            while b"two" not in received:  # noqa: ASYNC110 - the peers set no event
+            while b"two" not in received:  # noqa: ASYNC110 - UpperCaseEcho sets no event
                 await asyncio.sleep(0.01)
         listener.refuse()
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(HOST, listener.port)
-        listener.open()  # it uses the same port again
+        listener.open()  # the listener uses the same port again
         (await asyncio.open_connection(HOST, listener.port))[1].close()
         listener.close()
 
     asyncio.run(test())
 
 
-def test_relay_loses_duplicates_and_cuts_datagrams_when_link_has_faults(tmp_path: Path) -> None:
+def test_relay_drops_and_duplicates_datagrams_when_links_have_faults(tmp_path: Path) -> None:
     class Member(asyncio.DatagramProtocol):
         def __init__(self) -> None:
             self.received: list[tuple[bytes, tuple[str, int]]] = []
