--- a/garnetusher/lab/datagrams.py
+++ b/garnetusher/lab/datagrams.py
@@ -1,8 +1,8 @@
 """A UDP relay between members of the membership protocol; it drops, duplicates, delays and reorders datagrams.
 
 The relay has a socket for each ordered pair of members. A member sends datagrams for a peer to the address of the
-socket for that pair (`Relay.peer_address`). The relay delivers them from the socket of the reverse pair, so the peer can
-reply to the source address. The members therefore need no code for the relay.
+socket for that pair (`Relay.peer_address`). The relay delivers them from the socket of the reverse pair, so the peer
+can reply to the source address. The members therefore need no code for the relay.
 """
 
 from __future__ import annotations
--- a/garnetusher/lab/link_sockets.py
+++ b/garnetusher/lab/link_sockets.py
@@ -69,7 +69,7 @@
         self._clock = listener.clock
         self._inbound = StreamLink(listener.to_node, listener.rng)
         self._outbound = StreamLink(listener.to_sidecar, listener.rng)
-        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()  # for each write in `_outbound`
+        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()  # one entry for each write in `_outbound`
         self._timer: asyncio.TimerHandle | None = None
         self._closed_by_sidecar = False
         self._close_reported = False
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -147,7 +147,10 @@
             listener.refuse()  # the upstream starts later, but the endpoint list needs its port now
 
     def begin(self) -> None:
-        """Schedule the steps of the plan, and start to close idle connections."""
+        """Schedule the steps of the plan and the checks for idle connections.
+
+        The machine of an upstream that starts later is down until then.
+        """
         for step in self.plan.steps:
             self.clock.at(step.at_us, self.apply_fault, step)
         if self.plan.from_us > 0:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -33,7 +33,7 @@
         self.connection.write(data.upper())
 
     def closed_by_sidecar(self) -> None:
-        self.received.append(b"closed")
+        self.received.append(b"lost")
 
     def data_undelivered(self, data: bytes) -> None:
         self.undelivered.append(data)
