--- a/garnetusher/lab/discovery.py
+++ b/garnetusher/lab/discovery.py
@@ -48,10 +48,10 @@
 class SidecarConnection:
     """A sidecar's connection to discovery."""
 
-    def __init__(self, server: DiscoveryServer, sidecar: str, connection: link_sockets.Connection) -> None:
+    def __init__(self, server: DiscoveryServer, sidecar: str, link_connection: link_sockets.Connection) -> None:
         self.server = server
         self.sidecar = sidecar
-        self.connection = connection
+        self.link_connection = link_connection
         self.closed = False
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
@@ -63,7 +63,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.connection.abort()
+            self.link_connection.abort()
 
     def closed_by_sidecar(self) -> None:
         """End the watch of this connection."""
@@ -96,7 +96,7 @@
 
     def _send_chunk(self, data: bytes, steps: list[ListStep]) -> None:
         chunk = b"%x\r\n%s\r\n" % (len(data), data)
-        self.connection.write(chunk, partial(self.server.record_delivery, self.sidecar, steps))
+        self.link_connection.write(chunk, partial(self.server.record_delivery, self.sidecar, steps))
 
 
 class DiscoveryServer:
@@ -129,7 +129,11 @@
         """Open the listener for one sidecar."""
         seed = int(draw.uniform(self.plan.seed, "link", "directory", sidecar) * 2**32)
         listener = link_sockets.Listener(
-            self.clock, host, lambda connection: SidecarConnection(self, sidecar, connection), seed, normal_conditions
+            self.clock,
+            host,
+            lambda link_connection: SidecarConnection(self, sidecar, link_connection),
+            seed,
+            normal_conditions,
         )
         listener.open()
         self.listeners[sidecar] = listener
@@ -156,7 +160,7 @@
             self._answer(connection, target)
         elif self._busy_until_us - now_us > self._settings.calls_waiting * call_us:
             self.clock.write(DiscoveryCalled(now_us, connection.sidecar, "turned away"))
-            connection.connection.write(OVERLOADED_RESPONSE)
+            connection.link_connection.write(OVERLOADED_RESPONSE)
         else:
             self._busy_until_us = max(now_us, self._busy_until_us) + call_us
             self.clock.at(self._busy_until_us, self._answer, connection, target)
@@ -166,7 +170,7 @@
             return
         url = urlsplit(target)
         if url.path != HOSTS_PATH:
-            connection.connection.write(NOT_FOUND_RESPONSE)
+            connection.link_connection.write(NOT_FOUND_RESPONSE)
             return
         query = parse_qs(url.query)
         watching = query.get("follow") == ["1"]
@@ -178,13 +182,13 @@
 
     def _send_snapshot(self, connection: SidecarConnection) -> None:
         body = json.dumps(self._snapshot(connection.sidecar)).encode()
-        connection.connection.write(
+        connection.link_connection.write(
             SNAPSHOT_HEAD % len(body) + body,
             lambda: self.record_delivery(connection.sidecar, list(self._listed.values())),
         )
 
     def _start_watch(self, connection: SidecarConnection, since: int) -> None:
-        connection.connection.write(WATCH_HEAD)
+        connection.link_connection.write(WATCH_HEAD)
         oldest = self._changes[0][0] if self._changes else self._revision + 1
         if since == self._revision:
             connection.send_keepalive()
--- a/garnetusher/lab/link_sockets.py
+++ b/garnetusher/lab/link_sockets.py
@@ -1,9 +1,9 @@
 """Sockets behind simulated links: each pair of a node and a sidecar has its own listening socket and its own link.
 
 A node is an upstream or the discovery service. The stand-in for the node runs in the same process as the link, so data
-is not copied through another process. A cut closes no connection: the link holds data back, and new connections are
-not established, because the listener fills the accept queue of its socket, so that the kernel drops further connection
-requests (`listen(2)` with a backlog of 0).
+is not copied through another process. A cut closes no connection: the link holds back the data of each direction that
+is cut, and new connections are not established. To prevent new connections, the listener fills the accept queue of its
+socket, so that the kernel drops further connection requests (`listen(2)` with a backlog of 0).
 """
 
 from __future__ import annotations
@@ -69,7 +69,8 @@
         self._clock = listener.clock
         self._inbound = StreamLink(listener.to_node, listener.rng)
         self._outbound = StreamLink(listener.to_sidecar, listener.rng)
-        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()  # one entry for each write in `_outbound`
+        # One entry for each write in `_outbound`; None for a write without a callback.
+        self._delivery_callbacks: deque[Callable[[], None] | None] = deque()
         self._timer: asyncio.TimerHandle | None = None
         self._closed_by_sidecar = False
         self._close_reported = False
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -45,10 +45,10 @@
 class SidecarConnection:
     """A sidecar's connection to an upstream; it carries one request at a time."""
 
-    def __init__(self, server: UpstreamServer, sidecar: str, connection: link_sockets.Connection) -> None:
+    def __init__(self, server: UpstreamServer, sidecar: str, link_connection: link_sockets.Connection) -> None:
         self.server = server
         self.sidecar = sidecar
-        self.connection = connection
+        self.link_connection = link_connection
         self.parser = httptools.HttpRequestParser(self)
         self.request_started_us = self.last_response_us = server.clock.now_us()
         self.unused = True
@@ -69,7 +69,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.connection.abort()
+            self.link_connection.abort()
             self.server.connection_closed(self)
 
     def closed_by_sidecar(self) -> None:
@@ -139,7 +139,11 @@
         """Open the listener for one sidecar."""
         seed = int(draw.uniform(self._seed, "link", self.plan.uid, sidecar) * 2**32)
         listener = link_sockets.Listener(
-            self.clock, host, lambda connection: SidecarConnection(self, sidecar, connection), seed, normal_conditions
+            self.clock,
+            host,
+            lambda link_connection: SidecarConnection(self, sidecar, link_connection),
+            seed,
+            normal_conditions,
         )
         self.listeners[sidecar] = listener
         listener.open()
@@ -236,11 +240,11 @@
         """Answer a health check, or record an attempt and start its work."""
         now_us = self.clock.now_us()
         if target in HEALTH_CHECK_PATHS:
-            connection.connection.write(HEALTHY_RESPONSE)
+            connection.link_connection.write(HEALTHY_RESPONSE)
             return
         request_class = self._classes.get(target.split(b"?")[0].lstrip(b"/").split(b"/")[0])
         if request_class is None or not request_id:
-            connection.connection.write(NOT_FOUND_RESPONSE)
+            connection.link_connection.write(NOT_FOUND_RESPONSE)
             return
         work_us = self._work_us(request_class, request_id, on_new_connection=connection.unused)
         handshake_us = self._handshake_us(connection)
@@ -263,7 +267,7 @@
     def _handshake_us(self, connection: SidecarConnection) -> int:
         """Return the network delay of the handshake before the first request of a connection; 0 for later requests."""
         one_way_trips = 2 * self._settings.handshake_trips if connection.unused else 0.0
-        return int(one_way_trips * connection.connection.listener.to_node.delay_us)
+        return int(one_way_trips * connection.link_connection.listener.to_node.delay_us)
 
     def _record_attempt(
         self, now_us: int, connection: SidecarConnection, request_id: str, work_us: int
@@ -302,7 +306,7 @@
             return True
         if self._reset_share and self._random.random() < self._reset_share:
             self._end_attempt(attempt.number, "reset")
-            attempt.connection.connection.abort()
+            attempt.connection.link_connection.abort()
             return True
         return False
 
@@ -355,7 +359,7 @@
     def _respond(self, attempt: _AttemptInProgress, response: bytes, end: AttemptEnd) -> None:
         attempt.connection.last_response_us = self.clock.now_us()
         self._end_attempt(attempt.number, end)
-        attempt.connection.connection.write(response)
+        attempt.connection.link_connection.write(response)
 
     def _end_attempt(self, attempt_number: int, end: AttemptEnd) -> None:
         attempt = self._attempts.pop(attempt_number, None)
@@ -384,6 +388,6 @@
         for connection in list(self.connections):
             busy = connection.attempt is not None or connection.reading
             if not busy and connection.last_response_us < idle_since_us and not self._machine.hung:
-                connection.connection.close()
+                connection.link_connection.close()
                 self.connections.discard(connection)
         self.clock.loop.call_later(IDLE_CHECK_INTERVAL_S, self._close_idle_connections)
