--- a/garnetusher/lab/discovery.py
+++ b/garnetusher/lab/discovery.py
@@ -1,6 +1,6 @@
-"""A stand-in for the discovery service, which implements its protocol for snapshots and watches.
+"""A stand-in for the discovery service; it implements the protocol for snapshots and watches.
 
-Each sidecar reaches it at a separate address, through a separate link.
+Each sidecar reaches the stand-in at a separate address, through a separate link.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
 class SidecarConnection:
     """A sidecar's connection to discovery."""
 
-    def __init__(self, server: DiscoveryServer, sidecar: str, connection: link_sockets.Connection) -> None:
+    def __init__(self, server: DiscoveryServer, sidecar: str, link_connection: link_sockets.Connection) -> None:
         self.server = server
         self.sidecar = sidecar
-        self.connection = connection
+        self.link_connection = link_connection
         self.closed = False
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
@@ -63,7 +63,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.connection.abort()
+            self.link_connection.abort()
 
     def closed_by_sidecar(self) -> None:
         """End the watch of this connection."""
@@ -96,7 +96,7 @@
 
     def _send_chunk(self, data: bytes, steps: list[ListStep]) -> None:
         chunk = b"%x\r\n%s\r\n" % (len(data), data)
-        self.connection.write(chunk, partial(self.server.record_delivery, self.sidecar, steps))
+        self.link_connection.write(chunk, partial(self.server.record_delivery, self.sidecar, steps))
 
 
 class DiscoveryServer:
@@ -115,8 +115,8 @@
         self._addresses = addresses
         self._settings = settings
         self._max_push_delay_us = round(settings.spread_ms * 1000)
-        self._busy_until_us = 0  # the time at which all waiting calls will be answered
-        self._unix_zero_ms = 0  # the wall clock time at the start of the run
+        self._busy_until_us = 0  # the time at which the last call in the queue is answered
+        self._unix_zero_ms = 0  # the wall clock time at the start of the run, in Unix milliseconds
         self._revision = 1
         self._listed: dict[str, ListStep] = {
             upstream.uid: ListStep(0, upstream.uid, upstream.zone, "active")
@@ -129,7 +129,11 @@
         """Open the listener for one sidecar."""
         seed = int(draw.uniform(self.plan.seed, "link", "directory", sidecar) * 2**32)
         listener = link_sockets.Listener(
-            self.clock, host, lambda connection: SidecarConnection(self, sidecar, connection), seed, normal_conditions
+            self.clock,
+            host,
+            lambda link_connection: SidecarConnection(self, sidecar, link_connection),
+            seed,
+            normal_conditions,
         )
         listener.open()
         self.listeners[sidecar] = listener
@@ -149,24 +153,24 @@
     # Calls
 
     def request_received(self, connection: SidecarConnection, target: str) -> None:
-        """Answer a call after those that wait; reject it if too many calls wait."""
+        """Answer a call after all calls in the queue; reject the call if the queue is full."""
         call_us = int(self._settings.call_ms * 1000)
         now_us = self.clock.now_us()
         if not call_us:
             self._answer(connection, target)
         elif self._busy_until_us - now_us > self._settings.calls_waiting * call_us:
             self.clock.write(DiscoveryCalled(now_us, connection.sidecar, "turned away"))
-            connection.connection.write(OVERLOADED_RESPONSE)
+            connection.link_connection.write(OVERLOADED_RESPONSE)
         else:
             self._busy_until_us = max(now_us, self._busy_until_us) + call_us
             self.clock.at(self._busy_until_us, self._answer, connection, target)
 
     def _answer(self, connection: SidecarConnection, target: str) -> None:
-        if connection.closed:  # the sidecar has closed the connection while the call waited
+        if connection.closed:  # the sidecar closed the connection while the call was in the queue
             return
         url = urlsplit(target)
         if url.path != HOSTS_PATH:
-            connection.connection.write(NOT_FOUND_RESPONSE)
+            connection.link_connection.write(NOT_FOUND_RESPONSE)
             return
         query = parse_qs(url.query)
         watching = query.get("follow") == ["1"]
@@ -178,13 +182,13 @@
 
     def _send_snapshot(self, connection: SidecarConnection) -> None:
         body = json.dumps(self._snapshot(connection.sidecar)).encode()
-        connection.connection.write(
+        connection.link_connection.write(
             SNAPSHOT_HEAD % len(body) + body,
             lambda: self.record_delivery(connection.sidecar, list(self._listed.values())),
         )
 
     def _start_watch(self, connection: SidecarConnection, since: int) -> None:
-        connection.connection.write(WATCH_HEAD)
+        connection.link_connection.write(WATCH_HEAD)
         oldest = self._changes[0][0] if self._changes else self._revision + 1
         if since == self._revision:
             connection.send_keepalive()
@@ -218,7 +222,7 @@
     def _change_list(self, step: ListStep) -> None:
         before = self._listed.get(step.uid)
         if before is not None and step.started_us == LONG_AGO:
-            # Only a start of the upstream changes its start time.
+            # The step is not a start of the upstream, so the upstream keeps its start time.
             step = structs.replace(step, started_us=before.started_us)
         self._revision += 1
         self._changes.append((self._revision, step))
