--- a/garnetusher/membership/failure_detector.py
+++ b/garnetusher/membership/failure_detector.py
@@ -66,7 +66,7 @@
     def handle_ack(self, probe_id: int) -> None:
         """Complete the probe that was answered, or forward the ack to the member that requested the probe."""
         if self._probes.pop(probe_id, None) is not None:
-            self._state.acknowledged = True
+            self._state.answered = True
             self._state.local_health.adjust(-1)
         relayed_probe = self._relayed_probes.pop(probe_id, None)
         if relayed_probe is not None:
--- a/garnetusher/membership/join.py
+++ b/garnetusher/membership/join.py
@@ -81,7 +81,7 @@
         """
         state = self._state
         self.welcome_member_count = max(self.welcome_member_count, message.member_count)
-        state.acknowledged = True
+        state.answered = True
         if state.phase != Phase.JOINING or self._name_claim is not None:
             return
         known = message.known_entry
--- a/garnetusher/membership/name_conflicts.py
+++ b/garnetusher/membership/name_conflicts.py
@@ -34,13 +34,16 @@
     def _is_from_earlier_process(self, entry: Entry) -> bool:
         """Return whether the entry is from an earlier process that had the same generation because its clock was ahead.
 
-        In this case, other members attribute the datagrams of this process to the earlier one. They may also drop them
-        as replays, because the earlier process sent higher sequence numbers.
+        There are two signs: an incarnation at the address of this process that this process has never used, or an
+        accusation that arrives before any other member has answered this process.
+
+        If the entry is from an earlier process, other members attribute the datagrams of this process to the earlier
+        one. They may also drop them as replays, because the earlier process sent higher sequence numbers.
         """
         state = self._state
         if entry.incarnation > state.incarnation and entry.address == state.own_address:
             return True
-        return self._is_current_accusation(entry) and not state.acknowledged
+        return self._is_current_accusation(entry) and not state.answered
 
     def _is_current_accusation(self, entry: Entry) -> bool:
         return entry.state != State.PRESENT and entry.incarnation >= self._state.incarnation
--- a/garnetusher/membership/state.py
+++ b/garnetusher/membership/state.py
@@ -33,8 +33,8 @@
         generation: The generation of this process; a later process of the same name has a higher one.
         incarnation: A number that only this process raises, to refute other members' entries about it.
         present_since_us: The time at which this process became present.
-        acknowledged: Whether another member has answered this process. An answer proves that this process is not taken
-            for an earlier one.
+        answered: Whether another member has answered a datagram of this process. Members that take this process for an
+            earlier one may drop its datagrams, so an answer shows that the member recognizes this process.
         dropped: The number of datagrams rejected after decoding, by reason; the codec counts those that it rejects.
     """
 
@@ -48,7 +48,7 @@
         self.view = View()
         self.phase = Phase.JOINING
         self.present_since_us = 0
-        self.acknowledged = False
+        self.answered = False
         self.local_health = LocalHealth()
         self.dropped: Counter[str] = Counter()
         self._unique_numbers = itertools.count(1)  # shared by probe ids and the sequence numbers of timers
--- a/garnetusher/sidecar/configuration.py
+++ b/garnetusher/sidecar/configuration.py
@@ -168,7 +168,10 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Flatten nested settings to the path and value pairs of the simulator's first message."""
+    """Flatten nested settings to pairs of a dotted path and a text.
+
+    The simulator sends settings to the policy in the same form, so one parser reads the settings of both.
+    """
     items: list[tuple[object, object]]
     if isinstance(value, Mapping):
         items = list(value.items())
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -21,9 +21,9 @@
 
 log = logging.getLogger(__name__)
 
-# The sidecar counts as knowing a change 6 s after discovery has it, even if the change has not arrived. A draining
-# endpoint may get new attempts for 1 s more. Within these 7 s the watcher must detect a silent watch and reconnect
-# twice.
+# The sidecar is expected to know a change of the endpoint list 6 s after discovery has it. A draining endpoint may get
+# new attempts for 1 s more. Within these 7 s the watcher must detect that a watch is silent, and have time for two
+# reconnects.
 SILENCE_TIMEOUT_S = 3.0  # discovery sends an empty line every 2 s
 RESPONSE_TIMEOUT_S = 2.5  # time limit for the first bytes of a response, which may be an empty line
 RECONNECT_DELAY_S = 0.25  # well below the 1 s that a drain allows; discovery answers at once and at low cost
@@ -131,10 +131,12 @@
 class EndpointWatcher:
     """Watches the endpoint list: permanently, or while the policy requests it.
 
-    The watcher itself reopens a permanent watch. If the policy requested the watch, the watcher notifies the policy of
-    a failure, unless discovery had answered and then became silent: in this case the watcher itself opens a new watch.
-    In a large fleet, such reconnects do not reach discovery all at once, as they are spread over the 2 s between empty
-    lines.
+    After any failure, the watcher itself reopens a permanent watch. It reopens a watch that the policy requested only if
+    discovery had answered and then became silent. After any other failure of such a watch, the watcher notifies the
+    policy, which decides when to request the next one.
+
+    In a large fleet, the last empty lines before a silence arrive at different times, as discovery sends one every 2 s
+    on each watch. The reconnects after the silence are therefore spread over 2 s too.
 
     Attributes:
         address: address on which discovery listens.
@@ -172,7 +174,7 @@
         self._notify(update)
 
     def watch_permanently(self) -> None:
-        """Start a permanent watch; if changes are pushed, the policy does not request a watch."""
+        """Start a permanent watch, for a policy that does not poll the list by requesting watches itself."""
         self.watches_permanently = True
         self._open_watch()
 
@@ -261,7 +263,8 @@
             self._timer = self.loop.call_later(remaining_s, self._check_silence)
             return
         log.warning("closing the watch: discovery has sent no data within the time limit")
-        # The watcher itself reconnects, as the policy's next poll may come more than 6 s after the watch became silent.
+        # The watcher itself reopens a watch that became silent, as the policy's next request for a watch may come after
+        # the 6 s within which the sidecar is expected to know a change.
         self.watch.fail(reconnect=was_answered)
 
     def _run_step(self) -> None:
--- a/garnetusher/sidecar/downstream/arrival_time.py
+++ b/garnetusher/sidecar/downstream/arrival_time.py
@@ -15,8 +15,8 @@
 # Bytes that are read within this time after the set-up of a connection or after a previous read may have arrived
 # together with the connection or with the previous bytes.
 BURST_WINDOW_US = 20_000
-# While a body keeps arriving after a pause of this process, bytes that are read this long after the first bytes of a
-# burst count as having arrived after the pause.
+# All bytes of a burst of reads are estimated to be as old as the first bytes of the burst. If the estimate for a later
+# read alone is at least this much later, the body has kept arriving after the pause, and that estimate is used instead.
 MAX_BURST_US = 500_000
 
 
@@ -68,8 +68,8 @@
         self.arrived_us = 0
         self.paused_since_us = 0
         self._read_at_us = 0  # the time of the most recent read
-        self._incomplete_at_us = 0  # the last time at which some bytes of a paused body had not reached the kernel
-        self._complete_since_us = 0  # the earliest time at which all of a paused body may have arrived; 0 if unknown
+        self._incomplete_at_us = 0  # the last time at which the kernel held only a part of the unread rest
+        self._complete_since_us = 0  # the earliest time at which the kernel may have held it all; 0 if unknown
 
     def start_reading(self) -> int:
         """Record that the event loop starts to read the connection now, and return the current time."""
@@ -80,7 +80,8 @@
         """Update the arrival time for bytes that have just been read.
 
         After a pause of this process, the event loop reads all bytes that arrived during the pause in several reads
-        shortly after each other, so bytes from the later reads may be as old as those from the first.
+        shortly after each other, so bytes from the later reads may be as old as those from the first. A pause has
+        taken place if the previous bytes arrived clearly earlier than they were read.
 
         Args:
             first_request: Whether the connection has not carried a valid request yet.
@@ -107,7 +108,8 @@
     def complete_unread_since_us(self, missing_size: int | None) -> int:
         """Return the earliest time at which the kernel may have held the whole rest of a paused body; 0 if unknown.
 
-        The client's deadline runs from that time, although the last byte has not been read.
+        The client's deadline runs from that time, although the last byte has not been read. If no earlier call found
+        the rest incomplete, it may have been complete when reading paused, or as soon as the last read bytes arrived.
 
         Args:
             missing_size: The number of body bytes that have not been read; None if the body's length is unknown.
@@ -124,5 +126,5 @@
         if first_request and monotonic_us() < self._reading_started_us + BURST_WINDOW_US:
             arrived_us = min(arrived_us, self.accepted_us)
         if self._sock is not None:
-            arrived_us = min(arrived_us, self._sock.read_failures.since_us() or arrived_us)
+            arrived_us = min(arrived_us, self._sock.read_failures.first_failure_us() or arrived_us)
         return min(arrived_us, self._complete_since_us or arrived_us)
--- a/garnetusher/sidecar/downstream/listener.py
+++ b/garnetusher/sidecar/downstream/listener.py
@@ -66,7 +66,9 @@
             try:
                 connection, _ = self.sock.accept()
             except BlockingIOError:
-                if index == 0:  # another process has accepted the connection, or accepting is not possible yet
+                # Another process has accepted the connection, or this machine is short of memory. The error does not
+                # tell which, so it is recorded as a failure; this can only make estimated arrival times earlier.
+                if index == 0:
                     self.accept_failures.record_failure()
                 return True
             except OSError as error:
--- a/garnetusher/sidecar/downstream/request_reader.py
+++ b/garnetusher/sidecar/downstream/request_reader.py
@@ -15,8 +15,12 @@
 
 MAX_HEAD_SIZE = 16 * 1024  # bytes
 READ_TIMEOUT_US = 2_700_000  # time for a whole request; a new client must get a response or a close within 3 s
-FIRST_BODY_TIMEOUT_US = 900_000  # time for the first body bytes after the head, which may have taken 2 s
-MIN_BODY_RATE = 32_000  # bytes/s that extend the deadline by 1 s per second; half the rate of a slow client
+FIRST_BODY_TIMEOUT_US = (
+    900_000  # time for the first body bytes after the head; the head may have taken 2 s of these 3 s
+)
+MIN_BODY_RATE = (
+    32_000  # bytes/s; at this rate the deadline moves as fast as time passes; a slow client sends at twice the rate
+)
 MAX_DEADLINE_AHEAD_US = 5_000_000  # maximum time from now until a deadline that body bytes extend
 MAX_FRAMING_SIZE = 64 * 1024  # bytes of chunked framing that a body of any size may have
 MAX_FRAMING_PER_BODY_BYTE = 16  # additional framing bytes per body byte, because chunks may be of any size
@@ -50,7 +54,7 @@
         """Initialize for the first request of a connection.
 
         Args:
-            on_head_complete: Called once after each head, before any of its body; may raise `RequestRejected`.
+            on_head_complete: Called once per request, after its head and before its body; may raise `RequestRejected`.
         """
         self._on_head_complete = on_head_complete
         self._parser = httptools.HttpRequestParser(self)
@@ -175,7 +179,10 @@
         self._check_size()
 
     def _check_size(self) -> None:
-        """Limit bytes that the parser does not report, such as an endless head or endless chunk framing."""
+        """Limit bytes that the parser does not report, such as an endless head or endless chunk framing.
+
+        An incomplete head may exceed MAX_HEAD_SIZE by MAX_FRAMING_PER_BODY_BYTE bytes.
+        """
         if self.state is ReadState.HEAD and self._received_size > MAX_HEAD_SIZE + MAX_FRAMING_PER_BODY_BYTE:
             raise RequestRejected(413, "the head is too long")
         max_framing_size = MAX_FRAMING_SIZE + MAX_FRAMING_PER_BODY_BYTE * self._body_size
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -95,7 +95,7 @@
 
     def accepted_us(self) -> int:
         """Return the earliest time at which the client of a connection accepted now may have connected."""
-        stalled_since_us = self._listener.accept_failures.since_us() if self._listener is not None else 0
+        stalled_since_us = self._listener.accept_failures.first_failure_us() if self._listener is not None else 0
         return min(self.event_loop_lag.earliest_arrival_us(), stalled_since_us or monotonic_us())
 
     def add_connection(self, connection: DownstreamConnection) -> None:
--- a/garnetusher/sidecar/lifecycle.py
+++ b/garnetusher/sidecar/lifecycle.py
@@ -39,7 +39,7 @@
 
     @property
     def serving(self) -> bool:
-        """Whether the readiness check succeeds."""
+        """Whether the process is started and neither draining nor stopping, which the readiness check requires."""
         return self.state is LifecycleState.SERVING
 
     @property
--- a/garnetusher/sidecar/reload.py
+++ b/garnetusher/sidecar/reload.py
@@ -11,8 +11,8 @@
 log = logging.getLogger(__name__)
 
 RETRY_INTERVAL_S = 0.05  # delay between attempts to load a file
-# When discovery moves to a new address, the sidecar must apply a change sent from the new address within 4 s after the
-# signal. The old address shuts down before these 4 s are over.
+# If the new file has a new address of discovery, the sidecar must apply a change from that address within 4 s after the
+# signal. Discovery stops listening on the old address before these 4 s are over. Retries continue for 1 s more.
 RETRY_FOR_S = 5.0
 
 
--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -19,14 +19,14 @@
 
 # The time between tries of a call that fails with a local error; it is short compared with the shortest deadlines.
 RETRY_INTERVAL_S = 0.02
-# If a call succeeds within this time after a failed call, the data or connection that it returns is regarded as
-# available since the failed call.
+# Calls belong to one streak of failures if each follows the previous failure within this time; see `FailureStreak`.
 MAX_FAILURE_GAP_US = 50_000
 # The whole process blocks while it retries to add a descriptor to epoll, so it retries more often than other calls.
 EPOLL_RETRY_TIMEOUT_S = 0.5
 EPOLL_RETRY_INTERVAL_S = RETRY_INTERVAL_S / 4
 
-# Errors that this host causes. A call that fails with one may be tried again, and they are no evidence against a peer.
+# Errors that this machine causes. A call that fails with one may be tried again, and the error is no evidence against
+# a peer.
 SHORTAGES = frozenset((errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM))
 LOCAL_ERRORS = SHORTAGES | {
     errno.EADDRNOTAVAIL,
@@ -43,7 +43,7 @@
 
 
 def is_local_error(error: OSError) -> bool:
-    """Return whether a call failed because of this host and not because of a peer."""
+    """Return whether a call failed because of this machine and not because of a peer."""
     return error.errno in LOCAL_ERRORS
 
 
@@ -57,8 +57,8 @@
 class FailureStreak:
     """Consecutive failed calls to read bytes or accept a connection, and when the first of them failed.
 
-    A call that succeeds within MAX_FAILURE_GAP_US of a failed call returns what the failed call should have returned.
-    What a later call returns may have arrived after the failure.
+    If a call succeeds within MAX_FAILURE_GAP_US after a failure, the data or connection that it returns is assumed to
+    have waited since the first failure of the streak. What a later call returns may have arrived after the failures.
     """
 
     __slots__ = ("_first_failure_us", "_last_failure_us")
@@ -74,11 +74,13 @@
             self._first_failure_us = now_us
         self._last_failure_us = now_us
 
-    def since_us(self) -> int:
-        """Return the time since which a call that succeeds now would have succeeded without the failures.
+    def first_failure_us(self) -> int:
+        """Return the time of the first failure of the current streak.
+
+        Data or a connection that a call returns now may have waited since that time.
 
         Returns:
-            The time of the first failure; 0 if no call failed within the last MAX_FAILURE_GAP_US.
+            The time in microseconds; 0 if no call failed within the last MAX_FAILURE_GAP_US.
         """
         now_us = time.monotonic_ns() // 1000
         return self._first_failure_us if now_us <= self._last_failure_us + MAX_FAILURE_GAP_US else 0
--- a/garnetusher/sidecar/streaming.py
+++ b/garnetusher/sidecar/streaming.py
@@ -46,7 +46,7 @@
 
 
 class BodySink(Protocol):
-    """The receiver of a long body: an attempt at an upstream."""
+    """The receiver of a long request body: the upstream side, which writes the body for an attempt."""
 
     def write_body_chunk(self, data: bytes) -> None:
         """Write the next bytes."""
@@ -56,14 +56,14 @@
 
 
 class Sink(Protocol):
-    """The receiver of a streamed response: the downstream side."""
+    """The receiver of a streamed response: the downstream side, which writes the response to the client."""
 
     def write_chunk(self, data: bytes) -> None:
         """Write the next bytes."""
 
 
 class Source(Protocol):
-    """The origin of a streamed response: the upstream side."""
+    """The origin of a streamed response: the upstream side, which reads the response from the upstream."""
 
     def pause(self) -> None:
         """Pause reading: the client reads more slowly than the upstream sends."""
@@ -73,7 +73,7 @@
 
 
 class BodySource(Protocol):
-    """The origin of a long body: the downstream side."""
+    """The origin of a long request body: the downstream side, which reads the body from the client."""
 
     def pause_body(self) -> None:
         """Pause reading: no attempt takes the body."""
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class Head:
-    """What is known of a streamed response when its first bytes arrive.
+    """The length and type of a streamed response, from its headers.
 
     Attributes:
         length: the length of the body in bytes; None if it is unknown until the body ends.
@@ -153,7 +153,7 @@
             self.replayable = False
             self._buffer = bytearray()
             self._source.mark_body_not_replayable()
-        if self._sink is not None:  # mark_body_not_replayable may have abandoned the attempt
+        if self._sink is not None:  # None if the source has abandoned the attempt in the call above
             self._sink.write_body_chunk(data)
 
     def finish(self) -> None:
@@ -189,7 +189,11 @@
             self.waiting.append(begin)
 
     def release(self, begin: Callable[[], None]) -> None:
-        """Remove a body that still waits, or pass the memory of a finished body to the next one that waits."""
+        """Remove a waiting body from the queue, or pass the memory of a finished body to the next body in the queue.
+
+        Args:
+            begin: the callback that was passed to `acquire` for the same body.
+        """
         if begin in self.waiting:
             self.waiting.remove(begin)
         elif self.waiting:
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -127,7 +127,10 @@
             self._finish_complete()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the attempt; the upstream may have run a completely written request, but never runs an incomplete one."""
+        """End the attempt; the upstream may have run a completely written request, but never runs an incomplete one.
+
+        A streamed response is an exception: it shows that the upstream runs the request before it has the whole body.
+        """
         self.closed = True
         self._pool.remove_idle(self)
         if self.attempt is not None:
@@ -171,7 +174,8 @@
             return True
         if attempt.request.upload is not None:
             writer.start_body(attempt.request.upload)
-        if writer.transport.is_closing():  # the write failed, as the connection was already broken
+        if writer.transport.is_closing():
+            # The write failed, as the connection was already broken; `connection_lost` then reports CONNECT_FAILED.
             writer.has_unsent_bytes = True
         return True
 
