--- a/garnetusher/membership/anti_entropy.py
+++ b/garnetusher/membership/anti_entropy.py
@@ -15,7 +15,7 @@
 MAX_EXCHANGE_INTERVAL_US = 4_000_000  # after this time, an exchange begins even if the view keeps changing
 # Entries from an exchange are not broadcast for this time after joining, as the other members already know them.
 CATCH_UP_US = 500_000
-DISPUTE_AFTER_US = 300_000  # a shorter difference between views may only mean that gossip is still in transit
+DISPUTE_AFTER_US = 300_000  # views that differ for less time may only wait for gossip in transit
 DIGEST_VALID_US = 2_000_000  # a member's last digest is too old for a comparison after this time
 ENTRIES_HEADER_BYTES = 8  # this many bytes are reserved for the header of the MessagePack list of entries
 MAX_DIFFERING_NAMES = 8  # at most this many names are kept for the admin address
@@ -50,8 +50,8 @@
         self._last_exchange_us = 0
         self.differing_names: list[str] = []
 
-    def request(self, address: Address, priority_entry: Entry | None = None) -> None:
-        """Send the bucket digests of this view, and ask the recipient for its own."""
+    def begin_exchange(self, address: Address, priority_entry: Entry | None = None) -> None:
+        """Begin an exchange: send the bucket digests of this view, and request those of the recipient."""
         self._state.send(address, BucketDigests(self._state.view.bucket_digests, reply_requested=True), priority_entry)
 
     def contact_unknown_member(self, address: Address, known_entry: Entry | None) -> None:
@@ -63,7 +63,7 @@
         state = self._state
         if state.now_us - self._last_exchange_us >= UNKNOWN_MEMBER_INTERVAL_US:
             self._last_exchange_us = state.now_us
-            self.request(address, known_entry)
+            self.begin_exchange(address, known_entry)
 
     def compare(self, sender: str, digest: int) -> None:
         """Compare the digest of a member with that of this view, and begin an exchange if one is needed."""
@@ -77,7 +77,7 @@
         entry = state.view.entries.get(sender)
         if entry is not None and state.phase == Phase.PRESENT and self._may_exchange():
             self._last_exchange_us = state.now_us
-            self.request(entry.address)
+            self.begin_exchange(entry.address)
 
     def _may_exchange(self) -> bool:
         """Return whether to begin an exchange now.
--- a/garnetusher/membership/fleet_size.py
+++ b/garnetusher/membership/fleet_size.py
@@ -28,7 +28,7 @@
     Attributes:
         instances: The number of instances by which limits are divided.
         index: The position of this sidecar among the active members, sorted by name.
-        trusted: Whether all views agree and only active members count.
+        trusted: Whether all views agree and the estimate equals the number of active members.
     """
 
     instances: int
@@ -99,7 +99,7 @@
         return max(len(observation.present) + recently_failed, observation.welcome_count)
 
     def _record_size(self, now_us: int, size: int, *, agreed: bool) -> None:
-        """Record a size; larger sizes expire only while views agree."""
+        """Record a size; earlier, larger sizes expire at their time, but not while views differ."""
         while agreed and self._held_sizes and self._held_sizes[0][0] <= now_us:
             self._held_sizes.popleft()
         while self._held_sizes and self._held_sizes[-1][1] <= size:
--- a/garnetusher/membership/join.py
+++ b/garnetusher/membership/join.py
@@ -72,7 +72,7 @@
             state.send(address, Welcome(state.own_entry))
             return
         state.send(address, Welcome(state.view.entries.get(message.entry.name), state.view.active_count))
-        self._anti_entropy.request(address)
+        self._anti_entropy.begin_exchange(address)
 
     def handle_welcome(self, message: Welcome) -> None:
         """Become present, or first ping another process that holds this name according to the seed.
@@ -173,6 +173,6 @@
         state = self._state
         entry = next((entry for entry in state.view.entries.values() if entry.address == address), None)
         if entry is None:
-            self._anti_entropy.request(address, state.own_entry)
+            self._anti_entropy.begin_exchange(address, state.own_entry)
         else:
             state.send(address, Ping(state.next_probe_id(), entry.name, state.view.digest), entry)
--- a/garnetusher/membership/member.py
+++ b/garnetusher/membership/member.py
@@ -196,11 +196,11 @@
             self._merger.merge(entry, received.sender)
         if self._state.phase == Phase.STOPPED:
             return
-        self._contact_if_unknown(received, address)
+        self._contact_unless_active(received, address)
         if received.body is not None:
             self._handle_body(received.body, received.sender, address)
 
-    def _contact_if_unknown(self, received: Received, address: Address) -> None:
+    def _contact_unless_active(self, received: Received, address: Address) -> None:
         known = self._state.view.entries.get(received.sender)
         is_unknown = known is None or known.generation != received.generation or not is_active(known)
         begins_exchange = isinstance(received.body, Join | BucketDigests)
--- a/garnetusher/membership/view.py
+++ b/garnetusher/membership/view.py
@@ -13,8 +13,8 @@
 from garnetusher.membership.messages import Entry
 
 BUCKETS = 32  # names are hashed into this many buckets; a full exchange sends only the buckets that differ
-# A change is broadcast until it has been sent or received again BROADCAST_FACTOR * log2(view size) times. SWIM calls
-# this factor lambda.
+# A change is broadcast until the number of times that it was sent, plus the number of times that it was received again,
+# reaches BROADCAST_FACTOR * log2(view size). SWIM calls this factor lambda.
 BROADCAST_FACTOR = 4
 # A member that failed or left is removed after this time, which is longer than the network splits that are expected to
 # heal.
--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Invocation:
-    """Options from the environment.
+    """The options of this process, from the environment.
 
     Attributes:
         path: configuration file.
--- a/garnetusher/sidecar/discovery/start_times.py
+++ b/garnetusher/sidecar/discovery/start_times.py
@@ -43,7 +43,7 @@
         """
         self._clock_us = clock_us
         self._wall_us = wall_us
-        self._wall_offset_us: int | None = None  # lowest possible difference between Unix time and monotonic time
+        self._min_unix_offset_us: int | None = None  # lowest possible difference between Unix time and monotonic time
         self._estimates: dict[Hashable, StartEstimate] = {}
 
     def observe(self, starts_ms: Iterable[int]) -> None:
@@ -52,15 +52,15 @@
         if newest_ms == LONG_AGO:
             return
         offset_us = newest_ms * 1000 - self._clock_us()
-        if self._wall_offset_us is None or offset_us > self._wall_offset_us:
-            self._wall_offset_us = offset_us
+        if self._min_unix_offset_us is None or offset_us > self._min_unix_offset_us:
+            self._min_unix_offset_us = offset_us
 
     def lowest_unix_us(self) -> int:
         """Return the lowest possible value of the current Unix time."""
         wall_us = self._wall_us()
-        if self._wall_offset_us is None:
+        if self._min_unix_offset_us is None:
             return wall_us
-        return min(wall_us, self._wall_offset_us + self._clock_us())
+        return min(wall_us, self._min_unix_offset_us + self._clock_us())
 
     def started_us(self, uid: Hashable, start_ms: int) -> int:
         """Return the estimated start time of an endpoint on the monotonic clock; 0 means long ago."""
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -28,7 +28,7 @@
 RESPONSE_TIMEOUT_S = 2.5  # time limit for the first bytes of a response, which may be an empty line
 RECONNECT_DELAY_S = 0.25  # well below the 1 s that a drain allows; discovery answers at once and at low cost
 
-Listener = Callable[[EndpointsUpdated, dict[int, Address]], None]
+UpdateListener = Callable[[EndpointsUpdated, dict[int, Address]], None]
 
 
 class WatchState(enum.Enum):
@@ -131,8 +131,8 @@
 class EndpointWatcher:
     """Watches the endpoint list: permanently, or while the policy requests it.
 
-    After any failure, the watcher itself reopens a permanent watch. It reopens a watch that the policy requested only if
-    discovery had answered and then became silent. After any other failure of such a watch, the watcher notifies the
+    After any failure, the watcher itself reopens a permanent watch. It reopens a watch that the policy requested only
+    if discovery had answered and then became silent. After any other failure of such a watch, the watcher notifies the
     policy, which decides when to request the next one.
 
     In a large fleet, the last empty lines before a silence arrive at different times, as discovery sends one every 2 s
@@ -147,7 +147,7 @@
         pending_steps: remaining work on received lists.
     """
 
-    def __init__(self, address: Address, endpoint_list: EndpointList, listener: Listener) -> None:
+    def __init__(self, address: Address, endpoint_list: EndpointList, listener: UpdateListener) -> None:
         self.loop = asyncio.get_running_loop()
         self.address = address
         self.endpoint_list = endpoint_list
@@ -281,7 +281,7 @@
                 self.version = step.batch.version
             self._notify(update)
         if self.pending_steps:
-            self.loop.call_soon(self._run_next_step)
+            self.loop.call_soon(self._run_scheduled_step)
         else:
             self.has_current_list.set()
 
@@ -291,7 +291,7 @@
             return None
         return self.endpoint_list.apply(step.batch.update_kind, entries, step.batch.version)
 
-    def _run_next_step(self) -> None:
+    def _run_scheduled_step(self) -> None:
         if not self.pending_steps:
             return
         try:
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -47,7 +47,8 @@
         has_open_request: Whether the dispatcher handles a request from this connection; False after the response.
         has_sent_valid_request: Whether the client has sent a valid request. After the first valid request, each
             further request has the full read time-out.
-        idle_since_us: The latest time at which the connection was set up, finished a response, or discarded input.
+        idle_since_us: The latest time at which the connection was set up, finished a response, or discarded input while
+            it was closing.
     """
 
     def __init__(self, server: DownstreamServer, sock: ShortageTolerantSocket | None = None) -> None:
@@ -102,9 +103,9 @@
     def eof_received(self) -> bool:
         """Handle the end of the client's input and return whether the connection stays open.
 
-        Until something is written, the socket does not show whether the client has disconnected or has only closed
-        its sending side and waits for the response. The client therefore gets a response, but the sidecar forwards no
-        further attempts of its request.
+        The client may have disconnected, or may only have closed its sending side and wait for the response. The socket
+        shows the difference only once the sidecar writes to it. The client therefore gets a response, but the sidecar
+        forwards no further attempts of its request.
         """
         if not (self.has_open_request and self.reader.complete):
             if self.writer.source is not None:
@@ -319,8 +320,8 @@
     def earliest_body_end_us(self) -> int:
         """Return the earliest time at which the client may have sent all of a body that is not read completely.
 
-        The last bytes may still be in the client's kernel. While the body is not paused, this is the arrival time of
-        the most recently read bytes, which is about the current time.
+        The last bytes may still be in the client's kernel. If reading is not paused, nothing better is known than the
+        arrival time of the most recently read bytes, which is about the current time.
         """
         return self._complete_unread_since_us() or self.arrival_times.arrived_us
 
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -17,7 +17,7 @@
 
 LISTEN_BACKLOG = 512  # maximum number of connections waiting to be accepted
 LISTEN_RETRY_TIMEOUT_S = 10.0  # time for the address to become free; clients wait 30 s at startup
-BACKLOG_DRAIN_TIMEOUT_S = 1.0  # time limit to accept the backlog at shutdown; a third of the time left to respond
+BACKLOG_DRAIN_TIMEOUT_S = 1.0  # time limit to accept the backlog at shutdown; about a third of the time to respond
 DRAIN_IDLE_CLOSE_DELAY_S = 1.5  # delay from the start of a drain; all idle connections must close within 4 s
 MIN_IDLE_US = 300_000  # minimum idle time before a close, because a request may be in transit
 DEFAULT_BODY_MEMORY_SIZE = 64 * 1024 * 1024  # bytes
@@ -126,7 +126,7 @@
         loop.call_later(CHECK_INTERVAL_S, self.check_connections)
         now_us = monotonic_us()
         # After a pause of the process, this timer may run before the event loop has read the bytes that arrived during
-        # the pause. For two more iterations, the estimate therefore uses the previous check.
+        # the pause. The check is therefore recorded two iterations later; until then, estimates use the previous check.
         loop.call_soon(loop.call_soon, self.event_loop_lag.record_check, now_us, int(CHECK_INTERVAL_S * 1e6))
         for connection in list(self.connections):
             connection.check_timeouts(now_us)
@@ -137,8 +137,8 @@
     def close_idle(self, idle_since_us: int) -> None:
         """Close all connections that have been idle since a given time or longer.
 
-        New connections stay open for the minimum idle time: their first request is in transit, and clients do not
-        retry that request.
+        Connections without a valid request stay open for the minimum idle time: their first request may be in transit,
+        and clients do not retry that request.
 
         Args:
             idle_since_us: The limit; connections that became idle later stay open.
--- a/garnetusher/sidecar/membership.py
+++ b/garnetusher/sidecar/membership.py
@@ -35,7 +35,7 @@
 SETTING_KEYS = {"cluster", "listen", "seeds", "floor", "key_file", "replaces", "kind"}
 REQUIRED_TEXT_KEYS = ("cluster", "listen")
 PORT_LIMIT = 65536
-SEED_BYTES = 8  # the random seed depends on at most this many bytes at the end of the name
+RANDOM_SEED_BYTES = 8  # the random seed depends on at most this many bytes at the end of the name
 
 
 class MembershipSettingsError(GarnetusherError, ValueError):
@@ -197,7 +197,7 @@
         member_settings = MemberSettings(
             settings.name, settings.role, settings.zone, host, port, settings.seeds, settings.replaces
         )
-        return Member(member_settings, self._codec, generation, generation ^ _stable_hash(settings.name), now_us)
+        return Member(member_settings, self._codec, generation, generation ^ _number_from_name(settings.name), now_us)
 
     def _handle_action(self, action: Action) -> None:
         """Carry out an action; `Persist` is ignored, as a sidecar stores nothing on disk."""
@@ -252,6 +252,6 @@
     return round(duration_us / 1e6, 1)
 
 
-def _stable_hash(name: str) -> int:
-    """Return a hash of the name that is the same in every process."""
-    return int.from_bytes(name.encode()[-SEED_BYTES:].rjust(SEED_BYTES, b"\0"), "big")
+def _number_from_name(name: str) -> int:
+    """Return the last bytes of the name as a number, which is the same in every process."""
+    return int.from_bytes(name.encode()[-RANDOM_SEED_BYTES:].rjust(RANDOM_SEED_BYTES, b"\0"), "big")
--- a/garnetusher/sidecar/shutdown.py
+++ b/garnetusher/sidecar/shutdown.py
@@ -15,10 +15,10 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.server import DownstreamServer
 
-NEW_CONNECTIONS_S = 0.5  # clients open new connections for up to 0.4 s after SIGTERM
+ACCEPT_AFTER_SIGTERM_S = 0.5  # clients open new connections for up to 0.4 s after SIGTERM
 KILL_DELAY_S = 0.7  # SIGKILL arrives at least this long after the longest deadline
 MAX_DEADLINE_S = 3.0  # longer deadlines are capped at this value
-LAST_RESPONSE_S = 0.4  # time to answer a last request, in addition to the longest latency objective
+LAST_RESPONSE_S = 0.4  # time for the response to a connection's last request, besides the longest latency objective
 FINAL_RESPONSE_MARGIN_S = 0.2  # the last responses precede SIGKILL by this time because the event loop may be busy
 POLL_INTERVAL_S = 0.01
 
@@ -30,16 +30,16 @@
     Attributes:
         kill_s: earliest time at which SIGKILL can arrive.
         final_responses_s: time at which all requests still in flight are answered.
-        last_connections_s: time at which the remaining idle connections close, even if a client may be sending a
+        close_remaining_at_s: time at which the remaining idle connections close, even if a client may be sending a
             request.
-        idle_connections_s: time at which connections that wait for a last request close if a successor process shares
+        close_waiting_at_s: time at which connections that wait for a last request close if a successor process shares
             the listening socket.
     """
 
     kill_s: float
     final_responses_s: float
-    last_connections_s: float
-    idle_connections_s: float
+    close_remaining_at_s: float
+    close_waiting_at_s: float
 
     @classmethod
     def for_classes(cls, classes: Sequence[RequestClass]) -> ShutdownSchedule:
@@ -50,8 +50,8 @@
         return cls(
             kill_s=kill_s,
             final_responses_s=kill_s - FINAL_RESPONSE_MARGIN_S,
-            last_connections_s=kill_s - FINAL_RESPONSE_MARGIN_S / 2,
-            idle_connections_s=kill_s - longest_objective_s - LAST_RESPONSE_S,
+            close_remaining_at_s=kill_s - FINAL_RESPONSE_MARGIN_S / 2,
+            close_waiting_at_s=kill_s - longest_objective_s - LAST_RESPONSE_S,
         )
 
 
@@ -61,9 +61,9 @@
 
 
 async def drain_without_successor(server: DownstreamServer) -> None:
-    """Accept clients for another `NEW_CONNECTIONS_S` because no other process accepts them, then close the listener."""
+    """Accept clients for `ACCEPT_AFTER_SIGTERM_S`, as no other process accepts them, and then close the listener."""
     server.close_idle(monotonic_us())
-    await asyncio.sleep(NEW_CONNECTIONS_S)
+    await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
     await server.stop_listening(shared=False)
 
 
@@ -73,7 +73,7 @@
     Closing an idle connection immediately would lose a request that its client is sending at that moment.
     """
     await server.stop_listening(shared=True)
-    while server.connections and server.lifecycle.closing_for_s < schedule.idle_connections_s:  # noqa: ASYNC110 the loop also has a time limit
+    while server.connections and server.lifecycle.closing_for_s < schedule.close_waiting_at_s:  # noqa: ASYNC110 the loop also has a time limit
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
@@ -93,4 +93,4 @@
 def _has_open_work(server: DownstreamServer, schedule: ShutdownSchedule) -> bool:
     if server.busy:
         return True
-    return bool(server.connections) and server.lifecycle.closing_for_s < schedule.last_connections_s
+    return bool(server.connections) and server.lifecycle.closing_for_s < schedule.close_remaining_at_s
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -20,8 +20,8 @@
 
 BASE_MEMORY_BYTES = 20 * 1024 * 1024  # memory use of the process without any requests
 USABLE_MEMORY_FRACTION = 0.75  # fraction of the limit; the rest is for short requests and allocator overhead
-# Clients need at most a third of the descriptors, counting both processes during a takeover. The server
-# allows half of them for client connections, which leaves the rest for upstream connections.
+# Clients of both processes together need at most a third of the descriptors during a takeover. The limit for client
+# connections is half of the descriptors; the other half remains for upstream connections.
 CLIENT_DESCRIPTOR_DIVISOR = 2
 PROCESSES_AT_TAKEOVER = 2  # both processes share the limits while one takes over from the other
 
--- a/garnetusher/sidecar/startup.py
+++ b/garnetusher/sidecar/startup.py
@@ -57,7 +57,7 @@
 
 
 def make_event_loop() -> asyncio.AbstractEventLoop:
-    """Return an event loop that uses epoll, even if epoll failed when `selectors` probed it at import.
+    """Return an event loop that uses epoll, even if the `selectors` module could not use epoll when it was imported.
 
     Raises:
         OSError: this machine still lacks the resources for the loop after the last retry.
@@ -84,8 +84,7 @@
 async def start_membership(sidecar: Sidecar) -> FleetMembership | None:
     """Join the fleet membership if the configuration enables it.
 
-    A failure is logged and does not prevent startup: the sidecar then serves without membership, as a single sidecar
-    does.
+    A failure is logged and does not prevent startup: the sidecar then serves as without a membership section.
     """
     configuration = sidecar.configuration
     section = configuration.membership
@@ -131,7 +130,8 @@
     Requests of clients accepted before a current list arrives would be forwarded to endpoints that are gone.
     """
     if watcher.watch is None:
-        watcher.watch_endpoints(True)  # noqa: FBT003 the policy would start this watch only seconds later
+        # The policy would start this watch only seconds later.
+        watcher.watch_endpoints(True)  # noqa: FBT003
     wait_tasks = [asyncio.create_task(event.wait()) for event in (watcher.has_current_list, stop)]
     await asyncio.wait(wait_tasks, timeout=CURRENT_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
     for task in wait_tasks:
--- a/garnetusher/sidecar/upstream/attempt.py
+++ b/garnetusher/sidecar/upstream/attempt.py
@@ -64,7 +64,7 @@
         self.short_of_local_resources = False
 
     def permitted_head(self) -> bytes | None:
-        """Return the first bytes to write, if the attempt may still be written.
+        """Request the permission to write the attempt, and return the first bytes to write.
 
         Returns:
             The head and the buffered body; a streamed body is not included. None if the attempt may not be written; it
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -117,7 +117,7 @@
             self._finish_complete()
         elif self.closed or response.connection_unusable or response.exceeds_framing_limit:
             self.abort_response()
-        elif not was_in_body and response.is_buffering_unknown_length:
+        elif not was_in_body and response.is_buffering_body_of_unknown_length:
             self._pool.loop.call_later(MAX_BUFFERING_S, self._on_buffering_timeout, self.attempt)
 
     def eof_received(self) -> None:
--- a/garnetusher/sidecar/upstream/idle_reuse.py
+++ b/garnetusher/sidecar/upstream/idle_reuse.py
@@ -9,10 +9,11 @@
 IDLE_TIMEOUT_MARGIN_US = 300_000
 # Losses never lower the limit below this time, because a connection in steady use is idle for less than this.
 MIN_IDLE_LIMIT_US = 25_000
-# A stray second response arrives 1 to 4 ms after the first one. This time must be less than MIN_IDLE_LIMIT_US.
+# If a faulty upstream sends a second response, it arrives 1 to 4 ms after the first one. The constant must be less than
+# MIN_IDLE_LIMIT_US.
 RESPONSE_GRACE_US = 10_000
-MAX_LOSS_SHARE = 0.25  # well above the share of requests that a bad network loses on connections of any idle time
-# The weight of one reuse in the moving average: five losses in a dozen reuses exceed MAX_LOSS_SHARE.
+MAX_LOSS_SHARE = 0.25  # well above the share of requests that a bad network loses regardless of idle times
+# The weight of one reuse in the moving average: five losses in a row raise the average from 0 above MAX_LOSS_SHARE.
 LOSS_WEIGHT = 1 / 16
 LOSS_DECAY_PER_SWEEP = 0.99  # the pool sweeps ten times a second, so a measured share halves in 7 s
 # Values of `IdleTiming.before_attempt_us` that are not a time.
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -113,7 +113,7 @@
             self._add_idle(connection)
 
     def restart_attempt(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
-        """Close a connection that could not send any byte for lack of local resources, and open a new one.
+        """Start an attempt again on a new connection, as this machine had no memory to send its first byte.
 
         The event loop would send the buffered head later, when less time remains than its X-Deadline-Ms header says. A
         new connection writes a new head with the time that remains at that moment.
--- a/garnetusher/sidecar/upstream/response_reader.py
+++ b/garnetusher/sidecar/upstream/response_reader.py
@@ -12,12 +12,12 @@
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, MAX_BUFFERED_SIZE, Head, Sink
 
 MAX_HEADERS_SIZE = 64 * 1024  # bytes; parsing 1 MiB of headers takes 40 ms, and all other requests wait meanwhile
-# A response may take MAX_FRAMING_SIZE bytes in addition to its body, and FRAMING_PER_BODY_BYTE more for each byte of
-# the body, as its chunks may have any size.
+# Framing is all of a response but its body: the heads, the sizes of chunks, and the trailers. A response may have
+# MAX_FRAMING_SIZE bytes of it, and FRAMING_PER_BODY_BYTE more for each byte of the body, as chunks may have any size.
 MAX_FRAMING_SIZE = 1024 * 1024
 FRAMING_PER_BODY_BYTE = 16
 CLIENT_ERRORS = range(400, 500)
-UPSTREAM_STATE_STATUSES = (408, 429)  # client errors that the state of the upstream causes, not the request
+UPSTREAM_CAUSED_STATUSES = (408, 429)  # client errors that the state of the upstream causes, not the request
 OVERLOAD_STATUSES = (503, 504)  # with X-Not-Run: 1, the upstream has not started the request
 
 
@@ -153,7 +153,7 @@
         return self.received > MAX_FRAMING_SIZE + FRAMING_PER_BODY_BYTE * self._body_size
 
     @property
-    def is_buffering_unknown_length(self) -> bool:
+    def is_buffering_body_of_unknown_length(self) -> bool:
         """Whether the body of a successful response with unknown length is being buffered."""
         return self.state is _BODY and self.status == 200 and self.length is None and self.sink is None
 
@@ -192,7 +192,7 @@
             return Outcome.OK
         if self.status in OVERLOAD_STATUSES and self._not_run:
             return Outcome.OVERLOADED
-        if self.status in CLIENT_ERRORS and self.status not in UPSTREAM_STATE_STATUSES:
+        if self.status in CLIENT_ERRORS and self.status not in UPSTREAM_CAUSED_STATUSES:
             return Outcome.REJECTED
         return Outcome.ERROR
 
--- a/tests/net.py
+++ b/tests/net.py
@@ -60,6 +60,8 @@
 class Upstream:
     """An upstream that responds by a script and records its requests.
 
+    A script that raises a `ConnectionError` ends its connection.
+
     Attributes:
         script: Handles each request; gets the upstream, the index of the request, and the connection's streams.
         requests: The head and body of each request.
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -18,7 +18,7 @@
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def test_lifecycle_prefers_stopping_and_keeps_the_first_drain_when_calls_repeat() -> None:
+def test_stopping_overrides_draining_and_a_repeated_drain_does_not_restart_its_time() -> None:
     now_s = [0.0]
     lifecycle = Lifecycle(lambda: now_s[0])
     assert lifecycle.state is LifecycleState.STARTING
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -167,7 +167,7 @@
     run(test)
 
 
-def test_connection_keeps_first_head_when_another_request_follows() -> None:
+def test_readiness_check_is_answered_when_another_request_follows_in_the_same_read() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_with(OK))) as running:
             reader, writer = await running.connect()
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -74,7 +74,7 @@
     run(test)
 
 
-def test_watcher_polls_when_cached_endpoints_are_malformed() -> None:
+def test_watcher_requests_the_full_list_when_cached_endpoints_are_malformed() -> None:
     async def test() -> None:
         probe = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         upstream, discovery = Upstream(respond_with(OK)), Discovery()
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -41,7 +41,7 @@
     assert (counts_at_start, instance_counts()) == ([50] * 5, [5] * 5)
 
 
-def test_zones_check_health_ten_times_as_often_when_a_tenth_of_the_instances_is_counted() -> None:
+def test_zones_check_health_ten_times_as_often_when_membership_counts_a_tenth_of_the_instances() -> None:
     zones = Balancer(settings(fleet_size=50), 1, 0).zones
     zones.get(0).endpoint_count = 2
     gap_without_members_us = zones.health_check_gap_us(zones.get(0))
--- a/tests/test_host_faults.py
+++ b/tests/test_host_faults.py
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(
     "data", [request("read", deadline_ms=1500), request("pay", "1", b"x" * 150_000, 1500)], ids=["short", "long body"]
 )
-def test_deadline_header_is_the_time_remaining_at_the_write_when_the_connection_comes_up_late(
+def test_deadline_header_is_the_time_remaining_at_the_write_when_the_connection_is_established_late(
     tmp_path: Path, data: bytes
 ) -> None:
     async def test() -> None:
@@ -154,7 +154,7 @@
     async with program_on_faulty_host(
         folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
     ) as running:
-        await asyncio.sleep(0.1)  # lets the loop poll the listener once more after the check that it is up
+        await asyncio.sleep(0.1)  # the event loop must wait again after the check that the listener is up
         running.faults.inject(Call.ACCEPT, error, count=1)
         sent_at_s = time.monotonic()
         for number in range(2):  # the listener of asyncio would accept the first connection and then pause for 1 s
@@ -320,7 +320,7 @@
 
 
 async def deadline_header_ms_after(folder: Path, call: Call, error: int) -> int:
-    """Return the X-Deadline-Ms of a request with a deadline of 1,500 ms that a failing system call delays by 400 ms."""
+    """Return the X-Deadline-Ms that the upstream gets if a system call fails for 400 ms of a deadline of 1,500 ms."""
     upstream = Upstream(respond_with(OK))
     await upstream.start()
     async with program_on_faulty_host(
--- a/tests/test_interleaving_clients.py
+++ b/tests/test_interleaving_clients.py
@@ -120,7 +120,7 @@
     run(test)
 
 
-def test_waiting_body_releases_memory_when_client_disconnects(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_waiting_body_leaves_the_queue_for_memory_when_client_disconnects(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("garnetusher.sidecar.downstream.server.BodyMemory", lambda size: BodyMemory(UPLOAD_MEMORY_SIZE))
 
     async def test() -> None:
--- a/tests/test_interleaving_idle.py
+++ b/tests/test_interleaving_idle.py
@@ -46,7 +46,9 @@
     run(test)
 
 
-def test_first_request_of_a_new_connection_is_awaited_when_the_process_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_first_request_of_a_new_connection_is_awaited_when_the_process_shuts_down(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(downstream_server, "MIN_IDLE_US", 20_000_000)  # longer than the test takes on a busy host
 
     async def test() -> None:
@@ -91,7 +93,7 @@
 
 
 @pytest.mark.parametrize("loop_iterations", range(4))
-def test_oldest_connection_is_not_evicted_when_its_next_request_has_arrived(loop_iterations: int) -> None:
+def test_oldest_connection_is_not_closed_at_the_limit_when_its_next_request_has_arrived(loop_iterations: int) -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_with(OK))) as running:
             with socket.create_connection(("127.0.0.1", running.port)) as oldest:
--- a/tests/test_interleaving_long.py
+++ b/tests/test_interleaving_long.py
@@ -60,7 +60,7 @@
                 sock.sendall(upload[:100_000])
                 assert await next_status(sock) == 200
                 if failure == "malformed":
-                    sock.sendall(b"no chunk\r\n" * 200)  # enough lines to pass the end of the chunk that is being sent
+                    sock.sendall(b"no chunk\r\n" * 200)  # more bytes than the current chunk lacks
                 elif failure == "stalls":  # the body stalls until its read deadline, which the patch sets into the past
                     monkeypatch.setattr(
                         RequestReader,
--- a/tests/test_interleaving_settings.py
+++ b/tests/test_interleaving_settings.py
@@ -1,4 +1,4 @@
-"""Tests of requests interleaved with settings changes, and of requests with an unknown tenant or similar names."""
+"""Tests of requests during settings changes, with an unknown tenant, or with names that begin with other names."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from tests.policy_host import PolicyHost, classes, settings, upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
+# Each site file defines the classes, tenants and zones of one site.
 SITES = [tomllib.loads(path.read_text()) for path in sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))]
 TENANTS = [Tenant("b", 10.0, 0.5), Tenant("b-b", 10.0, 0.5)]
 
@@ -68,7 +69,7 @@
 
 
 def test_program_contains_no_class_tenant_or_zone_name_when_a_site_file_defines_it() -> None:
-    """The program and the deploy file contain no class, tenant or zone name of any site."""
+    """Names of classes, tenants and zones come only from the configuration; the code and the deploy file have none."""
     files = [ROOT / "deploy" / "balancer.toml"]
     for package in ("policy", "simulator", "sidecar"):
         files.extend((ROOT / "garnetusher" / package).rglob("*.py"))
--- a/tests/test_interleaving_stop.py
+++ b/tests/test_interleaving_stop.py
@@ -91,7 +91,7 @@
     return await asyncio.to_thread(process.wait, TEST_TIMEOUT_S)
 
 
-def test_stop_responds_before_exit_when_request_outlasts_process(tmp_path: Path) -> None:
+def test_stop_responds_before_exit_when_the_deadline_of_a_request_is_later(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = Upstream(never_respond)
         await upstream.start()
--- a/tests/test_interleaving_watch.py
+++ b/tests/test_interleaving_watch.py
@@ -1,4 +1,4 @@
-"""Tests the watch of the endpoint list with requests, data, timeouts and replacements in a fixed order."""
+"""Tests the watch of the endpoint list when events that may come in any order come in a particular order."""
 
 from __future__ import annotations
 
@@ -287,7 +287,7 @@
             watch.connection_made(FakeTransport())
             watch.data_received(response)
         initial_count = loop.connect_count
-        loop.advance(6.9)  # 6 s until a change counts as known, plus 1 s for drains
+        loop.advance(6.9)  # the 7 s are explained at SILENCE_TIMEOUT_S
         assert loop.connect_count == initial_count + 2
         assert harness.watcher.watch is not watch
         harness.watcher.watches_permanently = False
@@ -345,8 +345,8 @@
     run(test)
 
 
-def test_endpoint_watcher_replaces_silent_requested_watches_then_reports_failure_when_a_call_gets_no_response() -> None:
-    """The watcher itself replaces a watch that became silent, as the policy of a large fleet may poll too late."""
+def test_endpoint_watcher_reopens_a_silent_requested_watch_and_reports_failure_when_unanswered() -> None:
+    """The watcher itself reopens a watch that became silent, as the policy may request one too late."""
 
     async def test() -> None:
         update_kinds: list[UpdateKind] = []
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -21,7 +21,7 @@
 
 
 def polls(host: PolicyHost) -> list[int]:
-    """Return the positions in `host.actions` of the actions that poll the endpoint list."""
+    """Return the positions in `host.actions` of the polls, which are requests to watch the endpoint list."""
     return [i for i, action in enumerate(host.actions) if isinstance(action, WatchEndpoints)]
 
 
@@ -55,7 +55,7 @@
         delays_us.append(wait_for_next_poll(host))
     assert delays_us[0] <= 750_000
     assert max(delays_us) > 2_000_000
-    assert max(delays_us) <= 20_000_000  # two poll intervals; up to four are allowed after a failed poll
+    assert max(delays_us) <= 20_000_000  # two poll intervals; the policy may wait for up to four after a failed poll
 
 
 def fleet_poll_delays(failed: bool) -> list[int]:
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("failures", [1, 2, 4])
 def test_large_fleet_polls_early_enough_to_get_a_change_within_6_s_when_calls_fail(failures: int) -> None:
-    """Each call, failed or not, takes up to 2.5 s of the 6 s; the delay before it must fit into the remaining 3.5 s."""
+    """A poll, failed or not, takes up to 2.5 s of the 6 s, so the delay before the poll may be up to 3.5 s."""
     delays_us = poll_delays_after_failures(failures)
     assert delays_us[-1] <= 3_500_000
     most_polls = max(sum(1 for at_us in delays_us if start_us <= at_us < start_us + 500_000) for start_us in delays_us)
--- a/tests/test_membership_exploration.py
+++ b/tests/test_membership_exploration.py
@@ -1,4 +1,7 @@
-"""Explored schedules of membership keep all rules, and break a rule when a fault is injected into the protocol."""
+"""Membership keeps all rules in random schedules of events, and breaks one when a fault is injected.
+
+See `garnetusher.model.explore` for schedules and rules.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +53,7 @@
     """Replay two schedules that once broke a rule.
 
     In one, a process restarted with the generation of an earlier process. In the other, two members never found each
-    other after their seed had died.
+    other after their seed had died. Any change to `draw` gives other schedules for these seeds.
     """
     part = Membership()
     assert part.run(part.draw(seed, 120)) is None
--- a/tests/test_membership_member.py
+++ b/tests/test_membership_member.py
@@ -14,7 +14,7 @@
 from tests.membership_fleet import SECOND_US, joined_fleet, logged_fields
 
 
-def test_failure_detector_notices_a_kill_and_accuses_no_other_member_when_a_tenth_of_all_is_starved() -> None:
+def test_failure_detector_notices_a_kill_and_accuses_no_other_member_when_a_tenth_of_the_members_is_delayed() -> None:
     members, nodes = joined_fleet(30, loss=0.1)
     for node in nodes[3:6]:
         members.delays_us[node.name] = 300_000
@@ -52,10 +52,10 @@
     assert logged_fields(nodes[7], "membership.starved")
 
 
-def test_name_conflict_is_decided_for_the_holder_unless_the_newcomer_replaces_it() -> None:
+def test_holder_keeps_its_name_unless_the_newcomer_replaces_it() -> None:
     members, nodes = joined_fleet(4)
     newcomer = members.add("m3")
-    members.nodes["m3"] = nodes[3]
+    members.nodes["m3"] = nodes[3]  # `add` has registered the newcomer under this name instead of the holder
     members.start(newcomer, nodes[:2])
     members.run(5 * SECOND_US)
     assert (newcomer.stop_reason, nodes[3].stop_reason) == ("refused", "")
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -32,8 +32,9 @@
 
 
 @pytest.mark.parametrize("wall_error_s", [0.0, 10.0, HOUR_S])
-def test_start_times_make_no_endpoint_older_when_the_wall_clock_is_ahead(wall_error_s: float) -> None:
+def test_estimated_age_does_not_exceed_the_real_age_when_the_wall_clock_is_ahead(wall_error_s: float) -> None:
     clocks = FakeClocks(wall_error_s)
+    # The newest start time is taken as the current time, so both estimated ages are 2 s too low.
     assert clocks.estimated_ages_s(old=-100.0, new=-2.0) == {"old": 98.0, "new": 0.0}
     clocks.elapsed_s = 5.0
     assert clocks.estimated_ages_s(newer=4.0)["newer"] <= 1.0
--- a/tests/test_streamed_bodies.py
+++ b/tests/test_streamed_bodies.py
@@ -130,6 +130,7 @@
         async with sidecar(FunctionUpstream(handle)) as running:
             reader, writer = await running.connect()
             data = upload_request(LONG_BODY, 4000)
+            # The data ends before the header of the first chunk (0xfa0 = 4000 bytes) after 200,000 bytes.
             writer.write(data[: data.index(b"fa0;x", 200_000)] + invalid_framing)
             assert status(await read_message(reader)) == 400
             await body_ended.wait()
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -76,7 +76,7 @@
     run(test)
 
 
-def test_sidecar_streams_short_response_when_it_trickles() -> None:
+def test_sidecar_streams_short_response_when_it_arrives_slowly() -> None:
     async def test() -> None:
         client_has_read = asyncio.Event()
 
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("class_name", ["read", "pay"])
 @pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", CHUNKED + b"20000\r\n"])
-def test_sidecar_breaks_response_without_retry_when_upstream_breaks_it(class_name: str, head: bytes) -> None:
+def test_sidecar_ends_response_early_without_retry_when_upstream_ends_it_early(class_name: str, head: bytes) -> None:
     async def test() -> None:
         requests = []
 
