--- a/garnetusher/sidecar/configuration.py
+++ b/garnetusher/sidecar/configuration.py
@@ -170,7 +170,7 @@
 def flatten(value: object, path: str = "") -> dict[str, str]:
     """Flatten nested settings to pairs of a dotted path and a text.
 
-    The simulator sends settings to the policy in the same form, so one parser reads the settings of both.
+    `settings_from_pairs` builds settings from these pairs, as it does for the simulator's lines of settings.
     """
     items: list[tuple[object, object]]
     if isinstance(value, Mapping):
--- a/garnetusher/sidecar/downstream/arrival_time.py
+++ b/garnetusher/sidecar/downstream/arrival_time.py
@@ -68,8 +68,8 @@
         self.arrived_us = 0
         self.paused_since_us = 0
         self._read_at_us = 0  # the time of the most recent read
-        self._incomplete_at_us = 0  # the last time at which the kernel held only a part of the unread rest
-        self._complete_since_us = 0  # the earliest time at which the kernel may have held it all; 0 if unknown
+        self._incomplete_at_us = 0  # the last time at which the kernel held only a part of a paused body's rest
+        self._complete_since_us = 0  # the earliest time at which the kernel may have held the whole rest
 
     def start_reading(self) -> int:
         """Record that the event loop starts to read the connection now, and return the current time."""
--- a/garnetusher/sidecar/downstream/listener.py
+++ b/garnetusher/sidecar/downstream/listener.py
@@ -66,8 +66,8 @@
             try:
                 connection, _ = self.sock.accept()
             except BlockingIOError:
-                # Another process has accepted the connection, or this machine is short of memory. The error does not
-                # tell which, so it is recorded as a failure; this can only make estimated arrival times earlier.
+                # Another process has accepted the connection, or accepting is not possible yet. The error does not tell
+                # which, so it is recorded as a failure; this can only make estimated arrival times earlier.
                 if index == 0:
                     self.accept_failures.record_failure()
                 return True
--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets that tolerate a temporary shortage of memory, and the errors that this host causes, not a peer."""
+"""Sockets that tolerate a temporary shortage of memory, and the errors that this machine causes, not a peer."""
 
 from __future__ import annotations
 
@@ -156,7 +156,7 @@
 
 
 class RetryingEpollSelector(selectors.EpollSelector):
-    """An epoll selector that retries to add a descriptor while this host is short of memory.
+    """An epoll selector that retries to add a descriptor while this machine is short of memory.
 
     The process blocks meanwhile. Without the retry, the event loop would never learn of the connection, and the
     connection would be lost.
--- a/garnetusher/sidecar/upstream/attempt.py
+++ b/garnetusher/sidecar/upstream/attempt.py
@@ -25,7 +25,7 @@
         connection: the connection that carries the attempt or is being opened for it; None before and after that.
         written: whether any byte of the attempt has been written.
         abandoned: whether the result of the attempt is no longer needed.
-        short_of_local_resources: whether connecting last failed because this host lacked the resources for it.
+        short_of_local_resources: whether connecting last failed because this machine lacked the resources for it.
         on_response_started: called with the head of a streamed response; returns the sink for its body, or None if no
             client waits for the response.
     """
--- a/garnetusher/sidecar/upstream/connecting.py
+++ b/garnetusher/sidecar/upstream/connecting.py
@@ -1,4 +1,4 @@
-"""Opens connections to upstreams, with retries while this host is short of the resources for a connection."""
+"""Opens connections to upstreams, with retries while this machine is short of the resources for a connection."""
 
 from __future__ import annotations
 
--- a/tests/test_membership_member.py
+++ b/tests/test_membership_member.py
@@ -103,6 +103,7 @@
     for _ in range(200):
         now_us = max(now_us + 1, member.next_timer_us) + rng.randrange(1000)
         member.handle(now_us, TimerFired())
+        # The longest timer is FORGET_PERIOD_US, 60 s.
         assert now_us - SECOND_US < member.next_timer_us <= now_us + 61 * SECOND_US
     member.handle(now_us, LeaveRequested())
     for _ in range(10):
