--- a/garnetusher/sidecar/downstream/request_reader.py
+++ b/garnetusher/sidecar/downstream/request_reader.py
@@ -15,9 +15,7 @@
 
 MAX_HEAD_SIZE = 16 * 1024  # bytes
 READ_TIMEOUT_US = 2_700_000  # time for a whole request; a new client must get a response or a close within 3 s
-FIRST_BODY_TIMEOUT_US = (
-    900_000  # time for the first body bytes after the head; the head may have taken 2 s of these 3 s
-)
+FIRST_BODY_TIMEOUT_US = 900_000  # time for the first body bytes after the head; the head itself may have taken 2 s
 MIN_BODY_RATE = (
     32_000  # bytes/s; at this rate the deadline moves as fast as time passes; a slow client sends at twice the rate
 )
