--- a/garnetusher/sidecar/downstream/request_reader.py
+++ b/garnetusher/sidecar/downstream/request_reader.py
@@ -16,9 +16,8 @@
 MAX_HEAD_SIZE = 16 * 1024  # bytes
 READ_TIMEOUT_US = 2_700_000  # time for a whole request; a new client must get a response or a close within 3 s
 FIRST_BODY_TIMEOUT_US = 900_000  # time for the first body bytes after the head; the head itself may have taken 2 s
-MIN_BODY_RATE = (
-    32_000  # bytes/s; at this rate the deadline moves as fast as time passes; a slow client sends at twice the rate
-)
+# At this rate in bytes/s, the deadline moves on as fast as time passes. A slow client sends at twice this rate.
+MIN_BODY_RATE = 32_000
 MAX_DEADLINE_AHEAD_US = 5_000_000  # maximum time from now until a deadline that body bytes extend
 MAX_FRAMING_SIZE = 64 * 1024  # bytes of chunked framing that a body of any size may have
 MAX_FRAMING_PER_BODY_BYTE = 16  # additional framing bytes per body byte, because chunks may be of any size
