--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -14,7 +14,7 @@
     from garnetusher.policy.zones import Zones
 
     HAS_ZONES = True
-except ImportError:  # the policy of an earlier source tree, which lacks some of these parts
+except ImportError:  # this simulator runs with the policy of an older source tree, which lacks some of these parts
     HAS_ZONES = False
 
 
@@ -66,7 +66,7 @@
 
 def _near() -> None:
     """Raise slot limits in near tiers only if no tier has a free slot, and let hedges go to any tier."""
-    outlier.SPARE_CAPACITY_LOAD = 0.0
+    outlier.SPARE_CAPACITY_OBJECTIVE_RATIO = 0.0
     EndpointSelector.hedge_stays_in_tier = lambda self, request: False  # type: ignore[method-assign]
 
 
@@ -87,7 +87,7 @@
     patched: list[tuple[Any, tuple[str, ...]]] = [
         (zones, ("SLOW_FACTOR", "MAX_BACKOFF_US")),
         (zone_module, ("RECOVERY_STEPS",)),
-        (outlier, ("SPARE_CAPACITY_LOAD",)),
+        (outlier, ("SPARE_CAPACITY_OBJECTIVE_RATIO",)),
         (EndpointSelector, ("hedge_stays_in_tier",)),
         (Zones, ("evaluate", "record_overdue", "suspected", "change_state", "is_silent")),
     ]
--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -73,7 +73,8 @@
     cell: int
     sent_us: int
     ends_us: int
-    addition_count: int  # how often the upstream had been added to the list when the attempt started
+    # how often the upstream had been added to the list when the attempt started; a re-added endpoint has no used slots
+    addition_count: int
     timeout_us: int = 0  # counted from the last byte of the request body; 0 = no timeout
     outcome: Outcome | None = None
 
@@ -220,8 +221,8 @@
     def half_close_client(self, request_id: int) -> None:
         """Report that the client of a request sends nothing more.
 
-        If an attempt still waits for a connection, the sidecar then ends it before it is written; other attempts
-        continue.
+        A sidecar then ends the attempts that still wait for a connection before they are written. This method does not
+        end them; the caller does so with `end`. Other attempts continue.
         """
         self.request_records[request_id].half_closed = True
         self.deliver(ClientHalfClosed(request_id))
--- a/garnetusher/model/digest_text.py
+++ b/garnetusher/model/digest_text.py
@@ -1,4 +1,4 @@
-"""The text of policy actions in the digest of a run.
+"""The text of policy actions in the digest of a run: a hash over all actions, by which runs are compared.
 
 Digests must stay comparable with those of earlier runs. Therefore this module writes each action with the names that
 it had when the first digests were recorded, even if the action has been renamed since.
--- a/garnetusher/policy/actions.py
+++ b/garnetusher/policy/actions.py
@@ -15,8 +15,8 @@
     Attributes:
         request_id: The id of the request.
         endpoint_id: The id of the endpoint to which the request is sent.
-        timeout_us: The timeout, counted from this action or from the last byte of an incomplete request body; 0 = until
-            the client stops waiting.
+        timeout_us: The timeout, counted from this action or, if the request body is incomplete then, from the
+            arrival of its last byte; 0 = until the client stops waiting.
         latest_start_us: The latest time at which the request may be written, in case the connection opens late; 0 = no
             limit.
     """
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Send a health check to an endpoint."""
+    """Send a health check to an endpoint. The policy does not return this action."""
 
     endpoint_id: int
 
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class PollEndpoints:
-    """Request the endpoint list once."""
+    """Request the endpoint list once. The policy does not return this action."""
 
 
 @dataclass(slots=True)
@@ -91,7 +91,10 @@
 
 @dataclass(slots=True)
 class SendToPeer:
-    """Send a message to another sidecar, or to all others if `recipient_id` is None."""
+    """Send a message to another sidecar, or to all others if `recipient_id` is None.
+
+    The policy does not return this action.
+    """
 
     payload: bytes
     recipient_id: int | None = None
--- a/garnetusher/policy/admission.py
+++ b/garnetusher/policy/admission.py
@@ -18,12 +18,14 @@
 ARRIVAL_WINDOW = 200
 OVERLOAD_START = 0.2  # an overload is logged once more than this fraction of arrivals finds no free slot
 OVERLOAD_END = 0.02  # the end of an overload is logged once the fraction falls to this value
-MAX_ADMISSION_CREDIT = 2.0  # the largest admission credit of a pool; an attempt spends a credit of 1
-ARRIVAL_CREDIT = 0.1  # slow start counts one arrival as this many responses
-# The arrival credit if all endpoints of a pool are warming: the pool starts with about a third of its load
-WARMING_ARRIVAL_CREDIT = 0.3
-# If all endpoints of a pool are warming, arrivals count for at most this share of the sidecar's quota. The load that
-# responses and arrivals allow together then stays within three times the initial warm-up fraction.
+MAX_ADMISSION_CREDIT = 2.0  # the largest admission credit of a pool, in attempts
+RESPONSES_PER_ARRIVAL = 0.1  # slow start counts one arrival as this many responses
+# Slow start counts one arrival as up to this many responses if all endpoints of a pool are warming. Before the first
+# response, the pool then receives an attempt for about a third of the arrivals.
+WARMING_RESPONSES_PER_ARRIVAL = 0.3
+# If all endpoints of a pool are warming, the responses per second that slow start counts for arrivals are limited to
+# this share of the sidecar's quota, or to RESPONSES_PER_ARRIVAL for each arrival if that allows more. With this limit,
+# responses and arrivals together allow a load of at most three times the initial warm-up fraction.
 WARMING_QUOTA_SHARE = 0.2
 MICROSECONDS_PER_S = 1_000_000
 
@@ -65,8 +67,8 @@
     def forward_or_buffer(self, request: RequestState) -> None:
         """Forward a request through a free slot; buffer it if there is none; otherwise give it its final answer."""
         now_us = self._context.now_us
-        if now_us >= self._retry_policy.latest_start_us(request):
-            self.finish(request)
+        if now_us >= self._retry_policy.latest_useful_start_us(request):
+            self.answer(request)
             return
         for pool in self._pools:
             self._record_arrival(pool)
@@ -79,7 +81,7 @@
         if self._retry_policy.may_forward(request) and self._may_take_buffer(request):
             self._set_buffer(request)
         else:
-            self.finish(request)
+            self.answer(request)
 
     def forward_buffered(self) -> None:
         """Forward the buffered request if an endpoint that it may use has a free slot."""
@@ -106,29 +108,29 @@
     def on_buffer_timeout(self, request_id: int) -> None:
         """Give the buffered request its final answer, unless another request has replaced it in the buffer."""
         if self.buffer is not None and self.buffer.event.request_id == request_id:
-            self.finish(self.buffer)
+            self.answer(self.buffer)
 
     def reschedule_buffer_timeout(self, request: RequestState) -> None:
         """Schedule another buffer timeout after the deadline of a buffered request has changed."""
         if request is self.buffer:
-            latest_start_us = self._retry_policy.latest_start_us(request)
-            self._timers.schedule(latest_start_us, TimerKind.BUFFER, request.event.request_id)
+            latest_useful_start_us = self._retry_policy.latest_useful_start_us(request)
+            self._timers.schedule(latest_useful_start_us, TimerKind.BUFFER, request.event.request_id)
 
-    def finish(self, request: RequestState) -> None:
+    def answer(self, request: RequestState) -> None:
         """Give a request its final answer.
 
         By rule 1 a request gets one final answer; by rule 2 the policy sheds it only if a retry by the client has no
         second effect.
         """
         is_safe_to_retry = self._retry_policy.is_safe_to_retry(request)
-        self.close(request)
+        self.mark_completed(request)
         settings, request_id = self._context.settings, request.event.request_id
         # About one response time, with random jitter so that shed clients do not retry at the same time
         delay_us = request.class_state.mean_response_us * (0.5 + self._context.random.random())
         retry_after_us = int(min(delay_us, settings.max_retry_after_us)) if settings.send_retry_after else 0
         self._context.actions.append(Shed(request_id, retry_after_us) if is_safe_to_retry else Fail(request_id))
 
-    def close(self, request: RequestState) -> None:
+    def mark_completed(self, request: RequestState) -> None:
         """Mark a request as completed and remove it if no attempt is outstanding."""
         request.completed = True
         if self.buffer is request:
@@ -137,7 +139,10 @@
             self._context.requests.pop(request.event.request_id, None)
 
     def expected_weight(self, request: RequestState) -> float:
-        """Return the weight earned by using a slot for this request; it is lower if the tenant exceeds its quota.
+        """Return the value of using a slot for this request; it is lower if the tenant exceeds its quota.
+
+        The value is the class weight per unit of work or, if weights are per request, per microsecond that the request
+        is expected to hold the slot.
 
         A tenant's arrivals are compared with those of the other tenants at this sidecar, because a sidecar does not
         know the rates of the whole fleet.
@@ -173,38 +178,40 @@
 
     def _record_arrival(self, pool: Pool) -> None:
         pool.admission_credit = min(pool.admission_credit + pool.admitted_fraction, MAX_ADMISSION_CREDIT)
-        pool.slow_start.served += self._warm_up_credit(pool)
+        pool.slow_start.counted_responses += self._responses_per_arrival(pool)
         pool.last_arrival_us = self._context.now_us
 
-    def _warm_up_credit(self, pool: Pool) -> float:
-        """Return the credit of an arrival: the number of responses that it counts as in slow start.
+    def _responses_per_arrival(self, pool: Pool) -> float:
+        """Return how many responses an arrival counts as in slow start.
 
-        The credit is small unless all endpoints of the pool are warming, as in a restored zone, where no warm endpoint
-        shows how fast load may grow. During an overload, arrivals alone would overload such a pool, so they count for
-        at most a share of this sidecar's quota.
+        The number is small unless all endpoints of the pool are warming, as in a restored zone, where no warm endpoint
+        shows how fast load may grow. During an overload, arrivals alone would overload such a pool, so the number is
+        limited by a share of this sidecar's quota.
         """
-        credit = ARRIVAL_CREDIT * pool.admitted_fraction
+        responses = RESPONSES_PER_ARRIVAL * pool.admitted_fraction
         if pool.slow_start.cohorts and pool.slow_start.all_warming():
             quota_per_s = self._context.total_quota_per_s / self._zones.fleet_size
             elapsed_s = (self._context.now_us - pool.last_arrival_us) / MICROSECONDS_PER_S
-            credit = max(credit, min(WARMING_ARRIVAL_CREDIT, WARMING_QUOTA_SHARE * quota_per_s * elapsed_s))
-        return credit
+            responses = max(
+                responses, min(WARMING_RESPONSES_PER_ARRIVAL, WARMING_QUOTA_SHARE * quota_per_s * elapsed_s)
+            )
+        return responses
 
     def _record_exhausted_pools(self, state: EndpointState | None) -> None:
-        """Record the pools that had no free slot, and count the request as served traffic for their slow start.
+        """Record the pools that had no free slot, and let their slow start count the request as a response.
 
         If only responses counted, warming endpoints would idle while the other endpoints are full and requests are
-        shed. The credit falls to 0 when half of the arrivals find no slot, because the credit of so many arrivals would
-        overload the warming endpoints.
+        shed. The more arrivals find no slot, the less each of them counts; if half of them find none, they count as
+        nothing, because so many arrivals would overload the warming endpoints.
         """
         exhausted = self._pools[: self._pools.index(state.pool)] if state is not None else self._pools
         for pool in exhausted:
             pool.exhausted_us = self._context.now_us
             if pool.slow_start.cohorts and not pool.slow_start.all_warming():
-                credit = pool.admitted_fraction * max(0.0, 1.0 - 2.0 * self._unsent_fraction)
-                credit = min(credit, pool.unserved_credit)
-                pool.unserved_credit -= credit
-                pool.slow_start.served += credit
+                responses = pool.admitted_fraction * max(0.0, 1.0 - 2.0 * self._unsent_fraction)
+                responses = min(responses, pool.unserved_allowance)
+                pool.unserved_allowance -= responses
+                pool.slow_start.counted_responses += responses
 
     def _may_take_buffer(self, request: RequestState) -> bool:
         # A request of higher weight replaces the buffered one: when slots are short, many requests of low weight would
@@ -213,8 +220,8 @@
 
     def _set_buffer(self, request: RequestState) -> None:
         if self.buffer is not None:
-            self.finish(self.buffer)
+            self.answer(self.buffer)
         self.buffer = request
         queue_limit_us = self._context.now_us + request.class_state.half_objective_us
-        buffer_until_us = min(queue_limit_us, self._retry_policy.latest_start_us(request))
+        buffer_until_us = min(queue_limit_us, self._retry_policy.latest_useful_start_us(request))
         self._timers.schedule(buffer_until_us, TimerKind.BUFFER, request.event.request_id)
--- a/garnetusher/policy/attempts.py
+++ b/garnetusher/policy/attempts.py
@@ -13,7 +13,7 @@
 from garnetusher.policy.timers import TimerKind, TimerQueue
 from garnetusher.policy.zones import Zones
 
-RATE_WINDOW_US = 5_000_000  # the time constant of the moving average of a pool's send rate
+RATE_WINDOW_US = 5_000_000  # the time constant of the moving average of a pool's attempt rate
 MICROSECONDS_PER_S = 1_000_000
 
 
@@ -30,12 +30,13 @@
         """Start an attempt of a request at an endpoint."""
         now_us, pool, cohort = self._context.now_us, state.pool, state.cohort
         if cohort is not None:
-            # A request that serves as a health check of its zone may use an endpoint before its next send is due
-            cohort.schedule_send(state, 1.0 if state.send_due else 1.0 + state.due_at_accrual - cohort.accrued)
-        self._record_send(pool)
+            # A trial request may use an endpoint before its next attempt is due. What is left to accrue until then
+            # is added to what the following attempt must accrue.
+            cohort.schedule_attempt(state, 1.0 if state.attempt_due else 1.0 + state.due_at_accrual - cohort.accrued)
+        self._record_attempt(pool)
         pool.set_in_use(state, now_us, in_use=True)
         self._retry_policy.record_attempt(first=not request.attempts)
-        latest_forward_us = self._retry_policy.latest_forward_us(request)
+        deduplication_ends_us = self._retry_policy.deduplication_ends_us(request)
         attempt = AttemptState(state, now_us)
         request.attempts.append(attempt)
         if request.body_complete:  # an incomplete body takes no slot: slow uploads would hold all slots for seconds
@@ -44,7 +45,7 @@
             pool.update_weight(state, now_us)
         timeout_us = self._retry_policy.timeout_us(request)
         self._context.actions.append(
-            Forward(request.event.request_id, state.endpoint.id, timeout_us, latest_forward_us)
+            Forward(request.event.request_id, state.endpoint.id, timeout_us, deduplication_ends_us)
         )
         self._schedule_timers(request)
 
@@ -65,7 +66,8 @@
     def cancel_outstanding(self, request: RequestState, winner_index: int | None = None) -> None:
         """Cancel the outstanding attempts of a request except the winner.
 
-        Their responses are not needed, and they hold slots that other requests wait for.
+        Their responses are not needed, and they hold slots that other requests wait for. Those of a completed request
+        continue.
         """
         if not self._context.settings.cancel_attempts or request.completed:
             return
@@ -73,12 +75,12 @@
             if attempt.outcome is None and attempt_index != winner_index:
                 self._context.actions.append(CancelAttempt(request.event.request_id, attempt_index))
 
-    def _record_send(self, pool: Pool) -> None:
+    def _record_attempt(self, pool: Pool) -> None:
         now_us = self._context.now_us
         pool.admission_credit = max(0.0, pool.admission_credit - 1.0)
-        decay = math.exp((pool.send_rate_updated_us - now_us) / RATE_WINDOW_US)
-        pool.send_rate_per_s = pool.send_rate_per_s * decay + MICROSECONDS_PER_S / RATE_WINDOW_US
-        pool.send_rate_updated_us = now_us
+        decay = math.exp((pool.attempt_rate_updated_us - now_us) / RATE_WINDOW_US)
+        pool.attempt_rate_per_s = pool.attempt_rate_per_s * decay + MICROSECONDS_PER_S / RATE_WINDOW_US
+        pool.attempt_rate_updated_us = now_us
 
     def _schedule_timers(self, request: RequestState) -> None:
         now_us, request_id = self._context.now_us, request.event.request_id
--- a/garnetusher/policy/balancer.py
+++ b/garnetusher/policy/balancer.py
@@ -8,7 +8,8 @@
 The four rules that the modules of this package refer to:
 
 1. Each request gets one final answer, at the latest shortly after the client stops waiting.
-2. A request that may have run is repeated, or shed as safe to retry, only if the repeat has no second effect.
+2. A request that may have run is retried only if running it twice has no additional effect. The same condition applies
+   to shedding it, which tells the client that a retry is safe.
 3. No new attempt goes to an endpoint that is draining or removed, and the endpoint list is kept current.
 4. The sidecars together do not overload an endpoint that is warming up.
 """
@@ -38,7 +39,7 @@
 )
 from garnetusher.policy.lifecycle import RequestLifecycle
 from garnetusher.policy.outlier import OutlierDetector
-from garnetusher.policy.polling import EndpointPoller
+from garnetusher.policy.polling import WatchStarter
 from garnetusher.policy.retry import RetryPolicy
 from garnetusher.policy.selection import EndpointSelector
 from garnetusher.policy.settings import Settings
@@ -65,7 +66,7 @@
         self.endpoints, self.pools = self._registry.endpoints, self._registry.pools
         self.zones, self.requests = self._registry.zones, self.context.requests
         self._timers = TimerQueue(self.context)
-        self._poller = EndpointPoller(self.context, self._timers, self.zones)
+        self._watch_starter = WatchStarter(self.context, self._timers, self.zones)
         retry_policy = RetryPolicy(self.context)
         selector = EndpointSelector(self.context, self._registry, retry_policy)
         forwarder = AttemptForwarder(self.context, self._timers, retry_policy, self.zones)
@@ -98,9 +99,9 @@
             self._run_expired_timers()
         else:
             self._handle_request_event(event)
-            self._handle_fleet_event(event)
-        while self._registry.zones_to_evacuate:
-            self._lifecycle.hedge_requests_in(self._registry.evacuate_next_zone())
+            self._handle_configuration_event(event)
+        while self._registry.evacuated_zones_in_use:
+            self._lifecycle.hedge_requests_in(self._registry.stop_using_next_evacuated_zone())
         if self.admission.buffer is not None:
             self.admission.forward_buffered()
         # An ejection ends without an event, so a timer is needed to forward the buffered request at that time
@@ -121,9 +122,9 @@
         elif isinstance(event, RequestNotReplayable):
             self._lifecycle.on_not_replayable(event)
 
-    def _handle_fleet_event(self, event: Event) -> None:
+    def _handle_configuration_event(self, event: Event) -> None:
         if isinstance(event, EndpointsUpdated):
-            self._poller.on_update(event.update_kind)
+            self._watch_starter.on_update(event.update_kind)
             self._registry.on_update(event)
         elif isinstance(event, SettingsChanged):
             self._apply_settings(event)
@@ -136,13 +137,13 @@
         was_polling = self.context.settings.poll_endpoints
         self.context.apply_settings(event)
         self._registry.apply_settings()
-        self._poller.on_settings_changed(was_polling=was_polling)
+        self._watch_starter.on_settings_changed(was_polling=was_polling)
 
     def _run_expired_timers(self) -> None:
         while (expired := self._timers.pop_expired()) is not None:
             kind, request_id = expired
-            if kind is TimerKind.POLL:
-                self._poller.on_timer()
+            if kind is TimerKind.WATCH:
+                self._watch_starter.on_timer()
             elif kind is TimerKind.HEDGE:
                 self._lifecycle.on_hedge_timer(request_id)
             elif kind is TimerKind.OVERDUE:
--- a/garnetusher/policy/endpoint_state.py
+++ b/garnetusher/policy/endpoint_state.py
@@ -35,9 +35,9 @@
             update this state.
         in_use: whether the endpoint belongs to the subset that this sidecar's traffic needs.
         cohort: the endpoint's slow-start cohort; None once it has warmed up.
-        send_due: whether a warming endpoint may receive its next attempt now.
-        due_at_accrual: value of the cohort's `accrued` at which the next send comes due.
-        open_fraction: fraction of the slots that the warm-up permits to open; updated each time a send comes due.
+        attempt_due: whether a warming endpoint may receive its next attempt now; `slow_start.py` describes the rule.
+        due_at_accrual: value of the cohort's `accrued` at which the next attempt is due.
+        open_fraction: fraction of the slots that the warm-up permits to use; updated each time an attempt is due.
         weight: weight of the endpoint in draws, computed from its free slots and its latency ratio.
         bucket: bucket that contains the endpoint; None while it has no free slot.
         bucket_index: index of the endpoint in the bucket.
@@ -45,6 +45,7 @@
     """
 
     __slots__ = (
+        "attempt_due",
         "bucket",
         "bucket_index",
         "bucket_key",
@@ -59,7 +60,6 @@
         "logged_as_ejected",
         "open_fraction",
         "pool",
-        "send_due",
         "slot_limit",
         "slots_used",
         "started_us",
@@ -79,7 +79,7 @@
         self.listed = True
         self.in_use = False
         self.cohort: SlowStartCohort | None = None
-        self.send_due = False
+        self.attempt_due = False
         self.due_at_accrual = 0.0
         self.open_fraction = 1.0
         self.weight = 0.0
--- a/garnetusher/policy/endpoints.py
+++ b/garnetusher/policy/endpoints.py
@@ -20,7 +20,7 @@
         endpoints: the endpoints by id, in the order in which they first appeared in the endpoint list.
         pools: one pool per tier, the nearest tier first; a pool may be empty.
         zones: the states of the zones; this registry applies their changes to the endpoints of the zone.
-        zones_to_evacuate: zones that the current event has evacuated and whose endpoints are still in use.
+        evacuated_zones_in_use: zones that the current event has evacuated and whose endpoints are still in use.
     """
 
     def __init__(self, context: PolicyContext, seed: int) -> None:
@@ -28,7 +28,7 @@
         self.endpoints: dict[int, EndpointState] = {}
         self.pools = [Pool(context.settings, context.now_us) for _ in range(TIER_COUNT)]
         self.zones = Zones(context.settings, seed, context.now_us, self._on_zone_changed)
-        self.zones_to_evacuate: list[Zone] = []
+        self.evacuated_zones_in_use: list[Zone] = []
 
     def apply_settings(self) -> None:
         """Pass the new settings to the zones and the pools; endpoints stay in their pools."""
@@ -63,15 +63,15 @@
         """Return the ready endpoints of a zone."""
         return [state for pool in self.pools for state in pool.zones.get(zone.number, {}).values()]
 
-    def evacuate_next_zone(self) -> Zone:
-        """Stop using the endpoints of one of the zones to evacuate and return the zone."""
-        zone = self.zones_to_evacuate.pop()
+    def stop_using_next_evacuated_zone(self) -> Zone:
+        """Stop using the endpoints of one of the evacuated zones and return the zone."""
+        zone = self.evacuated_zones_in_use.pop()
         for state in self.members(zone):
             if state.in_use:
                 state.pool.set_in_use(state, self._context.now_us, in_use=False)
                 self._context.actions.append(CloseIdleConnections(state.endpoint.id))
             # the timeouts of the lost endpoints must not lower the fraction admitted to the pool's other endpoints
-            state.pool.admitted_fraction, state.pool.load = 1.0, 0.0
+            state.pool.admitted_fraction, state.pool.objective_ratio = 1.0, 0.0
         return zone
 
     def _remove_all_but(self, listed_ids: set[int]) -> None:
@@ -83,7 +83,7 @@
         state.pool.remove(state)
 
     def _update_endpoint(self, endpoint: Endpoint) -> bool:
-        """Add, restart or remove one endpoint; return whether it is new or has restarted."""
+        """Add, update or remove one endpoint; return whether it is new or has restarted."""
         state: EndpointState | None = self.endpoints.get(endpoint.id)
         is_ready = endpoint.status is EndpointStatus.READY
         if state is not None and (not is_ready or endpoint.zone != state.endpoint.zone):
@@ -99,23 +99,23 @@
         return has_started
 
     def _start(self, endpoint: Endpoint, state: EndpointState | None) -> EndpointState:
-        # all sidecars learn of a start almost simultaneously; without a random offset, their first sends would
+        # all sidecars learn of a start almost simultaneously; without a random offset, their first attempts would
         # form a burst
-        first_send_accrued = self._context.random.random()
+        initial_accrued = self._context.random.random()
         if state is not None:
             state.started_us = endpoint.started_us
-            state.pool.slow_start.begin(state, self._context.now_us, first_send_accrued)
+            state.pool.slow_start.begin(state, self._context.now_us, initial_accrued)
             return state
         pool = self.pools[self.zones.tier(endpoint.zone)]
         state = self.endpoints[endpoint.id] = EndpointState(endpoint, pool)
-        pool.add(state, self._context.now_us, first_send_accrued)
+        pool.add(state, self._context.now_us, initial_accrued)
         return state
 
     def _on_zone_changed(self, zone: Zone, previous_state: ZoneState) -> None:
         text = f"zone {zone.number}: {previous_state.value} -> {zone.state.value}: {zone.reason}"
         self._context.actions.append(LogMessage(text))
         if zone.state is ZoneState.EVACUATED:
-            self.zones_to_evacuate.append(zone)
+            self.evacuated_zones_in_use.append(zone)
         elif previous_state is ZoneState.EVACUATED:
             for state in self.members(zone):
                 self._restore(state, zone)
--- a/garnetusher/policy/events.py
+++ b/garnetusher/policy/events.py
@@ -1,4 +1,6 @@
-"""The events that the policy handles: requests, attempt outcomes, endpoint list updates, new settings and timers.
+"""The events that the sidecar or the simulator sends to the policy.
+
+They report requests, attempt outcomes, endpoint list updates, new settings and timers.
 
 Times are whole microseconds (`_us`) on the monotonic clock of the sidecar. The sidecar passes events to
 `Balancer.handle` in the order in which they occur.
@@ -55,7 +57,7 @@
         id: The number that the sidecar assigned to the endpoint.
         status: Whether requests may be sent to it.
         zone: The index of its zone.
-        machine_type: The index of its machine type.
+        machine_type: The number of its machine type. The policy does not use it.
         cell: The number of the replica group that it belongs to.
         weight: The capacity of the endpoint relative to other endpoints.
         started_us: The time of its most recent start; 0 = so long ago that the endpoint has warmed up.
@@ -72,7 +74,13 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """The endpoint list or a change to the list has arrived, or the sidecar has failed to get it."""
+    """The endpoint list or a change to the list has arrived, or the sidecar has failed to get it.
+
+    Attributes:
+        update_kind: The kind of data.
+        endpoints: The entries of the list or of the change.
+        version: The version of the endpoint list. The policy does not use it.
+    """
 
     update_kind: UpdateKind
     endpoints: list[Endpoint] = field(default_factory=list)
@@ -88,10 +96,10 @@
         deadline_us: The time when the client stops waiting.
         class_index: The index of its class in the settings.
         tenant_index: The index of its tenant in the settings; an index past the last tenant means no tenant.
-        affinity_key: The affinity key of the request; 0 = none.
-        expected_work_us: The expected CPU time on a standard core; 0 = not known.
+        affinity_key: The affinity key of the request; 0 = none. The policy does not use it.
+        expected_work_us: The work of the request that the client expects, in microseconds; 0 = unknown.
         client_retry: Whether the request is a retry by the client.
-        writes: Whether the request changes data.
+        writes: Whether the request changes data. The policy does not use it; `RequestClass.effect` limits retries.
         body_complete: Whether the whole body has arrived. If not, the deadline is set by `RequestBodyComplete`.
     """
 
@@ -131,7 +139,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected; the request needs no final answer."""
+    """The request needs no final answer from the policy: its client has disconnected, or the sidecar has failed it."""
 
     request_id: int
 
@@ -181,7 +189,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A health check has ended."""
+    """A health check requested by `CheckHealth` has ended. The policy ignores this event."""
 
     endpoint_id: int
     outcome: Outcome
@@ -233,7 +241,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Another sidecar has sent a message."""
+    """Another sidecar has sent a message. The policy ignores this event."""
 
     sender_id: int
     payload: bytes
--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -89,7 +89,7 @@
         """Close a request whose client has disconnected."""
         request = self._context.requests.get(event.request_id)
         if request is not None:
-            self._admission.close(request)
+            self._admission.mark_completed(request)
 
     def on_client_half_closed(self, event: ClientHalfClosed) -> None:
         """Finish a request whose client has half-closed, unless an outstanding attempt may still answer it."""
@@ -98,7 +98,7 @@
             return
         request.client_half_closed = True
         if request.outstanding() == 0 and not request.completed:
-            self._admission.finish(request)
+            self._admission.answer(request)
 
     def on_response_started(self, event: ResponseStarted) -> None:
         """Update the estimates at the first bytes of a response and cancel the other attempts.
@@ -124,11 +124,11 @@
         if attempt.outcome is not None:
             return
         attempt.outcome = event.outcome
-        if not request.response_started or attempt.holds_slot:  # on_response_started has not counted this attempt
+        if not request.response_started or attempt.holds_slot:  # the start of a response frees the slot
             self._update_estimates(request, attempt, event.outcome, event.elapsed_us)
         if event.request_completed or request.completed:
             self._forwarder.cancel_outstanding(request)
-            self._admission.close(request)
+            self._admission.mark_completed(request)
         elif request.outstanding() == 0:
             self._retry_or_finish(request, event.outcome)
 
@@ -162,7 +162,7 @@
         if may_retry and self._retry_policy.has_budget():
             self._admission.forward_or_buffer(request)
         else:
-            self._admission.finish(request)
+            self._admission.answer(request)
 
     def _update_estimates(
         self, request: RequestState, attempt: AttemptState, outcome: Outcome, elapsed_us: int
@@ -174,9 +174,9 @@
             self._outlier_detector.record_outcome(attempt, outcome, elapsed_us, class_state)
         if outcome is Outcome.OK:
             pool = attempt.endpoint_state.pool
-            pool.slow_start.served += 1.0
-            pool.unserved_credit = min(pool.unserved_credit + UNSERVED_SHARE, MAX_UNSERVED)
+            pool.slow_start.counted_responses += 1.0
+            pool.unserved_allowance = min(pool.unserved_allowance + UNSERVED_SHARE, MAX_UNSERVED)
         if outcome in (Outcome.OK, Outcome.TIMEOUT):
-            # Timeouts count too: otherwise the mean of a slow fleet would include only its few quick responses
+            # Timeouts count too: otherwise the mean would include only the few quick responses while endpoints are slow
             mean_us = class_state.mean_response_us
             class_state.mean_response_us = max(1.0, mean_us + (elapsed_us - mean_us) / RESPONSE_WINDOW)
--- a/garnetusher/policy/outlier.py
+++ b/garnetusher/policy/outlier.py
@@ -7,33 +7,35 @@
 from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.events import Outcome
 from garnetusher.policy.retry import IMMEDIATE_FAILURES
-from garnetusher.policy.slots import MAX_SLOTS, MIN_SLOT_LIMIT, TARGET_LOAD, Pool
+from garnetusher.policy.slots import MAX_SLOTS, MIN_SLOT_LIMIT, TARGET_OBJECTIVE_RATIO, Pool
 from garnetusher.policy.state import AttemptState, ClassState
 from garnetusher.policy.zone import FailedAttempt
 from garnetusher.policy.zones import Zones
 
 # This many immediate failures in a row distinguish a failing endpoint from a single broken connection or response.
 CONSECUTIVE_FAILURES = 2
-# Change of the slot limit over one round of responses, per unit of difference between the target load and their load.
+# Gain of the slot limit, multiplied by the difference between the objective ratio and its target. Over one round of
+# responses (one for each slot), faster responses raise the limit by this many slots; slower ones lower it by this part.
 SLOT_GROWTH = 0.4
-# A pool below this load has spare capacity: its slot limits also rise after a request found no free slot in it but
-# found one in a farther tier.
-SPARE_CAPACITY_LOAD = TARGET_LOAD / 2
-MAX_LOAD = 2.0  # upper bound of one response's load; a response that never arrives counts as this
+# A pool below this objective ratio has spare capacity: its slot limits also rise after a request found no
+# free slot in it but found one in a farther tier.
+SPARE_CAPACITY_OBJECTIVE_RATIO = TARGET_OBJECTIVE_RATIO / 2
+MAX_OBJECTIVE_RATIO = 2.0  # upper bound of one response's objective ratio; a response that never arrives counts as this
 MAX_LATENCY_RATIO = 4.0  # upper bound of one response's latency ratio; an immediate failure counts as this
 MIN_LATENCY_RATIO = 0.1  # lower bound of one response's latency ratio
 LATENCY_RATIO_WINDOW = 4  # number of responses over which an endpoint's latency ratio is smoothed
-POOL_WINDOW = 8  # number of responses over which a pool's load and latency ratio are smoothed
-# One second of slow responses cuts the admitted fraction to a tenth; with a slower reduction, queues fill up first.
+POOL_WINDOW = 8  # number of responses over which a pool's objective ratio and latency ratio are smoothed
+# Gain of the admitted fraction, divided among the responses of one second. One second of responses with an objective
+# ratio of 1.8 cuts the fraction to about a tenth (e ** (-2.4 * 0.95)); with a slower reduction, queues fill up first.
 ADMISSION_GAIN = 2.4
 MIN_SLOW_RESPONSES = 8.0  # minimum number of slow responses that it takes to cut the admitted fraction to a tenth
 MIN_ADMISSION_STEP = 0.3  # lower bound of the factor by which one response changes the admitted fraction
 # Lower bound of the admitted fraction: admitting less does not help if the requests themselves take longer to process.
 MIN_ADMITTED = 0.1
-# Responses raise slot limits only if a request found no free slot shortly before the attempt was sent: at most this
-# many times half the latency objective.
+# Responses raise slot limits only if a request found no free slot within this many half latency objectives before the
+# attempt was sent, or later.
 SHORTAGE_FACTOR = 4
-EJECTION_LOG_LIMIT = 0.25  # an endpoint is logged as ejected if its slot limit is below this
+EJECTION_LOG_LIMIT = 0.25  # an endpoint is logged as ejected below this slot limit, and as readmitted only at 1
 
 
 class OutlierDetector:
@@ -47,7 +49,9 @@
         """Update an endpoint, its pool and its zone with the outcome of an attempt."""
         state, pool = attempt.endpoint_state, attempt.endpoint_state.pool
         responded = outcome in (Outcome.OK, Outcome.CANCELLED)
-        load = min(MAX_LOAD, elapsed_us / class_state.half_objective_us) if responded else MAX_LOAD
+        objective_ratio = (
+            min(MAX_OBJECTIVE_RATIO, elapsed_us / class_state.half_objective_us) if responded else MAX_OBJECTIVE_RATIO
+        )
         ratio = MAX_LATENCY_RATIO if outcome in IMMEDIATE_FAILURES else elapsed_us / class_state.mean_response_us
         ratio = min(max(ratio, MIN_LATENCY_RATIO), MAX_LATENCY_RATIO)
         state.latency_ratio += (ratio - state.latency_ratio) / LATENCY_RATIO_WINDOW
@@ -55,8 +59,8 @@
             pool.latency_ratio += (ratio - pool.latency_ratio) / POOL_WINDOW
         self._record_zone_outcome(attempt, outcome, elapsed_us, ratio)
         if outcome in (Outcome.OK, Outcome.TIMEOUT, Outcome.OVERLOADED):
-            self._update_admission(pool, load)
-        self._update_slot_limit(attempt, outcome, load, class_state)
+            self._update_admission(pool, objective_ratio)
+        self._update_slot_limit(attempt, outcome, objective_ratio, class_state)
         self._eject_if_below_one_slot(state, elapsed_us, class_state)
         pool.update_weight(state, self._context.now_us)
         self._log_ejection(state)
@@ -75,7 +79,7 @@
     def _record_zone_outcome(self, attempt: AttemptState, outcome: Outcome, elapsed_us: int, ratio: float) -> None:
         zone, endpoint_id, now_us = attempt.endpoint.zone, attempt.endpoint.id, self._context.now_us
         if outcome in (Outcome.OK, Outcome.CANCELLED):
-            self._zones.record_lateness(late=attempt.overdue)
+            self._zones.update_overdue_fraction(overdue=attempt.overdue)
         if outcome in (Outcome.OK, Outcome.OVERLOADED):
             zone_ratio = 1.0 if outcome is Outcome.OVERLOADED else ratio
             self._zones.record_answer(zone, attempt.sent_us, zone_ratio, now_us)
@@ -86,25 +90,31 @@
             failed = FailedAttempt(zone, endpoint_id, attempt.sent_us, ratio, refused, already_overdue)
             self._zones.record_failure(failed, now_us)
 
-    def _update_admission(self, pool: Pool, load: float) -> None:
+    def _update_admission(self, pool: Pool, objective_ratio: float) -> None:
         """Lower the admitted fraction of a pool while its responses are slow, and raise it again afterwards.
 
         A sidecar with little traffic never fills its slots, so slot limits do not reduce its load when all endpoints
-        are slow. The admitted fraction reduces this load. It falls quickly, because queues last for seconds, but a
-        single slow response among fast ones does not lower it.
+        are slow. The admitted fraction reduces this load. It falls quickly, because the queues of overloaded endpoints
+        last for seconds, but a single slow response among fast ones does not lower it.
         """
-        pool.load += (load - pool.load) / POOL_WINDOW
-        is_slow = load >= TARGET_LOAD
+        pool.objective_ratio += (objective_ratio - pool.objective_ratio) / POOL_WINDOW
+        is_slow = objective_ratio >= TARGET_OBJECTIVE_RATIO
         # a sidecar that gets a response only every second or two must not stop sending after a single slow one
         responses = MIN_SLOW_RESPONSES if is_slow else 1.0
-        gain = ADMISSION_GAIN / max(responses, pool.send_rate_per_s) if not is_slow or pool.load > 0.5 else 0.0
-        pool.admitted_fraction *= max(MIN_ADMISSION_STEP, 1.0 + gain * (TARGET_LOAD - load))
+        gain = (
+            ADMISSION_GAIN / max(responses, pool.attempt_rate_per_s)
+            if not is_slow or pool.objective_ratio > 0.5
+            else 0.0
+        )
+        pool.admitted_fraction *= max(MIN_ADMISSION_STEP, 1.0 + gain * (TARGET_OBJECTIVE_RATIO - objective_ratio))
         pool.admitted_fraction = min(1.0, max(pool.admitted_fraction, MIN_ADMITTED))
 
-    def _update_slot_limit(self, attempt: AttemptState, outcome: Outcome, load: float, class_state: ClassState) -> None:
+    def _update_slot_limit(
+        self, attempt: AttemptState, outcome: Outcome, objective_ratio: float, class_state: ClassState
+    ) -> None:
         state = attempt.endpoint_state
         # a single request may be expensive, so each response changes the limit only a little
-        step = SLOT_GROWTH * (TARGET_LOAD - load) / max(state.slot_limit, 1.0)
+        step = SLOT_GROWTH * (TARGET_OBJECTIVE_RATIO - objective_ratio) / max(state.slot_limit, 1.0)
         failed_immediately = outcome in IMMEDIATE_FAILURES
         state.consecutive_failures = state.consecutive_failures + 1 if failed_immediately else 0
         if outcome is Outcome.OVERLOADED or state.consecutive_failures >= CONSECUTIVE_FAILURES:
@@ -123,18 +133,20 @@
     def _follows_shortage(self, attempt: AttemptState, class_state: ClassState) -> bool:
         """Return whether slots were exhausted shortly before the attempt.
 
-        Slots that are opened without need lead to bursts that overload endpoints, especially with many sidecars. A
+        Slot limits that rise without need lead to bursts that overload endpoints, especially with many sidecars. A
         pool with spare capacity also counts requests that found a slot in a farther tier: if it counted only requests
         without any free slot, its slot limits would only fall.
         """
         pool, exhausted_us = attempt.endpoint_state.pool, self._context.slots_exhausted_us
-        if pool.load < SPARE_CAPACITY_LOAD:
+        if pool.objective_ratio < SPARE_CAPACITY_OBJECTIVE_RATIO:
             exhausted_us = max(pool.exhausted_us, exhausted_us)
         return attempt.sent_us - SHORTAGE_FACTOR * class_state.half_objective_us <= exhausted_us
 
     def _eject_if_below_one_slot(self, state: EndpointState, elapsed_us: int, class_state: ClassState) -> None:
         if state.slot_limit < 1.0:
-            # if responses take seconds, a short ejection would not relieve an overloaded endpoint
+            # the ejection is in proportion to the response time, which counts as at most the latency objective and at
+            # least the mean or half the objective, whichever is shorter: if responses take seconds, a short ejection
+            # would not relieve an overloaded endpoint
             slow_us = class_state.half_objective_us
             busy_us = max(min(class_state.mean_response_us, slow_us), min(elapsed_us, 2 * slow_us))
             ejected_us = busy_us * (1.0 / state.slot_limit - 1.0) * (0.5 + self._context.random.random())
--- a/garnetusher/policy/polling.py
+++ b/garnetusher/policy/polling.py
@@ -1,4 +1,7 @@
-"""Polling of the endpoint list, with backoff after failures."""
+"""Calls to discovery that start a watch of the endpoint list, with backoff after failures.
+
+The settings call this polling (`poll_endpoints`, `poll_interval_us`).
+"""
 
 from __future__ import annotations
 
@@ -10,15 +13,15 @@
 
 # The mean interval between calls to discovery from the whole fleet while no call has failed. Discovery needs up to
 # 0.2 s for one call.
-POLL_GAP_US = 250_000
-FIRST_POLL_FRACTION = 0.8  # the backoff before a poll is at most this fraction of the poll interval
-# An update must arrive within 6 s after discovery becomes reachable. A call can take 2.5 s of that time, and the
-# remainder allows for stalls of the process.
-MAX_POLL_GAP_US = 3_000_000
+CALL_GAP_US = 250_000
+MAX_BACKOFF_FRACTION = 0.8  # the backoff before a call is at most this fraction of `poll_interval_us`
+# By rule 3, an update must arrive within 6 s after discovery becomes reachable. A call can take 2.5 s of that time, and
+# the remainder allows for stalls of the process.
+MAX_CALL_SPREAD_US = 3_000_000
 MAX_BACKOFF_EXPONENT = 20
 
 
-class EndpointPoller:
+class WatchStarter:
     """Schedules calls to discovery until a watch delivers the endpoint list, and again after each failure."""
 
     def __init__(self, context: PolicyContext, timers: TimerQueue, zones: Zones) -> None:
@@ -26,7 +29,7 @@
         self._timers = timers
         self._zones = zones
         self._consecutive_failures = 0
-        self._next_poll_us = 0  # 0 = no poll is scheduled because a watch delivers the list
+        self._next_call_us = 0  # 0 = no call is scheduled because a watch delivers the list
         self._schedule_after_backoff()
 
     def on_update(self, update_kind: UpdateKind) -> None:
@@ -36,28 +39,28 @@
             self._schedule_after_backoff()
         elif update_kind is not UpdateKind.CACHED:
             self._consecutive_failures = 0
-            self._next_poll_us = 0
+            self._next_call_us = 0
 
     def on_settings_changed(self, *, was_polling: bool) -> None:
-        """Start or stop polling if the new settings change whether the list is polled."""
+        """Start or stop the calls if the new settings change whether the list has to be requested."""
         if self._context.settings.poll_endpoints != was_polling:
-            self._next_poll_us = 0
+            self._next_call_us = 0
             self._schedule_after_backoff()
 
     def on_timer(self) -> None:
-        """Start a watch if one is due, and schedule another attempt in case no answer to the call arrives."""
+        """Start a watch if one is due, and schedule another call in case discovery does not respond to this one."""
         now_us = self._context.now_us
-        if self._next_poll_us != 0 and now_us >= self._next_poll_us:
+        if self._next_call_us != 0 and now_us >= self._next_call_us:
             self._context.actions.append(WatchEndpoints(active=True))
-            self._schedule(now_us + max(POLL_GAP_US, self._context.settings.poll_interval_us // 2))
+            self._schedule(now_us + max(CALL_GAP_US, self._context.settings.poll_interval_us // 2))
 
     def _schedule_after_backoff(self) -> None:
         self._schedule(self._context.now_us + self._backoff_us())
 
     def _schedule(self, at_us: int) -> None:
         if self._context.settings.poll_endpoints:
-            self._next_poll_us = at_us
-            self._timers.schedule(at_us, TimerKind.POLL)
+            self._next_call_us = at_us
+            self._timers.schedule(at_us, TimerKind.WATCH)
 
     def _backoff_us(self) -> int:
         """Draw the random delay before discovery is called.
@@ -69,6 +72,6 @@
         reached, however many calls have failed.
         """
         exponent = min(max(0, self._consecutive_failures - 1), MAX_BACKOFF_EXPONENT)
-        spread_us = POLL_GAP_US * self._zones.fleet_size * 2**exponent
-        max_spread_us = min(MAX_POLL_GAP_US, int(self._context.settings.poll_interval_us * FIRST_POLL_FRACTION))
+        spread_us = CALL_GAP_US * self._zones.fleet_size * 2**exponent
+        max_spread_us = min(MAX_CALL_SPREAD_US, int(self._context.settings.poll_interval_us * MAX_BACKOFF_FRACTION))
         return int(min(spread_us, max_spread_us) * self._context.random.random())
--- a/garnetusher/policy/retry.py
+++ b/garnetusher/policy/retry.py
@@ -64,7 +64,7 @@
             and self._context.now_us - first.sent_us < request_class.deduplication_window_us
         )
 
-    def same_deduplication_scope(self, request: RequestState) -> Callable[[Endpoint], bool] | None:
+    def deduplication_scope_filter(self, request: RequestState) -> Callable[[Endpoint], bool] | None:
         """Return a predicate for the endpoints that drop repeats of this request; None if every endpoint is allowed.
 
         Rule 2: once an attempt of a deduplicated request may have run, the next one may go only to endpoints in the
@@ -79,7 +79,10 @@
         return lambda other: other.cell == endpoint.cell
 
     def is_safe_to_retry(self, request: RequestState) -> bool:
-        """Return whether a retry by the client has no second effect, so that the request may be shed."""
+        """Return whether a retry by the client has no additional effect, so that the request may be shed.
+
+        A request that an endpoint has rejected as invalid is never shed.
+        """
         if any(attempt.outcome is Outcome.REJECTED for attempt in request.attempts):
             return False
         request_class = request.class_state.request_class
@@ -89,10 +92,10 @@
             or (request_class.effect == "deduplicated" and request_class.deduplication_scope == "all")
         )
 
-    def latest_forward_us(self, request: RequestState) -> int:
-        """Return the latest time at which a repeat may be written to an endpoint; 0 = no limit.
+    def deduplication_ends_us(self, request: RequestState) -> int:
+        """Return when endpoints may no longer remember the earlier attempt; 0 = a repeat may be written at any time.
 
-        A new connection can take so long to open that endpoints no longer remember the earlier attempt.
+        A new connection can take so long to open that a repeat would be written after this time.
         """
         first, request_class = request.first_possibly_executed(), request.class_state.request_class
         if first is None or request_class.effect != "deduplicated":
@@ -100,12 +103,12 @@
         return first.sent_us + request_class.deduplication_window_us
 
     def useful_until_us(self, request: RequestState) -> int:
-        """Return the time after which a response earns no weight."""
+        """Return the time after which a response to the client has no value."""
         request_class = request.class_state.request_class
         useful_us = request_class.deadline_us if request_class.late_weight > 0 else request_class.latency_objective_us
         return self._clock_start_us(request) + min(request.client_timeout_us, useful_us)
 
-    def latest_start_us(self, request: RequestState) -> int:
+    def latest_useful_start_us(self, request: RequestState) -> int:
         """Return the latest time at which an attempt can start and still be expected to respond in time.
 
         At most half the latency objective is reserved for the response: after an outage in which no response came in
@@ -119,7 +122,8 @@
         """Return the timeout of an attempt.
 
         An attempt that may be retried times out after a multiple of its usual response time, but not before half the
-        latency objective. Any other attempt runs for as long as its response earns weight.
+        latency objective. Any other attempt, and every attempt while hedging is
+        allowed, runs for as long as its response has a value.
         """
         remaining_us = max(1, self.useful_until_us(request) - self._context.now_us)
         class_state = request.class_state
--- a/garnetusher/policy/selection.py
+++ b/garnetusher/policy/selection.py
@@ -6,14 +6,14 @@
 from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.endpoints import TIER_COUNT, EndpointRegistry
 from garnetusher.policy.retry import RetryPolicy
-from garnetusher.policy.slots import TARGET_LOAD, Pool
+from garnetusher.policy.slots import TARGET_OBJECTIVE_RATIO, Pool
 from garnetusher.policy.state import RequestState
 from garnetusher.policy.zone import ZoneState
 
 MIN_ENDPOINTS_IN_USE = 4  # number of endpoints that a sidecar with almost no traffic uses
-# One more endpoint is used for each 1.5 sends per second. With fewer sends, the sidecar learns nothing about an
-# endpoint; more sends overload it.
-SENDS_PER_S_PER_ENDPOINT = 1.5
+# One more endpoint is used for each 1.5 attempts per second. With fewer attempts, the sidecar learns nothing about an
+# endpoint; more attempts overload it.
+ATTEMPTS_PER_S_PER_ENDPOINT = 1.5
 # Client retries are not admitted below this admitted fraction; a single slow response does not lower it so far.
 CLIENT_RETRY_ADMITTED = 0.9
 
@@ -37,9 +37,9 @@
         """
         if not self._retry_policy.may_forward(request):
             return None
-        health_check_target = self._select_for_health_check(request)
-        if health_check_target is not None:
-            return health_check_target
+        trial_endpoint = self._select_for_trial(request)
+        if trial_endpoint is not None:
+            return trial_endpoint
         excluded = self._zones.excluded()
         for avoided in self._zones_to_avoid(request):
             selected = self._select_free_slot(request, excluded | avoided)
@@ -67,7 +67,7 @@
         return avoided_sets
 
     def _select_free_slot(self, request: RequestState, excluded: set[int]) -> EndpointState | None:
-        hedged_tier = TIER_COUNT
+        hedged_tier = TIER_COUNT  # no attempt is outstanding, so no tier is too far
         if request.attempts and request.outstanding():
             hedged_tier = self._pools.index(request.attempts[-1].endpoint_state.pool)
         for tier, pool in enumerate(self._pools):
@@ -90,8 +90,9 @@
             # admission does not limit warming endpoints: otherwise they would never relieve the overloaded ones
             return self._draw(request, pool, excluded, warming=True) if pool.slow_start.cohorts else None
         # if each sidecar connected to each endpoint, the endpoints would reach their connection limits
-        needed = MIN_ENDPOINTS_IN_USE + int(pool.send_rate_per_s / SENDS_PER_S_PER_ENDPOINT)
+        needed = MIN_ENDPOINTS_IN_USE + int(pool.attempt_rate_per_s / ATTEMPTS_PER_S_PER_ENDPOINT)
         needs_more = len(pool.in_use) < needed
+        # draw from the endpoints in use first, or from the others first if too few are in use
         return self._draw(request, pool, excluded, in_use=not needs_more) or self._draw(
             request, pool, excluded, in_use=needs_more
         )
@@ -117,7 +118,7 @@
     def _draw_for_retry(
         self, request: RequestState, pool: Pool, excluded: set[int], *, in_use: bool | None, warming: bool | None
     ) -> EndpointState | None:
-        is_allowed = self._retry_policy.same_deduplication_scope(request)
+        is_allowed = self._retry_policy.deduplication_scope_filter(request)
         if is_allowed is None:
             return pool.draw(self._context.random, excluded, in_use=in_use, warming=warming)
         # this iterates over all endpoints with a free slot, but such requests are rare
@@ -139,17 +140,17 @@
         return (
             zone.state is ZoneState.ACTIVE
             and not zone.failing_endpoints
-            and last.endpoint_state.pool.load < TARGET_LOAD
+            and last.endpoint_state.pool.objective_ratio < TARGET_OBJECTIVE_RATIO
         )
 
-    def _select_for_health_check(self, request: RequestState) -> EndpointState | None:
-        """Return an endpoint of an evacuated zone if a health check is due and the request can serve as one.
+    def _select_for_trial(self, request: RequestState) -> EndpointState | None:
+        """Return an endpoint of an evacuated zone if a trial request is due and this request can serve as one.
 
-        Only the first attempt of an idempotent request serves as a health check.
+        Only the first attempt of an idempotent request serves as a trial.
         """
-        if request.attempts or request.class_state.request_class.effect != "idempotent" or self._zones.all_in_use:
+        if request.attempts or request.class_state.request_class.effect != "idempotent" or self._zones.all_fully_used:
             return None
-        zone = self._zones.take_due_health_check(self._context.now_us)
+        zone = self._zones.take_zone_due_for_trial(self._context.now_us)
         if zone is None:
             return None
         return self._zones.random.choice(self._registry.members(zone))
--- a/garnetusher/policy/settings.py
+++ b/garnetusher/policy/settings.py
@@ -42,12 +42,14 @@
 
     Attributes:
         name: The first segment of the request path.
-        latency_objective_us: The response time up to which a response earns the full weight.
+        latency_objective_us: The response time up to which a response counts with the full weight.
         deadline_us: The time from arrival to deadline for requests that state no deadline.
         priority_weight: The weight of a response within the objective, relative to other classes.
-        late_weight: The share of the weight that a response after the objective still earns.
-        latency_objective_stretch: How much the latency objective grows per unit of work of the request.
-        effect: What a repeated attempt may do; one of `EFFECTS`.
+        late_weight: The share of the weight with which a response after the objective still counts.
+        latency_objective_stretch: How much the latency objective grows per unit of work of the request. The policy
+            does not use it.
+        effect: What a repeated attempt may do: "idempotent" = it has no additional effect; "deduplicated" = endpoints
+            drop it; "at_most_once" = it must not run.
         deduplication_scope: Which endpoints drop repeats of each other's requests; one of `DEDUPLICATION_SCOPES`.
         deduplication_window_us: How long endpoints remember a request.
         streaming: Whether responses may be long and arrive in pieces.
@@ -85,7 +87,10 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant and its quota: the request rate, summed over all sidecars, that is served at full weight."""
+    """A tenant and its quota: the request rate, summed over all sidecars, that is served at full weight.
+
+    `quota_fraction` is the share of the total load that the quota stands for. The policy does not use it.
+    """
 
     name: str
     quota_per_s: float
@@ -103,12 +108,13 @@
     Attributes:
         classes: The request classes; events refer to them by index.
         tenants: The tenants; events refer to them by index.
-        over_quota_weight: The fraction of its weight that a request still earns if its tenant exceeds the quota.
+        over_quota_weight: The fraction of its weight with which a request counts if its tenant exceeds the quota.
         weight_by_work: Whether weights are per unit of work; otherwise they are per request.
-        fleet_size: The number of sidecars that share the quotas.
+        fleet_size: The number of sidecars in the fleet, which share the quotas and the limits for calls to discovery.
         instance_index: The index of this sidecar in the fleet.
         zone: The zone of this sidecar.
-        batch_interval_us: The shortest interval between two batches of events from the simulator.
+        batch_interval_us: The shortest interval between two batches of events from the simulator. The policy does not
+            use it.
         max_attempts: The maximum number of attempts of a request.
         max_retry_after_us: The longest Retry-After.
         connect_timeout_us: How long it may take to establish a connection.
@@ -116,8 +122,9 @@
         cancel_attempts: Whether attempts may be cancelled.
         health_checks: Whether health checks may be sent.
         hedging: Whether a request may have two outstanding attempts.
-        poll_endpoints: Whether updates of the endpoint list arrive only after `WatchEndpoints` or `PollEndpoints`.
-        poll_interval_us: The longest interval between two polls of the list while it is not watched.
+        poll_endpoints: Whether updates of the endpoint list arrive only after `WatchEndpoints` or `PollEndpoints`;
+            otherwise they are pushed.
+        poll_interval_us: The longest interval between two calls to discovery while the list is not watched.
         warm_up_initial_fraction: The minimum fraction of its full capacity that an endpoint has when it starts.
         warm_up_us: The time from the start of an endpoint until it is warm.
         overload_factor: The load at which a warming endpoint fails, as a multiple of its current capacity.
--- a/garnetusher/policy/slots.py
+++ b/garnetusher/policy/slots.py
@@ -1,4 +1,6 @@
-"""Weighted random choice among the endpoints with a free slot, at a cost that does not grow with their number.
+"""Pool: the endpoints of one tier, their slots, and a weighted random choice among those with a free slot.
+
+The cost of a choice does not grow with the number of endpoints.
 
 No operation here iterates over all endpoints. Each bucket contains endpoints of similar weight; an endpoint moves to
 another bucket when its weight changes. A draw picks a bucket and then an endpoint in it, which it accepts with a
@@ -17,11 +19,11 @@
 from garnetusher.policy.settings import Settings
 from garnetusher.policy.slow_start import SlowStart
 
-MAX_SLOTS = 8  # maximum number of slots that one sidecar opens at an endpoint, however fast the endpoint responds
+MAX_SLOTS = 8  # maximum number of slots that one sidecar uses at an endpoint, however fast the endpoint responds
 MIN_SLOT_LIMIT = 1 / 64  # a failing endpoint receives about one attempt per 64 mean response times
-# Slot limits settle where responses take this fraction of half the latency objective. A higher target overloads the
-# endpoints; with a lower one, requests are shed too early.
-TARGET_LOAD = 0.85
+# The objective ratio of a response is its response time divided by half the latency objective. Slot limits fall while
+# it is above this target. A higher target overloads the endpoints; with a lower one, requests are shed too early.
+TARGET_OBJECTIVE_RATIO = 0.85
 
 
 class Pool:
@@ -31,12 +33,12 @@
 
     Attributes:
         admitted_fraction: fraction of the draws that may take a slot; it falls while the whole pool responds slowly.
-        admission_credit: number of admitted draws that are not used yet.
-        load: smoothed response time; 1 = half the latency objective.
-        unserved_credit: upper limit on how many requests without a free slot count as responses when sends to warming
-            endpoints accrue; responses raise it.
-        send_rate_per_s: recent rate of attempts per second.
-        send_rate_updated_us: time at which the rate was last computed.
+        admission_credit: number of attempts that the pool admits now; arrivals raise it and each attempt spends 1.
+        objective_ratio: smoothed ratio of response times to half the latency objective.
+        unserved_allowance: how many more requests without a free slot slow start may count as responses; each response
+            raises it.
+        attempt_rate_per_s: recent rate of attempts per second.
+        attempt_rate_updated_us: time at which the rate was last computed.
         last_arrival_us: time at which the last request arrived.
         latency_ratio: smoothed ratio of response times to the mean response time of the request class; distant pools
             have a higher ratio.
@@ -51,10 +53,10 @@
     def __init__(self, settings: Settings, now_us: int) -> None:
         self.admitted_fraction = 1.0
         self.admission_credit = 1.0
-        self.load = 0.0
-        self.unserved_credit = 0.0
-        self.send_rate_per_s = 0.0
-        self.send_rate_updated_us = now_us
+        self.objective_ratio = 0.0
+        self.unserved_allowance = 0.0
+        self.attempt_rate_per_s = 0.0
+        self.attempt_rate_updated_us = now_us
         self.last_arrival_us = now_us
         self.latency_ratio = 1.0
         self.exhausted_us = 0
@@ -66,11 +68,11 @@
 
     # Members
 
-    def add(self, state: EndpointState, now_us: int, first_send_accrued: float) -> None:
-        """Add an endpoint; `SlowStart.begin` describes `first_send_accrued`."""
+    def add(self, state: EndpointState, now_us: int, initial_accrued: float) -> None:
+        """Add an endpoint; `SlowStart.begin` describes `initial_accrued`."""
         self.slow_start.change_size(1)
         self.zones.setdefault(state.endpoint.zone, {})[state.endpoint.id] = state
-        self.slow_start.begin(state, now_us, first_send_accrued)
+        self.slow_start.begin(state, now_us, initial_accrued)
 
     def remove(self, state: EndpointState) -> None:
         """Remove an endpoint; its outstanding attempts continue."""
@@ -97,17 +99,17 @@
 
     # Slots
 
-    def open_slots(self, state: EndpointState, now_us: int) -> int:
+    def usable_slots(self, state: EndpointState, now_us: int) -> int:
         """Return how many concurrent attempts this sidecar may have at an endpoint, given its health and warm-up."""
-        if now_us < state.ejected_until_us or (state.cohort is not None and not state.send_due):
+        if now_us < state.ejected_until_us or (state.cohort is not None and not state.attempt_due):
             return 0
-        # the number of open slots grows during the warm-up: with a single slot until the end, an endpoint would be
+        # the number of usable slots grows during the warm-up: with a single slot until the end, an endpoint would be
         # partly idle while requests find no free slot
         return max(1, int(state.slot_limit * state.open_fraction))
 
     def update_weight(self, state: EndpointState, now_us: int) -> None:
         """Update an endpoint's weight and bucket. Call this after its free slots or latency ratio have changed."""
-        free = self.open_slots(state, now_us) - state.slots_used
+        free = self.usable_slots(state, now_us) - state.slots_used
         if free <= 0 or not state.listed:
             self._remove_from_bucket(state)
             return
--- a/garnetusher/policy/state.py
+++ b/garnetusher/policy/state.py
@@ -14,8 +14,8 @@
         request_class: The settings of the class.
         mean_response_us: The moving average of response times; a quarter of the latency objective before the first
             response.
-        half_objective_us: Half the latency objective. It limits the time in the buffer, and a response that takes
-            longer counts as slow. The other half leaves time for a retry.
+        half_objective_us: Half the latency objective. It limits the time in the buffer, and an attempt that takes
+            longer is overdue in any case. The other half leaves time for a retry.
     """
 
     def __init__(self, request_class: RequestClass, mean_response_us: float | None = None) -> None:
@@ -38,7 +38,7 @@
     Attributes:
         endpoint_state: The state of the endpoint that it was forwarded to.
         endpoint: The entry of that endpoint in the endpoint list when the attempt started.
-        sent_us: The time when it was forwarded or, if that was later, when the request body was complete.
+        sent_us: The time when it was started by `Forward` or, if that was later, when the request body was complete.
         outcome: How it ended; None while it is outstanding.
         holds_slot: Whether it holds a slot of its endpoint.
         overdue: Whether it has been outstanding for longer than responses usually take.
--- a/garnetusher/policy/timers.py
+++ b/garnetusher/policy/timers.py
@@ -15,7 +15,7 @@
     BUFFER = enum.auto()  # the time limit of the buffered request is over
     HEDGE = enum.auto()  # an attempt is slow enough to be hedged
     OVERDUE = enum.auto()  # an attempt has been outstanding for longer than responses usually take
-    POLL = enum.auto()  # a poll of the endpoint list is due
+    WATCH = enum.auto()  # a call to discovery that starts a watch of the endpoint list is due
 
 
 class TimerQueue:
@@ -59,7 +59,7 @@
         pending, requests = self._pending, self._context.requests
         # Timers of requests that have been answered are dropped: most requests are answered before their timers expire,
         # and handling an unneeded timer costs as much as handling a request
-        while pending and pending[0][2] not in requests and pending[0][1] is not TimerKind.POLL:
+        while pending and pending[0][2] not in requests and pending[0][1] is not TimerKind.WATCH:
             heapq.heappop(pending)
         times = [pending[0][0]] if pending else []
         if readmissions_us:
--- a/garnetusher/policy/zones.py
+++ b/garnetusher/policy/zones.py
@@ -1,10 +1,10 @@
 """Zone health: collects evidence from attempts and decides which zones receive traffic.
 
-A zone is evacuated when its endpoints fail together while other zones answer. An evacuated zone receives only health
-checks; once it answers one, it is restored in steps. `outlier.py` judges each endpoint on its own; this module detects
-failures that the endpoints of a zone share. No zone is evacuated unless another zone has answered in the meantime: if
-all zones fail, the fault is at this sidecar or affects all zones, and an evacuation would not help. The texts of
-reasons and the values of states are logged and reported at the admin address, so they must not change.
+A zone is evacuated when its endpoints fail together while other zones respond. An evacuated zone receives only
+trial requests; once it responds to one, it is restored in steps. `outlier.py` judges each endpoint on its own; this
+module detects failures that the endpoints of a zone share. No zone is evacuated unless another zone has responded in
+the meantime: if all zones fail, the fault is at this sidecar or affects all zones, and an evacuation would not help.
+The texts of reasons and the values of states are logged and reported by the admin API, so they must not change.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 import random
 from collections.abc import Callable
 
+# RECOVERY_STEPS is read from the module, so that an ablation can replace it
 from garnetusher.policy import zone as zone_module
 from garnetusher.policy.settings import Settings
 from garnetusher.policy.zone import (
@@ -27,23 +28,24 @@
 # Evidence from which a zone is evacuated. A healthy zone has such misses with a probability of 10 ** -6.
 EVACUATION_EVIDENCE = 6.0
 SUSPICION_EVIDENCE = 4.0  # evidence from which a zone is suspected, on the same scale
-# A zone is silent after this long without an answer. An overloaded zone still answers some attempts within this time.
+# A zone is silent after this long without a response. An overloaded zone still responds to some attempts in this time.
 SILENCE_US = 300_000
-# Evidence of one failed attempt: in a healthy zone, about one attempt in thirty (10 ** -1.5) fails while connections
-# break often.
+# Evidence of one failed attempt. It assumes that up to about one attempt in thirty (10 ** -1.5) fails in a healthy
+# zone, as happens while connections break often.
 FAILURE_EVIDENCE = 1.5
-MIN_LATE_FRACTION = 0.05  # lower bound of the learned fraction of answers that are late in a healthy zone
-MAX_LATE_FRACTION = 0.5  # upper bound of the learned fraction of late answers
-LATE_FRACTION_WINDOW = 64  # number of answers over which the fraction of late answers is smoothed
+MIN_OVERDUE_FRACTION = 0.05  # lower bound of the learned fraction of attempts that are overdue in a healthy zone
+MAX_OVERDUE_FRACTION = 0.5  # upper bound of the learned fraction of overdue attempts
+OVERDUE_FRACTION_WINDOW = 64  # number of attempts over which that fraction is smoothed
 # A zone is slow if its latency ratio is this multiple of the fastest other zone's; it is evacuated after being slow for
 # SLOW_DURATION_US.
 SLOW_FACTOR = 2.5
 SLOW_DURATION_US = 2_000_000
-MIN_COMPARED_RATIO = 0.5  # lower bound of another zone's latency ratio in the comparison
+# Lower bound of another zone's latency ratio in the comparison, so that one very fast zone does not make others slow
+MIN_COMPARED_RATIO = 0.5
 MAX_BACKOFF_US = 16_000_000  # upper limit of the backoff, which doubles each time the zone flaps
 FLAP_WINDOW_US = 60_000_000  # the backoff is reset if the last evacuation is at least this long ago
-HEALTH_CHECKS_PER_S_PER_ENDPOINT = 2.0  # limit for the health checks of the whole fleet at an evacuated zone
-MIN_HEALTH_CHECK_GAP_US = 250_000  # minimum gap between this sidecar's health checks of a zone
+TRIALS_PER_S_PER_ENDPOINT = 2.0  # limit for the trial requests of the whole fleet at an evacuated zone
+MIN_TRIAL_GAP_US = 250_000  # minimum gap between this sidecar's trial requests to a zone
 RECOVERY_STEP_US = 600_000  # minimum duration of each step in RECOVERY_STEPS
 RECOVERY_FAILURES = 2  # a zone that is being restored is evacuated again after this many failures in a row
 
@@ -56,7 +58,7 @@
         member_count: size of the fleet according to membership; 0 = the settings' `fleet_size` applies.
         random: separate random source, so that the numbers drawn here do not change draws elsewhere.
         zones: the zones by number.
-        all_in_use: whether all zones take part in all draws: none is evacuated or being restored.
+        all_fully_used: whether all zones take part in all draws: none is evacuated or being restored.
     """
 
     def __init__(
@@ -66,15 +68,15 @@
         self.member_count = 0
         self.random = random.Random(seed)
         self.zones: dict[int, Zone] = {}
-        self.all_in_use = True
+        self.all_fully_used = True
         self._on_change = on_change  # called with the zone and its previous state
         self._now_us = now_us
         self._any_suspected = False
-        self._late_fraction = MIN_LATE_FRACTION
+        self._overdue_fraction = MIN_OVERDUE_FRACTION
 
     @property
     def fleet_size(self) -> int:
-        """Number of sidecars that share the fleet-wide rate of health checks."""
+        """Number of sidecars in the fleet, which share fleet-wide limits."""
         return self.member_count or self.settings.fleet_size
 
     def get(self, number: int) -> Zone:
@@ -96,15 +98,15 @@
 
     # Evidence
 
-    def record_answer(self, number: int, sent_us: int, latency_ratio: float, now_us: int) -> None:
-        """Record an answer or an overload rejection; either proves that the zone is reachable."""
+    def record_response(self, number: int, sent_us: int, latency_ratio: float, now_us: int) -> None:
+        """Record a response, which may be an overload rejection; either proves that the zone is reachable."""
         zone = self.get(number)
-        self._now_us, zone.last_answer_us, zone.consecutive_failures = now_us, now_us, 0
+        self._now_us, zone.last_response_us, zone.consecutive_failures = now_us, now_us, 0
         zone.clear_evidence()
         zone.update_latency_ratio(latency_ratio)
         if zone.state is ZoneState.SUSPECTED:
             self.change_state(zone, ZoneState.ACTIVE, "it answers")
-        elif self._passes_health_check(zone, sent_us, latency_ratio):
+        elif self._passes_trial(zone, sent_us, latency_ratio):
             zone.recovery_step = 0
             self.change_state(zone, ZoneState.RESTORING, "a try was answered")
         elif zone.state is ZoneState.RESTORING and now_us - zone.state_changed_us >= RECOVERY_STEP_US:
@@ -114,9 +116,12 @@
         else:
             self.evaluate(zone)
 
-    def record_lateness(self, *, late: bool) -> None:
-        """Update the fraction of attempts that are late by chance, after an attempt was answered or lost to a hedge."""
-        self._late_fraction += (float(late) - self._late_fraction) / LATE_FRACTION_WINDOW
+    def update_overdue_fraction(self, *, overdue: bool) -> None:
+        """Update the fraction of attempts that become overdue in a healthy zone.
+
+        Call this for each attempt that succeeded or was cancelled.
+        """
+        self._overdue_fraction += (float(overdue) - self._overdue_fraction) / OVERDUE_FRACTION_WINDOW
 
     def record_failure(self, attempt: FailedAttempt, now_us: int) -> None:
         """Record a failed attempt as evidence against its zone."""
@@ -127,7 +132,7 @@
             zone.refused_connections += int(attempt.connection_refused)
         is_recent = attempt.sent_us >= zone.state_changed_us
         if zone.state is ZoneState.EVACUATED and is_recent:
-            self._postpone_health_check(zone)
+            self._postpone_trial(zone)
         elif zone.state is ZoneState.RESTORING and is_recent:
             zone.consecutive_failures += 1
             if zone.consecutive_failures >= min(RECOVERY_FAILURES, zone.endpoint_count):
@@ -136,7 +141,7 @@
             self.evaluate(zone)
 
     def record_overdue(self, number: int, endpoint_id: int, sent_us: int, now_us: int, *, repeated: bool) -> None:
-        """Record an outstanding attempt that takes longer than expected; it may still be answered.
+        """Record an outstanding attempt that takes longer than expected; its endpoint may still respond.
 
         Args:
             number: number of the zone.
@@ -147,17 +152,19 @@
                 because an expensive request is slow at every endpoint.
         """
         zone, self._now_us = self.get(number), now_us
-        late_fraction = min(max(self._late_fraction, MIN_LATE_FRACTION), MAX_LATE_FRACTION)
-        zone.add_miss(endpoint_id, sent_us, REPEATED_MISS_EVIDENCE if repeated else -math.log10(late_fraction))
+        overdue_fraction = min(max(self._overdue_fraction, MIN_OVERDUE_FRACTION), MAX_OVERDUE_FRACTION)
+        zone.add_miss(endpoint_id, sent_us, REPEATED_MISS_EVIDENCE if repeated else -math.log10(overdue_fraction))
         self.evaluate(zone)
 
     def evaluate(self, zone: Zone) -> None:
-        """Suspect or evacuate a zone if it fails or is slow compared with zones that answered since its first miss."""
-        if not zone.in_use or zone.overridden or not zone.endpoint_count:
+        """Suspect or evacuate a zone if it fails or is slow compared with zones that responded since its first miss."""
+        if not zone.is_fully_used or zone.overridden or not zone.endpoint_count:
             return
-        others = [other for other in self.zones.values() if other is not zone and other.in_use and other.endpoint_count]
+        others = [
+            other for other in self.zones.values() if other is not zone and other.is_fully_used and other.endpoint_count
+        ]
         answering = [
-            other for other in others if other.last_answer_us > zone.first_miss_us and not other.failing_endpoints
+            other for other in others if other.last_response_us > zone.first_miss_us and not other.failing_endpoints
         ]
         if self._is_lost(zone) and answering:
             self._evacuate(zone, self._describe_misses(zone))
@@ -173,11 +180,11 @@
             self.change_state(zone, ZoneState.SUSPECTED, self._describe_misses(zone))
 
     def is_silent(self, number: int, now_us: int) -> bool:
-        """Return whether a zone has misses and has not answered for `SILENCE_US`."""
+        """Return whether a zone has misses and has not responded for `SILENCE_US`."""
         zone = self.get(number)
-        return bool(zone.failing_endpoints) and now_us - zone.last_answer_us >= SILENCE_US
+        return bool(zone.failing_endpoints) and now_us - zone.last_response_us >= SILENCE_US
 
-    def _passes_health_check(self, zone: Zone, sent_us: int, latency_ratio: float) -> bool:
+    def _passes_trial(self, zone: Zone, sent_us: int, latency_ratio: float) -> bool:
         return (
             zone.state is ZoneState.EVACUATED
             and not zone.overridden
@@ -188,8 +195,9 @@
     def _is_lost(self, zone: Zone) -> bool:
         if len(zone.failing_endpoints) < zone.failing_endpoints_needed() or zone.evidence < EVACUATION_EVIDENCE:
             return False
-        # an overloaded zone has many late attempts with one common cause, but it still answers some attempts
-        return 2 * zone.refused_connections >= zone.misses or self._now_us - zone.last_answer_us >= SILENCE_US
+        # in an overloaded zone, many attempts become overdue for one common reason, so the evidence, which assumes
+        # independent misses, is too high; but an overloaded zone still responds to some attempts
+        return 2 * zone.refused_connections >= zone.misses or self._now_us - zone.last_response_us >= SILENCE_US
 
     def _is_suspicious(self, zone: Zone) -> bool:
         return (
@@ -213,7 +221,7 @@
         if state is not ZoneState.SUSPECTED:
             zone.clear_evidence()
             zone.latency_ratio, zone.outcome_count = 1.0, 0
-        self.all_in_use = all(other.in_use for other in self.zones.values())
+        self.all_fully_used = all(other.is_fully_used for other in self.zones.values())
         self._any_suspected = any(other.state is ZoneState.SUSPECTED for other in self.zones.values())
         self._on_change(zone, previous_state)
 
@@ -224,28 +232,28 @@
         mostly_refused = 2 * zone.refused_connections >= zone.misses > 0
         was_refused = zone.refused_when_evacuated and zone.state is ZoneState.RESTORING
         zone.refused_when_evacuated = mostly_refused or was_refused
-        zone.next_health_check_us = self._now_us + self._jittered(zone.backoff_us)
+        zone.next_trial_us = self._now_us + self._jittered(zone.backoff_us)
         zone.slow_since_us = 0
         self.change_state(zone, ZoneState.EVACUATED, reason)
 
-    def take_due_health_check(self, now_us: int) -> Zone | None:
-        """Return an evacuated zone whose health check is due and schedule its next one; None if no check is due."""
+    def take_zone_due_for_trial(self, now_us: int) -> Zone | None:
+        """Return an evacuated zone for which a trial request is due and schedule the next; None if none is due."""
         for zone in self.zones.values():
             if zone.state is not ZoneState.EVACUATED or zone.overridden or not zone.endpoint_count:
                 continue
-            if now_us >= zone.next_health_check_us:
-                zone.next_health_check_us = now_us + self._jittered(self.health_check_gap_us(zone))
+            if now_us >= zone.next_trial_us:
+                zone.next_trial_us = now_us + self._jittered(self.trial_gap_us(zone))
                 return zone
         return None
 
-    def _postpone_health_check(self, zone: Zone) -> None:
-        wait_us = max(self.health_check_gap_us(zone), zone.backoff_us)
-        zone.next_health_check_us = self._now_us + self._jittered(wait_us)
+    def _postpone_trial(self, zone: Zone) -> None:
+        wait_us = max(self.trial_gap_us(zone), zone.backoff_us)
+        zone.next_trial_us = self._now_us + self._jittered(wait_us)
 
-    def health_check_gap_us(self, zone: Zone) -> int:
-        """Return the gap between this sidecar's health checks that keeps the fleet within its limit per endpoint."""
-        checks_per_s = max(1, zone.endpoint_count) * HEALTH_CHECKS_PER_S_PER_ENDPOINT
-        return max(MIN_HEALTH_CHECK_GAP_US, int(MICROSECONDS_PER_S * self.fleet_size / checks_per_s))
+    def trial_gap_us(self, zone: Zone) -> int:
+        """Return the gap between this sidecar's trial requests that keeps the fleet within its limit per endpoint."""
+        trials_per_s = max(1, zone.endpoint_count) * TRIALS_PER_S_PER_ENDPOINT
+        return max(MIN_TRIAL_GAP_US, int(MICROSECONDS_PER_S * self.fleet_size / trials_per_s))
 
     def _jittered(self, duration_us: int) -> int:
         return int(duration_us * (0.5 + self.random.random()))
@@ -254,12 +262,12 @@
 
     def excluded(self) -> set[int]:
         """Return the numbers of the zones that the next draw leaves out; the choice is random for restoring zones."""
-        if self.all_in_use:
+        if self.all_fully_used:
             return set()
         excluded = {
             zone.number
             for zone in self.zones.values()
-            if not zone.in_use and zone.endpoint_count and self._is_excluded_from_draw(zone)
+            if not zone.is_fully_used and zone.endpoint_count and self._is_excluded_from_draw(zone)
         }
         if excluded and not any(z.endpoint_count and z.number not in excluded for z in self.zones.values()):
             # no zone with endpoints would remain, so only the zones that an operator evacuated are left out
@@ -297,7 +305,8 @@
             if not zone.endpoint_count or has_started_endpoints:
                 zone.clear_evidence()  # the endpoints that failed are gone or have restarted
             if has_started_endpoints and zone.state is ZoneState.EVACUATED and not zone.overridden:
-                zone.recovery_step = 0  # slow start already limits these endpoints, as the list reports their start
+                # no trial request is needed: slow start limits the load of the endpoints that have started
+                zone.recovery_step = 0
                 self.change_state(zone, ZoneState.RESTORING, "the list tells of upstreams that have started")
 
     def evacuation_rejection(self, number: int) -> str:
--- a/garnetusher/sidecar/requests/attempts.py
+++ b/garnetusher/sidecar/requests/attempts.py
@@ -64,23 +64,23 @@
         """Start the attempt that the policy has requested, or end it at once if the write gate denies it."""
         now_us = monotonic_us()
         attempt_index = len(request.attempts)
-        target = self._endpoints.get(action.endpoint_id)
+        chosen_endpoint = self._endpoints.get(action.endpoint_id)
         attempt = Attempt(
             action.endpoint_id,
             now_us,
-            target,
+            chosen_endpoint,
             timeout_us=action.timeout_us,
             latest_start_us=action.latest_start_us,
         )
         request.attempts.append(attempt)
         may_start = self._write_gate.may_start(request, attempt_index, now_us)
-        if not may_start or target is None or action.timeout_us < 0:
+        if not may_start or chosen_endpoint is None or action.timeout_us < 0:
             self.end(request, attempt_index, AttemptResult(Outcome.NOT_WRITTEN))
             return
         if request.body_complete:
             self._deadlines.start_attempt_timer(request, attempt_index)
         attempt.handle = self._transport.start_attempt(
-            target.address,
+            chosen_endpoint.address,
             request.http_request,
             lambda: self._authorize_write(request, attempt_index),
             lambda result: self.end(request, attempt_index, result),
@@ -118,7 +118,7 @@
             request: the request of the attempt.
             attempt_index: the index of the attempt.
             outcome: the outcome of the attempt; an attempt that has not been written never ran, and ends as
-                `CONNECT_FAILED` instead.
+                `CONNECT_FAILED` instead, which counts against the endpoint.
         """
         attempt = request.attempts[attempt_index]
         if attempt.ended or attempt.handle is None:
--- a/garnetusher/sidecar/requests/deadlines.py
+++ b/garnetusher/sidecar/requests/deadlines.py
@@ -9,7 +9,7 @@
 from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Attempt, HttpRequest, PendingRequest
 
 # The policy responds by the deadline. If it does not, a timer fails the request this long after the deadline.
-OVERDUE_DELAY_US = 5_000
+UNANSWERED_DELAY_US = 5_000
 MICROSECONDS_PER_SECOND = 1e6
 
 
@@ -22,12 +22,12 @@
 
     def __init__(
         self,
-        on_request_overdue: Callable[[PendingRequest], None],
+        on_request_unanswered: Callable[[PendingRequest], None],
         on_attempt_timeout: Callable[[PendingRequest, int], None],
     ) -> None:
         self.process_deadline_us = 0
         self._loop = asyncio.get_running_loop()
-        self._on_request_overdue = on_request_overdue
+        self._on_request_unanswered = on_request_unanswered
         self._on_attempt_timeout = on_attempt_timeout
 
     def call_at(self, at_us: int, callback: Callable[..., None], *args: object) -> asyncio.TimerHandle:
@@ -46,7 +46,7 @@
         """Set the deadline of a request, with a timer that ensures a response even if the policy sends none."""
         request.deadline_us = deadline_us
         self.cancel_request_timer(request)
-        request.deadline_timer = self.call_at(deadline_us + OVERDUE_DELAY_US, self._on_request_overdue, request)
+        request.deadline_timer = self.call_at(deadline_us + UNANSWERED_DELAY_US, self._on_request_unanswered, request)
 
     def start_attempt_timer(self, request: PendingRequest, attempt_index: int) -> None:
         """Start or restart the timeout of an attempt; it expires no later than the deadline of the request."""
--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -88,7 +88,7 @@
         self._dispatching = False
         self._endpoints = ReadyEndpoints()
         self.write_gate = WriteGate(self.trace, settings, self._endpoints)
-        self._deadlines = Deadlines(self._on_request_overdue, self._on_attempt_timeout)
+        self._deadlines = Deadlines(self._on_request_unanswered, self._on_attempt_timeout)
         self._attempts = AttemptController(transport, self.write_gate, self._endpoints, self._deadlines, self)
         self._responses = ResponseSender(self._requests, self._attempts, self._deadlines, self.write_gate)
 
@@ -96,6 +96,7 @@
 
     def start(self) -> None:
         """Let the policy request its first actions, such as watching the endpoint list."""
+        # No timer was set: any event makes the policy return its pending actions
         self._dispatch_event(TimerFired(0))
 
     @property
@@ -125,7 +126,7 @@
                 self._dispatch_event(DeadlineChanged(request.request_id, at_us))
 
     def set_fleet_size(self, instances: int) -> None:
-        """Set the number of sidecars that share the limits, counted by membership; 0 = the number in the settings."""
+        """Set the number of sidecars in the fleet according to membership; 0 = use the number in the settings."""
         self._dispatch_event(FleetSizeChanged(instances))
 
     # Downstream
@@ -209,7 +210,7 @@
             # The rest of the request body will not arrive, or the rest of the response can't be sent.
             request.response_state = ResponseState.COMPLETED
             self._attempts.abandon_all(request, Outcome.CANCELLED)
-        self._responses.close(request)
+        self._responses.mark_completed(request)
         self._dispatch_event(ClientDisconnected(request_id))
 
     def on_client_half_closed(self, request_id: int) -> None:
@@ -239,7 +240,7 @@
     # Zone reports and overrides for operators
 
     def zone_reports(self, names: list[str]) -> list[dict[str, object]]:
-        """Return the state of each zone in the policy, with the keys that the admin address uses."""
+        """Return the state of each zone in the policy, with the keys that the admin API uses."""
         now_us = monotonic_us()
         zones = sorted(self.balancer.zones.zones.values(), key=lambda zone: zone.number)
         return [
@@ -275,7 +276,7 @@
         if attempt_index == request.streaming_attempt_index:
             self._responses.finish_streaming(request, complete=succeeded)
         elif succeeded:
-            self._responses.complete(request, FinalResponse(Disposition.SERVED, result.body, result.content_type))
+            self._responses.respond(request, FinalResponse(Disposition.SERVED, result.body, result.content_type))
         attempt = request.attempts[attempt_index]
         elapsed_us = monotonic_us() - attempt.started_us
         self._requests.remove_if_done(request)
@@ -288,10 +289,11 @@
     def _on_attempt_timeout(self, request: PendingRequest, attempt_index: int) -> None:
         self._attempts.abandon(request, attempt_index, Outcome.TIMEOUT)
 
-    def _on_request_overdue(self, request: PendingRequest) -> None:
+    def _on_request_unanswered(self, request: PendingRequest) -> None:
         if request.is_response_awaited:
             log.warning("the policy sent no response before the deadline; failing the request")
-            self._responses.complete(request, FinalResponse(Disposition.FAILED))
+            self._responses.respond(request, FinalResponse(Disposition.FAILED))
+            # The client may still be connected; this event also tells the policy that it needs to give no final answer
             self._dispatch_event(ClientDisconnected(request.request_id))
 
     # Events and actions
@@ -325,7 +327,8 @@
         """Fail only the request of an event on which the policy raised an error; other requests continue."""
         request = self._requests.get(getattr(event, "request_id", 0))
         if request is not None and not request.completed:
-            self._responses.complete(request, FinalResponse(Disposition.FAILED))
+            self._responses.respond(request, FinalResponse(Disposition.FAILED))
+            # The client may still be connected; this event also tells the policy that it needs to give no final answer
             self._events.append(ClientDisconnected(request.request_id))
 
     def _execute(self, action: Action) -> None:
@@ -351,13 +354,13 @@
 
     def _forward(self, action: Forward) -> None:
         request = self._requests.get(action.request_id)
-        if request is not None:  # None = the request has ended, and the event for the policy is still queued
+        if request is not None:  # None = the request has ended, but the policy has not yet received that event
             self._attempts.start(request, action)
 
     def _complete(self, request_id: int, response: FinalResponse) -> None:
         request = self._requests.get(request_id)
         if request is not None:
-            self._responses.complete(request, response)
+            self._responses.respond(request, response)
 
     def _cancel(self, action: CancelAttempt) -> None:
         request = self._requests.get(action.request_id)
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -28,12 +28,12 @@
         target: the HTTP request target.
         headers: the headers that are forwarded to the upstream.
         body: the body; if `upload` is set, the part of the body that has been read.
-        arrived_us: the earliest time at which the request may have arrived.
-        client_timeout_us: how long the client waits for a response, counted from the arrival.
+        arrived_us: the earliest time at which the request may have arrived; the client timeout counts from this time.
+        client_timeout_us: how long the client waits for a response, counted from `arrived_us`.
         class_index: the request class, as an index into the classes of the settings.
         tenant_index: the tenant, as an index into the tenants of the settings.
-        affinity_key: requests with the same key go to the same endpoint; 0 = none.
-        expected_work_us: how long the client expects the request to take; 0 = unknown.
+        affinity_key: the affinity key of the request; 0 = none. The policy does not use it.
+        expected_work_us: the work of the request that the client expects, in microseconds; 0 = unknown.
         client_retry: whether the client marked the request as a retry.
         client_request_id: the client's `X-Request-Id`.
         upload: the streamed body, if it is too long for the buffer; else None.
@@ -196,7 +196,7 @@
     Attributes:
         endpoint_id: the endpoint that the policy chose.
         started_us: the start time of the attempt; if the request body arrives later, the time at which it is complete.
-        target: the endpoint as it was listed at the start of the attempt; None = the endpoint was no longer ready.
+        chosen_endpoint: the endpoint as it was listed at the start of the attempt; None = it was no longer ready.
         handle: the handle from the upstream side while the attempt is in flight; else None.
         timeout_timer: the timer that ends the attempt at its timeout.
         timeout_us: the timeout that the policy set; 0 = the deadline of the request applies.
@@ -207,7 +207,7 @@
 
     endpoint_id: int
     started_us: int
-    target: ReadyEndpoint | None
+    chosen_endpoint: ReadyEndpoint | None
     handle: AttemptHandle | None = None
     timeout_timer: asyncio.TimerHandle | None = None
     timeout_us: int = 0
--- a/garnetusher/sidecar/requests/responses.py
+++ b/garnetusher/sidecar/requests/responses.py
@@ -27,12 +27,12 @@
         self._deadlines = deadlines
         self._write_gate = write_gate
 
-    def complete(self, request: PendingRequest, response: FinalResponse) -> None:
+    def respond(self, request: PendingRequest, response: FinalResponse) -> None:
         """Send the final response, unless one has been sent or is being streamed."""
         if not request.is_response_awaited:
             return
-        response = self._write_gate.final_response(request, response, monotonic_us())
-        self.close(request)
+        response = self._write_gate.check_final_response(request, response, monotonic_us())
+        self.mark_completed(request)
         self._call_sink(request.response_sink.send_response, response)
 
     def begin_streaming(self, request: PendingRequest, attempt_index: int, head: Head, source: Source) -> None:
@@ -47,10 +47,10 @@
         """End a streamed response, or abort it if it is incomplete, unless the client has disconnected."""
         if request.completed:
             return
-        self.close(request)
+        self.mark_completed(request)
         self._call_sink(lambda: request.response_sink.finish_response(complete=complete))
 
-    def close(self, request: PendingRequest) -> None:
+    def mark_completed(self, request: PendingRequest) -> None:
         """Mark a request as completed, and withdraw the attempts that have not been written."""
         request.response_state = ResponseState.COMPLETED
         self._deadlines.cancel_request_timer(request)
--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 TRACE_CAPACITY = 1024  # holds a few seconds of events of a busy sidecar in 150 KB
-MAX_LOGGED_EVENTS = 24  # limits the events in a log line, so that a single write to a pipe can hold the line
+MAX_LOGGED_EVENTS = 24  # limits the events in a log line, so that the line fits into one write to a pipe
 
 NO_REQUEST = 0
 NO_ATTEMPT = -1
@@ -43,7 +43,7 @@
         request_id: the dispatcher's number for the request; `NO_REQUEST` if the event concerns no request.
         attempt_index: the index of the attempt; `NO_ATTEMPT` if the event concerns no attempt.
         endpoint_id: the endpoint of the attempt; `NO_ENDPOINT` if the event concerns no endpoint.
-        reason: an outcome, a denial, a disposition or a rule; for a received request, the client's request id.
+        reason: the detail of the event: an outcome, a denial, a disposition, a rule or the client's `X-Request-Id`.
     """
 
     at_us: int
@@ -54,7 +54,7 @@
     reason: str = ""
 
     def to_dict(self) -> dict[str, object]:
-        """Return the event with the keys that the admin address uses, without the fields that do not apply."""
+        """Return the event with the keys that the admin API uses, without the fields that do not apply."""
         result: dict[str, object] = {"at_us": self.at_us, "what": self.name.value}
         if self.request_id != NO_REQUEST:
             result["request"] = self.request_id
@@ -105,7 +105,7 @@
     def record_violation(
         self, rule: str, request_id: int, attempt_index: int = NO_ATTEMPT, endpoint_id: int = NO_ENDPOINT
     ) -> None:
-        """Count a rule violation, prevented or not, and log it with the last events of its request."""
+        """Count a rule violation that occurred or was prevented, and log it with the last events of its request."""
         self.record_event(EventName.VIOLATION, request_id, attempt_index, endpoint_id, rule)
         self.count(f"violation: {rule}")
         events = [event.to_dict() for event in self.events_of_request(request_id)[-MAX_LOGGED_EVENTS:]]
--- a/garnetusher/sidecar/requests/write_gate.py
+++ b/garnetusher/sidecar/requests/write_gate.py
@@ -80,7 +80,7 @@
     def endpoint_has_changed(self, attempt: Attempt) -> bool:
         """Return whether the endpoint is draining, was removed, has moved or has restarted since it was chosen."""
         current = self.endpoints.get(attempt.endpoint_id)
-        chosen = attempt.target
+        chosen = attempt.chosen_endpoint
         if current is None or chosen is None:
             return True
         return current.address != chosen.address or current.endpoint.started_us != chosen.endpoint.started_us
@@ -107,7 +107,8 @@
     def remaining_us(self, request: PendingRequest, attempt: Attempt, now_us: int) -> int:
         """Return how long the sidecar waits for the response to an attempt.
 
-        While the request body is still arriving, the client timeout counts from the latest read of the body.
+        While the request body is still arriving, the client timeout counts from the earliest time at which the
+        client may have sent the last byte.
         """
         if not request.body_complete:
             client_timeout_at_us = request.response_sink.earliest_body_end_us() + request.http_request.client_timeout_us
@@ -118,8 +119,8 @@
             timeout_at_us = min(timeout_at_us, attempt.started_us + attempt.timeout_us)
         return timeout_at_us - now_us
 
-    def final_response(self, request: PendingRequest, response: FinalResponse, now_us: int) -> FinalResponse:
-        """Return the response that the client may receive.
+    def check_final_response(self, request: PendingRequest, response: FinalResponse, now_us: int) -> FinalResponse:
+        """Record the final response and return the response that the client may receive.
 
         A response that sheds a request promises the client that a retry is safe. If the request may have run and may
         not be repeated, the response reports a failure instead.
@@ -143,7 +144,10 @@
         return not any(attempt.may_have_run for attempt in request.attempts)
 
     def may_close(self, request_id: int, unanswered: bool) -> bool:  # noqa: FBT001 - the caller passes it by position
-        """Return whether the sidecar may close the connection to a client."""
+        """Return whether the sidecar may close the connection to a client: only if no request on it is unanswered.
+
+        An attempt to close it with an unanswered request is recorded as a violation, although it is prevented.
+        """
         if unanswered:
             self.trace.record_violation("closed with a request unanswered", request_id)
         return not unanswered
@@ -182,9 +186,9 @@
     """Return whether the endpoints of two attempts are in the same deduplication scope."""
     if scope not in ("zone", "cell"):
         return True
-    if earlier.target is None or retry.target is None:
+    if earlier.chosen_endpoint is None or retry.chosen_endpoint is None:
         return False
-    return _scope_key(scope, earlier.target.endpoint) == _scope_key(scope, retry.target.endpoint)
+    return _scope_key(scope, earlier.chosen_endpoint.endpoint) == _scope_key(scope, retry.chosen_endpoint.endpoint)
 
 
 def _scope_key(scope: str, endpoint: Endpoint) -> int:
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -74,7 +74,7 @@
     return [action.text for action in host.actions if isinstance(action, LogMessage)]
 
 
-def end_all_attempts(host: PolicyHost, outcome: Outcome) -> None:
+def send_and_end_requests(host: PolicyHost, outcome: Outcome) -> None:
     """Send 20 requests and end all outstanding attempts with one outcome."""
     for _ in range(20):
         host.arrive(PAY)
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -27,7 +27,7 @@
     """Return the weights that a scan of all endpoints finds: the free slots, reduced by the latency ratio."""
     weights = {}
     for state in balancer.endpoints.values():
-        free_slots = pool.open_slots(state, balancer.context.now_us) - state.slots_used
+        free_slots = pool.usable_slots(state, balancer.context.now_us) - state.slots_used
         if (
             state.pool is pool
             and free_slots > 0
@@ -146,7 +146,7 @@
     members = list(pool.zones[0].values())
     for step in range(1, 200):
         now_us = START_US + step * 10_000
-        pool.slow_start.served += 0.5
+        pool.slow_start.counted_responses += 0.5
         pool.slow_start.accrue(now_us)
         shares = {s.endpoint.id: min(1.0, 0.2 + 0.8 * (now_us - s.started_us) / 20_000_000) for s in members}
         shares = {i: 1.0 if fraction >= 1.0 else fraction * 0.45 * 2.5 for i, fraction in shares.items()}
@@ -154,7 +154,7 @@
             accrued[endpoint_id] += 0.5 * share / sum(shares.values())
     for state in members:
         cohort = state.cohort
-        cohort_accrued = 1.0 if cohort is None or state.send_due else 1.0 - (state.due_at_accrual - cohort.accrued)
+        cohort_accrued = 1.0 if cohort is None or state.attempt_due else 1.0 - (state.due_at_accrual - cohort.accrued)
         # members of a cohort share one start time, which limits the precision
         assert cohort_accrued == pytest.approx(min(1.0, accrued[state.endpoint.id]), rel=0.13)
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -44,6 +44,6 @@
 def test_zones_check_health_ten_times_as_often_when_a_tenth_of_the_instances_is_counted() -> None:
     zones = Balancer(settings(fleet_size=50), 1, 0).zones
     zones.get(0).endpoint_count = 2
-    gap_without_members_us = zones.health_check_gap_us(zones.get(0))
+    gap_without_members_us = zones.trial_gap_us(zones.get(0))
     zones.member_count = 5
-    assert zones.health_check_gap_us(zones.get(0)) == gap_without_members_us / 10
+    assert zones.trial_gap_us(zones.get(0)) == gap_without_members_us / 10
--- a/tests/test_interleaving_retries.py
+++ b/tests/test_interleaving_retries.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("moved", [True, False])
-def test_attempt_is_sent_once_when_withdrawn_in_the_event_loop_round_that_chose_it(moved: bool) -> None:
+def test_attempt_is_sent_once_when_its_endpoint_changes_before_the_connection_starts(moved: bool) -> None:
     async def test() -> None:
         old, new, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
         await old.start()
@@ -98,7 +98,7 @@
             updated = entry("u0", new.port) if moved else entry("u0", old.port, "leaving")
             discovery.send_update(listing(updated, entry("u1", new.port), rev=3, full=False))
             assert status(await read_message(reader)) == 200
-            # Until this response arrives, a connection for the withdrawn attempt would have had time to be established.
+            # If the withdrawn attempt had opened a connection, it would be established when this response arrives.
             await running.send_request(request("pay", "2", b"b"))
             writer.close()
         assert (len(old.requests), len(new.requests)) == (0, 2)
@@ -213,7 +213,9 @@
         async with sidecar(upstream) as running:
             assert await running.send_request(request("pay", "1", b"b")) == (ANY, b"done")
             second = asyncio.create_task(running.send_request(request("pay", "2", b"b")))
-            await asyncio.sleep(0.3)  # the request is written by then, unless it waits for the response grace
+            await asyncio.sleep(
+                0.3
+            )  # the request is written by then, unless the sidecar first waits for a stray response
             if has_stray_response:
                 writers[0].write(OK.replace(b"done", b"late"))
             release_response.set()
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -12,7 +12,7 @@
     PAY,
     READ,
     available_slots,
-    end_all_attempts,
+    send_and_end_requests,
     hedged_request,
     host_with_grown_slots,
     log_lines,
@@ -45,7 +45,7 @@
     assert host.balancer.endpoints[slow_endpoint_id].latency_ratio > 1
 
 
-def test_outlier_detection_keeps_other_slots_when_one_error_occurs() -> None:
+def test_outlier_detection_keeps_half_of_the_slots_when_one_error_occurs() -> None:
     host = host_with_grown_slots()
     before = available_slots(host)
     host.end(host.arrive(PAY), 0, Outcome.ERROR)
@@ -104,5 +104,5 @@
     begin_us = host.now_us
     for outcome in (Outcome.OVERLOADED, Outcome.OK, Outcome.OVERLOADED, Outcome.OK):
         for _ in range(30):
-            end_all_attempts(host, outcome)
+            send_and_end_requests(host, outcome)
     assert 1 <= len(log_lines(host)) <= 1 + (host.now_us - begin_us) / 1_000_000
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -119,6 +119,7 @@
             host.end(request, len(host.request_records[request].attempts) - 1, Outcome.ERROR)
             errors += 1
     first_attempts = sum(1 for record in host.request_records.values() if record.attempts)
+    # the budget holds 5 retries at first and grows by a fifth of a retry with each first attempt
     assert 5 <= errors - first_attempts <= 5 + first_attempts / 5
 
 
@@ -131,7 +132,7 @@
 
 
 @pytest.mark.parametrize("hedging", [True, False])
-def test_requests_are_forwarded_when_an_outage_without_any_response_has_ended(hedging: bool) -> None:
+def test_requests_are_forwarded_again_when_an_outage_without_responses_has_ended(hedging: bool) -> None:
     host = ready_host(2, hedging=hedging)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules of the contract under arbitrary legal event sequences; tests/policy_host.py checks every action."""
+"""The four rules under legal event sequences; garnetusher/model/contract.py checks rules 1 to 3 at every action."""
 
 from __future__ import annotations
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -38,10 +38,10 @@
     assert available_slots(host) < grown / 2
 
 
-def test_slots_open_when_responses_take_three_quarters_of_half_the_objective() -> None:
+def test_slot_limit_rises_when_responses_are_slightly_faster_than_the_target() -> None:
     host = ready_host(1, hedging=False)
     sent = [request for request in fill_slots(host) if host.forward_actions(request)]
-    host.advance(112_000)  # half the latency objective is 150 ms
+    host.advance(112_000)  # half the latency objective is 150 ms; the target is 85% of it
     before = host.balancer.endpoints[100].slot_limit
     for request in sent:
         host.end(request, 0, Outcome.OK)
@@ -64,9 +64,9 @@
     assert all(state.slot_limit <= INITIAL_SLOT_LIMIT for state in host.balancer.endpoints.values())
 
 
-def test_slots_open_for_two_objectives_when_a_shortage_has_ended() -> None:
+def test_slot_limit_rises_only_shortly_after_a_shortage() -> None:
     growths = []
-    for pause_us in (300_000, 900_000):
+    for pause_us in (300_000, 900_000):  # shorter and longer than two latency objectives
         host = ready_host(1)
         taken = fill_slots(host)
         host.advance(10_000)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -41,7 +41,7 @@
     for seed in range(60):
         host = PolicyHost(settings(warm_up_initial_fraction=0.1), seed)
         host.update_endpoints([Endpoint(1, started_us=host.now_us), *upstreams(10)])
-        for _ in range(20):  # two requests a second: at its initial share, the endpoint would wait a minute for a send
+        for _ in range(20):  # two requests a second: at its initial share, the endpoint would wait a minute
             host.end(host.arrive(READ), 0, Outcome.OK)
             host.advance(500_000)
         fill_slots(host)
@@ -49,10 +49,10 @@
     assert sent >= 24  # 37 of 60 are expected; 12 if the initial share determines the wait
 
 
-def sends_to_warming_beside_overloaded(new: list[Endpoint]) -> int:
-    """Return the number of sends to new endpoints that answer at once, alongside twelve slow old ones.
+def attempts_at_new_endpoints(new: list[Endpoint]) -> int:
+    """Return the number of attempts at new endpoints that respond at once, beside twelve slow old endpoints.
 
-    The old ones answer after 280 ms; half the latency objective is 150 ms.
+    The old endpoints respond after 280 ms; half the latency objective is 150 ms.
     """
     host = PolicyHost()
     host.update_endpoints([*new, *upstreams(12)])
@@ -74,16 +74,19 @@
 
 def test_slow_start_is_not_limited_by_admission_when_other_endpoints_are_overloaded() -> None:
     new = [Endpoint(n, started_us=START_US - 8_000_000) for n in range(1, 13)]
-    assert sends_to_warming_beside_overloaded(new) >= 9  # none if admission also limits their due sends
+    assert attempts_at_new_endpoints(new) >= 9  # 0 if admission also limits the warming endpoints
 
 
 def test_slow_start_takes_more_than_the_initial_share_when_other_endpoints_are_overloaded() -> None:
     new = [Endpoint(n, started_us=START_US) for n in range(1, 25)]
-    assert sends_to_warming_beside_overloaded(new) >= 25  # 18 if their share never exceeds the initial one
+    assert attempts_at_new_endpoints(new) >= 25  # 18 if their share never exceeds the initial one
 
 
-def sends_to_warming_pool(every_us: int) -> int:
-    """Return the number of sends to ten cold endpoints, which answer in 100 ms, in 5 s; the quota is 20 a second."""
+def attempts_at_warming_pool(every_us: int) -> int:
+    """Return how many attempts ten endpoints that have just started receive in 5 s.
+
+    They respond after 100 ms. This sidecar's share of the quota is 20 requests per second.
+    """
     host = PolicyHost(settings(fleet_size=4, tenants=[Tenant("north", 80.0)], warm_up_initial_fraction=0.1))
     host.update_endpoints([Endpoint(n, started_us=host.now_us) for n in range(1, 11)])
     for _ in range(5_000_000 // every_us):
@@ -101,11 +104,11 @@
 
 
 def test_slow_start_sends_follow_the_load_when_the_whole_pool_is_warming() -> None:
-    assert sends_to_warming_pool(every_us=50_000) >= 74  # 64 if only a tenth of the arrivals count
+    assert attempts_at_warming_pool(every_us=50_000) >= 74  # 64 if only a tenth of the arrivals count
 
 
 def test_slow_start_stays_within_the_quota_when_a_warming_pool_is_overloaded() -> None:
-    assert sends_to_warming_pool(every_us=10_000) <= 440  # 478 if the quota does not limit the sends
+    assert attempts_at_warming_pool(every_us=10_000) <= 440  # 478 if the quota does not limit the sends
 
 
 def test_slow_start_counts_unserved_requests_when_no_slot_is_free() -> None:
--- a/tests/test_write_gate.py
+++ b/tests/test_write_gate.py
@@ -167,6 +167,7 @@
     assert isinstance(case.authorize_write(), WritePermit)
 
 
+# Without this mark, a test fails if it records a violation
 @pytest.mark.violates
 @pytest.mark.parametrize(
     ("effect", "endpoint_id", "outcome"),
@@ -197,7 +198,7 @@
 def test_write_gate_fails_a_request_when_it_is_shed_but_may_have_run() -> None:
     case = WriteGateCase("at_most_once")
     case.add_earlier_attempt(1, Outcome.ERROR)
-    response = case.gate.final_response(case.request, FinalResponse(Disposition.SHED, retry_after_us=5), NOW_US)
+    response = case.gate.check_final_response(case.request, FinalResponse(Disposition.SHED, retry_after_us=5), NOW_US)
     assert response == FinalResponse(Disposition.FAILED)
 
 
@@ -206,7 +207,7 @@
     case.add_earlier_attempt(1, Outcome.OVERLOADED)
     shed = FinalResponse(Disposition.SHED, retry_after_us=5)
     late_us = case.request.deadline_us + LATE_RESPONSE_US + 1
-    assert case.gate.final_response(case.request, shed, late_us) is shed
+    assert case.gate.check_final_response(case.request, shed, late_us) is shed
     assert case.gate.trace.counts == {"answered: refused": 1, "answered late": 1}
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -41,8 +41,8 @@
         zones.record_failure(attempt, at_us + number + 100)
 
 
-def record_answer(zones: Zones, zone: int, at_us: int, sent_us: int | None = None) -> None:
-    zones.record_answer(zone, at_us - 50 if sent_us is None else sent_us, 1.0, at_us)
+def record_response(zones: Zones, zone: int, at_us: int, sent_us: int | None = None) -> None:
+    zones.record_response(zone, at_us - 50 if sent_us is None else sent_us, 1.0, at_us)
 
 
 def test_zone_is_evacuated_when_different_endpoints_fail_in_a_row_and_others_answer() -> None:
@@ -76,7 +76,7 @@
         record_failures(zones, number, 6, SECOND * (number + 1) - 10)
         record_answer(zones, 2, SECOND * (number + 1) + 200)
         record_failures(zones, number, 6, SECOND * (number + 1) + 10)
-    assert zones.get(2).in_use
+    assert zones.get(2).is_fully_used
     assert zones.excluded() == {0, 1}
 
 
@@ -94,10 +94,10 @@
     at_us, backoffs = SECOND + 300, []
     for _ in range(7):
         backoffs.append(zone.backoff_us)
-        at_us = zone.next_health_check_us
-        assert zones.take_due_health_check(at_us - 1) is None
-        assert zones.take_due_health_check(at_us) is zone
-        assert zones.take_due_health_check(at_us) is None
+        at_us = zone.next_trial_us
+        assert zones.take_zone_due_for_trial(at_us - 1) is None
+        assert zones.take_zone_due_for_trial(at_us) is zone
+        assert zones.take_zone_due_for_trial(at_us) is None
         record_answer(zones, 0, at_us + 100, sent_us=at_us)
         assert (zone.state.value, zone.recovery_step) == ("returning", 0)
         share = sum(0 not in zones.excluded() for _ in range(1000)) / 1000
@@ -108,8 +108,8 @@
     assert backoffs == sorted(backoffs)
     assert backoffs[-1] == 16 * SECOND
     assert backoffs[1] == 2 * backoffs[0]
-    at_us = zone.next_health_check_us
-    zones.take_due_health_check(at_us)
+    at_us = zone.next_trial_us
+    zones.take_zone_due_for_trial(at_us)
     for step in range(20):
         record_answer(zones, 0, at_us + 100 + step * 300_000, sent_us=at_us + step * 300_000)
     assert zone.state.value == "near"
@@ -117,13 +117,13 @@
     assert zones.excluded() == set()
 
 
-def test_zone_health_checks_stay_bounded_when_the_fleet_is_large() -> None:
+def test_zone_trial_requests_stay_bounded_when_the_fleet_is_large() -> None:
     zones, _, zone = zones_with_one_lost()
     zones.settings = settings(fleet_size=200)
-    checks, at_us = 0, zone.next_health_check_us
+    checks, at_us = 0, zone.next_trial_us
     for _ in range(600):
         at_us += 100_000
-        checks += zones.take_due_health_check(at_us) is not None
+        checks += zones.take_zone_due_for_trial(at_us) is not None
     assert 200 * checks / 60 / zone.endpoint_count < 2.5  # checks of the whole fleet per endpoint and second
 
 
@@ -135,7 +135,7 @@
     record_answer(zones, 0, 2 * SECOND)
     zones.update_endpoint_counts({0: 4, 1: 4}, {0}, 3 * SECOND)
     assert zones.excluded() == {0}
-    assert zones.take_due_health_check(99 * SECOND) is None
+    assert zones.take_zone_due_for_trial(99 * SECOND) is None
     assert zones.evacuation_rejection(1)
     assert not zones.evacuation_rejection(0)
     zones.override(1, 4 * SECOND, evacuate=True)
@@ -227,7 +227,7 @@
     request_id, ended_count = host.arrive(0), 0
     while len(host.forward_actions(request_id)) > ended_count:  # every attempt in this zone fails to connect
         if zone_answers:
-            host.balancer.zones.record_answer(0, host.now_us, 1.0, host.now_us)
+            host.balancer.zones.record_response(0, host.now_us, 1.0, host.now_us)
         is_near = host.forward_actions(request_id)[ended_count].endpoint_id < 102
         host.end(request_id, ended_count, Outcome.CONNECT_FAILED if is_near else Outcome.OK)
         ended_count += 1
