--- a/garnetusher/policy/outlier.py
+++ b/garnetusher/policy/outlier.py
@@ -82,7 +82,7 @@
             self._zones.update_overdue_fraction(overdue=attempt.overdue)
         if outcome in (Outcome.OK, Outcome.OVERLOADED):
             zone_ratio = 1.0 if outcome is Outcome.OVERLOADED else ratio
-            self._zones.record_answer(zone, attempt.sent_us, zone_ratio, now_us)
+            self._zones.record_response(zone, attempt.sent_us, zone_ratio, now_us)
         elif outcome is not Outcome.CANCELLED:
             connect_timeout_us = self._context.settings.connect_timeout_us
             refused = outcome is Outcome.CONNECT_FAILED and 2 * elapsed_us < connect_timeout_us
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -12,12 +12,12 @@
     PAY,
     READ,
     available_slots,
-    send_and_end_requests,
     hedged_request,
     host_with_grown_slots,
     log_lines,
     ready_host,
     run_traffic,
+    send_and_end_requests,
 )
 
 
--- a/tests/test_write_gate.py
+++ b/tests/test_write_gate.py
@@ -167,7 +167,7 @@
     assert isinstance(case.authorize_write(), WritePermit)
 
 
-# Without this mark, a test fails if it records a violation
+# conftest.py requires this mark of each test in which the write gate records a violation
 @pytest.mark.violates
 @pytest.mark.parametrize(
     ("effect", "endpoint_id", "outcome"),
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -49,7 +49,7 @@
     zones, changes = make_zones()
     record_failures(zones, 0, 4, SECOND)
     assert changes == []  # no other zone has answered in the meantime: the fault may be at this sidecar
-    record_answer(zones, 1, SECOND + 200)
+    record_response(zones, 1, SECOND + 200)
     record_failures(zones, 0, 1, SECOND + 300)
     assert changes == ["0 left"]
     assert zones.excluded() == {0}
@@ -59,10 +59,10 @@
 def test_zone_is_kept_when_half_of_it_fails_and_its_misses_are_cleared_when_it_answers() -> None:
     zones, changes = make_zones()
     for at_s in range(1, 60):
-        record_answer(zones, 1, at_s * SECOND)
+        record_response(zones, 1, at_s * SECOND)
         record_failures(zones, 0, 12, at_s * SECOND, endpoint_count=2)  # repeated failures of two of the four endpoints
     assert "0 left" not in changes
-    record_answer(zones, 0, 61 * SECOND)
+    record_response(zones, 0, 61 * SECOND)
     assert zones.get(0).failing_endpoints == set()
     assert zones.get(0).state is ZoneState.ACTIVE
 
@@ -72,9 +72,9 @@
     for number in (0, 1, 2):
         for other in range(3):
             if other != number:
-                record_answer(zones, other, SECOND * (number + 1))
+                record_response(zones, other, SECOND * (number + 1))
         record_failures(zones, number, 6, SECOND * (number + 1) - 10)
-        record_answer(zones, 2, SECOND * (number + 1) + 200)
+        record_response(zones, 2, SECOND * (number + 1) + 200)
         record_failures(zones, number, 6, SECOND * (number + 1) + 10)
     assert zones.get(2).is_fully_used
     assert zones.excluded() == {0, 1}
@@ -83,7 +83,7 @@
 def zones_with_one_lost() -> tuple[Zones, list[str], Zone]:
     zones, changes = make_zones()
     record_failures(zones, 0, 6, SECOND)
-    record_answer(zones, 1, SECOND + 200)
+    record_response(zones, 1, SECOND + 200)
     record_failures(zones, 0, 6, SECOND + 300)
     changes.clear()
     return zones, changes, zones.get(0)
@@ -98,11 +98,11 @@
         assert zones.take_zone_due_for_trial(at_us - 1) is None
         assert zones.take_zone_due_for_trial(at_us) is zone
         assert zones.take_zone_due_for_trial(at_us) is None
-        record_answer(zones, 0, at_us + 100, sent_us=at_us)
+        record_response(zones, 0, at_us + 100, sent_us=at_us)
         assert (zone.state.value, zone.recovery_step) == ("returning", 0)
         share = sum(0 not in zones.excluded() for _ in range(1000)) / 1000
         assert 0.05 < share < 0.16
-        record_answer(zones, 1, at_us + 200)
+        record_response(zones, 1, at_us + 200)
         record_failures(zones, 0, 3, at_us + 300)
         assert zone.state.value == "left"
     assert backoffs == sorted(backoffs)
@@ -111,7 +111,7 @@
     at_us = zone.next_trial_us
     zones.take_zone_due_for_trial(at_us)
     for step in range(20):
-        record_answer(zones, 0, at_us + 100 + step * 300_000, sent_us=at_us + step * 300_000)
+        record_response(zones, 0, at_us + 100 + step * 300_000, sent_us=at_us + step * 300_000)
     assert zone.state.value == "near"
     assert changes.count("0 near") == 1
     assert zones.excluded() == set()
@@ -132,7 +132,7 @@
     zones.override(0, SECOND, evacuate=True)
     assert zones.excluded() == {0}
     assert zones.get(0).report(SECOND)["by"] == "operator"
-    record_answer(zones, 0, 2 * SECOND)
+    record_response(zones, 0, 2 * SECOND)
     zones.update_endpoint_counts({0: 4, 1: 4}, {0}, 3 * SECOND)
     assert zones.excluded() == {0}
     assert zones.take_zone_due_for_trial(99 * SECOND) is None
