--- a/tests/faulty/misdeeds.py
+++ b/tests/faulty/misdeeds.py
@@ -64,7 +64,7 @@
 
 def holds_back() -> None:
     """What is given up is answered just before the client's time is out."""
-    complete = ResponseSender.complete
+    complete = ResponseSender.respond
 
     def late(self: ResponseSender, request: PendingRequest, response: FinalResponse) -> None:
         if request.completed or response.disposition is Disposition.SERVED:
@@ -73,7 +73,7 @@
         delay_s = max(0.0, (request.deadline_us - 30_000 - monotonic_us()) / 1e6)
         asyncio.get_running_loop().call_later(delay_s, complete, self, request, response)
 
-    ResponseSender.complete = late  # type: ignore[method-assign]
+    ResponseSender.respond = late  # type: ignore[method-assign]
 
 
 def loses_requests() -> None:
