--- a/garnetusher/policy/outlier.py
+++ b/garnetusher/policy/outlier.py
@@ -99,6 +99,7 @@
         """
         pool.objective_ratio += (objective_ratio - pool.objective_ratio) / POOL_WINDOW
         is_slow = objective_ratio >= TARGET_OBJECTIVE_RATIO
+        # a single slow response does not count as long as the smoothed ratio is at most 0.5
         # a sidecar that gets a response only every second or two must not stop sending after a single slow one
         responses = MIN_SLOW_RESPONSES if is_slow else 1.0
         gain = (
--- a/garnetusher/policy/slots.py
+++ b/garnetusher/policy/slots.py
@@ -42,7 +42,7 @@
         last_arrival_us: time at which the last request arrived.
         latency_ratio: smoothed ratio of response times to the mean response time of the request class; distant pools
             have a higher ratio.
-        exhausted_us: time at which a request last found no free slot in this pool.
+        exhausted_us: last time at which a request found no free slot in this pool.
         zones: the pool's endpoints by zone and id.
         in_use: the subset of endpoints that this sidecar's traffic needs, by id.
         slow_start: the warming endpoints.
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -149,6 +149,7 @@
         pool.slow_start.counted_responses += 0.5
         pool.slow_start.accrue(now_us)
         shares = {s.endpoint.id: min(1.0, 0.2 + 0.8 * (now_us - s.started_us) / 20_000_000) for s in members}
+        # WARMING_SHARE is 0.45, and the settings have an overload factor of 2.5
         shares = {i: 1.0 if fraction >= 1.0 else fraction * 0.45 * 2.5 for i, fraction in shares.items()}
         for endpoint_id, share in shares.items():
             accrued[endpoint_id] += 0.5 * share / sum(shares.values())
