--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -198,6 +198,7 @@
         for index in record.outstanding_indexes():
             attempt = record.attempts[index]
             attempt.sent_us = self.now_us  # the protocol measures an attempt from the last byte of the request
+            # Without a timeout, the deadline is the earlier of the two times
             attempt.ends_us = min(
                 record.event.deadline_us, self.now_us + (attempt.timeout_us or record.event.deadline_us)
             )
@@ -246,6 +247,7 @@
         self.now_us += min(pause_us, by_us)
         timers_at_once = 0
         while True:
+            # (time, 0 = timeout of an attempt or 1 = timer, request id or token, attempt index)
             due = [(at_us, 1, token, 0) for at_us, token in self.timers]
             due += [
                 (attempt.ends_us, 0, request_id, index)
@@ -405,6 +407,7 @@
                 for attempt_index in record.outstanding_indexes()
                 if record.attempts[attempt_index].upstream == upstream
             )
+            # Other attempts of a request whose response has started may still hold slots
             count = outstanding.get(upstream, 0)
             require(
                 count <= state.slots_used <= count + started_responses,
--- a/garnetusher/policy/selection.py
+++ b/garnetusher/policy/selection.py
@@ -73,6 +73,7 @@
         for tier, pool in enumerate(self._pools):
             if tier > hedged_tier and self.hedge_stays_in_tier(request):
                 continue
+            # the last tier contains the other regions, whose responses may arrive too late
             if tier == TIER_COUNT - 1 and not self._responds_in_time(request, pool):
                 continue
             if request.event.client_retry and not request.attempts and pool.admitted_fraction < CLIENT_RETRY_ADMITTED:
--- a/garnetusher/policy/settings.py
+++ b/garnetusher/policy/settings.py
@@ -109,7 +109,8 @@
         classes: The request classes; events refer to them by index.
         tenants: The tenants; events refer to them by index.
         over_quota_weight: The fraction of its weight with which a request counts if its tenant exceeds the quota.
-        weight_by_work: Whether weights are per unit of work; otherwise they are per request.
+        weight_by_work: Whether weights are per unit of work; otherwise they are per request, and admission divides
+            them by the mean response time to compare requests.
         fleet_size: The number of sidecars in the fleet, which share the quotas and the limits for calls to discovery.
         instance_index: The index of this sidecar in the fleet.
         zone: The zone of this sidecar.
--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -21,7 +21,7 @@
 
 
 class EventName(enum.StrEnum):
-    """The kinds of events; their values are part of the JSON at the admin address (docs/on-call/requests.md)."""
+    """The kinds of events; their values are part of the JSON of the admin API (docs/on-call/requests.md)."""
 
     RECEIVED = "taken"
     CHOSEN = "chosen"
--- a/tests/test_interleaving_retries.py
+++ b/tests/test_interleaving_retries.py
@@ -213,9 +213,8 @@
         async with sidecar(upstream) as running:
             assert await running.send_request(request("pay", "1", b"b")) == (ANY, b"done")
             second = asyncio.create_task(running.send_request(request("pay", "2", b"b")))
-            await asyncio.sleep(
-                0.3
-            )  # the request is written by then, unless the sidecar first waits for a stray response
+            # The request is written after 0.3 s, unless the sidecar first waits for a stray response
+            await asyncio.sleep(0.3)
             if has_stray_response:
                 writers[0].write(OK.replace(b"done", b"late"))
             release_response.set()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -71,6 +71,7 @@
 
 
 def play(host: PolicyHost, step: tuple[str, int, object]) -> None:  # noqa: C901 - one branch for each kind of step
+    """Play one step; the meaning of `number` and `extra` depends on `kind`."""
     kind, number, extra = step
     outstanding = [
         (request, index) for request, record in host.request_records.items() for index in record.outstanding_indexes()
@@ -179,7 +180,7 @@
             + (1 - policy_settings.warm_up_initial_fraction) * (at_us - START_US) / policy_settings.warm_up_us
         )
 
-    free_us = {endpoint.id: START_US for endpoint in endpoints}
+    idle_from_us = {endpoint.id: START_US for endpoint in endpoints}
     sent_us: list[int] = []
     # (time, sidecar, request, endpoint, attempt index, outcome, start time)
     pending_ends: list[tuple[int, int, int, int, int, Outcome, int]] = []
@@ -209,7 +210,7 @@
                     attempt_index = attempt_counts.get(action.request_id, 0)
                     attempt_counts[action.request_id] = attempt_index + 1
                     speed = capacity_fraction(now_us) if action.endpoint_id == 1 else 1.0
-                    end_us = max(free_us[action.endpoint_id], now_us) + int(40_000 / speed)
+                    end_us = max(idle_from_us[action.endpoint_id], now_us) + int(40_000 / speed)
                     end_outcome = outcome if action.endpoint_id == 1 else Outcome.OK
                     if end_outcome is not Outcome.OK or end_us > now_us + 300_000:
                         end_us, end_outcome = (
@@ -217,7 +218,7 @@
                             Outcome.OVERLOADED if end_outcome is Outcome.OK else end_outcome,
                         )
                     else:
-                        free_us[action.endpoint_id] = end_us
+                        idle_from_us[action.endpoint_id] = end_us
                     pending_ends.append(
                         (end_us, sidecar, action.request_id, action.endpoint_id, attempt_index, end_outcome, now_us)
                     )
