--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -14,7 +14,7 @@
     from garnetusher.policy.zones import Zones
 
     HAS_ZONES = True
-except ImportError:  # the policy of an earlier source tree, which lacks some of these parts
+except ImportError:  # this simulator runs with the policy of an older source tree, which lacks some of these parts
     HAS_ZONES = False
 
 
--- a/garnetusher/model/contract.py
+++ b/garnetusher/model/contract.py
@@ -73,7 +73,8 @@
     cell: int
     sent_us: int
     ends_us: int
-    addition_count: int  # how often the upstream had been added to the list when the attempt started
+    # how often the upstream had been added to the list when the attempt started; a re-added endpoint has no used slots
+    addition_count: int
     timeout_us: int = 0  # counted from the last byte of the request body; 0 = no timeout
     outcome: Outcome | None = None
 
@@ -197,6 +198,7 @@
         for index in record.outstanding_indexes():
             attempt = record.attempts[index]
             attempt.sent_us = self.now_us  # the protocol measures an attempt from the last byte of the request
+            # Without a timeout, the deadline is the earlier of the two times
             attempt.ends_us = min(
                 record.event.deadline_us, self.now_us + (attempt.timeout_us or record.event.deadline_us)
             )
@@ -220,8 +222,8 @@
     def half_close_client(self, request_id: int) -> None:
         """Report that the client of a request sends nothing more.
 
-        If an attempt still waits for a connection, the sidecar then ends it before it is written; other attempts
-        continue.
+        A sidecar then ends the attempts that still wait for a connection before they are written. This method does not
+        end them; the caller does so with `end`. Other attempts continue.
         """
         self.request_records[request_id].half_closed = True
         self.deliver(ClientHalfClosed(request_id))
@@ -245,6 +247,7 @@
         self.now_us += min(pause_us, by_us)
         timers_at_once = 0
         while True:
+            # (time, 0 = timeout of an attempt or 1 = timer, request id or token, attempt index)
             due = [(at_us, 1, token, 0) for at_us, token in self.timers]
             due += [
                 (attempt.ends_us, 0, request_id, index)
@@ -404,6 +407,7 @@
                 for attempt_index in record.outstanding_indexes()
                 if record.attempts[attempt_index].upstream == upstream
             )
+            # Other attempts of a request whose response has started may still hold slots
             count = outstanding.get(upstream, 0)
             require(
                 count <= state.slots_used <= count + started_responses,
--- a/tests/faulty/defective_sidecar.py
+++ b/tests/faulty/defective_sidecar.py
@@ -67,7 +67,7 @@
 
 def holds_back() -> None:
     """Delay each response to a request that was not served until just before the client's deadline."""
-    complete = ResponseSender.complete
+    complete = ResponseSender.respond
 
     def complete_late(self: ResponseSender, request: PendingRequest, response: FinalResponse) -> None:
         if request.completed or response.disposition is Disposition.SERVED:
@@ -76,7 +76,7 @@
         delay_s = max(0.0, (request.deadline_us - 30_000 - monotonic_us()) / 1e6)
         asyncio.get_running_loop().call_later(delay_s, complete, self, request, response)
 
-    ResponseSender.complete = complete_late  # type: ignore[method-assign]
+    ResponseSender.respond = complete_late  # type: ignore[method-assign]
 
 
 def loses_requests() -> None:
