--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -44,7 +44,7 @@
     "late_events",
 )
 
-ExperimentFile = Annotated[Path, typer.Argument(help="The experiment, in TOML; the folder experiments/ has many.")]
+ExperimentFile = Annotated[Path, typer.Argument(help="The experiment, in TOML; the folder experiments/ has examples.")]
 SeedOption = Annotated[
     int | None, typer.Option(help="Seed of all random draws; by default the seed in the file.", min=0)
 ]
@@ -86,13 +86,13 @@
     file: ExperimentFile,
     tree: Annotated[list[Path], typer.Option(help="A checkout to compare; give the option twice, for A and for B.")],
     pairs: Annotated[
-        int, typer.Option(min=1, help="Number of runs of each tree; fewer than 6 show no difference.")
+        int, typer.Option(min=1, help="Number of runs of each tree; with fewer than 6, no difference is significant.")
     ] = 6,
     seed: SeedOption = None,
     out: Annotated[Path | None, typer.Option(help="A new folder for the results.")] = None,
     as_json: JsonFlag = False,
 ) -> None:
-    """Run two trees alternately on the same draws; print the difference of each figure with its 95% interval."""
+    """Run two trees alternately with the same seeds; print the difference of each figure with its 95% interval."""
     if len(tree) != 2:
         cli.fail(f"--tree: expected two trees, A and B, got {len(tree)}")
     experiment = _load_experiment(file)
@@ -101,7 +101,7 @@
     results: list[list[result.Result]] = [[], []]
     with cli.progress(f"{experiment.name}, {pairs} pairs") as progress:
         for pair in range(pairs):
-            # The order of the two trees alternates, so that a drift of the machine affects both equally.
+            # The order of the two trees alternates, so that gradual changes in machine speed affect both equally.
             order = (0, 1) if pair % 2 == 0 else (1, 0)
             for tree_index in order:
                 run_folder = folder / f"{'ab'[tree_index]}-{pair}"
@@ -239,7 +239,9 @@
 @app.command(epilog="Example: garnetusher lab size --upstreams 200 --times 16 --out found/size")
 def size(
     upstreams: Annotated[int, typer.Option(min=1, help="Number of upstreams in the run of usual size.")] = 200,
-    times: Annotated[int, typer.Option(min=2, max=16, help="Factor by which the larger run has more upstreams.")] = 16,
+    times: Annotated[
+        int, typer.Option(min=2, max=16, help="Number of upstreams in the larger run, as a multiple of --upstreams.")
+    ] = 16,
     seconds: Annotated[float, typer.Option(min=1.0, help="Duration of each of the two runs.")] = 20.0,
     out: Annotated[Path | None, typer.Option(help="A new folder for logs and figures.")] = None,
     tree: TreeOption = Path("."),
@@ -289,7 +291,7 @@
     with (folder / "lab.log").open("w", encoding="utf-8") as stream:
         logs.configure(stream)
         try:
-            began_ms = int(time.time() * 1000)
+            started_unix_ms = int(time.time() * 1000)
             completed_run = asyncio.run(run_experiment(experiment, plan, tree, folder, progress))
         except LabError as error:
             cli.fail(str(error), cli.USAGE_ERROR)
@@ -313,6 +315,6 @@
             late=completed_run.late_share,
         )
     result.write(run_result, folder / "result.json")
-    figures.histograms(experiment, plan, requests, folder / "latency.hlog", began_ms)
+    figures.histograms(experiment, plan, requests, folder / "latency.hlog", started_unix_ms)
     report.write(experiment, completed_run, run_result, requests, folder / "report.html")
     return run_result
--- a/garnetusher/lab/report.py
+++ b/garnetusher/lab/report.py
@@ -180,7 +180,7 @@
 
 
 def _sort_changes(changes: list[tuple[float, str]]) -> list[tuple[float, str]]:
-    """Return state changes sorted by time, without the end of a warm-up during which the machine died."""
+    """Return state changes sorted by time. If a machine died while it warmed up, omit the end of its warm-up."""
     result: list[tuple[float, str]] = []
     for at_s, state in sorted(changes, key=lambda change: change[0]):
         if (
--- a/garnetusher/lab/run.py
+++ b/garnetusher/lab/run.py
@@ -28,11 +28,11 @@
 from garnetusher.model.plan import DIRECTORY, Plan
 from garnetusher.model.records import AnyRecord, Journal, ProcessUsage
 
-START_DELAY_S = 0.5  # the time from the start order to time 0 of the run, in which each worker reads the order
+START_DELAY_S = 0.5  # time 0 is this long after the start order, so that each worker has read the order by then
 CLIENT_WORKER_REQUESTS_PER_S = 1000  # the request rate of one client process
 UPSTREAM_WORKER_REQUESTS_PER_S = 900  # the request rate that the upstreams of one process serve
 SAMPLE_INTERVAL_S = 1.0  # the interval between measurements of the processes' CPU time and memory
-DRAIN_S = 1.0  # a run continues this long after the last deadline and records late responses too
+DRAIN_S = 1.0  # a run continues this long after the last deadline to record late responses too
 WORKER_TIMEOUT_S = 60.0  # the time limit for a worker to open its sockets or to close its journal
 
 # Each run draws the second octet of its loopback addresses at random, so that two concurrent runs rarely share a
@@ -60,7 +60,7 @@
 
 
 class WorkerNotStartedError(LabError):
-    """A message was to be sent to, or received from, a worker process that has not been started."""
+    """The lab cannot exchange messages with a worker process that has not been started."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"the lab's worker {name} has not been started")
@@ -74,7 +74,7 @@
         records: All records, sorted by time.
         events: The number of the lab's timers that fired.
         late: The number of the lab's timers that fired late.
-        not_asked: The number of requests that were not sent because their application was down with its sidecar.
+        not_asked: The number of requests that were due but not sent while their application and its sidecar were down.
         cores: The CPU cores of the lab, under `lab`, and of the sidecars, under `sidecars`.
         worker_cpu_s: The CPU time of each worker, by worker name.
     """
@@ -167,7 +167,7 @@
         self.lab = cores[:lab_cores] if len(cores) > 2 else cores
         self.sidecars = cores[lab_cores:] if len(cores) > 2 else cores
 
-    def of_worker(self, index: int) -> list[int]:
+    def worker_cores(self, index: int) -> list[int]:
         """Return the core of a worker.
 
         Worker 0, which runs discovery, shares the first core with the main process. Each other worker has a core of its
@@ -190,8 +190,8 @@
         LabError: The run failed; the message gives the reason.
     """
     _make_folders(out)
-    for signal_number in (signal.SIGINT, signal.SIGTERM):  # the process may have inherited an ignored SIGINT
-        asyncio.get_running_loop().add_signal_handler(signal_number, _canceller(asyncio.current_task()))
+    for signal_number in (signal.SIGINT, signal.SIGTERM):  # also replaces an ignored SIGINT that the process inherited
+        asyncio.get_running_loop().add_signal_handler(signal_number, _cancel_callback(asyncio.current_task()))
     run = _Run(experiment, plan, tree, out, progress)
     try:
         return await run.run()
@@ -204,7 +204,7 @@
     (out / "parts").mkdir(exist_ok=True)
 
 
-def _canceller(task: asyncio.Task[object] | None) -> Callable[[], None]:
+def _cancel_callback(task: asyncio.Task[object] | None) -> Callable[[], None]:
     def cancel() -> None:
         if task is not None:
             task.cancel()
@@ -213,7 +213,7 @@
 
 
 class _Run:
-    """A run of an experiment, which owns its processes and files."""
+    """One run of an experiment. It owns the processes and the files of the run."""
 
     def __init__(self, experiment: Experiment, plan: Plan, tree: Path, out: Path, progress: Progress) -> None:
         self.experiment = experiment
@@ -230,9 +230,9 @@
         requests_per_s = int(experiment.load.requests_per_s)
         upstream_ids = [upstream.uid for upstream in plan.upstreams]
         sidecar_names = [sidecar.name for sidecar in plan.sidecars]
-        self.upstream_parts = _distribute(upstream_ids, -(-requests_per_s // UPSTREAM_WORKER_REQUESTS_PER_S))
-        self.client_parts = _distribute(sidecar_names, -(-requests_per_s // CLIENT_WORKER_REQUESTS_PER_S))
-        self.cores = _CoreAssignment(len(self.upstream_parts) + len(self.client_parts))
+        self.upstream_groups = _distribute(upstream_ids, -(-requests_per_s // UPSTREAM_WORKER_REQUESTS_PER_S))
+        self.client_groups = _distribute(sidecar_names, -(-requests_per_s // CLIENT_WORKER_REQUESTS_PER_S))
+        self.cores = _CoreAssignment(len(self.upstream_groups) + len(self.client_groups))
 
     def now_us(self) -> int:
         """Return the time since time 0 of the run, in microseconds."""
@@ -249,7 +249,7 @@
 
     async def _start_processes(self) -> Fleet:
         """Start the upstreams, discovery, the sidecars and the clients; each needs the addresses of those before it."""
-        os.sched_setaffinity(0, self.cores.of_worker(0))
+        os.sched_setaffinity(0, self.cores.worker_cores(0))
         endpoints = await self._start_upstreams()
         discovery_addresses = await self._start_discovery(endpoints)
         fleet = self.fleet = self._make_fleet(endpoints, discovery_addresses)
@@ -261,8 +261,8 @@
         """Start the upstreams, and return the address of each upstream for each sidecar."""
         hosts = {upstream.uid: self._host(UPSTREAM_HOSTS, i) for i, upstream in enumerate(self.plan.upstreams)}
         workers = []
-        for i, part in enumerate(self.upstream_parts):
-            job = self._job("upstreams", f"upstreams-{i}", part, core_index=1 + i)
+        for i, group in enumerate(self.upstream_groups):
+            job = self._job("upstreams", f"upstreams-{i}", group, core_index=1 + i)
             job.hosts = hosts
             workers.append(self._add_worker(job))
         endpoints: dict[str, dict[str, str]] = {}
@@ -281,8 +281,8 @@
     async def _start_clients(self, fleet: Fleet) -> None:
         addresses = {name: sidecar.address for name, sidecar in fleet.sidecars.items()}
         workers = []
-        for i, part in enumerate(self.client_parts):
-            job = self._job("clients", f"clients-{i}", part, core_index=1 + len(self.upstream_parts) + i)
+        for i, group in enumerate(self.client_groups):
+            job = self._job("clients", f"clients-{i}", group, core_index=1 + len(self.upstream_groups) + i)
             job.addresses = addresses
             workers.append(self._add_worker(job))
         await asyncio.gather(*(worker.start() for worker in workers))
@@ -313,7 +313,7 @@
             experiment=self.experiment,
             plan=self.plan,
             journal=str(self.out / "parts" / f"{name}.jsonl"),
-            cores=self.cores.of_worker(core_index),
+            cores=self.cores.worker_cores(core_index),
             members=members,
         )
 
@@ -347,26 +347,26 @@
         """
         longest_deadline_s = max(c.deadline_ms for c in self.experiment.classes) / 1000
         end_us = int((self.plan.seconds + longest_deadline_s + DRAIN_S) * 1e6)
-        meters: dict[int, psutil.Process] = {}
+        psutil_processes: dict[int, psutil.Process] = {}
         while (now_us := self.now_us()) < end_us:
             await asyncio.sleep(min(SAMPLE_INTERVAL_S, (end_us - now_us) / 1e6))
-            self._measure_usage(fleet, meters)
+            self._measure_usage(fleet, psutil_processes)
             self.progress("playing", max(0.0, min(1.0, self.now_us() / end_us)))
             for worker in self.workers:
                 if worker.exited:
                     await worker.receive(WorkerReady)  # raises an error with the last lines of the worker's log
 
-    def _measure_usage(self, fleet: Fleet, meters: dict[int, psutil.Process]) -> None:
+    def _measure_usage(self, fleet: Fleet, psutil_processes: dict[int, psutil.Process]) -> None:
         """Record the CPU time and the memory of all processes, except those that have just ended."""
         processes = [(worker.job.name, worker.process) for worker in self.workers]
         processes += [(sidecar.plan.name, sidecar.process) for sidecar in fleet.sidecars.values()]
         for name, process in [*processes, ("lab", None)]:
             pid = process.pid if process is not None else os.getpid()
             try:
-                meter = meters.setdefault(pid, psutil.Process(pid))
-                with meter.oneshot():
-                    cpu_times = meter.cpu_times()
-                    memory_bytes = meter.memory_info().rss
+                psutil_process = psutil_processes.setdefault(pid, psutil.Process(pid))
+                with psutil_process.oneshot():
+                    cpu_times = psutil_process.cpu_times()
+                    memory_bytes = psutil_process.memory_info().rss
             except psutil.Error:
                 continue
             cpu_s = round(cpu_times.user + cpu_times.system, 3)
@@ -400,10 +400,10 @@
 
     def _merge_records(self) -> list[AnyRecord]:
         """Merge the journals of all processes into one file, remove the journals, and return the records."""
-        parts = sorted((self.out / "parts").glob("*.jsonl"))
-        all_records = records.merge(parts, self.out / "events.jsonl")
-        for part in parts:
-            part.unlink()
+        journal_paths = sorted((self.out / "parts").glob("*.jsonl"))
+        all_records = records.merge(journal_paths, self.out / "events.jsonl")
+        for journal_path in journal_paths:
+            journal_path.unlink()
         (self.out / "parts").rmdir()
         return all_records
 
@@ -421,10 +421,10 @@
         log.info("lab.cleaned", processes=killed)
 
 
-def _distribute(names: list[str], parts: int) -> list[list[str]]:
-    """Distribute names evenly over parts.
+def _distribute(names: list[str], group_count: int) -> list[list[str]]:
+    """Distribute names evenly over groups, one for each worker process.
 
-    Adjacent names belong to nodes of the same zone and go to different parts, which run in different processes.
+    Adjacent names, which belong to nodes of the same zone, go to different groups.
     """
-    parts = max(1, min(parts, len(names)))
-    return [names[i::parts] for i in range(parts)]
+    group_count = max(1, min(group_count, len(names)))
+    return [names[i::group_count] for i in range(group_count)]
--- a/garnetusher/lab/sidecar_settings.py
+++ b/garnetusher/lab/sidecar_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the lab writes to a sidecar's configuration file in place of the platform."""
+"""The settings that the lab writes to a sidecar's configuration file, as the platform does."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 CLOCK_GRANULARITY_US = 1000
 ANSWER_SLACK_US = 20_000
 RETRY_WINDOW_US = 10_000_000
-MAX_WARMING_SHARE = 0.13  # the upper limit for the share of its capacity that an endpoint has at its start
+MAX_COLD_SHARE = 0.13  # the upper limit for the share of its capacity that an endpoint has at its start
 DRAIN_GRACE_US = 1_000_000
 IDEMPOTENCY_SPAN_US = 5_000_000
 
@@ -59,7 +59,7 @@
         "invariants": {
             "answer-slack": ANSWER_SLACK_US,
             "ask-within": RETRY_WINDOW_US,
-            "cold-share": min(MAX_WARMING_SHARE, upstreams.cold_share),
+            "cold-share": min(MAX_COLD_SHARE, upstreams.cold_share),
             "drain-grace": DRAIN_GRACE_US,
             "fall": int(upstreams.fall_s * 1e6),
             "overload-factor": upstreams.overload_factor,
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -34,7 +34,7 @@
 BUILD_TIMEOUT_S = 1200
 READY_TIMEOUT_S = 30.0  # the platform allows a sidecar the same time to become ready
 READY_POLL_INTERVAL_S = 0.02
-KILL_DELAY_S = 3.7  # the longest time from SIGTERM to SIGKILL; a sidecar may exit sooner
+KILL_DELAY_S = 3.7  # a sidecar that has not exited this long after SIGTERM receives SIGKILL
 LOG_POLL_INTERVAL_S = 0.05  # the interval between reads of the sidecars' logs
 LAST_LOG_LINES = 8  # the number of log lines that an error about an ended process quotes
 BUILD_ERROR_CHARACTERS = 500  # an error quotes this many characters from the end of a build's standard error
@@ -66,7 +66,7 @@
 
 
 class SidecarStartError(LabError):
-    """A sidecar died at its start, or was not ready in time."""
+    """A sidecar exited during its startup, or was not ready in time."""
 
     def __init__(self, sidecar: str, failure: str, last_lines: list[str]) -> None:
         super().__init__(f"sidecar {sidecar} {failure}; last lines of its log:\n  " + "\n  ".join(last_lines))
@@ -172,7 +172,7 @@
         self.member_address = f"{host}:{free_port(host)}"  # used only if the experiment enables the membership
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
-        self.exit_expected = False  # whether the lab has ended the process itself
+        self.exit_expected = False  # whether the lab itself ends the process
         self.log_path = settings.out / "logs" / f"{plan.name}.log"
         self._log_offset = 0  # the number of bytes of the log that have been read
 
@@ -180,7 +180,7 @@
         """Start a process.
 
         Args:
-            at_us: The time of the run, which determines the endpoint list in the configuration file.
+            at_us: The time since time 0 of the run; the configuration file has the endpoint list of that time.
         """
         fleet = self.fleet
         name = self.plan.name
@@ -248,7 +248,7 @@
     def _before_exec(self) -> None:
         """Set the CPU cores in the child process before it executes the program.
 
-        If the parent set the cores after the start, the child could already have run on others, or have ended.
+        If the parent set the cores after the start, the child could already have run on other cores, or have ended.
         """
         die_with_parent()
         os.sched_setaffinity(0, self.fleet.settings.cores)
@@ -298,7 +298,7 @@
         self._write_record(ProcessChanged(self.now_us(), sidecar, change, pid))
 
     def listed_endpoints(self, sidecar: str, at_us: int) -> dict[str, Any]:
-        """Return the endpoint list at a time of the run, which a sidecar that starts then already knows."""
+        """Return the endpoint list that a sidecar already knows if it starts at the given time of the run."""
         plan = self.settings.plan
         started_ms = {upstream.uid: 0 for upstream in plan.upstreams if upstream.from_us == 0}
         zones = {upstream.uid: upstream.zone for upstream in plan.upstreams}
@@ -331,7 +331,7 @@
         """Start all sidecars, and wait until all of them are ready.
 
         Raises:
-            SidecarStartError: A sidecar died or was not ready in time.
+            SidecarStartError: A sidecar exited or was not ready in time.
         """
         for sidecar in self.sidecars.values():
             await sidecar.spawn(0)
@@ -349,7 +349,9 @@
         if process is None:
             raise SidecarStartError(name, "has no process", [])
         if process.returncode is not None:
-            raise SidecarStartError(name, f"died at its start with {process.returncode}", sidecar.last_log_lines())
+            raise SidecarStartError(
+                name, f"exited during startup with status {process.returncode}", sidecar.last_log_lines()
+            )
         if await is_ready(sidecar.address):
             self.record(name, "ready", process.pid)
             log.info("lab.sidecar.ready", sidecar=name, after_s=round(elapsed_s, 2))
@@ -371,8 +373,8 @@
         else:
             self.record(name, "ended", process.pid)
 
-    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -418,7 +420,7 @@
             await self._restart(sidecar, sidecar.process)
 
     async def _restart(self, sidecar: Sidecar, process: asyncio.subprocess.Process) -> None:
-        """Stop a sidecar with SIGTERM, after a delay with SIGKILL, as the platform does; then start a new process."""
+        """Restart a sidecar as the platform does: send SIGTERM, and SIGKILL if the process does not exit in time."""
         sidecar.exit_expected = True
         sidecar.signal(signal.SIGTERM)
         self.record(sidecar.plan.name, "term", process.pid)
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -28,12 +28,12 @@
 from garnetusher.model.plan import DIRECTORY, LinkStep, Plan
 from garnetusher.model.records import Journal
 
-MAX_LINE_BYTES = 1 << 27  # enough for the addresses of thousands of pairs of a sidecar and an upstream
+MAX_LINE_BYTES = 1 << 27  # a line has room for the addresses of thousands of sidecar-upstream pairs
 GC_THRESHOLDS = (100_000, 20, 20)  # garbage collections are rare, because each one stalls the process
 
 
 class WorkerJob(Struct):
-    """The nodes that a worker runs, and what it needs for them.
+    """The nodes that a worker runs, and the data that it needs to run them.
 
     Attributes:
         role: The kind of nodes that the worker runs.
@@ -72,11 +72,11 @@
     unix_ms: int
 
 
-STOP_ORDER = StartOrder(0, 0)  # a worker stops at any line after the start order
+STOP_ORDER = StartOrder(0, 0)  # the content does not matter: any line after the start order stops a worker
 
 
 class WorkerReady(Struct):
-    """The message that all sockets of a worker are open.
+    """Reports that all sockets of a worker are open.
 
     Attributes:
         endpoints: The addresses of the upstreams, as in `WorkerJob`, or those of discovery, under `directory`.
@@ -92,7 +92,7 @@
         events: The number of the worker's timers that fired.
         late: The number of the worker's timers that fired late.
         cpu_s: The CPU time of the worker.
-        not_asked: The number of requests that were not sent because their application was down with its sidecar.
+        not_asked: The number of requests that were due but not sent while their application and its sidecar were down.
     """
 
     events: int
--- a/tests/faulty/defective_sidecar.py
+++ b/tests/faulty/defective_sidecar.py
@@ -80,7 +80,7 @@
 
 
 def loses_requests() -> None:
-    """Never send every fifth response."""
+    """Drop every fifth response."""
     send_response = DownstreamConnection.send_response
     responses = 0
 
@@ -107,7 +107,7 @@
 
 
 def tells_more_time() -> None:
-    """Announce half a second more to upstreams than the time that remains."""
+    """Announce to upstreams a remaining time that is half a second too long."""
     request_head = request_writer.request_head
     request_writer.request_head = lambda request, address, remaining_us: request_head(
         request, address, remaining_us + 500_000
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -100,7 +100,7 @@
 
 
 def check_silent_zone(run_records: list[records.AnyRecord]) -> None:
-    """Check that no attempt passes the cut links, that the records have the undelivered ones, and others arrive."""
+    """Check that only the cut links lose attempts, that the records show these losses, and that the links recover."""
     silent_zone_attempts = [
         record
         for record in run_records
@@ -177,7 +177,7 @@
 def test_run_fails_with_last_log_lines_when_sidecar_dies_at_start(tmp_path: Path) -> None:
     small_experiment = small()
     failing_tree = write_tree(tmp_path, "echo first >&2; echo no good reason >&2; exit 3")
-    with pytest.raises(LabError, match=r"(?s)died at its start with 3.*no good reason"):  # noqa: PT012 - the block makes the plan too
+    with pytest.raises(LabError, match=r"(?s)exited during startup with status 3.*no good reason"):  # noqa: PT012 - the block makes the plan too
         started_s = time.monotonic()
         asyncio.run(
             run_experiment(
@@ -193,7 +193,7 @@
 
 def test_checker_reports_crash_when_sidecar_dies_during_run(tmp_path: Path) -> None:
     run_command = DEPLOY["run"].replace("exec ", f"cd {ROOT}; (sleep 1.5; kill -9 $$) & exec ")
-    # Requests in progress are lost, and their clients may see that before the lab sees the process end.
+    # Requests in progress are lost, and their clients may notice the loss before the lab notices the process exit.
     assert (
         {"crash"}
         <= {breach.rule for breach in run_and_check(tmp_path, small(), run_command)}
@@ -211,7 +211,7 @@
     return checker.check(tested_experiment, run_plan, completed_run.records)
 
 
-# For each defect of the sidecar, the rule that it breaks, and the changes to the experiment that make it do so.
+# Maps each defect of the sidecar to the rule that it breaks and to the experiment changes that expose the defect.
 DEFECT_EXPERIMENTS = {
     "answers_twice": ("one_answer", {}),
     "repeats_unsafe": ("no_repeat", {"more": '[[fault]]\nat_s = 0\nwhat = "errors"\nshare = 0.3'}),
@@ -253,7 +253,7 @@
     assert run_and_check(tmp_path / "good", defect_experiment, f"cd {ROOT}; {DEPLOY['run']}") == []
 
 
-# The checker and the figures on records written by hand
+# The tests below run the checker and the figures on hand-written records.
 
 
 def broken_rules(*run_records: records.AnyRecord) -> list[str]:
@@ -344,13 +344,14 @@
 
 def test_latency_starts_when_request_was_due_and_retries_count_once() -> None:
     small_experiment = small()
-    late_call = RequestSent(1_000_000, "a-0.2", "a-0.2", "a-0", 0, 0, 650_000, 1_900_000)  # the lab sent it too late
+    # The lab sent this request 350 ms after it was due.
+    late_request = RequestSent(1_000_000, "a-0.2", "a-0.2", "a-0", 0, 0, 650_000, 1_900_000)
     retry = RequestSent(1_500_000, "a-0.1.1", "a-0.1", "a-0", 1, 0, 1_000_000, 2_200_000)
     requests = figures.requests_of(
         small_experiment,
         [
             REQUEST,
-            late_call,
+            late_request,
             ResponseReceived(1_010_000, "a-0.2", "a-0", 200, "u-a-0"),
             retry,
             ResponseReceived(1_390_000, "a-0.1.1", "a-0", 200, "u-a-0"),
