--- a/garnetusher/cli/decision_cost.py
+++ b/garnetusher/cli/decision_cost.py
@@ -9,7 +9,7 @@
 
 from garnetusher.cli import markdown
 from garnetusher.cli.markdown import Column, number_column
-from garnetusher.model.steady import EndpointListUpdate, SteadyLoad, endpoint_list, status_update
+from garnetusher.model.steady_load import EndpointListUpdate, SteadyLoad, endpoint_list, status_update
 
 LIST_LENGTHS = (10, 100, 1000, 10_000)
 SEED = 1
--- a/garnetusher/cli/presence.py
+++ b/garnetusher/cli/membership_scenarios.py
@@ -9,7 +9,7 @@
 
 from msgspec import structs
 
-from garnetusher.model.presence import MembershipResult, Scenario, run_scenario
+from garnetusher.model.membership_scenario import MembershipResult, Scenario, run_scenario
 
 SIZES = (10, 100, 1000)
 COLUMNS = (
--- a/garnetusher/cli/model_commands.py
+++ b/garnetusher/cli/model_commands.py
@@ -17,9 +17,9 @@
 from garnetusher.cli import (
     curves,
     decision_cost,
+    membership_scenarios,
     other_tree,
     policy_comparison,
-    presence,
     run_table,
     schedule_search,
 )
@@ -240,14 +240,14 @@
 ) -> None:
     """Measure membership by fleet size: joins, a kill, a network split that heals, and the cost without faults."""
     run_seeds = seeds_or_fail(seeds)
-    fleet_sizes = sorted(set(sizes or presence.SIZES))
+    fleet_sizes = sorted(set(sizes or membership_scenarios.SIZES))
     with cli.progress("members") as progress:
-        runs = presence.measure(fleet_sizes, loss, starved, run_seeds, progress)
-    presence.draw(runs, out)
+        runs = membership_scenarios.measure(fleet_sizes, loss, starved, run_seeds, progress)
+    membership_scenarios.draw(runs, out)
     if as_json:
         cli.say_json(runs)
     else:
-        cli.say(f"{presence.table(runs)}\n\nplot: {out}")
+        cli.say(f"{membership_scenarios.table(runs)}\n\nplot: {out}")
     cli.finish(held=not any(run.accused for run in runs))
 
 
--- a/garnetusher/lab/run.py
+++ b/garnetusher/lab/run.py
@@ -25,7 +25,7 @@
 from garnetusher.logs import logger
 from garnetusher.model import draw, records
 from garnetusher.model.experiment import Experiment
-from garnetusher.model.plan import DIRECTORY, Plan
+from garnetusher.model.plan import DISCOVERY_NODE, Plan
 from garnetusher.model.records import AnyRecord, Journal, ProcessUsage
 
 START_DELAY_S = 0.5  # time 0 is this long after the start order, so that each worker has read the order by then
@@ -272,11 +272,11 @@
 
     async def _start_discovery(self, endpoints: dict[str, dict[str, str]]) -> dict[str, str]:
         """Start discovery, and return its address for each sidecar."""
-        job = self._job("directory", DIRECTORY, [], core_index=0)
+        job = self._job("directory", DISCOVERY_NODE, [], core_index=0)
         job.endpoints = endpoints
-        job.hosts = {DIRECTORY: self._host(DIRECTORY_HOSTS, 0)}
+        job.hosts = {DISCOVERY_NODE: self._host(DIRECTORY_HOSTS, 0)}
         ready = await self._add_worker(job).start()
-        return ready.endpoints[DIRECTORY]
+        return ready.endpoints[DISCOVERY_NODE]
 
     async def _start_clients(self, fleet: Fleet) -> None:
         addresses = {name: sidecar.address for name, sidecar in fleet.sidecars.items()}
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -26,7 +26,7 @@
 from garnetusher.lab.discovery import entry
 from garnetusher.lab.sidecar_settings import settings_document
 from garnetusher.logs import logger
-from garnetusher.model import beliefs, draw
+from garnetusher.model import draw, zone_states
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan, SidecarPlan, Step
 from garnetusher.model.records import ProcessChanged, ZoneStateLogged
@@ -394,7 +394,7 @@
         while True:
             for name, sidecar in self.sidecars.items():
                 for line in sidecar.new_log_lines():
-                    zone_record = beliefs.parse_zone_state(self.now_us(), name, line, zones)
+                    zone_record = zone_states.parse_zone_state(self.now_us(), name, line, zones)
                     if zone_record is not None:
                         self._write_record(zone_record)
             await asyncio.sleep(LOG_POLL_INTERVAL_S)
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -25,7 +25,7 @@
 from garnetusher.lab.upstreams import UpstreamServer
 from garnetusher.model.experiment import Experiment, Topology
 from garnetusher.model.link import LinkConditions
-from garnetusher.model.plan import DIRECTORY, LinkStep, Plan
+from garnetusher.model.plan import DISCOVERY_NODE, LinkStep, Plan
 from garnetusher.model.records import Journal
 
 MAX_LINE_BYTES = 1 << 27  # a line has room for the addresses of thousands of sidecar-upstream pairs
@@ -117,7 +117,7 @@
         if self.job.role == "upstreams":
             return WorkerReady(self._prepare_upstreams())
         if self.job.role == "directory":
-            return WorkerReady({DIRECTORY: self._prepare_discovery()})
+            return WorkerReady({DISCOVERY_NODE: self._prepare_discovery()})
         self._prepare_applications()
         return WorkerReady({})
 
@@ -140,7 +140,7 @@
         self.discovery = DiscoveryServer(self.clock, job.plan, job.endpoints, job.experiment.directory)
         for sidecar in job.plan.sidecars:
             conditions = _normal_conditions(topology, topology.cross_zone_ms)
-            self.discovery.link(sidecar.name, job.hosts[DIRECTORY], conditions)
+            self.discovery.link(sidecar.name, job.hosts[DISCOVERY_NODE], conditions)
         return _addresses(self.discovery.listeners)
 
     def _prepare_applications(self) -> None:
@@ -166,7 +166,7 @@
         """Schedule the plan's link faults for the links whose listening socket belongs to this worker."""
         listeners = {upstream.plan.uid: upstream.listeners for upstream in self.upstreams}
         if self.discovery is not None:
-            listeners[DIRECTORY] = self.discovery.listeners
+            listeners[DISCOVERY_NODE] = self.discovery.listeners
         for step in self.job.plan.links:
             affected = [
                 listeners[node][sidecar] for node in step.parties if node in listeners for sidecar in step.sidecars
--- a/garnetusher/model/discovery_client.py
+++ b/garnetusher/model/discovery_client.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from garnetusher.model.network import Direction
-from garnetusher.model.plan import DIRECTORY, LONG_AGO, ListStep
+from garnetusher.model.plan import DISCOVERY_NODE, LONG_AGO, ListStep
 from garnetusher.model.records import ListUpdateSent
 from garnetusher.model.sidecar_settings import POLICY_EPOCH_US
 from garnetusher.policy.events import Endpoint, EndpointStatus, EndpointsUpdated, UpdateKind
@@ -79,7 +79,7 @@
         self.watching = not self._polls
         incarnation, call_id = self._sidecar.incarnation, self._last_call_id
         deliver = partial(self._simulation.discovery.handle_call, self._sidecar, incarnation, call_id)
-        self._simulation.network.send(DIRECTORY, self._sidecar.name, Direction.TO_NODE, deliver)
+        self._simulation.network.send(DISCOVERY_NODE, self._sidecar.name, Direction.TO_NODE, deliver)
         self._clock.at(self._clock.now_us + CALL_TIMEOUT_US, self.call_failed, incarnation, call_id)
 
     def call_answered(self, incarnation: int, call_id: int) -> None:
--- a/garnetusher/model/discovery_node.py
+++ b/garnetusher/model/discovery_node.py
@@ -9,7 +9,7 @@
 
 from garnetusher.model import draw
 from garnetusher.model.network import Direction
-from garnetusher.model.plan import DIRECTORY, LONG_AGO, ListStep
+from garnetusher.model.plan import DISCOVERY_NODE, LONG_AGO, ListStep
 from garnetusher.model.records import DiscoveryCalled
 
 if TYPE_CHECKING:
@@ -72,9 +72,9 @@
             answered_at_us = now_us
             answer = partial(sidecar.discovery.call_failed, incarnation, call_id)
         send = self._simulation.network.send
-        self._clock.at(answered_at_us, send, DIRECTORY, sidecar.name, Direction.TO_SIDECAR, answer)
+        self._clock.at(answered_at_us, send, DISCOVERY_NODE, sidecar.name, Direction.TO_SIDECAR, answer)
 
     def _notify(self, sidecar: SimulatedSidecar, step: ListStep) -> None:
         if sidecar.up:
             deliver = partial(sidecar.discovery.entry_changed, step, sidecar.incarnation)
-            self._simulation.network.send(DIRECTORY, sidecar.name, Direction.TO_SIDECAR, deliver)
+            self._simulation.network.send(DISCOVERY_NODE, sidecar.name, Direction.TO_SIDECAR, deliver)
--- a/garnetusher/model/explore/module.py
+++ b/garnetusher/model/explore/module.py
@@ -1,8 +1,8 @@
 """Explores the decision module, `garnetusher.policy`, under random orders of legal events.
 
-The host in garnetusher/model/contract.py checks the rules, the slots, the timers, and that each request has exactly one
-answer. The numbers of a step select from what exists when the step runs, such as the third outstanding attempt or the
-fifth upstream. The remaining steps therefore stay valid when the shrinker removes some.
+The host in garnetusher/model/contract_host.py checks the rules, the slots, the timers, and that each request has
+exactly one answer. The numbers of a step select from what exists when the step runs, such as the third outstanding
+attempt or the fifth upstream. The remaining steps therefore stay valid when the shrinker removes some.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Iterator
 
-from garnetusher.model.contract import ContractViolation, Host
+from garnetusher.model.contract_host import ContractViolation, Host
 from garnetusher.model.explore import BrokenRule, Schedule, Step
 from garnetusher.policy.events import (
     Endpoint,
--- a/garnetusher/model/fault_targets.py
+++ b/garnetusher/model/fault_targets.py
@@ -6,7 +6,7 @@
 
 from garnetusher.model import draw
 from garnetusher.model.experiment import Experiment, Place
-from garnetusher.model.plan_types import DIRECTORY, Plan
+from garnetusher.model.plan_types import DISCOVERY_NODE, Plan
 
 ROUNDING_TOLERANCE = 1e-9  # rounding errors must not make a share of 0.2 select two of five nodes
 
@@ -52,4 +52,4 @@
 
 def with_directory(names: list[str], place: Place) -> list[str]:
     """Return the nodes, followed by the discovery service if the place includes it."""
-    return [*names, DIRECTORY] if place.directory else [*names]
+    return [*names, DISCOVERY_NODE] if place.directory else [*names]
--- a/garnetusher/model/figures.py
+++ b/garnetusher/model/figures.py
@@ -15,7 +15,7 @@
 from hdrh.log import HistogramLogWriter
 from msgspec import Struct
 
-from garnetusher.model import beliefs
+from garnetusher.model import zone_states
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import Plan
 from garnetusher.model.records import (
@@ -72,7 +72,7 @@
     found |= _traffic_figures(plan, records, len(requests))
     found |= recovery_figures(experiment, plan, records, requests)
     found |= _usage_figures(records)
-    found |= beliefs.figures(experiment, plan, records)
+    found |= zone_states.figures(experiment, plan, records)
     # The conversion is necessary because msgspec cannot encode numpy floats.
     return {name: round(float(value), FIGURE_DIGITS) for name, value in found.items()}
 
--- a/garnetusher/model/network.py
+++ b/garnetusher/model/network.py
@@ -10,7 +10,7 @@
 from garnetusher.model.clock import Clock
 from garnetusher.model.experiment import Topology
 from garnetusher.model.link import RETRANSMIT_US
-from garnetusher.model.plan import DIRECTORY, LinkStep, Plan
+from garnetusher.model.plan import DISCOVERY_NODE, LinkStep, Plan
 
 MAX_RETRANSMIT_WAIT_US = 3_000_000  # the longest wait after a partition for TCP's next retransmission
 
@@ -91,7 +91,7 @@
             self._clock.at(step.at_us, self.apply_fault, step)
 
     def link(self, node: str, sidecar: str) -> Link:
-        """Return the link between a node (the uid of an upstream, or `DIRECTORY`) and a sidecar."""
+        """Return the link between a node (the uid of an upstream, or `DISCOVERY_NODE`) and a sidecar."""
         return self._links[node, sidecar]
 
     def send(self, node: str, sidecar: str, direction: Direction, deliver: Callable[[], None]) -> None:
@@ -103,7 +103,7 @@
         if link.is_cut(direction):
             link.held.append(_HeldMessage(direction, deliver))
             return
-        rng = self._discovery_rng if node == DIRECTORY else self._rng
+        rng = self._discovery_rng if node == DISCOVERY_NODE else self._rng
         jitter = self._topology.jitter * (2 * rng.random() - 1)
         arrival_us = self._clock.now_us + int(link.one_way_us * (1 + jitter))
         if link.loss and rng.random() < link.loss:
@@ -135,6 +135,6 @@
             self._clock.at(sent_at_us, self.send, node, sidecar, message.direction, message.deliver)
 
     def _one_way_us(self, node: str, sidecar: str) -> int:
-        if node == DIRECTORY:
+        if node == DISCOVERY_NODE:
             return round(self._topology.cross_zone_ms * 1000)
         return self._zone_delays_us[self._sidecar_zones[sidecar], self._upstream_zones[node]]
--- a/garnetusher/model/plan.py
+++ b/garnetusher/model/plan.py
@@ -16,7 +16,7 @@
 from garnetusher.model.experiment import Experiment, Fault, Place, sidecar_names, upstream_names
 from garnetusher.model.fault_targets import FaultTargets, with_directory
 from garnetusher.model.plan_types import (
-    DIRECTORY,
+    DISCOVERY_NODE,
     LONG_AGO,
     Burst,
     LinkStep,
@@ -30,7 +30,7 @@
 )
 
 __all__ = [
-    "DIRECTORY",
+    "DISCOVERY_NODE",
     "LONG_AGO",
     "Burst",
     "LinkStep",
@@ -277,7 +277,7 @@
         near_parties = with_directory(scheduled.upstreams, fault.where)
         if fault.to is None:
             all_sidecars = [sidecar.name for sidecar in self.plan.sidecars]
-            all_parties = [*(upstream.uid for upstream in self.plan.upstreams), DIRECTORY]
+            all_parties = [*(upstream.uid for upstream in self.plan.upstreams), DISCOVERY_NODE]
             return [(near_parties, all_sidecars), (all_parties, scheduled.sidecars)], True
         far_sidecars = self._targets.sidecars(scheduled.index, fault.to)
         far_parties = with_directory(self._targets.upstreams(scheduled.index, fault.to), fault.to)
--- a/garnetusher/model/plan_types.py
+++ b/garnetusher/model/plan_types.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct, field
 
-DIRECTORY = "directory"  # the discovery service's name in lists of nodes
+DISCOVERY_NODE = "directory"  # the discovery service's name in lists of nodes
 LONG_AGO = -1  # the value of a start time that the endpoint list does not state
 
 
@@ -43,7 +43,7 @@
 
     at_us: int
     what: str  # cut, mend, loss
-    parties: list[str]  # upstreams, or DIRECTORY
+    parties: list[str]  # upstreams, or DISCOVERY_NODE
     sidecars: list[str]
     to_sidecar: bool = True  # whether the change affects the direction to the sidecars
     to_party: bool = True  # whether the change affects the direction from the sidecars
--- a/garnetusher/model/sidecar.py
+++ b/garnetusher/model/sidecar.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from garnetusher.model import baselines, beliefs, draw
+from garnetusher.model import baselines, draw, zone_states
 from garnetusher.model.client_node import LOCAL_DELAY_US, SimulatedClients
 from garnetusher.model.digest_text import digest_text
 from garnetusher.model.discovery_client import DiscoveryClient
@@ -272,7 +272,7 @@
 
     def _record_zone_state(self, action: LogMessage) -> None:
         zones = self._simulation.experiment.topology.zones
-        zone_state = beliefs.parse_zone_state(self._clock.now_us, self.name, action.text, zones)
+        zone_state = zone_states.parse_zone_state(self._clock.now_us, self.name, action.text, zones)
         if zone_state is not None:
             self._simulation.record(zone_state)
 
--- a/garnetusher/model/sidecar_membership.py
+++ b/garnetusher/model/sidecar_membership.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from garnetusher.model.members import Members, Node
-from garnetusher.model.plan import DIRECTORY
+from garnetusher.model.plan import DISCOVERY_NODE
 from garnetusher.policy.events import FleetSizeChanged
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         A sidecar that is cut off from discovery in both directions is also cut off from all other sidecars.
         """
         network = self._simulation.network
-        return any(network.link(DIRECTORY, node.name).cut_both_ways for node in (first, second))
+        return any(network.link(DISCOVERY_NODE, node.name).cut_both_ways for node in (first, second))
 
     def _update_fleet_sizes(self) -> None:
         for sidecar in self._simulation.sidecars.values():
--- a/tests/policy_host.py
+++ b/tests/policy_host.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from garnetusher.model.contract import START_US, Host
+from garnetusher.model.contract_host import START_US, Host
 from garnetusher.policy.events import Endpoint
 from garnetusher.policy.settings import RequestClass, Settings
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -16,7 +16,7 @@
 from garnetusher.policy.lifecycle import RequestLifecycle
 from garnetusher.policy.state import AttemptState, RequestState
 from garnetusher.policy.timers import TimerQueue
-from tests.test_files import run_command
+from tests.test_command_errors import run_command
 
 SEED_LIMIT = 400  # exclusive upper bound; up to 2,000 schedules are allowed
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under legal event sequences; garnetusher/model/contract.py checks rules 1 to 3 at every action."""
+"""The four rules under legal event sequences; garnetusher/model/contract_host.py checks rules 1 to 3 at each action."""
 
 from __future__ import annotations
 
--- a/tests/test_draw.py
+++ b/tests/test_weighted_draw.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from garnetusher.model.steady import SteadyLoad, endpoint_list
+from garnetusher.model.steady_load import SteadyLoad, endpoint_list
 from garnetusher.policy.balancer import Balancer
 from garnetusher.policy.endpoint_state import EndpointState
 from garnetusher.policy.events import Endpoint, EndpointStatus, Outcome, UpdateKind, ZoneOverridden
--- a/tests/test_beliefs.py
+++ b/tests/test_zone_state_figures.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnetusher import __main__ as command
-from garnetusher.model import beliefs, experiment, plan
+from garnetusher.model import experiment, plan, zone_states
 from garnetusher.model.records import ZoneStateLogged
 from tests.experiment import ROOT, text
 
@@ -30,11 +30,11 @@
     records = []
     for name, zone, at_s, state in lines:
         line = f"INFO zone {config.topology.zones.index(zone)}: near -> {state}: why"
-        record = beliefs.parse_zone_state(round(at_s * SECOND), name, line, config.topology.zones)
+        record = zone_states.parse_zone_state(round(at_s * SECOND), name, line, config.topology.zones)
         assert record == ZoneStateLogged(round(at_s * SECOND), name, zone, "near", state, "why")
         records.append(record)
-    assert beliefs.parse_zone_state(0, "x", "endpoint 3 ejected", config.topology.zones) is None
-    figures = beliefs.figures(config, run_plan, records)
+    assert zone_states.parse_zone_state(0, "x", "endpoint 3 ejected", config.topology.zones) is None
+    figures = zone_states.figures(config, run_plan, records)
     assert figures["zone_leave_s"] == pytest.approx(0.6)
     assert figures["zone_leave_s.home"] == pytest.approx(0.4)
     assert figures["false_leaves"] == 1
