--- a/garnetusher/lab/run.py
+++ b/garnetusher/lab/run.py
@@ -20,7 +20,8 @@
 from msgspec import Struct
 
 from garnetusher.lab import sidecars
-from garnetusher.lab.sidecars import Fleet, FleetSettings, LabError, die_with_parent
+from garnetusher.lab.child_processes import die_with_parent, send_signal
+from garnetusher.lab.sidecars import Fleet, FleetSettings, LabError
 from garnetusher.lab.worker import MAX_LINE_BYTES, STOP_ORDER, StartOrder, WorkerJob, WorkerReady, WorkerSummary
 from garnetusher.logs import logger
 from garnetusher.model import draw, records
@@ -149,7 +150,7 @@
         """Kill the process if it still runs, and return the number of killed processes."""
         if self.process is None or self.process.returncode is not None:
             return 0
-        self.process.kill()
+        send_signal(self.process, signal.SIGKILL)
         await self.process.wait()
         return 1
 
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -8,8 +8,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import ctypes
 import json
 import os
 import signal
@@ -22,6 +20,7 @@
 from typing import Any
 
 from garnetusher.errors import GarnetusherError
+from garnetusher.lab.child_processes import die_with_parent, send_signal
 from garnetusher.lab.clients import is_ready
 from garnetusher.lab.discovery import entry
 from garnetusher.lab.sidecar_settings import settings_document
@@ -40,7 +39,6 @@
 BUILD_ERROR_CHARACTERS = 500  # an error quotes this many characters from the end of a build's standard error
 SEED_MEMBERS = 3  # the number of sidecars through which all others join the membership
 SEED_RANGE = 2**63
-_PR_SET_PDEATHSIG = 1  # the number of the option in linux/prctl.h
 
 log = logger()
 
@@ -72,14 +70,6 @@
         super().__init__(f"sidecar {sidecar} {failure}; last lines of its log:\n  " + "\n  ".join(last_lines))
 
 
-def die_with_parent() -> None:
-    """Ask the kernel to kill this process when its parent ends.
-
-    A child process calls this function before it executes a program.
-    """
-    ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
-
-
 def deploy_file(tree: Path) -> dict[str, Any]:
     """Return the content of a tree's deploy file.
 
@@ -255,9 +245,7 @@
 
     def signal(self, signal_number: int) -> None:
         """Send a signal if the process still runs."""
-        if self.process is not None and self.process.returncode is None:
-            with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(signal_number)
+        send_signal(self.process, signal_number)
 
     def last_log_lines(self) -> list[str]:
         """Return the last lines of the sidecar's log."""
--- a/garnetusher/lab/soak/sidecar_process.py
+++ b/garnetusher/lab/soak/sidecar_process.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from garnetusher.lab.sidecars import deploy_file, die_with_parent
+from garnetusher.lab.child_processes import die_with_parent, send_signal
+from garnetusher.lab.sidecars import deploy_file
 from garnetusher.lab.soak.records import ProcessEvent, ProcessEventKind, Records, now_s
 from garnetusher.lab.syscall_faults import FaultTable
 
@@ -133,9 +134,7 @@
 
     def send_signal(self, signal_number: int) -> None:
         """Send a signal to the process if it is running."""
-        if self.process is not None and self.process.returncode is None:
-            with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(signal_number)
+        send_signal(self.process, signal_number)
 
     async def pause(self, duration_s: float) -> None:
         """Stop the process by SIGSTOP, and continue it after a time."""
