--- a/garnetusher/lab/child_processes.py
+++ b/garnetusher/lab/child_processes.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import ctypes
+import os
 import signal
 
 _PR_SET_PDEATHSIG = 1  # the number of the option in linux/prctl.h
@@ -19,8 +20,12 @@
 
 
 def send_signal(process: asyncio.subprocess.Process | None, signal_number: int) -> None:
-    """Send a signal to a child process if it still runs."""
+    """Send a signal to a child process if it still runs.
+
+    `Process.send_signal()` and `Process.kill()` poll the child first. If the child has just exited, the poll reads its
+    exit status before asyncio does, and asyncio then reports the status 255.
+    """
     if process is None or process.returncode is not None:
         return
     with contextlib.suppress(ProcessLookupError):
-        process.send_signal(signal_number)
+        os.kill(process.pid, signal_number)
