--- a/garnetusher/lab/soak/discovery.py
+++ b/garnetusher/lab/soak/discovery.py
@@ -118,8 +118,9 @@
         self._reachable.set()
         for endpoint in self._pending:
             change = self._publish(endpoint)
+            change.notified_by_s = max(change.notified_by_s, now_s() + KNOWN_AFTER_SILENCE_S)
             if endpoint.status != EndpointStatus.ACTIVE:
-                change.known_by_s = max(change.known_by_s, now_s() + KNOWN_AFTER_SILENCE_S)
+                change.known_by_s = change.notified_by_s
         self._pending.clear()
 
     def reset_watches(self) -> None:
@@ -175,18 +176,21 @@
         line = json.dumps(delta).encode()
         for writer in self._watches:
             self._send_line(writer, line)
-        change = EndpointChange(self._sidecar, endpoint.number, endpoint.status, self._known_by_s(endpoint))
+        change = self._recorded_change(endpoint)
         self._records.endpoint_changes.append(change)
         return change
 
-    def _known_by_s(self, endpoint: ListedEndpoint) -> float:
-        """Return the latest time at which the sidecar has to know of a change.
-
-        An active endpoint may be used as soon as the change is sent.
-        """
+    def _recorded_change(self, endpoint: ListedEndpoint) -> EndpointChange:
+        """Return the record of a change that is sent now."""
         sent_s = now_s()
-        if endpoint.status == EndpointStatus.ACTIVE:
-            return sent_s
+        known_by_s = self._known_by_s(sent_s)
+        if endpoint.status != EndpointStatus.ACTIVE:
+            return EndpointChange(self._sidecar, endpoint.number, endpoint.status, known_by_s, known_by_s)
+        notified_by_s = known_by_s if self._watches else sent_s + KNOWN_AFTER_SILENCE_S
+        return EndpointChange(self._sidecar, endpoint.number, endpoint.status, sent_s, notified_by_s)
+
+    def _known_by_s(self, sent_s: float) -> float:
+        """Return the latest time at which the sidecar has to know of a change that is sent at a time."""
         known_by_s = max(sent_s, self._reloaded_s + KNOWN_AFTER_RELOAD_S)
         if self._silent_watches:
             known_by_s = max(known_by_s, self._silent_since_s + KNOWN_AFTER_SILENCE_S)
--- a/garnetusher/lab/soak/oracle.py
+++ b/garnetusher/lab/soak/oracle.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from garnetusher.lab.soak import slow_start
 from garnetusher.lab.soak.allowances import RECORDING_DELAY_S, Allowances
 from garnetusher.lab.soak.plan import Plan, RequestClass, cell_of, zone_of
 from garnetusher.lab.soak.records import (
@@ -54,6 +55,7 @@
     ANNOUNCED_TIME = "told"
     DRAIN = "drain"
     MALFORMED = "strangers"
+    COLD = "cold"
     CRASH = "crash"
     READY = "ready"
     LOG = "log"
@@ -90,6 +92,7 @@
             self._check_disconnect(request)
             self._check_announced_time(request)
         self._check_drains()
+        self._check_slow_starts()
         self._check_malformed_connections()
         self._check_processes()
         self._check_logs()
@@ -207,6 +210,11 @@
             return 0.0
         return started_s + FIRST_POLL_S
 
+    def _check_slow_starts(self) -> None:
+        """Check that the sidecars together do not overload an upstream that has just started."""
+        for overload in slow_start.find_overloads(self._plan, self._records, self._allowances):
+            self._report(Rule.COLD, overload.at_s, str(overload))
+
     def _check_malformed_connections(self) -> None:
         """Check that the sidecar closes connections without a valid request in time, except for a tolerated share."""
         connections = self._records.malformed_connections
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -27,6 +27,10 @@
 UPSTREAMS_PER_CELL = 2
 ZONES = "ab"  # the cells are assigned to the zones in turn
 DEADLINES_MS = (300, 500, 1000, 1500, 2500)
+COLD_SHARE = 0.13  # the fraction of its capacity that an upstream has when it starts
+WARM_UP_S = 10.0  # the time from the start of an upstream until it has its full capacity
+OVERLOAD_FACTOR = 3.0  # the load that overloads a starting upstream, as a multiple of its current capacity
+OVERLOAD_WINDOW_S = 3.0  # a starting upstream must not be overloaded on average over this time
 
 
 class FaultKind(enum.StrEnum):
@@ -291,11 +295,11 @@
         },
         "invariants": {
             "ask-within": 10_000_000,
-            "cold-share": 0.13,
+            "cold-share": COLD_SHARE,
             "drain-grace": 1_000_000,
-            "fall": 3_000_000,
-            "overload-factor": 3.0,
-            "warm-up": 10_000_000,
+            "fall": int(OVERLOAD_WINDOW_S * 1e6),
+            "overload-factor": OVERLOAD_FACTOR,
+            "warm-up": int(WARM_UP_S * 1e6),
         },
         "request-classes": [_class_settings(request_class, plan) for request_class in plan.classes],
     }
--- a/garnetusher/lab/soak/records.py
+++ b/garnetusher/lab/soak/records.py
@@ -82,12 +82,30 @@
 
 @dataclass(slots=True)
 class EndpointChange:
-    """A change of an endpoint's status, and the latest time at which the sidecar has to know of it."""
+    """A change of an endpoint's status, and the latest time at which the sidecar has to know of it.
+
+    Attributes:
+        sidecar: The number of the sidecar.
+        upstream: The number of the upstream.
+        status: The new status.
+        known_by_s: The time from which the status applies to attempts. An active endpoint may be used at once.
+        notified_by_s: The time by which the sidecar has received the change, also that of an active endpoint.
+    """
 
     sidecar: int
     upstream: int
     status: EndpointStatus
     known_by_s: float
+    notified_by_s: float = 0.0
+
+
+@dataclass(slots=True)
+class UpstreamRestart:
+    """A start of an upstream after its first one."""
+
+    upstream: int
+    incarnation: int
+    at_s: float
 
 
 @dataclass(slots=True)
@@ -127,3 +145,4 @@
     process_events: list[ProcessEvent] = field(default_factory=list)
     malformed_connections: list[MalformedConnection] = field(default_factory=list)
     lags: list[Lag] = field(default_factory=list)
+    upstream_restarts: list[UpstreamRestart] = field(default_factory=list)
--- a/garnetusher/lab/soak/upstream.py
+++ b/garnetusher/lab/soak/upstream.py
@@ -11,7 +11,7 @@
 import socket
 
 from garnetusher.lab.soak.plan import FaultKind
-from garnetusher.lab.soak.records import Attempt, Records, now_s
+from garnetusher.lab.soak.records import Attempt, Records, UpstreamRestart, now_s
 
 # The backlog is short so that it can be filled. A connection that arrives at a full backlog is established one second
 # later.
@@ -68,6 +68,7 @@
         """Simulate a restart of the upstream's process; the new process is cold."""
         self.incarnation += 1
         self.boot_ms = boot_ms
+        self.records.upstream_restarts.append(UpstreamRestart(self.number, self.incarnation, now_s()))
         self.reset_connections(1.0)
 
     def close(self) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,6 +11,7 @@
 
 from garnetusher.lab.sidecars import build
 from garnetusher.lab.soak import plan as plans
+from garnetusher.lab.soak import slow_start
 from garnetusher.lab.soak.oracle import Oracle
 from garnetusher.lab.soak.plan import Fault, FaultKind, Plan, RequestClass
 from garnetusher.lab.soak.records import (
@@ -23,6 +24,7 @@
     ProcessEventKind,
     Records,
     Request,
+    UpstreamRestart,
 )
 from garnetusher.lab.soak.reduce import reduce_plan
 from garnetusher.lab.soak.run import run_plan
@@ -197,6 +199,38 @@
     }
 
 
+STARTED_S = 100.0  # the time at which the upstream of the slow-start tests starts
+
+
+def cold_start_breaches(attempts: int, *, notified_by_s: float = STARTED_S, process_started_s: float = 1.0) -> set[str]:
+    """Return the broken rules if an upstream receives attempts at an even rate in the window after its start."""
+    spacing_s = plans.OVERLOAD_WINDOW_S / attempts
+    records = Records(
+        attempts=[
+            Attempt(f"s0-{n}", 0, 0, STARTED_S + n * spacing_s, 0.5, incarnation=1, body_complete_s=STARTED_S)
+            for n in range(attempts)
+        ],
+        endpoint_changes=[EndpointChange(0, 0, EndpointStatus.ACTIVE, STARTED_S, notified_by_s)],
+        process_events=[ProcessEvent(0, ProcessEventKind.START, process_started_s)],
+        upstream_restarts=[UpstreamRestart(0, 1, STARTED_S)],
+    )
+    return {breach.rule.value for breach in Oracle(small_plan(), records, []).check()}
+
+
+def test_oracle_reports_overload_in_slow_start_when_informed_sidecars_exceed_the_limit() -> None:
+    within_limit = int(slow_start.burst_limit(slow_start.allowed_requests(small_plan(), age_s=0.0)))
+    assert cold_start_breaches(within_limit) == set()
+    assert cold_start_breaches(3 * within_limit) == {"cold"}
+    # These sidecars have not received the new list in the window.
+    assert cold_start_breaches(3 * within_limit, notified_by_s=STARTED_S + 6.0) == set()
+    assert cold_start_breaches(3 * within_limit, process_started_s=STARTED_S + 0.1) == set()
+
+
+@pytest.mark.parametrize(("mean", "limit"), [(0.0, 3.0), (25.0, 43.0), (36.0, 50.0), (100.0, 122.0)])
+def test_burst_limit_adds_the_documented_tolerance(mean: float, limit: float) -> None:
+    assert slow_start.burst_limit(mean) == limit
+
+
 def test_size_table_compares_each_row_with_its_limit_when_upstreams_increase() -> None:
     usual, within_limits = (
         ResourceUse(200, 1.0, 20.0, 40, 60, 40.0, 1.0),
@@ -224,6 +258,10 @@
     "tells_more_time": ("told", small_plan()),
     "leaves_strangers_waiting": ("strangers", small_plan(Fault(FaultKind.MALFORMED, 0.3, 2.5, [0, 1]))),
     "dies": ("crash", small_plan()),
+    "pushes_cold_over": (
+        "cold",
+        small_plan(Fault(FaultKind.COLD_START, 0.3, 0.1, [0]), load_s=6.0, rate_per_s=30.0),
+    ),
 }
 
 
@@ -255,7 +293,7 @@
             )
         correct_runs = [
             pool.submit(rules_broken_by_program, str(tmp_path / f"correct-{n}"), correct_command, plan)
-            for n, (_, plan) in enumerate(list(DEFECTS.values())[1:6])
+            for n, (_, plan) in enumerate([*list(DEFECTS.values())[1:6], DEFECTS["pushes_cold_over"]])
         ]
         reported = {defect: rule in future.result() for defect, rule, future in defective_runs}
         assert reported == dict.fromkeys(DEFECTS, True)
