--- a/garnetusher/lab/run.py
+++ b/garnetusher/lab/run.py
@@ -11,7 +11,7 @@
 import signal
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from pathlib import Path
 from typing import Literal, TypeVar
 
@@ -19,15 +19,16 @@
 import psutil
 from msgspec import Struct
 
-from garnetusher.lab import sidecars
+from garnetusher.lab import cpu_wait, sidecars
 from garnetusher.lab.child_processes import die_with_parent, send_signal
+from garnetusher.lab.cpu_wait import CpuWaitMonitor, MeasuredProcess
 from garnetusher.lab.sidecars import Fleet, FleetSettings, LabError
 from garnetusher.lab.worker import MAX_LINE_BYTES, STOP_ORDER, StartOrder, WorkerJob, WorkerReady, WorkerSummary
 from garnetusher.logs import logger
 from garnetusher.model import draw, records
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.plan import DISCOVERY_NODE, Plan
-from garnetusher.model.records import AnyRecord, Journal, ProcessUsage
+from garnetusher.model.records import AnyRecord, CpuWaitRole, Journal, ProcessUsage
 
 START_DELAY_S = 0.5  # time 0 is this long after the start order, so that each worker has read the order by then
 CLIENT_WORKER_REQUESTS_PER_S = 1000  # the request rate of one client process
@@ -225,6 +226,7 @@
         self.journal = Journal(self.out / "parts" / "lab.jsonl")
         self.workers: list[_WorkerProcess] = []
         self.fleet: Fleet | None = None
+        self.cpu_wait_task: asyncio.Task[None] | None = None
         self.zero_ns = time.monotonic_ns()
         self.cleaned_up = False
         self.network = FIRST_NETWORK + int(draw.uniform(os.getpid(), time.monotonic_ns()) * NETWORKS)
@@ -331,6 +333,7 @@
         for worker in self.workers:
             await worker.send(order)
         fleet.begin()
+        self.cpu_wait_task = asyncio.get_running_loop().create_task(self._measure_cpu_waits(fleet))
         log.info(
             "lab.play.begins",
             experiment=self.experiment.name,
@@ -357,6 +360,20 @@
                 if worker.exited:
                     await worker.receive(WorkerReady)  # raises an error with the last lines of the worker's log
 
+    async def _measure_cpu_waits(self, fleet: Fleet) -> None:
+        monitor = CpuWaitMonitor(self.journal.write, self.now_us)
+        while True:
+            monitor.sample(self._measured_processes(fleet))
+            await asyncio.sleep(cpu_wait.SAMPLE_INTERVAL_S)
+
+    def _measured_processes(self, fleet: Fleet) -> Iterator[MeasuredProcess]:
+        for worker in self.workers:
+            if worker.process is not None and worker.job.role != "directory":
+                yield MeasuredProcess(worker.job.name, CpuWaitRole(worker.job.role), worker.process.pid)
+        for sidecar in fleet.sidecars.values():
+            if sidecar.process is not None:
+                yield MeasuredProcess(sidecar.plan.name, CpuWaitRole.SIDECAR, sidecar.process.pid)
+
     def _measure_usage(self, fleet: Fleet, psutil_processes: dict[int, psutil.Process]) -> None:
         """Record the CPU time and the memory of all processes, except those that have just ended."""
         processes = [(worker.job.name, worker.process) for worker in self.workers]
@@ -414,6 +431,8 @@
             return
         self.cleaned_up = True
         killed = 0
+        if self.cpu_wait_task is not None:
+            self.cpu_wait_task.cancel()
         if self.fleet is not None:
             killed += await self.fleet.kill()
         for worker in self.workers:
--- a/garnetusher/model/checker.py
+++ b/garnetusher/model/checker.py
@@ -5,7 +5,7 @@
 1. ``one_answer``: each client call that a sidecar accepted gets one final response, at the latest half a second after
    the client timeout, and nothing after it. A response with status 200 comes from an upstream that received this call.
    ``held_back``: a failed call is answered within half its timeout from its start, or from the end of its last
-   attempt.
+   attempt. Time for which the sidecar or the lab's workers waited for a CPU core does not count.
 2. ``no_repeat``: a request that is not idempotent is not sent again, and not reported as safe to retry, once it may
    have run. Upstreams receive no request that no client sent.
 3. ``drain``: a sidecar sends no new attempt to an upstream later than a second after it learned that the upstream
@@ -135,6 +135,7 @@
     limit_us = (call.until_t - call.t) // 2 + TIMING_TOLERANCE_US
     if answer.t <= call.t + limit_us:
         return None
+    limit_us += index.cpu_wait_us(call.sidecar, call.t, answer.t)
     ends_us = [index.end_us(attempt) for attempt in index.attempts.get(call.id, [])]
     undelivered_us = [undelivered.t for undelivered in index.undelivered.get(call.id, [])]
     idle_us = answer.t - max([call.t, *ends_us, *undelivered_us])
--- a/garnetusher/model/record_index.py
+++ b/garnetusher/model/record_index.py
@@ -13,6 +13,8 @@
     AttemptUndelivered,
     ClientConnectFailed,
     ClientTimedOut,
+    CpuWait,
+    CpuWaitRole,
     ListUpdateSent,
     ProcessChanged,
     RequestSent,
@@ -53,8 +55,12 @@
         self.list_updates: dict[tuple[str, str], list[ListUpdateSent]] = defaultdict(list)  # the key: sidecar, upstream
         self.upstream_changes: dict[str, list[UpstreamChanged]] = defaultdict(list)
         self.process_changes: dict[str, list[ProcessChanged]] = defaultdict(list)
+        self._cpu_waits: dict[tuple[CpuWaitRole, str], list[CpuWait]] = defaultdict(list)  # the key: role, process
         for record in records:
-            self._add(record)
+            if isinstance(record, CpuWait):
+                self._cpu_waits[record.role, record.process].append(record)
+            else:
+                self._add(record)
         self._halts = {name: _halts(changes) for name, changes in self.process_changes.items()}
         self._missing_record_intervals = _intervals_with_missing_records(plan)
         self._zones = {sidecar.name: sidecar.zone for sidecar in plan.sidecars}
@@ -108,6 +114,19 @@
         """Return whether the run halted or killed a sidecar at any time of an interval."""
         return _any_overlap(self._halts.get(sidecar, []), from_us, to_us)
 
+    def cpu_wait_us(self, sidecar: str, from_us: int, to_us: int) -> int:
+        """Return how long a sidecar and the lab waited for CPU cores in an interval.
+
+        The lab's part is the longest wait of a process that runs clients, and that of one that runs upstreams.
+        """
+        longest_us: dict[CpuWaitRole, int] = defaultdict(int)
+        for (role, process), waits in self._cpu_waits.items():
+            if role is CpuWaitRole.SIDECAR and process != sidecar:
+                continue
+            waited_us = sum(wait.waited_us for wait in waits if wait.since_t <= to_us and from_us <= wait.t)
+            longest_us[role] = max(longest_us[role], waited_us)
+        return sum(longest_us.values())
+
     def may_lack_record(self, from_us: int, to_us: int) -> bool:
         """Return whether an attempt within an interval may have left no record at an upstream."""
         return _any_overlap(self._missing_record_intervals, from_us, to_us)
--- a/garnetusher/model/records.py
+++ b/garnetusher/model/records.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
+from enum import StrEnum
 from pathlib import Path
 from typing import IO
 
@@ -215,6 +216,23 @@
     rss_mb: float
 
 
+class CpuWaitRole(StrEnum):
+    """The kinds of processes whose waits for a CPU core are recorded."""
+
+    SIDECAR = "sidecar"
+    CLIENTS = "clients"
+    UPSTREAMS = "upstreams"
+
+
+class CpuWait(Record, tag="cpu_wait"):
+    """The time for which a process waited for a CPU core between `since_t` and `t`, although it was ready to run."""
+
+    process: str
+    role: CpuWaitRole
+    since_t: int
+    waited_us: int
+
+
 AnyRecord = (
     RequestSent
     | ResponseReceived
@@ -236,6 +254,7 @@
     | ZoneStateLogged
     | LabActionLate
     | ProcessUsage
+    | CpuWait
 )
 
 _ENCODER = msgspec.json.Encoder()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -274,6 +274,11 @@
 )
 
 
+def waited(process: str, waited_us: int, at_us: int = 1_300_000) -> records.CpuWait:
+    """Return the record of a sidecar that waited for a CPU core in the 90 ms before a time."""
+    return records.CpuWait(at_us, process, records.CpuWaitRole.SIDECAR, at_us - 90_000, waited_us)
+
+
 @pytest.mark.parametrize(
     ("run_records", "rules"),
     [
@@ -302,6 +307,10 @@
         ((REQUEST, ATTEMPT, *SERVED, records.UnexpectedBytes(1_040_000, "a-0.1", "a-0")), ["one_answer"]),
         ((REQUEST, ResponseReceived(1_500_000, "a-0.1", "a-0", 503)), []),
         ((REQUEST, ResponseReceived(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
+        ((REQUEST, waited("a-0", 50_000), ResponseReceived(1_600_000, "a-0.1", "a-0", 503)), []),
+        ((REQUEST, waited("a-0", 49_000), ResponseReceived(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
+        ((REQUEST, waited("b-0", 90_000), ResponseReceived(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
+        ((REQUEST, waited("a-0", 90_000, 900_000), ResponseReceived(1_600_000, "a-0.1", "a-0", 503)), ["held_back"]),
         ((ATTEMPT,), ["no_repeat"]),
         ((REQUEST, ATTEMPT, SERVED[0], ResponseReceived(1_031_000, "a-0.1", "a-0", 503)), ["no_repeat"]),
         (
