--- a/garnetusher/model/explore/__init__.py
+++ b/garnetusher/model/explore/__init__.py
@@ -1,9 +1,9 @@
 """Runs seeded schedules of events against a component without I/O, and shrinks the schedules that break a rule.
 
-The explorer uses a component through the four methods of `Part`. A schedule is plain data: it is drawn from its seed,
-runs without a real clock and without I/O, and is saved as JSON. A schedule that breaks a rule is shrunk by delta
-debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002): the shrinker removes
-steps, simplifies the setup and reduces numbers as long as the same rule breaks.
+The explorer reaches a component through an adapter with the four methods of `Part`. A schedule is plain data: it is
+drawn from its seed, runs without a real clock and without I/O, and is saved as JSON. A schedule that breaks a rule is
+shrunk by delta debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002): the
+shrinker removes steps, simplifies the setup and reduces numbers as long as the same rule breaks.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
     """A sequence of events with all that is needed to run it again.
 
     Attributes:
-        part: The name of the part that runs the schedule.
-        seed: The seed from which the schedule was drawn; the part's own random draws depend on it too.
+        part: The name of the `Part` that runs the schedule.
+        seed: The seed from which the schedule was drawn. It is also the seed of all random draws during the run.
         setup: The initial settings by name; the part defines their meaning.
         steps: The events in order.
     """
@@ -54,7 +54,8 @@
     Attributes:
         rule: The name of the rule.
         text: A description of the violation.
-        step: The index of the step after which the rule did not hold; the number of steps if the final check found it.
+        step: The index of the step during or after which the rule did not hold; the number of steps if the final check
+            found it.
     """
 
     rule: str
@@ -77,10 +78,10 @@
 
 
 class Part(Protocol):
-    """A component that the explorer can test.
+    """An adapter through which the explorer runs schedules on one component.
 
     Attributes:
-        name: The name of the part in schedules and commands.
+        name: The name of the component in schedules and commands.
     """
 
     name: str
@@ -118,7 +119,7 @@
 
 
 class _Shrinker:
-    """Shrinks a failing schedule until no further reduction breaks the same rule.
+    """Shrinks a failing schedule until no reduction still breaks the same rule, within the limit on trial runs.
 
     Attributes:
         best: The smallest failing schedule so far.
--- a/garnetusher/model/explore/membership.py
+++ b/garnetusher/model/explore/membership.py
@@ -1,8 +1,12 @@
-"""Explores membership under random orders of kills, restarts, pauses, splits and lost datagrams.
+"""Explores membership under random orders of process faults and network faults.
 
-The simulated network and its nodes are in garnetusher/model/members.py. Three rules have to hold: a member's own
-(generation, incarnation) never decreases; the shares of a fleet-wide limit that all members use add up to at most one;
-and after all faults have ended, all running members agree on which members are running.
+The process faults are kills, restarts, pauses and clock skew; members also leave. The network faults are splits,
+one-way cuts, garbage, and lost or duplicated datagrams. The simulated network and its nodes are in
+garnetusher/model/members.py.
+
+Three rules have to hold: a member's own (generation, incarnation) never decreases; each member uses a share of the
+fleet-wide limits, and the shares of all members add up to at most one; and after all faults have ended, all running
+members agree on which members are running.
 """
 
 from __future__ import annotations
@@ -16,14 +20,24 @@
 from garnetusher.model.explore import BrokenRule, Schedule, Step
 from garnetusher.model.members import SETTLE_US, Members, Node
 
-SEED_NODES = 2  # number of nodes, from the start of the list, that all nodes use as seeds
+SEED_NODES = 2  # number of nodes, from the start of the list, through which all nodes join
 CONVERGENCE_US = 20_000_000  # more than twice the longest pause between two attempts to join
 MAX_TOTAL_SHARE = 1.0001  # the shares of a limit may add up to one, plus a margin for rounding
 HOUR_US = 3_600_000_000
 MAX_ARGUMENT = 1000  # exclusive limit of the numbers that are drawn for a step
+# An `advance` step lasts for a random time below one of these limits, which is chosen at random.
 ADVANCE_LIMITS_MS = (50, 500, 500, 4000, 10_000)
 GARBAGE_SENDER = ("10.9.9.9", 1)
-GARBAGE = [b"", b"\0" * 17, b"\0" * 16 + b"\xc1", b"\0" * 16 + b"\x97\x01\xa5other", b"x" * 1400, bytes(range(200))]
+# Invalid datagrams. A valid datagram is an authentication tag of 16 bytes followed by MessagePack data.
+GARBAGE = [
+    b"",
+    b"\0" * 17,  # a number in place of the envelope
+    b"\0" * 16 + b"\xc1",  # a byte that MessagePack never uses
+    b"\0" * 16 + b"\x97\x01\xa5other",  # an envelope of another cluster that ends too early
+    b"x" * 1400,  # more than the size limit of datagrams
+    bytes(range(200)),
+]
+# Weights of the steps. Each seed chooses one set, so that schedules differ in which faults are frequent.
 STEP_WEIGHTS: list[dict[str, int]] = [
     {"advance": 40, "kill": 10, "restart": 15, "leave": 3, "garbage": 2},
     {"advance": 40, "split": 6, "heal": 6, "kill": 4, "restart": 6, "cut": 4},
@@ -45,7 +59,7 @@
 
 
 class Membership:
-    """The `Part` that explores `garnetusher.membership`."""
+    """The `Part` that runs schedules on simulated members (`garnetusher.membership`)."""
 
     name = "membership"
 
@@ -125,8 +139,9 @@
         self._returned_log_events: dict[str, int] = {}  # number of log events of each node that were returned
         self._one_way_cuts: set[tuple[str, str]] = set()
         self._split_sides: dict[str, int] = {}  # side of each node in a network split, by name
-        self._divided_since_us = 0  # when a cut or split began; 0 = all nodes are connected
-        self._excess_expected = False  # whether a node is possibly unaware of another one that uses a share
+        self._network_fault_since_us = 0  # when the first current cut or split began; 0 = all nodes are connected
+        # Whether the shares may add up to more than one, because a node may not count another one that uses a share.
+        self._excess_expected = False
         self._limits_checked_from_us = 0
         # The names of the steps are part of stored schedules and must not change.
         self._handlers: dict[str, Callable[[int, int], None]] = {
@@ -159,7 +174,7 @@
             return True
         return self._split_sides.get(sender.name, 0) != self._split_sides.get(recipient.name, 0)
 
-    def _suspend_limits(self) -> None:
+    def _postpone_limit_check(self) -> None:
         """Postpone the check of limits until the nodes have had time to learn of each other."""
         from_us = self.members.clock.now_us + 2 * SETTLE_US
         self._limits_checked_from_us = max(self._limits_checked_from_us, from_us)
@@ -172,18 +187,18 @@
     def _kill(self, node_number: int, _: int) -> None:
         self.members.kill(self._node(node_number))
 
-    def _restart(self, node_number: int, persisted_number: int) -> None:
+    def _restart(self, node_number: int, state_choice: int) -> None:
         """Restart a node; in three of four cases it reads its persisted state."""
         node = self._node(node_number)
         self.members.kill(node)
-        read_persisted = persisted_number % 4 > 0
+        read_persisted = state_choice % 4 > 0
         if not read_persisted:
             # a node without its persisted state may start with a lower (generation, incarnation)
             self._highest_incarnations.pop(node.name, None)
             node.persisted = None
         self.members.start(node, self._nodes[:SEED_NODES], read_persisted=read_persisted)
-        self._suspend_limits()
-        self._excess_expected = self._excess_expected or self._is_divided
+        self._postpone_limit_check()
+        self._excess_expected = self._excess_expected or self._has_network_fault
 
     def _leave(self, node_number: int, _: int) -> None:
         self.members.leave(self._node(node_number))
@@ -193,27 +208,27 @@
 
     def _resume(self, node_number: int, _: int) -> None:
         self.members.resume(self._node(node_number))
-        self._suspend_limits()
+        self._postpone_limit_check()
 
     def _cut(self, sender_number: int, recipient_number: int) -> None:
         sender, recipient = self._node(sender_number), self._node(recipient_number)
         if sender is not recipient:
             self._one_way_cuts.add((sender.name, recipient.name))
-            self._record_division()
+            self._record_network_fault()
 
     def _split(self, mask: int, _: int) -> None:
         self._split_sides = {node.name: mask >> index & 1 for index, node in enumerate(self._nodes)}
-        self._record_division()
+        self._record_network_fault()
 
-    def _record_division(self) -> None:
-        self._divided_since_us = self._divided_since_us or self.members.clock.now_us
+    def _record_network_fault(self) -> None:
+        self._network_fault_since_us = self._network_fault_since_us or self.members.clock.now_us
 
     def _heal(self, _: int, __: int) -> None:
         self._one_way_cuts.clear()
         self._split_sides.clear()
-        self._divided_since_us = 0
+        self._network_fault_since_us = 0
         self._excess_expected = False
-        self._suspend_limits()
+        self._postpone_limit_check()
 
     def _skew_clock(self, node_number: int, hours: int) -> None:
         """Offset a node's wall clock by at most a day in either direction; generations derive from this clock."""
@@ -226,8 +241,8 @@
     # Rules
 
     @property
-    def _is_divided(self) -> bool:
-        return self._divided_since_us > 0
+    def _has_network_fault(self) -> bool:
+        return self._network_fault_since_us > 0
 
     def check_rules(self) -> None:
         """Check the rules that hold at any time.
@@ -255,7 +270,7 @@
         fleet_sizes = [(node.name, members.fleet_size(node).instances) for node in members.present_nodes()]
         total_share = sum(1 / fleet_size for _, fleet_size in fleet_sizes)
         present_since = [node.require_member().present_since_us for node in members.present_nodes()]
-        if self._is_divided and self._division_hides_members(present_since):
+        if self._has_network_fault and self._network_fault_hides_members(present_since):
             self._excess_expected = True
         is_settled = all(now_us - since_us >= 2 * SETTLE_US for since_us in present_since)
         is_checked = now_us >= self._limits_checked_from_us and is_settled and not self._excess_expected
@@ -264,15 +279,15 @@
                 rule="limits", text=f"shares of a limit add up to {total_share:.2f}; fleet sizes: {fleet_sizes}"
             )
 
-    def _division_hides_members(self, present_since: list[int]) -> bool:
-        """Return whether nodes may stop counting running nodes, or may never have counted them, because of a division.
+    def _network_fault_hides_members(self, present_since: list[int]) -> bool:
+        """Return whether a network fault may prevent nodes from counting other nodes that are running.
 
-        This is the case if the division has lasted as long as failed members are still counted, or if a node has joined
-        during the division or shortly before it.
+        This is the case if the fault has lasted for the time for which failed members are still counted, or if a node
+        has joined during the fault or shortly before it.
         """
-        if self.members.clock.now_us - self._divided_since_us >= HOLD_FAILED_US:
+        if self.members.clock.now_us - self._network_fault_since_us >= HOLD_FAILED_US:
             return True
-        return any(since_us >= self._divided_since_us - 2 * SETTLE_US for since_us in present_since)
+        return any(since_us >= self._network_fault_since_us - 2 * SETTLE_US for since_us in present_since)
 
     def check_convergence(self) -> None:
         """End all faults and check that all running members agree on which members are running.
--- a/garnetusher/model/explore/module.py
+++ b/garnetusher/model/explore/module.py
@@ -1,8 +1,8 @@
-"""Explores the decision module, `garnetusher.policy`, under random orders of legal events.
+"""Explores the decision module, `garnetusher.policy`, under random orders of the events that its contract allows.
 
-The host in garnetusher/model/contract_host.py checks the rules, the slots, the timers, and that each request has
-exactly one answer. The numbers of a step select from what exists when the step runs, such as the third outstanding
-attempt or the fifth upstream. The remaining steps therefore stay valid when the shrinker removes some.
+The host in garnetusher/model/contract_host.py checks the rules of the contract, the slots, the timers, and that each
+request has exactly one answer. The numbers of a step select from what exists when the step runs, such as the third
+outstanding attempt or the fifth upstream. The remaining steps therefore stay valid when the shrinker removes some.
 """
 
 from __future__ import annotations
@@ -62,13 +62,14 @@
 
 
 class Module:
-    """The `Part` that explores `garnetusher.policy.Balancer`."""
+    """The `Part` that runs schedules on a balancer (`garnetusher.policy.Balancer`)."""
 
     name = "module"
 
     def draw(self, seed: int, steps: int) -> Schedule:
         """Return the schedule of a seed, with at most `steps` steps."""
         rng = random.Random(seed)
+        # Stored schedules contain these names, so they must not change. `_Run` shows what they set.
         setup = {
             "upstreams": rng.choice([1, 2, 4, 8, 20]),
             "zones": rng.choice([1, 2, 3]),
@@ -161,7 +162,7 @@
         self.host = Host(self.settings(setup["max_attempts"]), seed)
 
     def settings(self, max_attempts: int) -> Settings:
-        """Return the settings of the setup with a limit on attempts."""
+        """Return the balancer's settings for the setup, with a given limit on the attempts of a request."""
         setup = self.setup
         return Settings(
             CLASSES,
@@ -191,7 +192,7 @@
         return Endpoint(100 + number, status, zone, 0, number // 2, 1.0, started_us)
 
     def send_initial_list(self) -> None:
-        """Send a cached endpoint list with all upstreams; if the setup has `cold`, they started one second ago."""
+        """Deliver a cached endpoint list with all upstreams; if `cold` is set, they started one second ago."""
         started_us = self.host.now_us - 1_000_000 if self.setup["cold"] else 0
         self.host.update_endpoints(
             [self.endpoint(n, started_us=started_us) for n in range(self.setup["upstreams"])], UpdateKind.CACHED
@@ -204,7 +205,10 @@
     # Events
 
     def arrive(self, class_index: int, client_timeout_us: int) -> None:
-        """Send a request; a client timeout of 0 means that the client sets none."""
+        """Send a request; a client timeout of 0 means that the client sets none.
+
+        The numbers also select the tenant, where index 2 means no tenant, and whether the request is a client's retry.
+        """
         self.host.arrive(
             class_index % len(CLASSES),
             client_timeout_us or None,
@@ -221,7 +225,7 @@
         ]
 
     def end(self, attempt_number: int, outcome_number: int) -> None:
-        """End an outstanding attempt; at least two of three outcomes are successes."""
+        """End an outstanding attempt; at least two thirds of the outcome numbers stand for a success."""
         attempts = self._outstanding_attempts()
         if attempts:
             outcome = OUTCOMES[outcome_number % len(OUTCOMES)] if outcome_number % 3 == 0 else Outcome.OK
@@ -248,7 +252,7 @@
         self.host.update_endpoints([self.endpoint(number, STATUSES[status_number % len(STATUSES)])], UpdateKind.DELTA)
 
     def restart(self, number: int, age_us: int) -> None:
-        """Change the start time of an upstream in the endpoint list."""
+        """Change the start time of an upstream in the endpoint list, so that it has been running for `age_us`."""
         self.host.update_endpoints([self.endpoint(number, started_us=self.host.now_us - age_us)], UpdateKind.DELTA)
 
     def full(self, count: int, _: int) -> None:
@@ -334,7 +338,7 @@
         self.host.arrive(class_index % len(CLASSES), None, body_complete=False)
 
     def passed(self, request_number: int, _: int) -> None:
-        """Complete the body of a request, or report that its forwarded part no longer fits the buffer for replays."""
+        """Complete the body of a request, or report that the body no longer fits into the replay buffer."""
         incomplete = [
             request_id
             for request_id, record in self.host.request_records.items()
--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -5,14 +5,14 @@
 from garnetusher.model.members import Members, Node
 
 SECOND_US = 1_000_000
-JOIN_DURATION_US = 8 * SECOND_US
+JOIN_DURATION_US = 8 * SECOND_US  # after this simulated time, all members have joined and know each other
 JOIN_DURATION_WITH_LOSS_US = 20 * SECOND_US
 
 
 def joined_fleet(
     size: int, seed: int = 1, loss: float = 0.0, keys: list[bytes] | None = None
 ) -> tuple[Members, list[Node]]:
-    """Return simulated members that joined with the first two as seeds; each lists all active members."""
+    """Return simulated members that have joined through the first two; all of them consider all others active."""
     members = Members(seed, loss=loss, keys=keys)
     nodes = [members.add(f"m{index}") for index in range(size)]
     for node in nodes:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -18,7 +18,7 @@
 from garnetusher.policy.timers import TimerQueue
 from tests.test_command_errors import run_command
 
-SEED_LIMIT = 400  # exclusive upper bound; up to 2,000 schedules are allowed
+SEED_LIMIT = 400  # exclusive; finding a bug may take up to 2,000 schedules, so this limit is stricter than required
 
 
 def leaks_slots_after_resets(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_membership_exploration.py
+++ b/tests/test_membership_exploration.py
@@ -32,6 +32,7 @@
 
 def stops_counting_failed_members_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_size, "HOLD_FAILED_US", 0)
+    # the default values of `floor`, `hold_us` and `hold_failed_us`
     monkeypatch.setattr(fleet_size.FleetSizeEstimator.__init__, "__defaults__", (1, 0, 0))
 
 
@@ -53,7 +54,7 @@
     """Replay two schedules that once broke a rule.
 
     In one, a process restarted with the generation of an earlier process. In the other, two members never found each
-    other after their seed had died. Any change to `draw` gives other schedules for these seeds.
+    other after the member through which both join had died. Any change to `draw` gives other schedules for these seeds.
     """
     part = Membership()
     assert part.run(part.draw(seed, 120)) is None
