--- a/garnetusher/lab/soak/allowances.py
+++ b/garnetusher/lab/soak/allowances.py
@@ -11,11 +11,13 @@
 from garnetusher.lab.soak.records import Attempt, End, ProcessEvent, ProcessEventKind, Records, Request
 
 ALLOWED_STALL_S = 0.15  # a sidecar may stall this long between reading the clock and writing
-PAUSE_AFTERMATH_S = 0.05  # a pause still explains a delay that is recorded this long after the pause
+PAUSE_MARGIN_S = 0.05  # a pause still explains a delay that is recorded this long after the pause
 RECORDING_DELAY_S = 0.06  # a record may be this late without a measured lag, because one process makes all records
 NEW_CONNECTIONS_AFTER_TERMINATE_S = 0.45  # a terminating sidecar accepts for up to 0.4 s and then closes its listener
-RESPONSES_AFTER_TERMINATE_S = 0.7  # SIGKILL may cut off the response to a request sent later than this after SIGTERM
-RESTART_S = 5.0  # this long after SIGTERM, a new process has replaced the old one
+# SIGKILL follows SIGTERM after the longest deadline plus 0.7 s (`KILL_GAP_S` in sidecar_process.py), so it may cut off
+# the response to a request that was sent later than this after SIGTERM.
+RESPONSES_AFTER_TERMINATE_S = 0.7
+REPLACED_AFTER_TERMINATE_S = 5.0  # this long after SIGTERM, a new process has replaced the old one
 KILL_BEFORE_REQUEST_S = 0.3  # a request may be written to a connection whose process was killed this long before
 KILL_AFTER_RESPONSE_S = 0.1  # a kill recorded up to this long after the end of a request may have caused that end
 # A malformed connection is exempt if a SIGTERM or SIGKILL hit its process in the interval from END_BEFORE_CONNECTION_S
@@ -78,7 +80,7 @@
         durations = [
             pause.duration_s
             for pause in self._pauses.get(sidecar, [])
-            if pause.start_s <= at_s <= pause.end_s + PAUSE_AFTERMATH_S
+            if pause.start_s <= at_s <= pause.end_s + PAUSE_MARGIN_S
         ]
         return max(durations, default=0.0)
 
@@ -119,7 +121,7 @@
 def _explains_missing_response(event: ProcessEvent, request: Request) -> bool:
     if event.kind == ProcessEventKind.KILL:
         return request.sent_s - KILL_BEFORE_REQUEST_S <= event.at_s <= request.ended_s + KILL_AFTER_RESPONSE_S
-    if event.kind != ProcessEventKind.TERMINATE or request.sent_s >= event.at_s + RESTART_S:
+    if event.kind != ProcessEventKind.TERMINATE or request.sent_s >= event.at_s + REPLACED_AFTER_TERMINATE_S:
         return False
     if event.at_s + RESPONSES_AFTER_TERMINATE_S < request.sent_s and request.end in (End.CLOSED, End.SILENT):
         return True
--- a/garnetusher/lab/soak/campaign.py
+++ b/garnetusher/lab/soak/campaign.py
@@ -18,7 +18,7 @@
 
 MAX_REDUCTION_RUNS = 24
 REPORTED_RAREST_PAIRS = 5
-PAIRS = tuple(itertools.combinations(sorted(ALL_FAULTS), 2))
+FAULT_KIND_PAIRS = tuple(itertools.combinations(sorted(ALL_FAULTS), 2))
 
 
 class Summary(Struct):
@@ -44,7 +44,16 @@
 def run_campaign(
     seeds: Iterable[int], sidecars: int, jobs: int, folder: Path, tree: Path, progress: Callable[[str, float], None]
 ) -> Summary:
-    """Run the plans of all seeds, `jobs` of them in parallel, and return the summary."""
+    """Run the plans of all seeds, `jobs` of them in parallel, and return the summary.
+
+    Args:
+        seeds: The seeds from which the plans are drawn.
+        sidecars: The number of sidecars in each run.
+        jobs: The number of worker processes.
+        folder: The folder for the logs and records; each run has its own subfolder.
+        tree: The checkout whose deploy file starts the sidecars.
+        progress: Receives a text and the completed share of the runs, from 0 to 1.
+    """
     all_seeds = list(seeds)
     results: list[RunResult] = []
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
@@ -67,7 +76,7 @@
         ends.update(result.ends)
         faults.update(result.faults)
         pairs.update(result.overlapping_kinds)
-    rarest = sorted(PAIRS, key=lambda pair: pairs[pair])
+    rarest = sorted(FAULT_KIND_PAIRS, key=lambda pair: pairs[pair])
     return Summary(
         seeds=[result.seed for result in results],
         minutes=round(sum(result.duration_s for result in results) / 60, 1),
--- a/garnetusher/lab/soak/client.py
+++ b/garnetusher/lab/soak/client.py
@@ -44,7 +44,7 @@
 TRUNCATED_REQUEST_SHARE = 0.4
 SLOW_WRITER_SHARE = 0.5
 SLOW_WRITER_CUTS = 3
-SLOW_WRITER_PAUSE_S = 0.15
+SLOW_WRITER_PAUSE_S = 0.15  # the longest pause between two pieces of a request
 
 
 class TruncatedResponseError(GarnetusherError):
@@ -126,7 +126,7 @@
         return ClientConnection(reader, writer)
 
     async def _send_malformed(self) -> None:
-        """Send a malformed request, and record when the sidecar responds or closes the connection."""
+        """Send a malformed request, and record when the sidecar responds or closes the connection, if it does so."""
         connection = await self._connect()
         if connection is None:
             return
@@ -142,7 +142,10 @@
         connection.abort()
 
     async def _send_request(self, request_id: str, request_class: RequestClass) -> None:
-        """Send one request; retry it once on a new connection if a reused connection was closed before the response."""
+        """Send one request; retry it once on a new connection if a reused connection was closed before the response.
+
+        The retry has its own identifier, so the oracle checks it as a separate request.
+        """
         reused = self._idle.pop() if self._idle and self._random.random() < REUSE_SHARE else None
         request = await self._exchange(request_id, request_class, reused)
         if request is not None and request.end is End.CLOSED and reused is not None:
--- a/garnetusher/lab/soak/discovery.py
+++ b/garnetusher/lab/soak/discovery.py
@@ -1,6 +1,7 @@
 """Simulated discovery agents of the soak.
 
-There is one agent for each sidecar. It sends the endpoint list and its changes, except while a fault prevents this.
+There is one agent for each sidecar. It sends the endpoint list and its changes, except while a fault prevents this. The
+sidecar either keeps a watch open (mode `pushed`), or polls when it needs the list (mode `on_request`).
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
     host: str
     port: int
     status: EndpointStatus
-    boot_ms: int
+    boot_ms: int  # when the upstream started, in milliseconds since the epoch; 0 = long ago
 
     def entry(self) -> dict[str, Any]:
         """Return the endpoint as an entry of the JSON list."""
@@ -109,12 +110,12 @@
             self._pending.append(endpoint)
 
     def start_outage(self) -> None:
-        """Become unreachable."""
+        """Abort all watches; until the outage ends, connections are accepted but receive no response."""
         self._reachable.clear()
         _abort_all(self._watches)
 
     def end_outage(self) -> None:
-        """Become reachable, and send the changes of the outage."""
+        """Respond to connections again, and send the changes of the outage."""
         self._reachable.set()
         for endpoint in self._pending:
             change = self._publish(endpoint)
@@ -182,7 +183,8 @@
     def _known_by_s(self, endpoint: ListedEndpoint) -> float:
         """Return the latest time at which the sidecar has to know of a change.
 
-        An active endpoint may be used as soon as the change is sent.
+        A change to `ACTIVE` allows the sidecar to use the endpoint as soon as it is sent, so the result is the time of
+        sending.
         """
         sent_s = now_s()
         if endpoint.status == EndpointStatus.ACTIVE:
--- a/garnetusher/lab/soak/faults.py
+++ b/garnetusher/lab/soak/faults.py
@@ -94,16 +94,17 @@
             return
         upstream.being_replaced = True
         if fault.kind == FaultKind.DRAIN:
-            self._announce(upstream, EndpointStatus.DRAINING)
+            self._publish_status(upstream, EndpointStatus.DRAINING)
             await asyncio.sleep(DRAIN_S + fault.duration_s)
-        self._announce(upstream, EndpointStatus.REMOVED)
+        self._publish_status(upstream, EndpointStatus.REMOVED)
         upstream.reset_connections(1.0)
         await asyncio.sleep(REPLACEMENT_S)
         upstream.restart(int(time.time() * 1000))
-        self._announce(upstream, EndpointStatus.ACTIVE)
+        self._publish_status(upstream, EndpointStatus.ACTIVE)
         upstream.being_replaced = False
 
-    def _announce(self, upstream: SimulatedUpstream, status: EndpointStatus) -> None:
+    def _publish_status(self, upstream: SimulatedUpstream, status: EndpointStatus) -> None:
+        """Change an upstream's status in the endpoint lists of all discovery agents."""
         for agent in self._nodes.agents:
             agent.change(upstream.number, status, upstream.boot_ms)
 
@@ -131,7 +132,7 @@
             if fault.kind == FaultKind.TRUNCATED_FILE:
                 self._nodes.write_configuration(number, truncated=True)
                 sidecar.send_signal(signal.SIGHUP)
-                sidecar.record(ProcessEventKind.RELOAD, "half a file")
+                sidecar.record(ProcessEventKind.RELOAD, "truncated configuration file")
                 await asyncio.sleep(TRUNCATED_FILE_S)
             self._nodes.write_configuration(number)
             if fault.kind != FaultKind.TRUNCATED_FILE:
@@ -161,7 +162,7 @@
 
 def _inject_syscall_fault(fault: Fault, fault_table: FaultTable) -> None:
     error = fault.error or SHORT_TRANSFER
-    once = fault.value == 0.0
+    once = fault.value == 0.0  # one call fails; otherwise the value is the share of calls that fail
     share = fault.value
     if error == errno.EINTR:
         # The interpreter retries an interrupted call, which would never return if every call were interrupted.
--- a/garnetusher/lab/soak/oracle.py
+++ b/garnetusher/lab/soak/oracle.py
@@ -47,16 +47,16 @@
     The values are stored in saved plans, breaches.json and summary.json.
     """
 
-    LOST = "lost"
-    DUPLICATE = "duplicate"
-    ATTEMPTS = "attempts"
-    DISCONNECTED = "left"
-    ANNOUNCED_TIME = "told"
-    DRAIN = "drain"
-    MALFORMED = "strangers"
-    CRASH = "crash"
-    READY = "ready"
-    LOG = "log"
+    LOST = "lost"  # each request has a response by its deadline
+    DUPLICATE = "duplicate"  # a request that may have run is retried or shed only as its class allows
+    ATTEMPTS = "attempts"  # a request has at most the configured number of attempts
+    DISCONNECTED = "left"  # no attempt begins after the client has disconnected
+    ANNOUNCED_TIME = "told"  # upstreams are not told a longer time until the deadline than there is
+    DRAIN = "drain"  # no attempt goes to an upstream that is draining or removed
+    MALFORMED = "strangers"  # connections without a valid request are closed in time
+    CRASH = "crash"  # no process ends by itself or fails to start
+    READY = "ready"  # a process is ready in time
+    LOG = "log"  # logs contain no traceback, critical message or violated rule
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,14 +109,14 @@
         late_s = request.ended_s - request.sent_s - request.deadline_s
         description = f"{request.request_id} {request.class_name}"
         if request.end is End.SILENT or late_s > LATE_RESPONSE_S + self._allowances.recording_slack_s(request.ended_s):
-            text = f"{description}: {request.end} after its time and {late_s:.3f} s"
+            text = f"{description}: {request.end}, {late_s:.3f} s after its deadline"
             self._report(Rule.LOST, request.sent_s, text)
             return
         attempts = self._attempts[request.request_id]
         if request.end is End.CLOSED and (attempts or request.new_connection):
             text = (
-                f"{description}: its connection was closed with no answer after "
-                f"{request.ended_s - request.sent_s:.3f} s, {len(attempts)} attempts, new={request.new_connection}"
+                f"{description}: connection closed without a response after {request.ended_s - request.sent_s:.3f} s, "
+                f"{len(attempts)} attempts, new connection: {request.new_connection}"
             )
             self._report(Rule.LOST, request.sent_s, text)
 
@@ -129,28 +129,28 @@
         executed = [attempt for attempt in attempts if attempt.body_complete_s and not attempt.rejected]
         executed.sort(key=lambda attempt: attempt.first_byte_s)
         if request_class.effect == "at_most_once" and len(executed) > 1:
-            text = f"{request.request_id}: ran at upstreams {[attempt.upstream for attempt in executed]}"
+            text = f"{request.request_id}: executed by upstreams {[attempt.upstream for attempt in executed]}"
             self._report(Rule.DUPLICATE, executed[1].first_byte_s, text)
         if request_class.effect == "deduplicated":
             for repeated in executed[1:]:
                 self._check_deduplication(request_class, executed[0], repeated)
         if executed and not _is_repeatable_anywhere(request_class) and request.end is End.REFUSED:
-            self._report(Rule.DUPLICATE, request.ended_s, f"{request.request_id}: refused though it had run")
+            self._report(Rule.DUPLICATE, request.ended_s, f"{request.request_id}: shed after an upstream had run it")
         if len(attempts) > self._plan.max_attempts:
             self._report(Rule.ATTEMPTS, request.sent_s, f"{request.request_id}: {len(attempts)} attempts")
 
     def _check_deduplication(self, request_class: RequestClass, first: Attempt, repeated: Attempt) -> None:
         """Check that a repeated attempt reaches an upstream that still recognizes the request as a duplicate.
 
-        Upstreams do so within the deduplication window and within the group of the request class.
+        Upstreams do so within the deduplication window, and within the scope (`group`) of the request class.
         """
         after_s = repeated.first_byte_s - first.first_byte_s
         window_ms = self._plan.deduplication_window_ms
         if after_s > window_ms / 1000 + DEDUPLICATION_SLACK_S:
-            text = f"{first.request_id}: repeated after {after_s:.3f} s, the memory is {window_ms} ms"
+            text = f"{first.request_id}: repeated after {after_s:.3f} s; the deduplication window is {window_ms} ms"
             self._report(Rule.DUPLICATE, repeated.first_byte_s, text)
         if not _in_same_deduplication_scope(request_class, first, repeated):
-            text = f"{first.request_id}: repeated outside its {request_class.group}"
+            text = f"{first.request_id}: repeated in another {request_class.group}"
             self._report(Rule.DUPLICATE, repeated.first_byte_s, text)
 
     def _check_disconnect(self, request: Request) -> None:
@@ -160,7 +160,7 @@
         for attempt in self._timed_attempts(request):
             after_s = attempt.first_byte_s - request.disconnected_s
             if after_s > ATTEMPT_AFTER_DISCONNECT_S + self._attempt_slack_s(request, attempt):
-                text = f"{request.request_id}: an attempt began {after_s:.3f} s after its client closed"
+                text = f"{request.request_id}: an attempt began {after_s:.3f} s after its client disconnected"
                 self._report(Rule.DISCONNECTED, attempt.first_byte_s, text)
 
     def _check_announced_time(self, request: Request) -> None:
@@ -169,7 +169,10 @@
             remaining_s = request.sent_s + request.deadline_s - attempt.first_byte_s
             slack_s = ANNOUNCED_TIME_SLACK_S + self._attempt_slack_s(request, attempt)
             if attempt.announced_remaining_s > remaining_s + slack_s:
-                text = f"{request.request_id}: told {attempt.announced_remaining_s:.3f} s with {remaining_s:.3f} s left"
+                text = (
+                    f"{request.request_id}: announced {attempt.announced_remaining_s:.3f} s until its deadline, "
+                    f"but {remaining_s:.3f} s were left"
+                )
                 self._report(Rule.ANNOUNCED_TIME, attempt.first_byte_s, text)
 
     def _timed_attempts(self, request: Request) -> list[Attempt]:
@@ -197,7 +200,10 @@
         known_by_s = max(first.known_by_s, self._first_poll_s(attempt))
         after_s = attempt.first_byte_s - known_by_s
         if after_s > DRAIN_GRACE_S + self._allowances.recording_slack_s(attempt.first_byte_s):
-            text = f"{attempt.request_id}: sent to u{attempt.upstream} {after_s:.3f} s after {first.status} was told"
+            text = (
+                f"{attempt.request_id}: sent to u{attempt.upstream} {after_s:.3f} s after its status "
+                f"{first.status} was known"
+            )
             self._report(Rule.DRAIN, attempt.first_byte_s, text)
 
     def _first_poll_s(self, attempt: Attempt) -> float:
@@ -212,7 +218,7 @@
         connections = self._records.malformed_connections
         overdue = [connection for connection in connections if self._exceeded_limit(connection)]
         if len(overdue) > max(1, len(connections) // TOLERATED_MALFORMED_DIVISOR):
-            text = f"{len(overdue)} of {len(connections)} got no end in 3 s"
+            text = f"{len(overdue)} of {len(connections)} malformed connections were neither answered nor closed in 3 s"
             self._report(Rule.MALFORMED, overdue[0].connected_s, text)
 
     def _exceeded_limit(self, connection: MalformedConnection) -> bool:
@@ -235,7 +241,7 @@
             elif event.kind in (ProcessEventKind.DIED, ProcessEventKind.NOT_READY):
                 self._report(Rule.CRASH, event.at_s, f"s{event.sidecar} {event.kind} {event.detail}")
             elif event.kind == ProcessEventKind.ENDED and event.detail not in EXPECTED_EXIT_CODES:
-                self._report(Rule.CRASH, event.at_s, f"s{event.sidecar} ended with {event.detail}")
+                self._report(Rule.CRASH, event.at_s, f"s{event.sidecar} ended with exit code {event.detail}")
 
     def _check_ready(self, event: ProcessEvent, started_s: float) -> None:
         after_s = event.at_s - started_s
@@ -243,7 +249,7 @@
             self._report(Rule.READY, event.at_s, f"s{event.sidecar} was ready after {after_s:.1f} s")
 
     def _check_logs(self) -> None:
-        """Check that no log contains a traceback, a critical message or a violated rule.
+        """Check that no log contains a traceback, a critical message or a rule violation that the sidecar found itself.
 
         At most one line of each log is reported.
         """
--- a/garnetusher/lab/soak/plan.py
+++ b/garnetusher/lab/soak/plan.py
@@ -22,8 +22,10 @@
 BEFORE_START_S = -1.0  # a fault with this time is in force before the processes start
 FAULTS_IN_GROUP = 3
 GROUP_SPREAD_S = 0.6  # the faults of one group begin within this time of each other
-OVERLAP_AFTERMATH_S = 1.0  # two faults still overlap if the second begins up to this long after the end of the first
-RESTART_S = 4.0
+OVERLAP_MARGIN_S = 1.0  # two faults still overlap if the second begins up to this long after the end of the first
+# The planned duration of a restart or kill, which decides only what it overlaps with; the injector waits until the new
+# process is ready.
+RESTART_DURATION_S = 4.0
 UPSTREAMS_PER_CELL = 2
 ZONES = "ab"  # the cells are assigned to the zones in turn
 DEADLINES_MS = (300, 500, 1000, 1500, 2500)
@@ -32,32 +34,32 @@
 class FaultKind(enum.StrEnum):
     """The kinds of faults; the values are stored in saved plans and in summary.json."""
 
-    PAUSE = "hold_up"
-    RESTART = "restart"
-    KILL = "kill"
-    RELOAD = "reload"
-    RELOAD_BURST = "reload_burst"
-    TRUNCATED_FILE = "half_file"
+    PAUSE = "hold_up"  # the process is stopped by SIGSTOP and continued
+    RESTART = "restart"  # the process is ended by SIGTERM and started again
+    KILL = "kill"  # the process is ended by SIGKILL and started again
+    RELOAD = "reload"  # discovery gets a new address, and the process receives SIGHUP
+    RELOAD_BURST = "reload_burst"  # several reloads shortly after one another
+    TRUNCATED_FILE = "half_file"  # SIGHUP while the configuration file is truncated; none when it is complete again
     WALL_CLOCK = "wall_clock"
-    SYSCALLS = "syscalls"
-    DRAIN = "drain"
-    COLD_START = "cold_start"
-    HANG = "hang"
-    RESET = "reset"
-    ERRORS = "errors"
-    REJECT = "turn_away"
-    SILENT = "silent"
-    SUSPENDED_ACCEPT = "late"
-    GARBAGE = "garbage"
-    IDLE_CLOSE = "idle_close"
-    OUTAGE = "outage"
-    WATCH_RESET = "watch_reset"
-    WATCH_SILENT = "watch_silent"
-    DISCONNECTS = "leavers"
-    TRUNCATED_REQUESTS = "half_requests"
-    MALFORMED = "strangers"
-    SLOW_WRITERS = "slow_writers"
-    PIPELINES = "pipelines"
+    SYSCALLS = "syscalls"  # a system call fails
+    DRAIN = "drain"  # the upstream drains, is removed from the list, restarts and is listed again
+    COLD_START = "cold_start"  # as DRAIN, but the upstream is removed without a drain
+    HANG = "hang"  # no response to requests that arrive meanwhile
+    RESET = "reset"  # a share of the upstream's connections is reset once
+    ERRORS = "errors"  # responses with status 500
+    REJECT = "turn_away"  # responses with status 503 which state that the request was not run
+    SILENT = "silent"  # as HANG, and no response to earlier requests that become due meanwhile
+    SUSPENDED_ACCEPT = "late"  # the upstream does not accept connections, and its backlog is full
+    GARBAGE = "garbage"  # malformed responses
+    IDLE_CLOSE = "idle_close"  # idle connections are closed early
+    OUTAGE = "outage"  # discovery does not respond
+    WATCH_RESET = "watch_reset"  # all watches are reset once
+    WATCH_SILENT = "watch_silent"  # the current watches stay open but receive nothing more
+    DISCONNECTS = "leavers"  # clients disconnect before the response
+    TRUNCATED_REQUESTS = "half_requests"  # clients disconnect within their requests
+    MALFORMED = "strangers"  # connections without a valid request
+    SLOW_WRITERS = "slow_writers"  # clients write requests in pieces
+    PIPELINES = "pipelines"  # clients send a second request before the first response
     LONG_BODIES = "long_bodies"
 
 
@@ -99,6 +101,7 @@
 # or write that fails with one of them on a client's connection would lose the requests on that connection.
 CONNECTION_ENDING_ERRORS = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 CONNECTION_MAKING_CALLS = (Call.ACCEPT, Call.CONNECT)
+# The calls that `_draw_syscall_error` chooses from.
 SERVICE_CALLS = (
     Call.ACCEPT,
     Call.SOCKET,
@@ -120,7 +123,9 @@
     at_s: float
     duration_s: float = field(name="for_s")
     targets: list[int]  # the numbers of the sidecars or upstreams that the fault affects
-    value: float = 0.0  # the clock step in seconds, or the share of responses, connections or calls that fail
+    # The offset of the wall clock in seconds, or the share of responses, connections or calls that fail. If the kind is
+    # `syscalls`, 0 means that one call fails.
+    value: float = 0.0
     call: int = 0  # the system call that fails, if the kind is `syscalls`
     error: int = 0  # the error of the system call, if the kind is `syscalls`; 0 stands for a short transfer
 
@@ -131,7 +136,7 @@
     name: str
     effect: Literal["idempotent", "deduplicated", "at_most_once"]
     deadline_ms: int
-    group: Literal["all", "zone", "cell"] = "all"
+    group: Literal["all", "zone", "cell"] = "all"  # the upstreams that recognize a repeated request as a duplicate
 
 
 class Plan(Struct, frozen=True):
@@ -149,7 +154,7 @@
     hedging: bool = field(name="second_copies", default=True)
     connect_timeout_ms: int = field(name="dial_timeout_ms", default=200)
     deduplication_window_ms: int = field(name="memory_ms", default=2000)
-    mode: Literal["pushed", "on_request"] = "pushed"
+    mode: Literal["pushed", "on_request"] = "pushed"  # whether sidecars watch the endpoint list or poll it
     broken_rules: list[str] = field(name="failed", default_factory=list)  # the rules that the saved plan broke
 
     def without_fault(self, removed: Fault) -> Plan:
@@ -159,13 +164,13 @@
     def overlapping_kinds(self) -> set[tuple[FaultKind, FaultKind]]:
         """Return the pairs of kinds for which the plan has two faults that overlap in time.
 
-        A fault also overlaps with a fault that begins up to OVERLAP_AFTERMATH_S after its end.
+        A fault also overlaps with a fault that begins up to OVERLAP_MARGIN_S after its end.
         """
         return {
             (min(first.kind, second.kind), max(first.kind, second.kind))
             for first in self.faults
             for second in self.faults
-            if first is not second and first.at_s <= second.at_s < first.at_s + first.duration_s + OVERLAP_AFTERMATH_S
+            if first is not second and first.at_s <= second.at_s < first.at_s + first.duration_s + OVERLAP_MARGIN_S
         }
 
 
@@ -247,7 +252,7 @@
         duration_s = 0.05 + rng.random() * 0.25
     elif kind in (FaultKind.RESTART, FaultKind.KILL):
         targets = targets[: max(1, sidecars // 3)]
-        duration_s = RESTART_S
+        duration_s = RESTART_DURATION_S
     elif kind == FaultKind.WALL_CLOCK:
         strength["value"] = rng.choice((-1, 1)) * rng.choice((3.0, 30.0, 3600.0))
     elif kind == FaultKind.SYSCALLS:
@@ -304,7 +309,7 @@
 def _class_settings(request_class: RequestClass, plan: Plan) -> dict[str, Any]:
     return {
         "name": request_class.name,
-        "aim": request_class.deadline_ms * 500,
+        "aim": request_class.deadline_ms * 500,  # half the deadline
         "deadline": request_class.deadline_ms * 1000,
         "effect": request_class.effect,
         "group": request_class.group,
--- a/garnetusher/lab/soak/records.py
+++ b/garnetusher/lab/soak/records.py
@@ -1,6 +1,6 @@
 """The records that the simulated clients, upstreams and discovery agents of the soak make.
 
-All times are seconds of the monotonic clock.
+Points in time are seconds of the monotonic clock; `deadline_s` is relative to the time of sending.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     BROKEN = "broken"  # the response began and was cut off, which the client detects
     CLOSED = "closed"  # the connection ended before the first byte of a response
     SILENT = "silent"  # no complete response arrived before the client's timeout
-    UNREACHED = "unreached"  # the client could not connect
+    UNREACHED = "unreached"  # not set at present: a request whose client cannot connect has no record
 
 
 class ProcessEventKind(enum.StrEnum):
@@ -57,7 +57,7 @@
     request_id: str
     sidecar: int
     class_name: str
-    deadline_s: float
+    deadline_s: float  # the time from sending the request to its deadline
     sent_s: float
     new_connection: bool
     end: End | None = None
--- a/garnetusher/lab/soak/reduce.py
+++ b/garnetusher/lab/soak/reduce.py
@@ -10,7 +10,7 @@
 
 # A race occurs only in some runs, so a candidate passes only if none of this many runs breaks one of the rules.
 RUNS_PER_CANDIDATE = 3
-MAX_HALVINGS = 2
+MAX_SIDECAR_HALVINGS = 2  # how often the number of sidecars may be halved
 
 
 class PlanReducer:
@@ -26,7 +26,7 @@
         smallest = plan
         for fault in plan.faults:
             smallest = self._candidate_if_failing(smallest, smallest.without_fault(fault))
-        for _ in range(MAX_HALVINGS):
+        for _ in range(MAX_SIDECAR_HALVINGS):
             candidate = halve_sidecars(smallest)
             if candidate is not None:
                 smallest = self._candidate_if_failing(smallest, candidate)
--- a/garnetusher/lab/soak/run.py
+++ b/garnetusher/lab/soak/run.py
@@ -27,7 +27,7 @@
 LAG_SAMPLE_S = 0.01
 SMALLEST_LAG_S = 0.02  # a shorter lag of the recording process is not recorded
 SETTLE_S = 1.0  # the run ends this long after the last response and the last fault
-# The preloaded library that makes system calls fail implements these kinds, so sidecars need it only for them.
+# These kinds need the library of garnetusher/lab/syscall_faults.py, which is preloaded only into their target sidecars.
 LIBRARY_FAULTS = (FaultKind.SYSCALLS, FaultKind.WALL_CLOCK)
 
 
@@ -69,7 +69,7 @@
         self._fault_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> list[Breach]:
-        """Run the plan and return the breaches; all sidecar processes are killed, also after an error.
+        """Run the plan and return the breaches; at the end, also after an error, all sidecar processes are killed.
 
         Raises:
             LabError: A sidecar does not become ready at the start.
@@ -107,6 +107,7 @@
         if not all(await asyncio.gather(*(sidecar.wait_until_ready() for sidecar in sidecars))):
             message = f"{self._folder}: a sidecar did not become ready; see the logs in this folder"
             raise LabError(message)
+        # Later garbage collections in this process skip the objects that exist at the start of the load.
         gc.collect()
         gc.freeze()
 
--- a/garnetusher/lab/soak/sidecar_process.py
+++ b/garnetusher/lab/soak/sidecar_process.py
@@ -21,7 +21,7 @@
 from garnetusher.lab.syscall_faults import FaultTable
 
 KILL_GAP_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this time
-LONGEST_DRAIN_S = 3.0  # the wait for SIGKILL uses this value in place of a longer deadline
+LONGEST_DRAIN_S = 3.0  # the wait between SIGTERM and SIGKILL counts at most this much of the longest deadline
 READY_TIMEOUT_S = 20.0
 READY_POLL_S = 0.03
 TRACE_TIMEOUT_S = 2.0
@@ -67,7 +67,7 @@
         self._starts = 0
 
     def write_configuration(self, discovery_port: int, endpoints: dict[str, Any], *, truncated: bool = False) -> None:
-        """Write the configuration file that the platform provides outside the soak.
+        """Write the configuration file, which the deployment platform provides in production.
 
         If `truncated` is set, the file contains only the first two thirds of the text.
         """
--- a/garnetusher/lab/soak/size.py
+++ b/garnetusher/lab/soak/size.py
@@ -62,7 +62,7 @@
     def __init__(self, plan: Plan, folder: Path, tree: Path) -> None:
         super().__init__(plan, folder, tree)
         self._use = ResourceUse(plan.upstreams)
-        self._change_interval: int | None = None
+        self._last_interval: int | None = None  # the number of the last interval of CHANGE_INTERVAL_S
 
     async def run_and_measure(self) -> ResourceUse:
         """Run the plan and return the resource use of the sidecar.
@@ -96,9 +96,9 @@
     def _change_list(self, agent: DiscoveryAgent) -> None:
         """Send a change of one endpoint if a new interval has begun."""
         interval = int(time.monotonic() / CHANGE_INTERVAL_S)
-        if self._change_interval not in (None, interval):
+        if self._last_interval not in (None, interval):
             agent.change(interval % self.plan.upstreams, EndpointStatus.ACTIVE, 0)
-        self._change_interval = interval
+        self._last_interval = interval
 
 
 def plan_for_upstreams(upstreams: int, seconds: float) -> Plan:
@@ -117,7 +117,11 @@
 
 
 def comparison_rows(usual: ResourceUse, large: ResourceUse) -> list[Row]:
-    """Return the table that compares the use at the larger size with its limits."""
+    """Return the table that compares the use at the larger size with its limits.
+
+    Except for the share served, a limit is a multiple of the use at the usual size plus a constant, and for CPU, memory
+    and the list also plus an amount for every thousand upstreams.
+    """
     thousands = large.upstreams / 1000
     return [
         Row("CPU seconds", usual.cpu_s, large.cpu_s, 1.4 * usual.cpu_s + 0.02 + 0.12 * thousands),
@@ -129,10 +133,18 @@
     ]
 
 
-def measure(usual: int, times: int, seconds: float, folder: Path, tree: Path) -> list[Row]:
-    """Run both sizes, one after the other, and return the table that compares them."""
+def measure(usual: int, factor: int, seconds: float, folder: Path, tree: Path) -> list[Row]:
+    """Run both sizes, one after the other, and return the table that compares them.
+
+    Args:
+        usual: The number of upstreams in the run of usual size.
+        factor: The number of upstreams in the larger run, as a multiple of `usual`.
+        seconds: The duration of the load in each run, in seconds.
+        folder: The folder for the logs and needs.json.
+        tree: The checkout whose deploy file starts the sidecar.
+    """
     uses = []
-    for upstreams in (usual, usual * times):
+    for upstreams in (usual, usual * factor):
         run_folder = folder / str(upstreams)
         run_folder.mkdir(parents=True, exist_ok=True)
         run = MeasuredRun(plan_for_upstreams(upstreams, seconds), run_folder, tree)
--- a/garnetusher/lab/soak/sweep.py
+++ b/garnetusher/lab/soak/sweep.py
@@ -1,8 +1,8 @@
-"""Fails each system call of the sidecar with each error that Linux documents for it.
+"""Makes each system call of the sidecar fail with each error that Linux documents for it.
 
-There are two runs for each error: one call fails, or every call fails for 0.3 s. In a run, three sidecars start under
-the fault, and the fault is injected again while they serve and while they terminate. The result of a run is a row of a
-table.
+There are two cases for each error, with one run each: one call fails, or every call fails for 0.3 s. In a run, three
+sidecars start under the fault, and the fault is injected again while they serve and while they terminate. The result of
+a run is a row of a table.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from garnetusher.lab.soak.plan import (
     BEFORE_START_S,
     CONNECTION_ENDING_ERRORS,
-    RESTART_S,
+    RESTART_DURATION_S,
     Fault,
     FaultKind,
     Plan,
@@ -30,7 +30,7 @@
 
 SIDECARS = 3
 SERVICE_FAULT_S = 1.0  # the time in the load at which the fault is injected while the sidecars serve
-RELOAD_S = 1.05
+RELOAD_S = 1.05  # shortly after SERVICE_FAULT_S, so that the sidecars reload under that fault
 TERMINATION_FAULT_S = 2.2  # the time in the load at which the fault is injected and the sidecars receive SIGTERM
 LOAD_S = 3.6
 FAULT_DURATION_S = 0.3
@@ -39,7 +39,7 @@
 
 
 class Row(Struct, order=True):
-    """The result of the run of one error."""
+    """The result of one case of the sweep."""
 
     call: str
     error: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SyscallError:
+class SweepCase:
     """One error of one system call, and whether one call fails or every call for a time."""
 
     call: Call
@@ -69,14 +69,14 @@
 
     @property
     def folder_name(self) -> str:
-        """The name of the folder for the run of the error."""
+        """The name of the folder for the run of the case."""
         return f"{self.call.name.lower()}-{self.error_name}-{int(self.once)}"
 
     def plan(self) -> Plan:
-        """Return the plan of the run of the error."""
+        """Return the plan of the run of the case."""
         targets = list(range(SIDECARS))
         reload = Fault(FaultKind.RELOAD, RELOAD_S, RELOAD_DURATION_S, targets)
-        restart = Fault(FaultKind.RESTART, TERMINATION_FAULT_S, RESTART_S, targets)
+        restart = Fault(FaultKind.RESTART, TERMINATION_FAULT_S, RESTART_DURATION_S, targets)
         classes = [
             RequestClass("read", "idempotent", 1500),
             RequestClass("publish", "at_most_once", 1000),
@@ -100,9 +100,9 @@
         )
 
     def explains(self, breach: BrokenRule) -> bool:
-        """Return whether the error explains a breach.
+        """Return whether the error is the reason for a breach, which the row then does not report.
 
-        An error that ends clients' connections explains lost requests.
+        An error that ends clients' connections is the reason for lost requests.
         """
         ends_connections = self.error in CONNECTION_ENDING_ERRORS and self.call in (Call.RECV, Call.SEND)
         return ends_connections and breach.rule == "lost"
@@ -120,30 +120,30 @@
 
 
 def run_sweep(jobs: int, folder: Path, tree: Path, progress: Callable[[str, float], None]) -> list[Row]:
-    """Run the plans of all errors, `jobs` of them in parallel, and return the table."""
-    errors = [
-        SyscallError(call, error, once)
+    """Run the plans of all cases, `jobs` of them in parallel, and return the table."""
+    cases = [
+        SweepCase(call, error, once)
         for call, errors in DOCUMENTED_ERRORS.items()
         for error in errors
         for once in (True, False)
     ]
     rows: list[Row] = []
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        futures = [pool.submit(_run, error, folder / error.folder_name, tree) for error in errors]
+        futures = [pool.submit(_run, case, folder / case.folder_name, tree) for case in cases]
         for future in as_completed(futures):
             rows.append(future.result())
-            progress(f"{len(rows)} of {len(errors)} runs completed", len(rows) / len(errors))
+            progress(f"{len(rows)} of {len(cases)} runs completed", len(rows) / len(cases))
     return sorted(rows)
 
 
-def _run(error: SyscallError, folder: Path, tree: Path) -> Row:
-    """Run the plan of one error in a worker process."""
-    result = run_plan(error.plan(), folder, tree)
-    breach_texts = [f"{breach.rule}: {breach.text}" for breach in result.breaches if not error.explains(breach)]
+def _run(case: SweepCase, folder: Path, tree: Path) -> Row:
+    """Run the plan of one case in a worker process."""
+    result = run_plan(case.plan(), folder, tree)
+    breach_texts = [f"{breach.rule}: {breach.text}" for breach in result.breaches if not case.explains(breach)]
     return Row(
-        error.call.name.lower(),
-        error.error_name,
-        "once" if error.once else "0.3 s",
+        case.call.name.lower(),
+        case.error_name,
+        "once" if case.once else "0.3 s",
         result.failed_calls,
         result.requests,
         [text[:BREACH_LENGTH] for text in breach_texts[:1]],
--- a/garnetusher/lab/soak/upstream.py
+++ b/garnetusher/lab/soak/upstream.py
@@ -14,9 +14,9 @@
 from garnetusher.lab.soak.records import Attempt, Records, now_s
 
 # The backlog is short so that it can be filled. A connection that arrives at a full backlog is established one second
-# later.
+# or more later, when the kernel of the connecting side retransmits its SYN.
 BACKLOG = 4
-BACKLOG_DRAIN_S = 0.05  # a connection accepted up to this long after a listener resumes has waited in its backlog
+BACKLOG_DRAIN_S = 0.05  # a connection accepted up to this long after a listener resumes counts as queued
 HEAD_END = b"\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
@@ -36,8 +36,8 @@
         self.host = host
         self.records = records
         self.random = random.Random(f"{seed}-{number}")
-        self.incarnation = 0
-        self.boot_ms = 0
+        self.incarnation = 0  # the number of restarts
+        self.boot_ms = 0  # when the upstream last restarted, in milliseconds since the epoch; 0 = long ago
         self.active_faults: dict[FaultKind, float] = {}  # the share of requests that each fault affects
         self.connections: set[UpstreamConnection] = set()
         self.listeners: dict[int, UpstreamListener] = {}  # the listeners by the number of the sidecar
@@ -65,7 +65,7 @@
                 connection.abort()
 
     def restart(self, boot_ms: int) -> None:
-        """Simulate a restart of the upstream's process; the new process is cold."""
+        """Simulate a restart of the upstream's process; its new start time tells sidecars that it needs to warm up."""
         self.incarnation += 1
         self.boot_ms = boot_ms
         self.reset_connections(1.0)
--- a/tests/faulty/defective_sidecar.py
+++ b/tests/faulty/defective_sidecar.py
@@ -1,4 +1,4 @@
-"""Runs the sidecar with one seeded defect, which the checker must detect.
+"""Runs the sidecar with one injected defect, which the checker of the lab or the oracle of the soak must detect.
 
 The command is `python -m tests.faulty.defective_sidecar NAME`, where NAME is a key of `DEFECTS`.
 """
@@ -67,16 +67,16 @@
 
 def holds_back() -> None:
     """Delay each response to a request that was not served until just before the client's deadline."""
-    complete = ResponseSender.respond
+    respond = ResponseSender.respond
 
-    def complete_late(self: ResponseSender, request: PendingRequest, response: FinalResponse) -> None:
+    def respond_late(self: ResponseSender, request: PendingRequest, response: FinalResponse) -> None:
         if request.completed or response.disposition is Disposition.SERVED:
-            complete(self, request, response)
+            respond(self, request, response)
             return
         delay_s = max(0.0, (request.deadline_us - 30_000 - monotonic_us()) / 1e6)
-        asyncio.get_running_loop().call_later(delay_s, complete, self, request, response)
+        asyncio.get_running_loop().call_later(delay_s, respond, self, request, response)
 
-    ResponseSender.respond = complete_late  # type: ignore[method-assign]
+    ResponseSender.respond = respond_late  # type: ignore[method-assign]
 
 
 def loses_requests() -> None:
@@ -93,7 +93,7 @@
     DownstreamConnection.send_response = send_some  # type: ignore[method-assign]
 
 
-def sends_for_who_left() -> None:
+def sends_after_disconnect() -> None:
     """Start each attempt 0.3 s after the policy chose it, even if its client has disconnected."""
     open_connection = ConnectionPool.open_connection
 
@@ -106,7 +106,7 @@
     DownstreamConnection.client_has_closed = lambda self: False  # type: ignore[method-assign]
 
 
-def tells_more_time() -> None:
+def overstates_remaining_time() -> None:
     """Announce to upstreams a remaining time that is half a second too long."""
     request_head = request_writer.request_head
     request_writer.request_head = lambda request, address, remaining_us: request_head(
@@ -114,7 +114,7 @@
     )
 
 
-def refuses_what_ran() -> None:
+def sheds_failed_requests() -> None:
     """Respond to failed requests as if they had been shed."""
     send_response = DownstreamConnection.send_response
 
@@ -139,7 +139,7 @@
     DownstreamConnection._on_request_complete = exit_at_tenth  # type: ignore[method-assign]
 
 
-def leaves_strangers_waiting() -> None:
+def ignores_client_timeouts() -> None:
     """Never check the timeouts of client connections, so that silent connections stay open."""
     DownstreamConnection.check_timeouts = lambda self, now_us: None  # type: ignore[method-assign]
 
@@ -153,11 +153,11 @@
         pushes_cold_over,
         holds_back,
         loses_requests,
-        sends_for_who_left,
-        tells_more_time,
-        refuses_what_ran,
+        sends_after_disconnect,
+        overstates_remaining_time,
+        sheds_failed_requests,
         dies,
-        leaves_strangers_waiting,
+        ignores_client_timeouts,
     )
 }
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -211,18 +211,18 @@
 # The oracle on sidecar programs with one defect each
 
 ERRORS = Fault(FaultKind.ERRORS, 0.5, 2.0, [0, 1, 2, 3], 0.5)
-# The rule that each defect breaks, and a plan that shows the breach.
+# The rule that each defect of tests/faulty/defective_sidecar.py breaks, and a plan that shows the breach.
 DEFECTS = {
     "loses_requests": ("lost", small_plan()),
     "repeats_unsafe": ("duplicate", small_plan(ERRORS)),
-    "refuses_what_ran": ("duplicate", small_plan(ERRORS)),
+    "sheds_failed_requests": ("duplicate", small_plan(ERRORS)),
     "sends_to_drained": ("drain", small_plan(Fault(FaultKind.DRAIN, 0.3, 3.0, [0, 1]), load_s=6.0, rate_per_s=20.0)),
-    "sends_for_who_left": (
+    "sends_after_disconnect": (
         "left",
         small_plan(Fault(FaultKind.DISCONNECTS, 0.3, 2.5, [0, 1]), Fault(FaultKind.RESET, 1.0, 0.1, [0, 1, 2], 1.0)),
     ),
-    "tells_more_time": ("told", small_plan()),
-    "leaves_strangers_waiting": ("strangers", small_plan(Fault(FaultKind.MALFORMED, 0.3, 2.5, [0, 1]))),
+    "overstates_remaining_time": ("told", small_plan()),
+    "ignores_client_timeouts": ("strangers", small_plan(Fault(FaultKind.MALFORMED, 0.3, 2.5, [0, 1]))),
     "dies": ("crash", small_plan()),
 }
 
@@ -231,7 +231,7 @@
     """Run a plan on sidecars that a command starts, and return the broken rules; worker processes call this."""
     folder = Path(path)
     folder.mkdir()
-    return {breach.rule for breach in run_plan(plan, folder / "play", write_tree(folder, command)).breaches}
+    return {breach.rule for breach in run_plan(plan, folder / "run", write_tree(folder, command)).breaches}
 
 
 def test_soak_reports_a_breach_only_when_the_sidecar_program_has_a_defect(tmp_path: Path) -> None:
@@ -253,6 +253,7 @@
                     ),
                 )
             )
+        # The correct sidecar runs five of the plans.
         correct_runs = [
             pool.submit(rules_broken_by_program, str(tmp_path / f"correct-{n}"), correct_command, plan)
             for n, (_, plan) in enumerate(list(DEFECTS.values())[1:6])
