--- a/garnetusher/lab/clients.py
+++ b/garnetusher/lab/clients.py
@@ -77,7 +77,19 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection from the application to its sidecar; it carries one call at a time."""
+    """A connection from the application to its sidecar; it carries one call at a time.
+
+    Attributes:
+        application: The application.
+        transport: The transport, once the connection is established.
+        call: The call that has no response yet.
+        last_call_id: The ID of the last call, which may be complete; empty before the first call.
+        calls_sent: The number of calls that were sent on the connection.
+        sent_us: The time of the last call.
+        body: The body of the response, as far as it has arrived.
+        retry_after_us: The Retry-After of the response; 0 without this header.
+        close_after_response: Whether the response ends the use of the connection.
+    """
 
     def __init__(self, application: Application) -> None:
         self.application = application
@@ -88,7 +100,7 @@
         self.sent_us = 0
         self.body = b""
         self.retry_after_us = 0
-        self.closing = False
+        self.close_after_response = False
         self._parser: httptools.HttpResponseParser | None = None
 
     @property
@@ -107,7 +119,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self.body = b""
         self.retry_after_us = 0
-        self.closing = False
+        self.close_after_response = False
         self.transport.write(request)
 
     def abort(self) -> None:
@@ -160,11 +172,11 @@
         if self.call is None or self._parser is None:
             return
         status = self._parser.get_status_code()
-        if status < 200:
+        if status < 200:  # an informational response precedes the final one
             return
         call, self.call = self.call, None
         if not self._parser.should_keep_alive():
-            self.closing = True
+            self.close_after_response = True
         self.application.response_received(self, call, status)
 
 
@@ -194,7 +206,7 @@
         self._end_us = round(plan.seconds * 1e6)
 
     def begin(self) -> None:
-        """Schedule the first arrival, and the steps of the plan for the application."""
+        """Schedule the first arrival, and the process faults, which the application shares with its sidecar."""
         self._schedule_arrival()
         for step in self._sidecar.steps:
             self.clock.at(step.at_us, self._apply_fault, step)
@@ -230,8 +242,8 @@
                 return
         self._start_task(self._connect_and_send(call, timeout_us))
 
-    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self.clock.loop.create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self.clock.loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -239,7 +251,7 @@
         try:
             async with asyncio.timeout(timeout_us / 1e6):
                 _, connection = await self.clock.loop.create_connection(lambda: ClientConnection(self), *self._address)
-        except OSError:
+        except OSError:  # also a TimeoutError
             self.clock.write(
                 ClientConnectFailed(
                     self.clock.now_us(),
@@ -258,7 +270,7 @@
     def _send(self, connection: ClientConnection, call: _ClientCall, timeout_us: int) -> None:
         now_us = self.clock.now_us()
         call.timeout_at_us = now_us + timeout_us
-        connection.send(call, self._request(call, timeout_us))
+        connection.send(call, self._encode_request(call, timeout_us))
         self.clock.write(
             RequestSent(
                 now_us,
@@ -276,7 +288,7 @@
         if disconnect_after_us is not None:
             self.clock.at(now_us + disconnect_after_us, self._disconnect_early, connection, call)
 
-    def _request(self, call: _ClientCall, timeout_us: int) -> bytes:
+    def _encode_request(self, call: _ClientCall, timeout_us: int) -> bytes:
         request_class = self._experiment.classes[call.class_index]
         idempotent = request_class.effect == "idempotent"
         lines = [
@@ -299,15 +311,16 @@
 
     def response_received(self, connection: ClientConnection, call: _ClientCall, status: int) -> None:
         """Record a response, and schedule a retry unless the response is a success."""
-        words = connection.body.decode("latin-1").split()
-        answers_call = status == 200 and len(words) == 2 and words[1] == call.call_id
-        upstream = words[0] if answers_call else ""
+        # The body of a successful response is the uid of the upstream and the ID of the call.
+        body_words = connection.body.decode("latin-1").split()
+        answers_call = status == 200 and len(body_words) == 2 and body_words[1] == call.call_id
+        upstream = body_words[0] if answers_call else ""
         self.clock.write(
             ResponseReceived(
                 self.clock.now_us(), call.call_id, self._sidecar.name, status, upstream, connection.retry_after_us
             )
         )
-        if not connection.closing:
+        if not connection.close_after_response:
             self._idle.append(connection)
         elif connection.transport is not None:
             connection.transport.close()
@@ -329,8 +342,8 @@
         if call is None:
             return
         now_us = self.clock.now_us()
-        closed_while_idle = connection.calls_sent > 1 and now_us - connection.sent_us < IDLE_CLOSE_RACE_US
-        if closed_while_idle and not call.resent and not call.completed:
+        may_have_closed_idle = connection.calls_sent > 1 and now_us - connection.sent_us < IDLE_CLOSE_RACE_US
+        if may_have_closed_idle and not call.resent and not call.completed:
             call.resent = True
             self.clock.write(IdleCloseRace(now_us, call.call_id, self._sidecar.name))
             self._start_task(self._connect_and_send(call, call.timeout_at_us - now_us))
@@ -424,7 +437,7 @@
             reader, writer = await asyncio.open_connection(*address)
             writer.write(READY_REQUEST)
             return (await reader.readline()).split(b" ")[1:2] == [b"200"]
-    except OSError:
+    except OSError:  # also a TimeoutError
         return False
     finally:
         if writer is not None:
--- a/garnetusher/lab/commands.py
+++ b/garnetusher/lab/commands.py
@@ -98,7 +98,7 @@
     experiment = _load_experiment(file)
     first_seed = experiment.seed if seed is None else seed
     folder = out or Path("found") / f"compare-{experiment.name}-{time.strftime('%H%M%S')}"
-    results: list[list[result.Result]] = [[], []]
+    results: list[list[result.Result]] = [[], []]  # the results of tree A and those of tree B
     with cli.progress(f"{experiment.name}, {pairs} pairs") as progress:
         for pair in range(pairs):
             # The order of the two trees alternates, so that gradual changes in machine speed affect both equally.
@@ -196,7 +196,7 @@
     else:
         cli.say(
             f"{len(summary.seeds)} runs, {summary.minutes} minutes, {summary.requests} requests, {summary.attempts} "
-            f"attempts; ends: {summary.ends}"
+            f"attempts; ends of requests: {summary.ends}"
         )
         cli.say(
             f"each pair of fault kinds overlapped in at least {summary.fewest_pairs} runs; the stand-ins were late "
@@ -238,7 +238,7 @@
 
 @app.command(epilog="Example: garnetusher lab size --upstreams 200 --times 16 --out found/size")
 def size(
-    upstreams: Annotated[int, typer.Option(min=1, help="Number of upstreams in the run of usual size.")] = 200,
+    upstreams: Annotated[int, typer.Option(min=1, help="Number of upstreams in the smaller run.")] = 200,
     times: Annotated[
         int, typer.Option(min=2, max=16, help="Number of upstreams in the larger run, as a multiple of --upstreams.")
     ] = 16,
--- a/garnetusher/lab/datagrams.py
+++ b/garnetusher/lab/datagrams.py
@@ -76,7 +76,7 @@
     def forward(self, sender: str, receiver: str, data: bytes) -> None:
         """Send a datagram through the link of a pair, which may drop, duplicate or delay it."""
         copies = self._links[sender, receiver].send(self.clock.now_us(), data)
-        self.lost += not copies
+        self.lost += not copies  # the link has dropped the datagram
         for at_us, copy in copies:
             self.clock.at(at_us, self._deliver, sender, receiver, copy)
 
--- a/garnetusher/lab/discovery.py
+++ b/garnetusher/lab/discovery.py
@@ -31,7 +31,7 @@
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def entry(uid: str, zone: str, endpoint: str, state: str, boot_ms: int) -> dict[str, Any]:
+def endpoint_entry(uid: str, zone: str, endpoint: str, state: str, boot_ms: int) -> dict[str, Any]:
     """Return the entry of an upstream in the endpoint list, as the discovery protocol defines it."""
     return {
         "uid": uid,
@@ -118,6 +118,7 @@
         self._busy_until_us = 0  # the time at which the last call in the queue is answered
         self._unix_zero_ms = 0  # the wall clock time at the start of the run, in Unix milliseconds
         self._revision = 1
+        # The current entries by uid, each as the last change of the entry.
         self._listed: dict[str, ListStep] = {
             upstream.uid: ListStep(0, upstream.uid, upstream.zone, "active")
             for upstream in plan.upstreams
@@ -125,7 +126,7 @@
         }
         self._changes: list[tuple[int, ListStep]] = []  # the latest changes, each with its revision
 
-    def link(self, sidecar: str, host: str, normal_conditions: LinkConditions) -> None:
+    def open_listener(self, sidecar: str, host: str, normal_conditions: LinkConditions) -> None:
         """Open the listener for one sidecar."""
         seed = int(draw.uniform(self.plan.seed, "link", "directory", sidecar) * 2**32)
         listener = link_sockets.Listener(
@@ -208,22 +209,23 @@
 
     def _document(self, sidecar: str, steps: list[ListStep], *, snapshot: bool) -> dict[str, Any]:
         targets = [
-            entry(step.uid, step.zone, self._addresses[step.uid][sidecar], step.state, self._boot_ms(step))
+            endpoint_entry(step.uid, step.zone, self._addresses[step.uid][sidecar], step.state, self._boot_ms(step))
             for step in steps
         ]
         return {"rev": self._revision, "all": snapshot, "targets": targets}
 
     def _boot_ms(self, step: ListStep) -> int:
+        """Return the start time of an upstream in Unix milliseconds; 0, which is long ago, if no step states it."""
         return 0 if step.started_us == LONG_AGO else self._unix_zero_ms + step.started_us // 1000
 
     def _snapshot(self, sidecar: str) -> dict[str, Any]:
         return self._document(sidecar, list(self._listed.values()), snapshot=True)
 
     def _change_list(self, step: ListStep) -> None:
-        before = self._listed.get(step.uid)
-        if before is not None and step.started_us == LONG_AGO:
+        previous = self._listed.get(step.uid)
+        if previous is not None and step.started_us == LONG_AGO:
             # The step is not a start of the upstream, so the upstream keeps its start time.
-            step = structs.replace(step, started_us=before.started_us)
+            step = structs.replace(step, started_us=previous.started_us)
         self._revision += 1
         self._changes.append((self._revision, step))
         del self._changes[:-MAX_STORED_CHANGES]
@@ -232,8 +234,8 @@
         else:
             self._listed[step.uid] = step
         for connection in self.watchers:
-            position = draw.uniform(self.plan.seed, "spread", connection.sidecar, self._revision)
-            delay_us = int(position * self._max_push_delay_us)
+            delay_share = draw.uniform(self.plan.seed, "spread", connection.sidecar, self._revision)
+            delay_us = int(delay_share * self._max_push_delay_us)
             self.clock.at(self.clock.now_us() + delay_us, self._push, connection)
 
     def _push(self, connection: SidecarConnection) -> None:
--- a/garnetusher/lab/link_sockets.py
+++ b/garnetusher/lab/link_sockets.py
@@ -21,7 +21,7 @@
 from garnetusher.lab.run_clock import RunClock
 from garnetusher.model.link import LinkConditions, StreamLink
 
-BACKLOG = 512
+BACKLOG = 512  # the backlog of a listening socket while its link is not cut
 FILLER_CONNECTIONS = 4  # one fills a queue with a backlog of 0; the others are a safety margin
 MIN_DELAY_US = 400  # shorter delays are not simulated: the timers of the event loop have a resolution of 1 ms
 
@@ -215,7 +215,7 @@
         self.host = host
         self.port = 0
         self._socket: socket.socket | None = None
-        self._fillers: list[socket.socket] = []
+        self._fillers: list[socket.socket] = []  # the connections that fill the accept queue during a cut
         self._tasks: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
@@ -229,7 +229,7 @@
         sock.listen(BACKLOG)
         self.port = sock.getsockname()[1]
         self._socket = sock
-        if self._cut:
+        if self._any_direction_cut:
             self._fill_accept_queue(sock)
         else:
             self.clock.loop.add_reader(sock.fileno(), self._accept)
@@ -244,10 +244,10 @@
 
     def cut(self, *, to_node: bool, to_sidecar: bool) -> None:
         """Cut the given directions; a direction stays cut until `restore` ends each of its cuts."""
-        was_cut = self._cut
+        was_cut = self._any_direction_cut
         self.to_node.cut += int(to_node)
         self.to_sidecar.cut += int(to_sidecar)
-        if self._cut and not was_cut and self._socket is not None:
+        if self._any_direction_cut and not was_cut and self._socket is not None:
             self._accept()
             self._fill_accept_queue(self._socket)
 
@@ -255,7 +255,7 @@
         """End one cut of each given direction; a direction is restored when all its cuts have ended."""
         self.to_node.cut -= int(to_node)
         self.to_sidecar.cut -= int(to_sidecar)
-        if not self._cut and self._socket is not None:
+        if not self._any_direction_cut and self._socket is not None:
             self._empty_accept_queue()
             self._socket.listen(BACKLOG)
             self.clock.loop.add_reader(self._socket.fileno(), self._accept)
@@ -280,7 +280,7 @@
                 connection.transport.abort()
 
     @property
-    def _cut(self) -> bool:
+    def _any_direction_cut(self) -> bool:
         """Whether either direction is cut; a new connection needs both directions."""
         return bool(self.to_node.cut or self.to_sidecar.cut)
 
@@ -311,7 +311,8 @@
     def _empty_accept_queue(self) -> None:
         """Close the filler connections, and accept and close all queued connections.
 
-        A sidecar's connection in the queue is closed too, as after a restart of the machine.
+        A sidecar's connection in the queue is closed too, as after a restart of the machine. A queue without filler
+        connections is left as it is.
         """
         fillers, self._fillers = self._fillers, []
         for filler in fillers:
--- a/garnetusher/lab/report.py
+++ b/garnetusher/lab/report.py
@@ -19,8 +19,8 @@
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
 
-MAX_SHOWN_BREACHES = 20  # the report shows this many breaches with their event lines; result.json has all breaches
-MAX_SHOWN_LINES = 30  # the report shows this many event lines of one breach
+MAX_SHOWN_BREACHES = 20  # the report shows this many breaches with their records; result.json has all breaches
+MAX_SHOWN_LINES = 30  # the report shows this many records of one breach
 STATE_COLOURS = {
     "up": "#4c9a5b",
     "cold": "#7fb3d5",
@@ -68,8 +68,8 @@
             experiment=experiment,
             result=result,
             spans=completed_run.plan.spans,
-            shown=result.broken[:MAX_SHOWN_BREACHES],
-            lines=MAX_SHOWN_LINES,
+            shown_breaches=result.broken[:MAX_SHOWN_BREACHES],
+            max_lines=MAX_SHOWN_LINES,
             figures=sorted(result.figures.items()),
             worth=_plot_over_time(completed_run, timeline, [("served worth", timeline.worth)]),
             latency=_plot_over_time(
@@ -77,7 +77,7 @@
                 timeline,
                 [
                     ("median, ms", {z: [p[0] for p in timeline.latency_ms[z]] for z in timeline.zones}),
-                    ("99th, ms", {z: [p[1] for p in timeline.latency_ms[z]] for z in timeline.zones}),
+                    ("99th percentile, ms", {z: [p[1] for p in timeline.latency_ms[z]] for z in timeline.zones}),
                 ],
             ),
             states=_plot_states(experiment, completed_run),
@@ -86,7 +86,7 @@
     )
 
 
-def _svg(figure: Any) -> Markup:
+def _render_svg(figure: Any) -> Markup:
     buffer = io.StringIO()
     figure.savefig(buffer, format="svg", bbox_inches="tight", metadata={"Date": None})
     plt.close(figure)
@@ -117,7 +117,7 @@
         panel.grid(alpha=0.25)
     axes[0, 0].legend(loc="lower left", ncols=4, fontsize=8)
     axes[-1, 0].set_xlabel("seconds; faults are shaded")
-    return _svg(figure)
+    return _render_svg(figure)
 
 
 def _plot_states(experiment: Experiment, completed_run: CompletedRun) -> Markup:
@@ -146,10 +146,14 @@
         fontsize=8,
         frameon=False,
     )
-    return _svg(figure)
+    return _render_svg(figure)
 
 
 def _state_changes(experiment: Experiment, completed_run: CompletedRun) -> list[tuple[str, list[tuple[float, str]]]]:
+    """Return the time in seconds and the new state of each state change, by process.
+
+    Any cut of an upstream's links shows as silent, even if it affects one direction or some of the sidecars only.
+    """
     warm_up_s = experiment.upstreams.warm_up_s
     changes: dict[str, list[tuple[float, str]]] = {}
     for sidecar in completed_run.plan.sidecars:
@@ -170,6 +174,7 @@
         at_s = record.t / 1e6
         state = STATE_AFTER_CHANGE.get(record.what)
         if record.what in ("slow", "errors", "reset"):
+            # The start and the end of these faults have the same name.
             previous_state = changes[name][-1][1]
             state = "up" if previous_state in ("slow", "erring") else "slow" if record.what == "slow" else "erring"
         if state is not None:
--- a/garnetusher/lab/run.py
+++ b/garnetusher/lab/run.py
@@ -28,21 +28,21 @@
 from garnetusher.model.plan import DISCOVERY_NODE, Plan
 from garnetusher.model.records import AnyRecord, Journal, ProcessUsage
 
-START_DELAY_S = 0.5  # time 0 is this long after the start order, so that each worker has read the order by then
-CLIENT_WORKER_REQUESTS_PER_S = 1000  # the request rate of one client process
-UPSTREAM_WORKER_REQUESTS_PER_S = 900  # the request rate that the upstreams of one process serve
+START_DELAY_S = 0.5  # time 0 is this long after `StartOrder` is sent, so that each worker has read it by then
+CLIENT_WORKER_REQUESTS_PER_S = 1000  # the maximum request rate of one client process
+UPSTREAM_WORKER_REQUESTS_PER_S = 900  # the maximum request rate that the upstreams of one process serve
 SAMPLE_INTERVAL_S = 1.0  # the interval between measurements of the processes' CPU time and memory
 DRAIN_S = 1.0  # a run continues this long after the last deadline to record late responses too
 WORKER_TIMEOUT_S = 60.0  # the time limit for a worker to open its sockets or to close its journal
 
 # Each run draws the second octet of its loopback addresses at random, so that two concurrent runs rarely share a
-# network. The third octet identifies the kind of node; a kind with many nodes also uses the octets that follow it.
-FIRST_NETWORK = 64
-NETWORKS = 128
-DIRECTORY_HOSTS = 0
-UPSTREAM_HOSTS = 1
-SIDECAR_HOSTS = 200
-HOSTS_PER_OCTET = 250
+# network. The third octet identifies the kind of node; a kind with many nodes also uses the values that follow it.
+MIN_SECOND_OCTET = 64
+SECOND_OCTETS = 128  # the number of values
+DISCOVERY_THIRD_OCTET = 0
+UPSTREAM_THIRD_OCTET = 1
+SIDECAR_THIRD_OCTET = 200
+HOSTS_PER_THIRD_OCTET = 250
 
 log = logger()
 Message = TypeVar("Message", bound=Struct)
@@ -76,7 +76,7 @@
         late: The number of the lab's timers that fired late.
         not_asked: The number of requests that were due but not sent while their application and its sidecar were down.
         cores: The CPU cores of the lab, under `lab`, and of the sidecars, under `sidecars`.
-        worker_cpu_s: The CPU time of each worker, by worker name.
+        worker_cpu_s: The CPU time of each worker in seconds, by worker name.
     """
 
     plan: Plan
@@ -106,14 +106,14 @@
         return self.process is not None and self.process.returncode is not None
 
     async def start(self) -> WorkerReady:
-        with self.log_path.open("wb") as errors:
+        with self.log_path.open("wb") as log_file:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "garnetusher.lab.worker",
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                stderr=errors,
+                stderr=log_file,
                 limit=MAX_LINE_BYTES,
                 preexec_fn=die_with_parent,
                 start_new_session=True,
@@ -157,13 +157,13 @@
 class _CoreAssignment:
     """Divides the CPU cores between the lab and the sidecars.
 
-    The lab's processes run on cores of their own, so that they cannot starve the sidecars of CPU time. On a
-    machine with one or two cores, the lab and the sidecars share them.
+    The lab's processes run on cores of their own, so that they cannot starve the sidecars of CPU time, and leave at
+    least two cores to the sidecars. On a machine with one or two cores, the lab and the sidecars share them.
     """
 
-    def __init__(self, workers: int) -> None:
+    def __init__(self, worker_count: int) -> None:
         cores = sorted(os.sched_getaffinity(0))
-        lab_cores = min(workers + 1, max(1, len(cores) - 2))
+        lab_cores = min(worker_count + 1, max(1, len(cores) - 2))
         self.lab = cores[:lab_cores] if len(cores) > 2 else cores
         self.sidecars = cores[lab_cores:] if len(cores) > 2 else cores
 
@@ -226,7 +226,7 @@
         self.fleet: Fleet | None = None
         self.zero_ns = time.monotonic_ns()
         self.cleaned_up = False
-        self.network = FIRST_NETWORK + int(draw.uniform(os.getpid(), time.monotonic_ns()) * NETWORKS)
+        self.second_octet = MIN_SECOND_OCTET + int(draw.uniform(os.getpid(), time.monotonic_ns()) * SECOND_OCTETS)
         requests_per_s = int(experiment.load.requests_per_s)
         upstream_ids = [upstream.uid for upstream in plan.upstreams]
         sidecar_names = [sidecar.name for sidecar in plan.sidecars]
@@ -259,7 +259,7 @@
 
     async def _start_upstreams(self) -> dict[str, dict[str, str]]:
         """Start the upstreams, and return the address of each upstream for each sidecar."""
-        hosts = {upstream.uid: self._host(UPSTREAM_HOSTS, i) for i, upstream in enumerate(self.plan.upstreams)}
+        hosts = {upstream.uid: self._host(UPSTREAM_THIRD_OCTET, i) for i, upstream in enumerate(self.plan.upstreams)}
         workers = []
         for i, group in enumerate(self.upstream_groups):
             job = self._job("upstreams", f"upstreams-{i}", group, core_index=1 + i)
@@ -274,7 +274,7 @@
         """Start discovery, and return its address for each sidecar."""
         job = self._job("directory", DISCOVERY_NODE, [], core_index=0)
         job.endpoints = endpoints
-        job.hosts = {DISCOVERY_NODE: self._host(DIRECTORY_HOSTS, 0)}
+        job.hosts = {DISCOVERY_NODE: self._host(DISCOVERY_THIRD_OCTET, 0)}
         ready = await self._add_worker(job).start()
         return ready.endpoints[DISCOVERY_NODE]
 
@@ -296,13 +296,21 @@
             cores=self.cores.sidecars,
             endpoints=endpoints,
             discovery_addresses=discovery_addresses,
-            hosts={sidecar.name: self._host(SIDECAR_HOSTS, i) for i, sidecar in enumerate(self.plan.sidecars)},
+            hosts={sidecar.name: self._host(SIDECAR_THIRD_OCTET, i) for i, sidecar in enumerate(self.plan.sidecars)},
         )
         return Fleet(settings, self.journal.write, self.now_us)
 
-    def _host(self, first_octet: int, index: int) -> str:
-        """Return the loopback address of one node."""
-        return f"127.{self.network}.{first_octet + index // HOSTS_PER_OCTET}.{1 + index % HOSTS_PER_OCTET}"
+    def _host(self, min_third_octet: int, index: int) -> str:
+        """Return the loopback address of the node at an index of its kind.
+
+        Args:
+            min_third_octet: The lowest third octet of the nodes of this kind.
+            index: The index of the node among the nodes of its kind.
+        """
+        return (
+            f"127.{self.second_octet}"
+            f".{min_third_octet + index // HOSTS_PER_THIRD_OCTET}.{1 + index % HOSTS_PER_THIRD_OCTET}"
+        )
 
     def _job(
         self, role: Literal["upstreams", "directory", "clients"], name: str, members: list[str], *, core_index: int
@@ -351,7 +359,7 @@
         while (now_us := self.now_us()) < end_us:
             await asyncio.sleep(min(SAMPLE_INTERVAL_S, (end_us - now_us) / 1e6))
             self._measure_usage(fleet, psutil_processes)
-            self.progress("playing", max(0.0, min(1.0, self.now_us() / end_us)))
+            self.progress("running", max(0.0, min(1.0, self.now_us() / end_us)))
             for worker in self.workers:
                 if worker.exited:
                     await worker.receive(WorkerReady)  # raises an error with the last lines of the worker's log
@@ -360,7 +368,7 @@
         """Record the CPU time and the memory of all processes, except those that have just ended."""
         processes = [(worker.job.name, worker.process) for worker in self.workers]
         processes += [(sidecar.plan.name, sidecar.process) for sidecar in fleet.sidecars.values()]
-        for name, process in [*processes, ("lab", None)]:
+        for name, process in [*processes, ("lab", None)]:  # None stands for the main process of the lab
             pid = process.pid if process is not None else os.getpid()
             try:
                 psutil_process = psutil_processes.setdefault(pid, psutil.Process(pid))
@@ -375,7 +383,7 @@
     async def _finish(self) -> CompletedRun:
         summaries = await self._stop_workers()
         await self.clean_up()
-        self.progress("reading", 1.0)
+        self.progress("merging records", 1.0)
         all_records = self._merge_records()
         events = sum(summary.events for summary in summaries.values())
         late = sum(summary.late for summary in summaries.values())
--- a/garnetusher/lab/run_clock.py
+++ b/garnetusher/lab/run_clock.py
@@ -22,7 +22,7 @@
         loop: The running event loop.
         worker: The name of the worker process, for the records of late timers.
         journal: The journal to which records are written.
-        zero_ns: The start of the run on the monotonic clock.
+        zero_ns: The start of the run on the monotonic clock, in nanoseconds.
         events: The number of timers that have fired.
         late: The number of timers that have fired late.
     """
@@ -40,7 +40,7 @@
         self.at(0, self._tick, 0)
 
     def now_us(self) -> int:
-        """Return the time since the start of the run."""
+        """Return the time since the start of the run, in microseconds."""
         return (time.monotonic_ns() - self.zero_ns) // 1000
 
     def write(self, record: AnyRecord) -> None:
@@ -56,7 +56,7 @@
         self.events += 1
         if now_us - at_us > LATE_US:
             self.late += 1
-            if now_us - self._last_late_record_us > 1_000_000:
+            if now_us - self._last_late_record_us > 1_000_000:  # writes at most one record per second
                 self._last_late_record_us = now_us
                 self.write(LabActionLate(now_us, self.worker, now_us - at_us))
         action(*args)
--- a/garnetusher/lab/sidecar_settings.py
+++ b/garnetusher/lab/sidecar_settings.py
@@ -8,16 +8,16 @@
 from garnetusher.model.plan import Plan, SidecarPlan
 
 STANDARD_MODEL = "nodo-estandar"  # the platform's name for the only kind of machine in the lab
-DIAL_TIMEOUT_US = 200_000
-MAX_OPEN_REQUESTS = 20_000
+CONNECT_TIMEOUT_US = 200_000
+MAX_OPEN_REQUESTS = 20_000  # the platform's file has this setting, but the sidecar ignores it
 MAX_RETRY_AFTER_US = 2_000_000
-CROSS_ZONE_FEE = 0.022
-CLOCK_GRANULARITY_US = 1000
-ANSWER_SLACK_US = 20_000
-RETRY_WINDOW_US = 10_000_000
-MAX_COLD_SHARE = 0.13  # the upper limit for the share of its capacity that an endpoint has at its start
-DRAIN_GRACE_US = 1_000_000
-IDEMPOTENCY_SPAN_US = 5_000_000
+CROSS_ZONE_COST = 0.022  # the cost of an attempt in another zone, as a share of the weight of its request
+BATCH_INTERVAL_US = 1000
+ANSWER_SLACK_US = 20_000  # ignored by the sidecar, like MAX_OPEN_REQUESTS
+POLL_INTERVAL_US = 10_000_000  # the longest interval between two calls to discovery without a watch
+MAX_INITIAL_WARM_UP_FRACTION = 0.13  # the sidecars assume at most this share of the capacity after an upstream's start
+DRAIN_GRACE_US = 1_000_000  # ignored by the sidecar, like MAX_OPEN_REQUESTS
+DEDUPLICATION_WINDOW_US = 5_000_000
 
 
 def settings_document(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> dict[str, Any]:
@@ -41,7 +41,7 @@
         "bounds": {
             "cancel": True,
             "conn-idle": int(upstreams.idle_s * 1e6),
-            "dial-timeout": DIAL_TIMEOUT_US,
+            "dial-timeout": CONNECT_TIMEOUT_US,
             "max-open": MAX_OPEN_REQUESTS,
             "max-retry-after": MAX_RETRY_AFTER_US,
             "most-tries": sidecars.max_attempts,
@@ -52,14 +52,14 @@
             "second-copies": sidecars.second_copies,
         },
         "client-habits": {"marks-retry": experiment.clients.marks},
-        "fees": {"cross-zone": CROSS_ZONE_FEE},
-        "granularity": CLOCK_GRANULARITY_US,
+        "fees": {"cross-zone": CROSS_ZONE_COST},
+        "granularity": BATCH_INTERVAL_US,
         "instances": sidecars.told or len(plan.sidecars),
         "self-index": plan.sidecars.index(sidecar),
         "invariants": {
             "answer-slack": ANSWER_SLACK_US,
-            "ask-within": RETRY_WINDOW_US,
-            "cold-share": min(MAX_COLD_SHARE, upstreams.cold_share),
+            "ask-within": POLL_INTERVAL_US,
+            "cold-share": min(MAX_INITIAL_WARM_UP_FRACTION, upstreams.cold_share),
             "drain-grace": DRAIN_GRACE_US,
             "fall": int(upstreams.fall_s * 1e6),
             "overload-factor": upstreams.overload_factor,
@@ -78,7 +78,7 @@
                 "effect": request_class.effect,
                 "group": "all",
                 "late-worth": 0.0,
-                "memory-span": IDEMPOTENCY_SPAN_US,
+                "memory-span": DEDUPLICATION_WINDOW_US,
                 "stream": False,
                 "worth": request_class.worth,
             }
--- a/garnetusher/lab/sidecars.py
+++ b/garnetusher/lab/sidecars.py
@@ -23,7 +23,7 @@
 
 from garnetusher.errors import GarnetusherError
 from garnetusher.lab.clients import is_ready
-from garnetusher.lab.discovery import entry
+from garnetusher.lab.discovery import endpoint_entry
 from garnetusher.lab.sidecar_settings import settings_document
 from garnetusher.logs import logger
 from garnetusher.model import draw, zone_states
@@ -34,7 +34,9 @@
 BUILD_TIMEOUT_S = 1200
 READY_TIMEOUT_S = 30.0  # the platform allows a sidecar the same time to become ready
 READY_POLL_INTERVAL_S = 0.02
-KILL_DELAY_S = 3.7  # a sidecar that has not exited this long after SIGTERM receives SIGKILL
+# A sidecar that has not exited this long after SIGTERM receives SIGKILL. This is the earliest time of SIGKILL on the
+# platform if the longest deadline is 3 s or more (garnetusher/sidecar/shutdown.py).
+SIGKILL_DELAY_S = 3.7
 LOG_POLL_INTERVAL_S = 0.05  # the interval between reads of the sidecars' logs
 LAST_LOG_LINES = 8  # the number of log lines that an error about an ended process quotes
 BUILD_ERROR_CHARACTERS = 500  # an error quotes this many characters from the end of a build's standard error
@@ -159,7 +161,20 @@
 
 
 class Sidecar:
-    """A sidecar of the plan, and the process that currently runs under its name."""
+    """A sidecar of the plan, and the process that currently runs under its name.
+
+    Attributes:
+        fleet: The fleet of the sidecar.
+        plan: The plan of the sidecar.
+        discovery_address: The `host:port` at which the sidecar reaches discovery.
+        address: The host and the port on which the sidecar listens for its application.
+        admin_address: The `host:port` of the sidecar's admin interface.
+        member_address: The `host:port` of the sidecar in the membership, used only if the experiment enables it.
+        process: The current process, or the last one if it has ended.
+        starts: The number of processes started so far.
+        exit_expected: Whether the lab itself ends the process.
+        log_path: The log of all processes of the sidecar.
+    """
 
     def __init__(self, fleet: Fleet, plan: SidecarPlan) -> None:
         settings = fleet.settings
@@ -169,10 +184,10 @@
         self.discovery_address = settings.discovery_addresses[plan.name]
         self.address = (host, free_port(host))
         self.admin_address = f"{host}:{free_port(host)}"
-        self.member_address = f"{host}:{free_port(host)}"  # used only if the experiment enables the membership
+        self.member_address = f"{host}:{free_port(host)}"
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
-        self.exit_expected = False  # whether the lab itself ends the process
+        self.exit_expected = False
         self.log_path = settings.out / "logs" / f"{plan.name}.log"
         self._log_offset = 0  # the number of bytes of the log that have been read
 
@@ -300,6 +315,7 @@
     def listed_endpoints(self, sidecar: str, at_us: int) -> dict[str, Any]:
         """Return the endpoint list that a sidecar already knows if it starts at the given time of the run."""
         plan = self.settings.plan
+        # Start times in Unix milliseconds; 0, which is long ago, for upstreams that started before the run.
         started_ms = {upstream.uid: 0 for upstream in plan.upstreams if upstream.from_us == 0}
         zones = {upstream.uid: upstream.zone for upstream in plan.upstreams}
         states = dict.fromkeys(started_ms, "active")
@@ -314,7 +330,7 @@
             "rev": revision,
             "all": True,
             "targets": [
-                entry(uid, zones[uid], self.settings.endpoints[uid][sidecar], state, started_ms.get(uid, 0))
+                endpoint_entry(uid, zones[uid], self.settings.endpoints[uid][sidecar], state, started_ms.get(uid, 0))
                 for uid, state in states.items()
                 if state != "left"
             ],
@@ -425,7 +441,7 @@
         sidecar.signal(signal.SIGTERM)
         self.record(sidecar.plan.name, "term", process.pid)
         try:
-            await asyncio.wait_for(process.wait(), KILL_DELAY_S)
+            await asyncio.wait_for(process.wait(), SIGKILL_DELAY_S)
         except TimeoutError:
             sidecar.signal(signal.SIGKILL)
             await process.wait()
--- a/garnetusher/lab/syscall_faults.py
+++ b/garnetusher/lab/syscall_faults.py
@@ -22,9 +22,9 @@
 SOURCE = Path(__file__).with_name("syscall_faults.c")
 SHORT_TRANSFER = -1  # used instead of an errno: the call transfers fewer bytes than requested
 MAX_FAULTS = 64
-_HEADER = struct.Struct("=IIq")
+_HEADER = struct.Struct("=IIq")  # seed, used, wall_clock_offset_ns
 _COUNTER = struct.Struct("=q")
-_RECORD = struct.Struct("=iiIiqq")
+_FAULT = struct.Struct("=iiIiqq")  # the fields of `struct fault` in syscall_faults.c
 _FOREVER_NS = 1 << 62
 
 
@@ -53,8 +53,8 @@
     """The library could not be compiled; the message gives the reason."""
 
 
-def library() -> Path:
-    """Return the path of the library, and compile it if necessary.
+def compile_library() -> Path:
+    """Compile the library unless this version of it is already compiled, and return its path.
 
     Raises:
         CompilerError: If there is no `cc` on PATH, or if it fails.
@@ -81,7 +81,7 @@
 
 
 class FaultTable:
-    """The faults of one process, in a file with the layout of `struct board` in syscall_faults.c.
+    """The faults of one process, in a file with the layout of `struct fault_table` in syscall_faults.c.
 
     A table can be created before the process starts, and stays in effect when the process restarts.
 
@@ -94,7 +94,7 @@
 
     def __init__(self, path: Path, seed: int = 1) -> None:
         self.path = path
-        self.size = _HEADER.size + 2 * len(Call) * _COUNTER.size + MAX_FAULTS * _RECORD.size
+        self.size = _HEADER.size + 2 * len(Call) * _COUNTER.size + MAX_FAULTS * _FAULT.size
         path.write_bytes(_HEADER.pack(seed & 0xFFFF_FFFF, 0, 0).ljust(self.size, b"\0"))
         with path.open("r+b") as file:
             self.memory = mmap.mmap(file.fileno(), self.size)
@@ -102,7 +102,7 @@
 
     def environment(self) -> dict[str, str]:
         """Return the environment variables with which the process must start."""
-        return {"LD_PRELOAD": str(library()), "GARNETUSHER_FAULTS": str(self.path)}
+        return {"LD_PRELOAD": str(compile_library()), "GARNETUSHER_FAULTS": str(self.path)}
 
     def inject(
         self, call: Call, error: int, for_s: float = 0.0, count: int = -1, per_mille: int = 1000, after_s: float = 0.0
@@ -124,11 +124,11 @@
             raise ValueError(f"fault table: expected at most {MAX_FAULTS} faults for one process")
         from_ns = time.monotonic_ns() + int(after_s * 1e9)
         until_ns = from_ns + int(for_s * 1e9) if for_s > 0 else _FOREVER_NS
-        record = _RECORD.pack(call, error, per_mille, count, from_ns, until_ns)
-        offset = self.size - (MAX_FAULTS - self.used) * _RECORD.size
-        self.memory[offset : offset + _RECORD.size] = record
+        fault = _FAULT.pack(call, error, per_mille, count, from_ns, until_ns)
+        offset = self.size - (MAX_FAULTS - self.used) * _FAULT.size  # the faults are at the end of the file
+        self.memory[offset : offset + _FAULT.size] = fault
         self.used += 1
-        self.memory[4:8] = struct.pack("=I", self.used)
+        self.memory[4:8] = struct.pack("=I", self.used)  # the field `used`
 
     def clear(self) -> None:
         """Remove all faults from the table."""
@@ -136,8 +136,8 @@
         self.memory[4:8] = struct.pack("=I", 0)
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Set the offset of the wall clock from the true time; the monotonic clock is not changed."""
-        self.memory[8:16] = struct.pack("=q", int(seconds * 1e9))
+        """Replace the offset of the wall clock from the true time, in seconds; the monotonic clock is not changed."""
+        self.memory[8:16] = struct.pack("=q", int(seconds * 1e9))  # the field `wall_clock_offset_ns`
 
     def hits(self, call: Call) -> int:
         """Return the number of calls that have failed or transferred fewer bytes because of a fault."""
--- a/garnetusher/lab/upstreams.py
+++ b/garnetusher/lab/upstreams.py
@@ -31,7 +31,8 @@
 HEALTH_CHECK_PATHS = (b"/alive", b"/metrics/load")
 IDLE_CHECK_INTERVAL_S = 0.5  # the time between checks for connections that exceed the idle timeout
 
-# The values of `UpstreamAttemptEnded.how`.
+# The values of `UpstreamAttemptEnded.how`. A reset is a fault of a single attempt; attempts are dropped when their
+# upstream ends.
 AttemptEnd = Literal["served", "error", "turned_away", "cancelled", "reset", "dropped"]
 
 
@@ -43,7 +44,20 @@
 
 
 class SidecarConnection:
-    """A sidecar's connection to an upstream; it carries one request at a time."""
+    """A sidecar's connection to an upstream; it carries one request at a time.
+
+    Attributes:
+        server: The upstream.
+        sidecar: The name of the sidecar.
+        link_connection: The connection behind the simulated link.
+        parser: The parser of the requests.
+        request_started_us: The time at which the first byte of the last request arrived.
+        last_response_us: The time of the last response; the time of the accept before the first one.
+        unused: Whether no attempt has arrived on the connection yet.
+        reading: Whether a request has arrived in part.
+        attempt: The attempt in progress.
+        within_limit: Whether the connection did not exceed the upstream's connection limit when it was accepted.
+    """
 
     def __init__(self, server: UpstreamServer, sidecar: str, link_connection: link_sockets.Connection) -> None:
         self.server = server
@@ -135,7 +149,7 @@
             "accept": self._accept,
         }
 
-    def link(self, sidecar: str, host: str, normal_conditions: LinkConditions) -> None:
+    def open_listener(self, sidecar: str, host: str, normal_conditions: LinkConditions) -> None:
         """Open the listener for one sidecar."""
         seed = int(draw.uniform(self._seed, "link", self.plan.uid, sidecar) * 2**32)
         listener = link_sockets.Listener(
@@ -200,7 +214,7 @@
 
     def _set_error_share(self, now_us: int, step: Step) -> None:
         self._errors_on_arrival = step.value > 0
-        self._error_share = step.value or self._settings.error_share
+        self._error_share = step.value or self._settings.error_share  # a value of 0 ends the fault
 
     def _set_reset_share(self, now_us: int, step: Step) -> None:
         self._reset_share = step.value
@@ -249,7 +263,7 @@
         work_us = self._work_us(request_class, request_id, on_new_connection=connection.unused)
         handshake_us = self._handshake_us(connection)
         attempt = self._record_attempt(now_us, connection, request_id, work_us)
-        if self._fails_on_arrival(attempt):
+        if self._fail_on_arrival(attempt):
             return
         if handshake_us and not self._machine.hung:
             self.clock.at(now_us + handshake_us, self._start_work, attempt, work_us)
@@ -257,7 +271,8 @@
             self._start_work(attempt, work_us)
 
     def _work_us(self, request_class: RequestClass, request_id: str, *, on_new_connection: bool) -> int:
-        # Each retry by the client needs the same work as the first call of the request.
+        # Each retry by the client needs the same work as the first call of the request. The ID of a first call is
+        # `sidecar.number`, and that of a retry is `sidecar.number.retry`.
         first_call_id = ".".join(request_id.split(".")[:2])
         work_us = draw.work_us(self._seed, first_call_id, request_class.work_ms, request_class.work_cv)
         if on_new_connection:
@@ -291,7 +306,7 @@
         self._attempts[attempt.number] = attempt
         return attempt
 
-    def _fails_on_arrival(self, attempt: _AttemptInProgress) -> bool:
+    def _fail_on_arrival(self, attempt: _AttemptInProgress) -> bool:
         """Reject, fail or reset an attempt if the connection limit or a fault requires it.
 
         Return whether the attempt has ended.
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -43,7 +43,7 @@
         journal: The path of the file for the worker's records.
         cores: The CPU cores that the worker may use.
         members: The uids of the worker's upstreams, or the names of the sidecars whose clients the worker runs.
-        hosts: The loopback address of each upstream, by uid, or of discovery, under `directory`.
+        hosts: The loopback address of each upstream, by uid; for discovery, the only key is `directory`.
         endpoints: The `host:port` of each upstream for each sidecar, by upstream uid and sidecar name.
         addresses: The host and the port on which each sidecar listens, by sidecar name.
     """
@@ -64,7 +64,7 @@
     """The order that sets time 0 of the run.
 
     Attributes:
-        zero_ns: Time 0 on the monotonic clock, which is common to all processes of the machine.
+        zero_ns: Time 0 in nanoseconds on the monotonic clock, which is common to all processes of the machine.
         unix_ms: The wall-clock time at time 0, in Unix milliseconds.
     """
 
@@ -79,7 +79,7 @@
     """Reports that all sockets of a worker are open.
 
     Attributes:
-        endpoints: The addresses of the upstreams, as in `WorkerJob`, or those of discovery, under `directory`.
+        endpoints: The addresses of the upstreams, as in `WorkerJob`; for discovery, the only key is `directory`.
     """
 
     endpoints: dict[str, dict[str, str]]
@@ -91,7 +91,7 @@
     Attributes:
         events: The number of the worker's timers that fired.
         late: The number of the worker's timers that fired late.
-        cpu_s: The CPU time of the worker.
+        cpu_s: The CPU time of the worker, in seconds.
         not_asked: The number of requests that were due but not sent while their application and its sidecar were down.
     """
 
@@ -130,7 +130,7 @@
             upstream = UpstreamServer(self.clock, job.experiment, job.plan.seed, plan)
             for sidecar in job.plan.sidecars:
                 conditions = _normal_conditions(topology, topology.one_way_ms(sidecar.zone, plan.zone))
-                upstream.link(sidecar.name, job.hosts[plan.uid], conditions)
+                upstream.open_listener(sidecar.name, job.hosts[plan.uid], conditions)
             self.upstreams.append(upstream)
             endpoints[plan.uid] = _addresses(upstream.listeners)
         return endpoints
@@ -140,7 +140,7 @@
         self.discovery = DiscoveryServer(self.clock, job.plan, job.endpoints, job.experiment.directory)
         for sidecar in job.plan.sidecars:
             conditions = _normal_conditions(topology, topology.cross_zone_ms)
-            self.discovery.link(sidecar.name, job.hosts[DISCOVERY_NODE], conditions)
+            self.discovery.open_listener(sidecar.name, job.hosts[DISCOVERY_NODE], conditions)
         return _addresses(self.discovery.listeners)
 
     def _prepare_applications(self) -> None:
@@ -193,7 +193,7 @@
             listener.cut(to_node=step.to_party, to_sidecar=step.to_sidecar)
         elif step.what == "mend":
             listener.restore(to_node=step.to_party, to_sidecar=step.to_sidecar)
-        else:
+        else:  # the start or the end of loss, which have different values
             listener.to_node.loss = listener.to_sidecar.loss = step.value
 
 
--- a/tests/faulty_host.py
+++ b/tests/faulty_host.py
@@ -1,4 +1,4 @@
-"""Runs the real program with faults that a test controls: failing system calls, pauses and a wrong wall clock."""
+"""Runs the sidecar process with faults that a test controls: failing system calls, pauses and a wrong wall clock."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @dataclass
-class FaultyHostProgram:
-    """A running program, the faults injected into its system calls, and the address of its listener."""
+class SidecarOnFaultyHost:
+    """A sidecar process, the faults injected into its system calls, its listening address and its configuration."""
 
     process: Popen[bytes]
     faults: FaultTable
@@ -43,7 +43,7 @@
 
     @contextlib.asynccontextmanager
     async def paused(self, seconds: float) -> AsyncIterator[None]:
-        """Stop the program, run the body of the `async with` while it is stopped, and continue it after `seconds`."""
+        """Stop the process, run the body of the `async with` while it is stopped, and continue it after `seconds`."""
         self.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(0.02)
         yield
@@ -57,24 +57,24 @@
 
 
 @contextlib.asynccontextmanager
-async def program_on_faulty_host(
-    folder: Path, wall_step_s: float = 0.0, failing: tuple[Call, int, int] | None = None, **config: Any
-) -> AsyncIterator[FaultyHostProgram]:
-    """Run the program as the deploy file starts it; the body of the `async with` starts when the program listens.
+async def sidecar_on_faulty_host(
+    folder: Path, wall_clock_offset_s: float = 0.0, failing: tuple[Call, int, int] | None = None, **config: Any
+) -> AsyncIterator[SidecarOnFaultyHost]:
+    """Run the sidecar as the deploy file starts it; the body of the `async with` starts when the sidecar listens.
 
     Args:
-        folder: the folder for the configuration and the injected faults.
-        wall_step_s: the error of the wall clock in seconds.
-        failing: a system call that fails from the start of the program on, its error, and how many times it fails.
-        config: changes to the configuration.
+        folder: The folder for the configuration and the injected faults.
+        wall_clock_offset_s: The offset of the wall clock from the true time in seconds.
+        failing: A system call that fails from the start of the process on, its error, and how many times it fails.
+        config: The top-level keys of the configuration that differ from the default, with their values.
     """
     path = write_configuration(folder, **config)
     host, port = json.loads(path.read_text())["listen"].split(":")
     faults = FaultTable(folder / "faults")
-    faults.step_wall_clock(wall_step_s)
+    faults.step_wall_clock(wall_clock_offset_s)
     if failing is not None:
         call, error, count = failing
         faults.inject(call, error, count=count)
     with program(path, (), **faults.environment()) as process:
         await wait_for_listener(int(port), lambda: process.poll() is None)
-        yield FaultyHostProgram(process, faults, (host, int(port)), path)
+        yield SidecarOnFaultyHost(process, faults, (host, int(port)), path)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -15,6 +15,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+# Durations are in microseconds.
 SETTINGS: dict[str, Any] = {
     "accounts": [],
     "areas": ["a", "b"],
--- a/tests/test_fault_links.py
+++ b/tests/test_fault_links.py
@@ -19,7 +19,7 @@
 
 HOST = "127.77.0.1"
 DATAGRAM_COUNT = 400
-RESET_WAIT_S = 0.3  # a reset between two sockets of one machine arrives within this time
+RESET_WAIT_S = 0.3  # a reset that is not held back arrives within this time on one machine
 
 
 class UpperCaseEcho:
--- a/tests/test_host_faults.py
+++ b/tests/test_host_faults.py
@@ -1,4 +1,4 @@
-"""Tests of the real program on a host with faults: system calls that fail for a moment, pauses, a wrong wall clock."""
+"""Tests the sidecar process on a host with faults: system calls that fail for a moment, pauses, a wrong wall clock."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 import pytest
 
 from garnetusher.lab.syscall_faults import Call
-from tests.faulty_host import program_on_faulty_host
+from tests.faulty_host import sidecar_on_faulty_host
 from tests.net import (
     OK,
     TEST_TIMEOUT_S,
@@ -34,9 +34,9 @@
 from tests.test_interleaving_stop import full_backlog_port
 
 DEADLINE_SLACK_MS = 150  # the tolerance of X-Deadline-Ms above the time that remains to the client
-BOUNDS = SETTINGS["bounds"] | {"dial-timeout": 3_000_000}
+BOUNDS_WITH_LONG_CONNECT_TIMEOUT = SETTINGS["bounds"] | {"dial-timeout": 3_000_000}
 LONG_TIMEOUT_SETTINGS: dict[str, Any] = SETTINGS | {
-    "bounds": BOUNDS | {"second-copies": False},
+    "bounds": BOUNDS_WITH_LONG_CONNECT_TIMEOUT | {"second-copies": False},
     "request-classes": [
         {"name": name, "aim": 1_400_000, "deadline": 1_500_000, "effect": effect, "worth": 1.0}
         for name, effect in (("pay", "at_most_once"), ("read", "idempotent"))
@@ -69,7 +69,7 @@
     """Return the first bytes that an upstream reads when connecting takes 1 s, and the seconds since the request."""
     loop = asyncio.get_running_loop()
     with listener_with_full_backlog() as (listener, fillers):
-        async with program_on_faulty_host(
+        async with sidecar_on_faulty_host(
             folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", listener.getsockname()[1]))
         ) as running:
             _, writer = await running.connect()
@@ -111,7 +111,7 @@
 ) -> None:
     async def test() -> None:
         with full_backlog_port() as port:
-            async with program_on_faulty_host(
+            async with sidecar_on_faulty_host(
                 tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", port))
             ) as running:
                 sent_at_s = time.monotonic()
@@ -128,7 +128,7 @@
     async def test() -> None:
         upstream = Upstream(respond_with(OK))
         await upstream.start()
-        async with program_on_faulty_host(
+        async with sidecar_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
         ) as running:
             async with running.paused(0.3):
@@ -151,7 +151,7 @@
     """Return how long two consecutive requests take when accept fails once for the first of them."""
     upstream = Upstream(respond_with(OK))
     await upstream.start()
-    async with program_on_faulty_host(
+    async with sidecar_on_faulty_host(
         folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
     ) as running:
         await asyncio.sleep(0.1)  # the event loop must wait again after the check that the listener is up
@@ -182,7 +182,7 @@
     async def test() -> None:
         upstream = Upstream(respond_with(OK))
         await upstream.start()
-        async with program_on_faulty_host(
+        async with sidecar_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
         ) as running:
             running.faults.inject(Call.ACCEPT, errno.ENFILE, for_s=0.7)
@@ -232,7 +232,7 @@
         known = listing(
             entry("w0", warm.port), entry("w1", warm.port), entry("cold", cold.port, boot_ms=int(time.time() * 1000))
         )
-        async with program_on_faulty_host(tmp_path, step_s, settings=slow_start_settings(), known=known) as running:
+        async with sidecar_on_faulty_host(tmp_path, step_s, settings=slow_start_settings(), known=known) as running:
             reader, writer = await running.connect()
             for number in range(90):
                 writer.write(request("read", str(number), deadline_ms=1500))
@@ -259,7 +259,7 @@
         old, new = Discovery(), Discovery()
         await old.start()
         await new.start()
-        async with program_on_faulty_host(tmp_path, discovery=f"127.0.0.1:{old.port}") as running:
+        async with sidecar_on_faulty_host(tmp_path, discovery=f"127.0.0.1:{old.port}") as running:
             await wait_for_watch(old)
             text = running.config.read_text().replace(f"127.0.0.1:{old.port}", f"127.0.0.1:{new.port}")
             if fault_kind == "half written":
@@ -283,7 +283,7 @@
     async def test() -> None:
         upstream = Upstream(respond_with(OK))
         await upstream.start()
-        async with program_on_faulty_host(
+        async with sidecar_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
         ) as running:
             running.faults.inject(Call.SHUTDOWN, errno.ENOTCONN)
@@ -302,7 +302,7 @@
     async def test() -> None:
         upstream = Upstream(respond_with(OK))
         await upstream.start()
-        async with program_on_faulty_host(
+        async with sidecar_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
         ) as running:
             assert await running.send_request(request("pay", "first", b"b", 1500)) == 200
@@ -319,11 +319,11 @@
     run(test)
 
 
-async def deadline_header_ms_after(folder: Path, call: Call, error: int) -> int:
+async def deadline_header_ms_after_fault(folder: Path, call: Call, error: int) -> int:
     """Return the X-Deadline-Ms that the upstream gets if a system call fails for 400 ms of a deadline of 1,500 ms."""
     upstream = Upstream(respond_with(OK))
     await upstream.start()
-    async with program_on_faulty_host(
+    async with sidecar_on_faulty_host(
         folder, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
     ) as running:
         assert await running.send_request(request("pay", "first", b"b", 1500)) == 200
@@ -336,7 +336,7 @@
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.EAGAIN])
 def test_deadline_header_is_the_time_remaining_when_reads_failed_for_a_while(tmp_path: Path, error: int) -> None:
     async def test() -> None:
-        assert await deadline_header_ms_after(tmp_path, Call.RECV, error) <= 1100 + DEADLINE_SLACK_MS
+        assert await deadline_header_ms_after_fault(tmp_path, Call.RECV, error) <= 1100 + DEADLINE_SLACK_MS
 
     run(test)
 
@@ -348,16 +348,16 @@
     tmp_path: Path, call: Call, error: int
 ) -> None:
     async def test() -> None:
-        assert await deadline_header_ms_after(tmp_path, call, error) <= 1100 + DEADLINE_SLACK_MS
+        assert await deadline_header_ms_after_fault(tmp_path, call, error) <= 1100 + DEADLINE_SLACK_MS
 
     run(test)
 
 
 async def assert_process_starts(folder: Path, call: Call, error: int) -> None:
-    """Assert that the program serves requests although a system call fails ten times at its start."""
+    """Assert that the sidecar serves requests although a system call fails ten times at its start."""
     upstream = Upstream(respond_with(OK))
     await upstream.start()
-    async with program_on_faulty_host(
+    async with sidecar_on_faulty_host(
         folder, failing=(call, error, 10), settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
     ) as running:
         assert await running.send_request(request("pay", "1", b"b", 1500)) == 200
@@ -378,12 +378,12 @@
 
 
 def test_requests_are_served_when_the_log_pipe_is_full(tmp_path: Path) -> None:
-    """The log pipe holds 64 KiB; the program must drop log lines that do not fit, and must not block."""
+    """The log pipe holds 64 KiB; the sidecar must drop log lines that do not fit, and must not block."""
 
     async def test() -> None:
         upstream = Upstream(respond_with(OK))
         await upstream.start()
-        async with program_on_faulty_host(
+        async with sidecar_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
         ) as running:
             document = json.loads(running.config.read_text())
@@ -391,7 +391,7 @@
             running.config.write_text(json.dumps(document))
             for number in range(32):
                 running.process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(0.21)  # the program logs at most five lines per second
+                await asyncio.sleep(0.21)  # the sidecar logs at most five lines per second
                 async with asyncio.timeout(5):
                     assert await running.send_request(request("pay", str(number), b"b", 1500)) == 200
         upstream.stop()
@@ -419,7 +419,7 @@
     async def test() -> None:
         upstream = Upstream(respond_with(OK))
         await upstream.start()
-        async with program_on_faulty_host(
+        async with sidecar_on_faulty_host(
             tmp_path, settings=LONG_TIMEOUT_SETTINGS, known=listing(entry("u", upstream.port))
         ) as running:
             running.faults.inject(Call.EPOLL_CTL, errno.ENOMEM, for_s=0.2)
