--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -291,7 +291,7 @@
                     ),
                 )
             )
-        # The correct sidecar runs five of the plans.
+        # The correct sidecar runs six of the plans.
         correct_runs = [
             pool.submit(rules_broken_by_program, str(tmp_path / f"correct-{n}"), correct_command, plan)
             for n, (_, plan) in enumerate([*list(DEFECTS.values())[1:6], DEFECTS["pushes_cold_over"]])
