--- a/garnetusher/model/__init__.py
+++ b/garnetusher/model/__init__.py
@@ -1,1 +1,1 @@
-"""Data types of experiments, and simulated objects that use no sockets, clocks or tasks. The lab uses both."""
+"""Data types of experiments, and simulated objects that use no sockets, system clocks or tasks. The lab uses both."""
--- a/garnetusher/model/ablations.py
+++ b/garnetusher/model/ablations.py
@@ -14,12 +14,12 @@
     from garnetusher.policy.zones import Zones
 
     HAS_ZONES = True
-except ImportError:  # this simulator runs with the policy of an older source tree, which lacks some of these parts
+except ImportError:  # `model run --tree` may load the policy of an older source tree, which lacks some parts
     HAS_ZONES = False
 
 
 def _leaving() -> None:
-    """Do not evacuate zones because of evidence."""
+    """Do not suspect or evacuate zones because their attempts fail or are slow."""
     Zones.evaluate = lambda self, zone: None  # type: ignore[method-assign]
 
 
@@ -44,7 +44,7 @@
 
 
 def _coldness() -> None:
-    """Do not treat endpoints of a zone that refused connections as restarted; rely on the endpoint list alone."""
+    """Do not treat endpoints of a zone that refused connections as restarted; rely on the list's start times alone."""
     change_state: Callable[[Zones, Zone, ZoneState, str], None] = Zones.change_state
 
     def change_state_without_refusal(self: Zones, zone: Zone, state: ZoneState, reason: str) -> None:
--- a/garnetusher/model/arrivals.py
+++ b/garnetusher/model/arrivals.py
@@ -8,7 +8,7 @@
 
 from garnetusher.model import draw
 from garnetusher.model.experiment import Experiment
-from garnetusher.model.plan_types import Burst, Plan, SidecarPlan, us
+from garnetusher.model.plan_types import Burst, Plan, SidecarPlan, microseconds
 
 BATCH_SIZE = 256  # the number of arrivals that are drawn at once
 US_PER_S = 1_000_000
@@ -18,25 +18,30 @@
     """Yield the requests that a sidecar's clients send, in the order of time.
 
     The arrivals are a Poisson process at the rate of the highest burst, thinned to the current rate. A burst of one
-    tenant increases the rate of that tenant only.
+    tenant changes the rate of that tenant only. The factors of overlapping bursts are multiplied, but the rate never
+    exceeds that of the highest single burst.
 
     Yields:
-        The microseconds from the run's start, the index of the class and the index of the tenant.
+        The time in microseconds from the run's start, the index of the class and the index of the tenant.
     """
     rng = draw.stream(plan.seed, "arrivals", sidecar.name)
-    classes = np.cumsum([request_class.share for request_class in experiment.classes])
-    tenants = np.cumsum([tenant.share for tenant in experiment.tenants] or [1.0])
+    cumulative_class_shares = np.cumsum([request_class.share for request_class in experiment.classes])
+    cumulative_tenant_shares = np.cumsum([tenant.share for tenant in experiment.tenants] or [1.0])
     bursts = [burst for burst in plan.bursts if sidecar.name in burst.sidecars]
     peak_factor = max([1.0, *(burst.times for burst in bursts)])
     peak_per_s = sidecar.rate_per_s * peak_factor
     if peak_per_s <= 0:
         return
-    end_us, at_us = us(plan.seconds), 0.0
+    end_us, at_us = microseconds(plan.seconds), 0.0
     while True:
         draws = rng.random((BATCH_SIZE, 3))
         gaps_us = rng.exponential(US_PER_S / peak_per_s, BATCH_SIZE)
-        class_indexes = np.searchsorted(classes, draws[:, 0] * classes[-1], side="right")
-        tenant_indexes = np.searchsorted(tenants, draws[:, 1] * tenants[-1], side="right")
+        class_indexes = np.searchsorted(
+            cumulative_class_shares, draws[:, 0] * cumulative_class_shares[-1], side="right"
+        )
+        tenant_indexes = np.searchsorted(
+            cumulative_tenant_shares, draws[:, 1] * cumulative_tenant_shares[-1], side="right"
+        )
         for index in range(BATCH_SIZE):
             at_us += float(gaps_us[index])
             if at_us >= end_us:
--- a/garnetusher/model/baselines.py
+++ b/garnetusher/model/baselines.py
@@ -2,8 +2,9 @@
 
 Each baseline follows the rules: one answer for each request, no unsafe retry, no new attempt on a draining upstream.
 It knows the endpoint list and its own attempts in flight, and it retries requests that are safe to repeat while
-attempts and time remain. No baseline queues or sheds a request before an attempt has failed, and none knows that an
-upstream is warming up. A fleet with a baseline can therefore overload an upstream, which the checker then reports.
+attempts and time remain. No baseline queues requests, and none sheds or fails a request unless an attempt has failed or
+no endpoint is ready. None knows that an upstream is warming up. A fleet with a baseline can therefore overload an
+upstream, which the checker then reports.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
     Attributes:
         event: The event with which the request arrived.
-        tried: The IDs of the endpoints that the request was forwarded to.
+        tried: The ID of the endpoint of each attempt, in order.
         outcomes: The outcomes of the ended attempts.
     """
 
@@ -53,7 +54,7 @@
 
 
 class BaselineBalancer:
-    """A policy that differs from the other baselines only in how it selects an endpoint.
+    """A baseline policy; the baselines differ only in the function that selects an endpoint.
 
     Attributes:
         rng: The source of random numbers for the selection.
--- a/garnetusher/model/checker.py
+++ b/garnetusher/model/checker.py
@@ -1,18 +1,19 @@
-"""Checks four rules on the records of stand-ins and clients alone, without any knowledge of the sidecar's code.
+"""Checks the records of a run against four rules for sidecars, without any knowledge of the sidecar's code.
 
-Each breach states its rule and contains the records that prove it:
+The records are those of the clients, the upstreams, the discovery service and the lab. Each breach states its rule and
+contains the records that prove it:
 
 1. ``one_answer``: each client call that a sidecar accepted gets one final response, at the latest half a second after
    the client timeout, and nothing after it. A response with status 200 comes from an upstream that received this call.
-   ``held_back``: a failed call is answered within half its timeout from its start, or from the end of its last
-   attempt.
+   ``held_back``: a call that fails is answered within half its client timeout, counted from its start or, if later,
+   from the end of its last attempt.
 2. ``no_repeat``: a request that is not idempotent is not sent again, and not reported as safe to retry, once it may
    have run. Upstreams receive no request that no client sent.
 3. ``drain``: a sidecar sends no new attempt to an upstream later than a second after it learned that the upstream
    drains or is gone.
 4. ``cold``: the sidecars together do not overload an upstream that is warming up.
 
-In addition, ``crash``: a sidecar process ended without a cause in the run.
+In addition, ``crash``: a sidecar process ended although the run did not end it.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 )
 
 TIMING_TOLERANCE_US = 50_000  # extends the limits of `held_back` and `drain`, because timing on sockets is inexact
-ANSWER_TOLERANCE_US = 500_000  # a response that is less late than this is no breach, although it adds no served worth
+ANSWER_TOLERANCE_US = 500_000  # a response at most this late is no breach, although the client no longer waits for it
 DRAIN_GRACE_US = 1_000_000  # the time in which a draining upstream may still receive new attempts
 LIST_DELAY_US = 6_000_000  # the time after which every sidecar is assumed to know of an upstream's start
 # An overload is a breach if at least this share of its work is from sidecars that knew of the upstream's start.
@@ -48,7 +49,7 @@
 
 STATUS_OK = 200
 STATUSES_SAFE_TO_REPEAT = (429, 503)  # these statuses state that the request did not run
-ENDS_WITHOUT_RUN = ("turned_away",)  # these ends prove that the attempt did not run
+ENDS_WITHOUT_RUN = ("turned_away",)  # values of `UpstreamAttemptEnded.how` that prove that the attempt did not run
 STATE_ACTIVE = "active"
 AFTER_ANY_STATE = "~"  # sorts after the name of every state
 
@@ -119,14 +120,14 @@
 
 
 def _check_prompt_failures(index: RecordIndex) -> Iterator[Breach]:
-    """Find calls that failed late although the sidecar had attempted nothing for them during half their timeout."""
+    """Find calls that failed after more than half their client timeout without an attempt in progress."""
     for call_id, call in index.calls.items():
         for record in index.responses.get(call_id, []):
             if not isinstance(record, ResponseReceived) or record.status == STATUS_OK:
                 continue
             idle_us = _idle_before_failure_us(index, call, record)
             if idle_us is not None:
-                what = f"{call_id} failed only {idle_us / 1000:.0f} ms after its start or its last attempt"
+                what = f"{call_id} failed after {idle_us / 1000:.0f} ms without an attempt in progress"
                 yield Breach(Rule.HELD_BACK, record.t, what, index.evidence(call_id))
 
 
@@ -172,6 +173,7 @@
 
 
 def _may_have_run(index: RecordIndex, attempt: Attempt, by_us: int) -> bool:
+    """Return False if the attempt had ended by `by_us` in a way that proves that it did not run, else True."""
     end = index.end_of(attempt)
     return end is None or end.how not in ENDS_WITHOUT_RUN or end.t > by_us
 
@@ -214,7 +216,7 @@
 
 
 def _check_warming(index: RecordIndex) -> Iterator[Breach]:
-    """Find overloads of warming upstreams by sidecars that knew of their start."""
+    """Find warming upstreams that crashed from overload, mostly because of sidecars that knew of their start."""
     for upstream, changes in index.upstream_changes.items():
         booted_us = 0
         for change in changes:
--- a/garnetusher/model/client.py
+++ b/garnetusher/model/client.py
@@ -6,7 +6,8 @@
 
 from garnetusher.model.experiment import Experiment
 
-LATE_ANSWER_WAIT_US = 600_000  # the wait for a late answer after a call's timeout
+# The wait for a late answer after a call's timeout; longer than `ANSWER_TOLERANCE_US` of the checker.
+LATE_ANSWER_WAIT_US = 600_000
 
 
 class Client:
--- a/garnetusher/model/compare.py
+++ b/garnetusher/model/compare.py
@@ -1,4 +1,4 @@
-"""Compares the figures of two source trees in runs with the same random draws."""
+"""Compares the figures of two source trees, A and B, in pairs of runs with the same random draws."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Difference(Struct):
-    """The difference of one figure between A and B, as B minus A.
+    """The difference of one figure between the runs of A and those of B, as B minus A.
 
     Attributes:
         name: The figure's name.
--- a/garnetusher/model/contract_host.py
+++ b/garnetusher/model/contract_host.py
@@ -41,7 +41,7 @@
 from garnetusher.policy.settings import Settings
 
 NEVER_RAN = {Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_WRITTEN}
-START_US = 1_000_000_000  # not 0, because a start time of 0 means long ago
+START_US = 1_000_000_000  # not 0, because an endpoint with start time 0 counts as started long ago
 # More timers than this at the same time indicate an endless loop in which each timer arms the next one without delay
 MAX_TIMERS_AT_ONCE = 50
 
@@ -68,12 +68,13 @@
 class AttemptRecord:
     """The host's record of one attempt."""
 
-    upstream: int
+    upstream: int  # the endpoint id
     zone: int
     cell: int
     sent_us: int
     ends_us: int
-    # how often the upstream had been added to the list when the attempt started; a re-added endpoint has no used slots
+    # how often the upstream had been added to the list when the attempt started: an attempt from before the latest
+    # addition holds no slot
     addition_count: int
     timeout_us: int = 0  # counted from the last byte of the request body; 0 = no timeout
     outcome: Outcome | None = None
@@ -198,7 +199,7 @@
         for index in record.outstanding_indexes():
             attempt = record.attempts[index]
             attempt.sent_us = self.now_us  # the protocol measures an attempt from the last byte of the request
-            # Without a timeout, the deadline is the earlier of the two times
+            # An attempt without a timeout ends at the deadline, because now + deadline is later than the deadline
             attempt.ends_us = min(
                 record.event.deadline_us, self.now_us + (attempt.timeout_us or record.event.deadline_us)
             )
--- a/garnetusher/model/discovery_client.py
+++ b/garnetusher/model/discovery_client.py
@@ -15,8 +15,9 @@
     from garnetusher.model.sidecar import SimulatedSidecar
     from garnetusher.model.simulation import Simulation
 
-CALL_TIMEOUT_US = 2_500_000  # the call timeout of garnetusher/sidecar/discovery
-WATCH_RETRY_US = 250_000  # the delay before a failed call is repeated if the policy does not poll
+CALL_TIMEOUT_US = 2_500_000  # as `RESPONSE_TIMEOUT_S` in garnetusher/sidecar/discovery/watch.py
+# The delay before a failed call is repeated if the policy does not poll; as `RECONNECT_DELAY_S` in watch.py.
+WATCH_RETRY_US = 250_000
 ENDPOINT_STATUSES = {
     "active": EndpointStatus.READY,
     "leaving": EndpointStatus.DRAINING,
@@ -75,7 +76,7 @@
     def call(self) -> None:
         """Request the list and its subsequent changes; this call replaces an earlier one."""
         self._last_call_id += 1
-        # a sidecar that does not poll receives changes from now on, as if from an agent on its host
+        # a sidecar that does not poll receives changes from now on, even before its call is answered
         self.watching = not self._polls
         incarnation, call_id = self._sidecar.incarnation, self._last_call_id
         deliver = partial(self._simulation.discovery.handle_call, self._sidecar, incarnation, call_id)
--- a/garnetusher/model/experiment.py
+++ b/garnetusher/model/experiment.py
@@ -44,7 +44,7 @@
     "disk_error",
     "clock_jump",
 ]
-# Faults that need a part of the product that does not exist yet, with the name of that part.
+# Faults that neither the lab nor the model can inject yet, with the part of the product that they would affect.
 UNSUPPORTED_FAULTS = {
     "power_loss": "durable",
     "disk_full": "durable",
@@ -53,6 +53,7 @@
     "duplicate": "membership",
     "reorder": "membership",
 }
+# The key that each of these kinds of faults requires.
 REQUIRED_KEYS = {
     "slow": "times",
     "loss": "share",
@@ -125,16 +126,16 @@
     choke_over_s: Positive = 2.0  # the duration of an overload after which the slowdown begins
     choke_below: Share = 0.34  # the number of requests per core below which the upstream recovers
     choke_rest_s: Positive = 3.5  # the time below `choke_below` after which the slowdown ends
-    choke_most_s: Positive = 27.0  # the longest slowdown
+    choke_most_s: Positive = 27.0  # the longest duration of the slowdown
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # the available share of the capacity right after a start
-    warm_up_s: Positive = 18.0
+    warm_up_s: Positive = 18.0  # the time from a start until the full capacity is available
     overload_factor: Positive = 3.0  # the load at which a cold upstream crashes, as a multiple of its capacity
-    fall_s: Positive = 3.0  # the time over which the load of a cold upstream counts towards a crash
+    fall_s: Positive = 3.0  # the window over which the load is measured for `overload_factor`
     connections_per_core: Count = 750
-    handshake_ms: NotNegative = 2.5  # the work of an upstream for each new connection
+    handshake_ms: NotNegative = 2.5  # the work for each new connection, on a standard core
     handshake_trips: NotNegative = 2.0  # the number of round trips before a new connection's first request
     idle_s: Positive = 5.0  # the time after which an upstream closes an idle connection
-    error_share: Share = 0.0005
+    error_share: Share = 0.0005  # the share of requests that fail without a fault
 
 
 class Sidecars(Struct, forbid_unknown_fields=True):
@@ -162,7 +163,7 @@
     """When clients retry and when they time out."""
 
     retries: Annotated[int, Meta(ge=0, le=5)] = 1
-    backoff_ms: NotNegative = 60.0
+    backoff_ms: NotNegative = 60.0  # the mean delay before the first retry; doubled for each further retry
     honour: Share = 0.6  # the share of clients that wait as `Retry-After` says
     try_share: Annotated[float, Meta(gt=0, le=1)] = 0.8  # the shortest client timeout, as a share of the deadline
     marks: bool = True  # whether clients mark their retries as such
@@ -172,7 +173,7 @@
 class Directory(Struct, forbid_unknown_fields=True):
     """How the discovery service sends the endpoint list, and its delays."""
 
-    mode: Literal["pushed", "on_request"] = "pushed"
+    mode: Literal["pushed", "on_request"] = "pushed"  # `on_request`: the sidecars poll the list
     add_s: NotNegative = 1.2  # the time from an upstream's start until the service lists it
     notice_s: NotNegative = 2.2  # the time until the service removes an upstream whose process has ended
     silent_notice_s: NotNegative = 8.0  # the time until the service removes an upstream that cannot be reached
@@ -216,7 +217,7 @@
     sidecar: str | None = None
     upstream: str | None = None
     directory: bool = False
-    agent: str | None = None
+    agent: str | None = None  # not supported; `Experiment` rejects it
     part: Share | None = None
     of: Literal["upstreams", "sidecars"] = "upstreams"  # the type of the nodes
 
@@ -236,12 +237,12 @@
     batch: Annotated[float, Meta(gt=0, le=1)] = 0.2  # `restart`: the share of upstreams that restart at a time
     drain_s: NotNegative = 3.0  # `restart` of upstreams: the time from `leaving` to the end of the process
     returns: Literal["warm", "cold"] = "warm"  # `silent`: the state of the upstreams once they can be reached again
-    tenant: str | None = None  # `burst`
+    tenant: str | None = None  # `burst`: the tenant whose traffic changes; None: all tenants
 
     def __post_init__(self) -> None:
-        part = UNSUPPORTED_FAULTS.get(self.what)
-        if part is not None:
-            expected = f"a supported fault; {self.what!r} needs the {part} part, which does not exist yet"
+        product_part = UNSUPPORTED_FAULTS.get(self.what)
+        if product_part is not None:
+            expected = f"a supported fault; {self.what!r}, a fault of the {product_part} part, cannot be injected yet"
             raise ExperimentError(key="what", expected=expected)
         key = REQUIRED_KEYS.get(self.what)
         if key is not None and getattr(self, key) is None:
@@ -276,8 +277,8 @@
     tenants: list[Tenant] = msgspec.field(name="tenant", default_factory=list)
     over_share_worth: Share = 0.2  # the share of its weight that a request beyond its tenant's quota keeps
     faults: list[Fault] = msgspec.field(name="fault", default_factory=list)
-    expect: dict[str, str] = {}
-    open: dict[str, str] = {}  # goals that are not reached yet: reports show them, but missing them does not fail a run
+    expect: dict[str, str] = {}  # the bounds that a run must hold, by the names of the figures
+    open: dict[str, str] = {}  # bounds that are not reached yet: reports show them, but missing them fails no run
 
     def __post_init__(self) -> None:
         self._check_zones()
--- a/garnetusher/model/fault_targets.py
+++ b/garnetusher/model/fault_targets.py
@@ -19,25 +19,25 @@
         self._plan = plan
 
     def upstreams(self, fault_index: int, place: Place) -> list[str]:
-        """Return the upstreams at a place."""
+        """Return the upstreams at a place; a place with a `part` has a random choice of them, drawn for this fault."""
         if place.upstream is not None:
             return [place.upstream]
         if place.sidecar is not None or place.directory or place.of == "sidecars":
             return []
         names = [u.uid for u in self._plan.upstreams if u.from_us == 0 and self._contains(place, u.zone)]
-        return self.part(fault_index, place.part, names)
+        return self.random_subset(fault_index, place.part, names)
 
     def sidecars(self, fault_index: int, place: Place) -> list[str]:
-        """Return the sidecars at a place."""
+        """Return the sidecars at a place; a place with a `part` has a random choice of them, drawn for this fault."""
         if place.sidecar is not None:
             return [place.sidecar]
         if place.upstream is not None or place.directory or place.of != "sidecars":
             return []
         names = [sidecar.name for sidecar in self._plan.sidecars if self._contains(place, sidecar.zone)]
-        return self.part(fault_index, place.part, names)
+        return self.random_subset(fault_index, place.part, names)
 
-    def part(self, fault_index: int, share: float | None, names: list[str]) -> list[str]:
-        """Return a random subset of the nodes, in their given order; all of them if the share is None."""
+    def random_subset(self, fault_index: int, share: float | None, names: list[str]) -> list[str]:
+        """Return a random share of the nodes, rounded up and in their given order; all of them if the share is None."""
         if share is None:
             return names
         count = math.ceil(share * len(names) - ROUNDING_TOLERANCE)
--- a/garnetusher/model/figures.py
+++ b/garnetusher/model/figures.py
@@ -34,17 +34,17 @@
 __all__ = ["Request", "RunCounts", "Timeline", "figures", "histograms", "requests_of", "timeline"]
 
 STATUSES_REFUSED = (429, 503)
-FIGURE_DIGITS = 5
+FIGURE_DIGITS = 5  # decimal places
 TIMELINE_BIN_US = 500_000
 HISTOGRAM_MAX_US = 60_000_000
-HISTOGRAM_DIGITS = 3
+HISTOGRAM_DIGITS = 3  # significant digits
 SECOND_US = 1_000_000
 LAB_PROCESSES = ("lab", "directory")
 LAB_PROCESS_PREFIXES = ("upstreams-", "clients-")
 
 
 class RunCounts(Struct):
-    """Counts that the records do not contain."""
+    """Numbers for the figures that the records do not contain."""
 
     broken: int = 0  # breaches of the rules
     late_share: float = 0.0  # the share of the lab's own timers that were late
@@ -120,7 +120,7 @@
 
 
 def _traffic_figures(plan: Plan, records: list[AnyRecord], request_count: int) -> dict[str, float]:
-    """Return attempts, cross-zone attempts, calls, connections and responses per request, and calls to discovery."""
+    """Return attempts, calls, connections and responses per request, the share of unserved work, and some counts."""
     sidecar_zone = _zone_of_sidecar(plan)
     upstream_zone = {upstream.uid: upstream.zone for upstream in plan.upstreams}
     attempts = [record for record in records if isinstance(record, Attempt)]
--- a/garnetusher/model/link.py
+++ b/garnetusher/model/link.py
@@ -78,7 +78,8 @@
     def end_cut(self, now_us: int) -> None:
         """End a cut, and schedule the arrival of all bytes that have not arrived.
 
-        TCP's next retransmission delivers them; its backoff, and so the longest wait, grows with the length of the cut.
+        TCP's next retransmission delivers them. Its backoff, and so the longest wait, grows with the time since bytes
+        were first sent during the cut.
         """
         held_since_us = now_us if self._first_held_us is None else self._first_held_us
         self._first_held_us = None
--- a/garnetusher/model/members.py
+++ b/garnetusher/model/members.py
@@ -25,7 +25,7 @@
 ROLE = "sidecar"
 PORT = 7000
 MIN_LATENCY_US = 2_000  # one-way minimum; a random delay of at most the same length is added
-SETTLE_US = 3_000_000  # time until all other members count a new member and it may use its share of the limits
+SETTLE_US = 3_000_000  # time until the others count a new member and it may use its share of the limits of the fleet
 SOCKET_BUFFER_DATAGRAMS = 2000  # further datagrams to a paused process are lost
 SEED_BITS = 62
 
@@ -110,9 +110,16 @@
         duplication: The share of datagrams that are sent twice.
         nodes: The nodes by name.
         is_cut: A function that returns whether the network drops datagrams from the first node to the second.
-        delays_us: The extra delay of each datagram and timer of a node that is starved of CPU time, by name.
+        delays_us: The extra delay of each datagram to, and timer of, a node that is starved of CPU time, by name.
         member_changed: A function that receives the node whose view has changed, the time and the change.
         clock_skew_us: The offset of each node's wall clock by name; generations derive from this clock.
+
+    Args:
+        seed: The seed of all random draws.
+        floor: The smallest fleet size that a node uses.
+        loss: The share of datagrams that are lost.
+        keys: The keys of the cluster; without keys, datagrams are not authenticated.
+        clock: The virtual time; by default, a new clock.
     """
 
     def __init__(
@@ -200,11 +207,11 @@
         self._dispatch(node, LeaveRequested())
 
     def run(self, duration_us: int) -> None:
-        """Advance the virtual time."""
+        """Advance the virtual time by a duration and run the events that become due."""
         self.clock.run(self.clock.now_us + duration_us)
 
     def deliver(self, recipient: Node, sender: Address, data: bytes) -> None:
-        """Deliver a datagram at the current time."""
+        """Deliver a datagram now; it is lost if the recipient has no running process."""
         if recipient.running:
             self._dispatch(recipient, DatagramReceived(data, sender))
 
--- a/garnetusher/model/network.py
+++ b/garnetusher/model/network.py
@@ -37,7 +37,7 @@
     one_way_us: int
     cuts_to_node: int = 0  # the number of active faults that cut the direction to the node
     cuts_to_sidecar: int = 0  # the number of active faults that cut the direction to the sidecar
-    loss: float = 0.0
+    loss: float = 0.0  # the share of messages that arrive late because TCP retransmits them
     cut_since_us: int = 0  # the start of the latest cut
     held: list[_HeldMessage] = field(default_factory=list)
 
@@ -75,6 +75,7 @@
         self._clock = clock
         self._topology = topology
         self._rng = random.Random(f"{plan.seed} network")
+        # a separate generator, so that messages to and from discovery do not change the draws of other messages
         self._discovery_rng = random.Random(f"{plan.seed} list")
         self._sidecar_zones = {sidecar.name: sidecar.zone for sidecar in plan.sidecars}
         self._upstream_zones = {upstream.uid: upstream.zone for upstream in plan.upstreams}
@@ -127,6 +128,7 @@
                     self._resend_held(node, sidecar, link)
 
     def _resend_held(self, node: str, sidecar: str, link: Link) -> None:
+        """Send the held messages after a random share of the cut's length, up to a limit, as TCP's backoff does."""
         held, link.held = link.held, []
         now_us = self._clock.now_us
         wait_us = int(self._rng.random() * (now_us - link.cut_since_us))
@@ -135,6 +137,6 @@
             self._clock.at(sent_at_us, self.send, node, sidecar, message.direction, message.deliver)
 
     def _one_way_us(self, node: str, sidecar: str) -> int:
-        if node == DISCOVERY_NODE:
+        if node == DISCOVERY_NODE:  # discovery counts as in another zone of each sidecar's region
             return round(self._topology.cross_zone_ms * 1000)
         return self._zone_delays_us[self._sidecar_zones[sidecar], self._upstream_zones[node]]
--- a/garnetusher/model/plan.py
+++ b/garnetusher/model/plan.py
@@ -26,7 +26,7 @@
     Span,
     Step,
     UpstreamPlan,
-    us,
+    microseconds,
 )
 
 __all__ = [
@@ -46,7 +46,8 @@
 ]
 
 MAX_NODES_IN_LABEL = 3  # the label of a fault without a named place lists at most this many nodes
-# The steps of an upstream at a fault's start and end. Other faults use the same step at both times, with two values.
+# The steps of an upstream at the start and end of these faults. Other faults use the step of their own name at both
+# times: first with the fault's value, then with the one that ends the fault.
 UPSTREAM_STEPS = {"kill": ("die", "boot"), "stop": ("hang", "resume"), "refuse": ("refuse", "accept")}
 
 
@@ -157,8 +158,8 @@
     # Faults
 
     def _schedule(self, index: int, fault: Fault) -> _ScheduledFault:
-        at_us, run_end_us = us(fault.at_s), us(self.plan.seconds)
-        until_us = run_end_us if fault.for_s is None else min(run_end_us, at_us + us(fault.for_s))
+        at_us, run_end_us = microseconds(fault.at_s), microseconds(self.plan.seconds)
+        until_us = run_end_us if fault.for_s is None else min(run_end_us, at_us + microseconds(fault.for_s))
         upstreams = [] if fault.what == "burst" else self._targets.upstreams(index, fault.where)
         sidecars = self._targets.sidecars(index, fault.where)
         return _ScheduledFault(index, fault, at_us, until_us, until_us < run_end_us, upstreams, sidecars)
@@ -180,7 +181,7 @@
             case "list_lies":
                 self._add_false_list_updates(scheduled)
             case "list_late":
-                pass  # `_delay_list_updates` handles it once all list updates are known
+                pass  # `_delay_list_updates` runs after all faults have added their list updates
             case _:
                 self._add_node_steps(scheduled)
 
@@ -192,7 +193,7 @@
     def _add_false_list_updates(self, scheduled: _ScheduledFault) -> None:
         share = _required(scheduled.fault.share, "share", scheduled.fault)
         upstreams = scheduled.upstreams or [upstream.uid for upstream in self.plan.upstreams]
-        for uid in self._targets.part(scheduled.index, share, upstreams):
+        for uid in self._targets.random_subset(scheduled.index, share, upstreams):
             self._add_list_step(scheduled.at_us, uid, "left")
             self._add_list_step(scheduled.until_us, uid, "active")
 
@@ -215,7 +216,7 @@
         if scheduled.ends:
             upstream.steps.append(Step(scheduled.until_us, end, end_value))
         if fault.what == "kill":
-            self._list_unavailable_upstream(upstream.uid, scheduled, self._experiment.directory.notice_s, cold=True)
+            self._add_outage_to_list(upstream.uid, scheduled, self._experiment.directory.notice_s, cold=True)
 
     # Replacements
 
@@ -238,12 +239,12 @@
         successor.steps.append(Step(begin_us, "boot"))
         self.plan.upstreams.append(successor)
         self._upstreams[successor.uid] = successor
-        listed_us = begin_us + us(directory.add_s)
+        listed_us = begin_us + microseconds(directory.add_s)
         self._add_list_step(listed_us, successor.uid, "active", begin_us)
         self._add_list_step(listed_us, uid, "leaving")
-        ended_us = begin_us + us(directory.add_s + scheduled.fault.drain_s)
+        ended_us = begin_us + microseconds(directory.add_s + scheduled.fault.drain_s)
         old.steps.append(Step(ended_us, "die"))
-        self._add_list_step(ended_us + us(directory.notice_s), uid, "left")
+        self._add_list_step(ended_us + microseconds(directory.notice_s), uid, "left")
 
     def _restart_sidecars(self, scheduled: _ScheduledFault) -> None:
         for index, name in enumerate(scheduled.sidecars):
@@ -256,67 +257,69 @@
     def _add_link_steps(self, scheduled: _ScheduledFault) -> None:
         fault = scheduled.fault
         both_ways = not fault.one_way
-        ends, starts_at_parties = self._link_ends(scheduled)
+        node_pairs, where_selects_parties = self._linked_nodes(scheduled)
         begin, end = ("loss", "loss") if fault.what == "loss" else ("cut", "mend")
-        for parties, sidecars in ends:
+        for parties, sidecars in node_pairs:
             if not parties or not sidecars:
                 continue
-            to_sidecar, to_party = both_ways or starts_at_parties, both_ways or not starts_at_parties
+            to_sidecar, to_party = both_ways or where_selects_parties, both_ways or not where_selects_parties
             steps = ((scheduled.at_us, begin, fault.share or 0.0), (scheduled.until_us, end, 0.0))
             self.plan.links += [
                 LinkStep(at_us, what, parties, sidecars, to_sidecar, to_party, value) for at_us, what, value in steps
             ]
 
-    def _link_ends(self, scheduled: _ScheduledFault) -> tuple[list[tuple[list[str], list[str]]], bool]:
+    def _linked_nodes(self, scheduled: _ScheduledFault) -> tuple[list[tuple[list[str], list[str]]], bool]:
         """Return both ends of the links that a fault affects.
 
         Returns:
-            Pairs of upstreams (or the discovery service) and sidecars, and whether `where` selects the upstreams' end.
+            Pairs of parties (upstreams or the discovery service) and sidecars, and whether `where` selects the parties.
         """
         fault = scheduled.fault
-        near_parties = with_directory(scheduled.upstreams, fault.where)
+        parties_at_where = with_directory(scheduled.upstreams, fault.where)
         if fault.to is None:
             all_sidecars = [sidecar.name for sidecar in self.plan.sidecars]
             all_parties = [*(upstream.uid for upstream in self.plan.upstreams), DISCOVERY_NODE]
-            return [(near_parties, all_sidecars), (all_parties, scheduled.sidecars)], True
-        far_sidecars = self._targets.sidecars(scheduled.index, fault.to)
-        far_parties = with_directory(self._targets.upstreams(scheduled.index, fault.to), fault.to)
-        return [(near_parties, far_sidecars), (far_parties, scheduled.sidecars)], bool(near_parties and far_sidecars)
+            return [(parties_at_where, all_sidecars), (all_parties, scheduled.sidecars)], True
+        sidecars_at_to = self._targets.sidecars(scheduled.index, fault.to)
+        parties_at_to = with_directory(self._targets.upstreams(scheduled.index, fault.to), fault.to)
+        return [(parties_at_where, sidecars_at_to), (parties_at_to, scheduled.sidecars)], bool(
+            parties_at_where and sidecars_at_to
+        )
 
     def _add_unreachable_steps(self, scheduled: _ScheduledFault) -> None:
-        """Add the effects on unreachable upstreams: the list removes them; those that return cold restart."""
+        """Remove unreachable upstreams from the endpoint list, and restart those that return cold."""
         cold = scheduled.fault.returns == "cold" and scheduled.ends
         for uid in scheduled.upstreams:
             if cold:
-                # The upstream ends 1 us after its links are cut, because its connections would be reset otherwise.
+                # The upstream ends 1 us after its links are cut, so that sidecars do not see its connections close.
                 # It starts again when the links work again.
                 self._upstreams[uid].steps += [Step(scheduled.at_us + 1, "vanish"), Step(scheduled.until_us, "boot")]
-            self._list_unavailable_upstream(uid, scheduled, self._experiment.directory.silent_notice_s, cold=cold)
+            self._add_outage_to_list(uid, scheduled, self._experiment.directory.silent_notice_s, cold=cold)
 
     # The endpoint list
 
     def _add_list_step(self, at_us: int, uid: str, state: str, started_us: int = LONG_AGO) -> None:
         self.plan.listed.append(ListStep(at_us, uid, self._upstreams[uid].zone, state, started_us))
 
-    def _list_unavailable_upstream(self, uid: str, scheduled: _ScheduledFault, notice_s: float, *, cold: bool) -> None:
+    def _add_outage_to_list(self, uid: str, scheduled: _ScheduledFault, notice_s: float, *, cold: bool) -> None:
         """Remove an upstream from the list if its fault outlasts the notice time, and list it as active afterwards.
 
         An upstream that returns warm and was never removed is not listed again.
         """
-        removed_us = scheduled.at_us + us(notice_s)
+        removed_us = scheduled.at_us + microseconds(notice_s)
         removed = removed_us < scheduled.until_us
         if removed:
             self._add_list_step(removed_us, uid, "left")
         if scheduled.ends and (cold or removed):
-            listed_us = scheduled.until_us + us(self._experiment.directory.add_s)
+            listed_us = scheduled.until_us + microseconds(self._experiment.directory.add_s)
             self._add_list_step(listed_us, uid, "active", scheduled.until_us if cold else LONG_AGO)
 
     def _delay_list_updates(self) -> None:
         for fault in self._experiment.faults:
             if fault.what != "list_late":
                 continue
-            at_us, delay_us = us(fault.at_s), us(fault.by_s or 0.0)
-            until_us = at_us + us(fault.for_s) if fault.for_s is not None else us(self.plan.seconds)
+            at_us, delay_us = microseconds(fault.at_s), microseconds(fault.by_s or 0.0)
+            until_us = at_us + microseconds(fault.for_s) if fault.for_s is not None else microseconds(self.plan.seconds)
             for step in self.plan.listed:
                 if at_us <= step.at_us < until_us:
                     step.at_us += delay_us
--- a/garnetusher/model/plan_types.py
+++ b/garnetusher/model/plan_types.py
@@ -8,7 +8,7 @@
 from msgspec import Struct, field
 
 DISCOVERY_NODE = "directory"  # the discovery service's name in lists of nodes
-LONG_AGO = -1  # the value of a start time that the endpoint list does not state
+LONG_AGO = -1  # the start time of an upstream whose list entry states none; the upstream counts as warm
 
 
 class Step(Struct):
@@ -20,7 +20,11 @@
 
 
 class UpstreamPlan(Struct):
-    """An upstream and its steps: boot, die, hang, resume, refuse, accept, slow, errors, reset, vanish."""
+    """An upstream and its steps.
+
+    The steps are boot, die, hang, resume, refuse, accept, slow, errors, reset, and vanish (the process ends while its
+    links are cut).
+    """
 
     uid: str
     zone: str
@@ -30,7 +34,7 @@
 
 
 class SidecarPlan(Struct):
-    """A sidecar, its clients' request rate, and its steps: kill, start, restart, stop, cont."""
+    """A sidecar, its clients' request rate, and its steps: kill, start, restart, stop (SIGSTOP), cont (SIGCONT)."""
 
     name: str
     zone: str
@@ -57,7 +61,7 @@
     uid: str
     zone: str
     state: str  # active, leaving, left
-    started_us: int = LONG_AGO
+    started_us: int = LONG_AGO  # the start of the upstream's process
 
 
 class Burst(Struct):
@@ -71,13 +75,13 @@
 
 
 class Span(Struct):
-    """A fault in the form that the report shows."""
+    """A fault, with its interval and nodes, for the report, the checker and the figures."""
 
-    what: str
-    label: str
+    what: str  # the kind of the fault
+    label: str  # the text in the report
     at_us: int
     until_us: int
-    parties: list[str]
+    parties: list[str]  # the affected nodes: upstreams, sidecars, or DISCOVERY_NODE
 
 
 class Plan(Struct):
@@ -100,6 +104,6 @@
         return min(span.at_us for span in self.spans), max(span.until_us for span in self.spans)
 
 
-def us(seconds: float) -> int:
+def microseconds(seconds: float) -> int:
     """Return seconds as microseconds."""
     return round(seconds * 1_000_000)
--- a/garnetusher/model/record_index.py
+++ b/garnetusher/model/record_index.py
@@ -25,7 +25,7 @@
     line_of,
 )
 
-CATCH_UP_US = 300_000  # a process may respond late for this long after a halt, regardless of its decisions
+CATCH_UP_US = 300_000  # for this long after a halt (a kill or a stop), late responses are attributed to the halt
 LINK_SETTLE_US = 1_000_000  # the time for connections to be established again after a fault of links or processes
 NEVER_US = 1 << 62  # later than any record
 
@@ -46,7 +46,7 @@
         self.experiment = experiment
         self.calls: dict[str, RequestSent] = {}
         self.unconnected_calls: set[str] = set()
-        self.responses: dict[str, list[AnyRecord]] = defaultdict(list)  # outcomes of calls, and unexpected bytes
+        self.responses: dict[str, list[AnyRecord]] = defaultdict(list)  # what clients received, or missed, by call
         self.attempts: dict[str, list[Attempt]] = defaultdict(list)
         self.undelivered: dict[str, list[AttemptUndelivered]] = defaultdict(list)
         self.ends: dict[tuple[str, int], UpstreamAttemptEnded] = {}  # the key: upstream, attempt number
@@ -105,7 +105,7 @@
         return int(transit_ms * (1 + topology.jitter) * 1000)
 
     def was_halted(self, sidecar: str, from_us: int, to_us: int) -> bool:
-        """Return whether the run halted or killed a sidecar at any time of an interval."""
+        """Return whether a kill or a stop by the run, with the time to catch up, overlaps an interval."""
         return _any_overlap(self._halts.get(sidecar, []), from_us, to_us)
 
     def may_lack_record(self, from_us: int, to_us: int) -> bool:
--- a/garnetusher/model/records.py
+++ b/garnetusher/model/records.py
@@ -1,4 +1,6 @@
-"""The records that stand-ins, clients and the lab write: the checker and the figures read nothing else.
+"""The records that a run's clients, upstreams, discovery service and lab write; a simulation writes the same types.
+
+Apart from the experiment and its plan, the checker and the figures read nothing else.
 
 `events.jsonl` has one JSON object per line, in the order of time. `t` is in microseconds from the start of the run, on
 the monotonic clock that all processes of a machine share. `e` is the type of the record.
@@ -31,10 +33,10 @@
     id: str
     request: str  # the id of the first call, which all calls of the request share
     sidecar: str
-    cls: int
-    tenant: int
+    cls: int  # the index of the request class
+    tenant: int  # the index of the tenant
     first_t: int
-    until_t: int  # the client timeout of this call
+    until_t: int  # when the client timeout of this call expires
 
 
 class ResponseReceived(Record, tag="answered"):
@@ -104,7 +106,7 @@
 
 
 class ResponseMissing(Record, tag="silent"):
-    """A client has stopped watching for a late response: none came even long after the call's timeout."""
+    """A call got no response, not even a late one within `LATE_ANSWER_WAIT_US` after its client timeout."""
 
     id: str
     sidecar: str
@@ -136,7 +138,11 @@
 
 
 class UpstreamAttemptEnded(Record, tag="ended"):
-    """An attempt has ended. `how` is served, error, turned_away, cancelled, reset or dropped."""
+    """An attempt has ended at its upstream.
+
+    `how` is served, error, turned_away (rejected without running), cancelled (the sidecar closed the connection), reset
+    (by a fault) or dropped (the upstream ended, crashed or refused connections).
+    """
 
     n: int
     id: str
@@ -154,10 +160,10 @@
 
 
 class UpstreamChanged(Record, tag="machine"):
-    """An upstream changed its state (boot, die, hang, fell_over, ...) because of the plan or its load."""
+    """An upstream changed its state because of the plan or its load."""
 
     upstream: str
-    what: str
+    what: str  # a step of `UpstreamPlan`, or fell_over (it crashed from overload)
 
 
 # Discovery
@@ -168,7 +174,7 @@
 
     sidecar: str
     upstream: str
-    state: str
+    state: str  # active, leaving, left
     started_us: int = -1  # the start of an upstream that started recently; -1: unknown
 
 
@@ -183,7 +189,11 @@
 
 
 class ProcessChanged(Record, tag="process"):
-    """A sidecar process changed: spawned, ready, killed, term, ended, stopped, continued, died."""
+    """The process of a sidecar changed.
+
+    `what` is spawned, ready, killed, term (received SIGTERM), ended (as the lab expected), stopped (SIGSTOP),
+    continued (SIGCONT) or died (ended unexpectedly).
+    """
 
     sidecar: str
     what: str
--- a/garnetusher/model/recovery.py
+++ b/garnetusher/model/recovery.py
@@ -14,12 +14,12 @@
 
 BIN_US = 250_000
 NORMAL_TOLERANCE = 0.05  # a served share is normal if it is at most this far below the share before the fault
-NEARLY_NORMAL = 0.98  # the threshold of `back_to_098_s`, as a multiple of the served share before the fault
+RECOVERED_RATIO = 0.98  # the threshold of `back_to_098_s`, as a multiple of the served share before the fault
 NORMAL_BINS = 6  # the normal share has to last for 1.5 s
-FIRST_BINS = 2  # the first bins of those 1.5 s also have to be near the normal share on their own
+FIRST_BINS = 2  # the first 0.5 s of them may be at most `NORMAL_TOLERANCE` below the required share
 DIP_BINS = 8  # the window of `second_dip`, 2 s; in shorter windows random variation causes half of the dips
 ABANDONED_BELOW = 0.1  # an abandoned upstream gets at most this share of its attempts before the fault
-ABANDONED_STEP_US = BIN_US // 5
+ABANDONED_STEP_US = BIN_US // 5  # the resolution of `leave_s`
 SMALLEST_WEIGHT = 1e-9  # prevents a division by zero
 
 
@@ -48,7 +48,8 @@
     def first_normal(self, share: float, begin: int) -> int | None:
         """Return the first bin from which the served share is normal, or None.
 
-        The served share of `NORMAL_BINS` bins has to be at least `share`, and that of the first of them near it.
+        The served share of `NORMAL_BINS` bins has to be at least `share`, and that of the first `FIRST_BINS` of them at
+        most `NORMAL_TOLERANCE` lower.
         """
         for index in range(begin, len(self.offered) - NORMAL_BINS):
             if self.offered[index : index + NORMAL_BINS].sum() == 0:
@@ -58,7 +59,7 @@
         return None
 
     def lowest_share(self, begin: int) -> float:
-        """Return the lowest served share of any window; random variation alone makes it lower than the mean."""
+        """Return the lowest served share of any `DIP_BINS` bins; it is below the mean even without a dip."""
         return float(min(self._window_share(index) for index in range(begin, len(self.offered) - DIP_BINS)))
 
     def _window_share(self, begin: int) -> float:
@@ -96,10 +97,10 @@
     normal_bin = bins.first_normal(usual_share - NORMAL_TOLERANCE, from_us // BIN_US)
     if normal_bin is not None:
         found["back_to_normal_s"] = max(0.0, normal_bin * BIN_US - from_us) / 1e6
-    nearly_normal_bin = bins.first_normal(NEARLY_NORMAL * usual_share, from_us // BIN_US)
-    if nearly_normal_bin is not None and from_us == fault_end_us:
-        found["back_to_098_s"] = max(0.0, nearly_normal_bin * BIN_US - from_us) / 1e6
-        found["second_dip"] = max(0.0, usual_share - bins.lowest_share(nearly_normal_bin))
+    recovered_bin = bins.first_normal(RECOVERED_RATIO * usual_share, from_us // BIN_US)
+    if recovered_bin is not None and from_us == fault_end_us:
+        found["back_to_098_s"] = max(0.0, recovered_bin * BIN_US - from_us) / 1e6
+        found["second_dip"] = max(0.0, usual_share - bins.lowest_share(recovered_bin))
     return found
 
 
@@ -112,8 +113,9 @@
     if not upstreams or len(upstreams) == len(plan.upstreams) or span.what == "restart":
         return None
     times_us = _attempt_times_us(records, upstreams)
-    before_us = span.at_us / 2
-    usual_per_bin = _count_between(times_us, before_us, span.at_us) / max(1, before_us) * BIN_US
+    # The usual rate is that of the second half of the time before the fault.
+    half_us = span.at_us / 2
+    usual_per_bin = _count_between(times_us, half_us, span.at_us) / max(1, half_us) * BIN_US
     if usual_per_bin == 0:
         return None
     for begin_us in range(span.at_us, span.until_us, ABANDONED_STEP_US):
--- a/garnetusher/model/request_state.py
+++ b/garnetusher/model/request_state.py
@@ -39,8 +39,8 @@
     connection: Connection | None = None
     written: bool = False
     ended: bool = False
-    upstream_attempt_id: int = 0  # the attempt's number at the upstream
-    abandoned: bool = False  # whether the sidecar has cancelled the attempt, even before it sent the request
+    upstream_attempt_id: int = 0  # the attempt's number at the upstream; 0 until the upstream receives it
+    abandoned: bool = False  # whether the sidecar has given up the attempt; a response that arrives later is ignored
 
 
 @dataclass(slots=True)
--- a/garnetusher/model/sidecar_membership.py
+++ b/garnetusher/model/sidecar_membership.py
@@ -49,7 +49,8 @@
     def _partitioned(self, first: Node, second: Node) -> bool:
         """Return whether two sidecars are partitioned from each other.
 
-        A sidecar that is cut off from discovery in both directions is also cut off from all other sidecars.
+        Plans cut no links between sidecars. Instead, a sidecar that is cut off from discovery in both directions counts
+        as cut off from all other sidecars.
         """
         network = self._simulation.network
         return any(network.link(DISCOVERY_NODE, node.name).cut_both_ways for node in (first, second))
--- a/garnetusher/model/sidecar_settings.py
+++ b/garnetusher/model/sidecar_settings.py
@@ -9,12 +9,13 @@
 from garnetusher.model.plan import Plan, SidecarPlan
 from garnetusher.policy.settings import RequestClass, Settings, Tenant
 
-POLICY_EPOCH_US = 10**12  # the policy's time at the start of a run; an upstream that started at 0 is thus long warm
+POLICY_EPOCH_US = 10**12  # the policy's time at the start of a run; an upstream with start time 0 has long been warm
+# Except for `POLL_INTERVAL_US`, the values are those of the constants in garnetusher/lab/sidecar_settings.py.
 CONNECT_TIMEOUT_US = 200_000
 POLL_INTERVAL_US = 10_000_000
 MAX_RETRY_AFTER_US = 2_000_000
-CROSS_ZONE_COST = 0.022
-MAX_INITIAL_WARM_UP_FRACTION = 0.13
+CROSS_ZONE_COST = 0.022  # the cost of an attempt in another zone, as a share of the weight of its request
+MAX_INITIAL_WARM_UP_FRACTION = 0.13  # upper limit of the share of its capacity that an endpoint has at its start
 
 
 def sidecar_settings(experiment: Experiment, plan: Plan, sidecar: SidecarPlan) -> Settings:
--- a/garnetusher/model/steady_load.py
+++ b/garnetusher/model/steady_load.py
@@ -1,4 +1,4 @@
-"""Measures the CPU cost of one `Balancer` under a steady stream of requests, without simulated machines or links."""
+"""A steady load for measurements of the CPU cost of one `Balancer`, without simulated machines or links."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def status_update(full_list: EndpointsUpdated, index: int, count: int) -> EndpointsUpdated:
-    """Return one of a series of updates; each concerns one endpoint, and the endpoints are spread over the list.
+    """Return one of a series of updates of one endpoint each; their endpoints are spread evenly over the list.
 
     Args:
         full_list: The complete endpoint list.
--- a/garnetusher/model/upstream.py
+++ b/garnetusher/model/upstream.py
@@ -16,7 +16,7 @@
 from garnetusher.model.experiment import Upstreams
 from garnetusher.model.upstream_overload import Degradation, overload_budget_us
 
-MAX_WARM_UP_STEP_US = 100_000  # the longest step of a machine whose capacity is still growing
+MAX_WARM_UP_STEP_US = 100_000  # the longest step of a machine that started during the run and may still warm up
 
 
 @dataclass(slots=True)
--- a/garnetusher/model/upstream_node.py
+++ b/garnetusher/model/upstream_node.py
@@ -20,6 +20,7 @@
     from garnetusher.model.sidecar import SimulatedSidecar
     from garnetusher.model.simulation import Simulation
 
+# The value of `UpstreamAttemptEnded.how` for each outcome with a response.
 _ATTEMPT_ENDS = {Outcome.OK: "served", Outcome.OVERLOADED: "turned_away", Outcome.ERROR: "error"}
 
 
@@ -149,7 +150,7 @@
         self._simulation.record(
             Attempt(now_us, attempt_id, call_id, self.uid, sidecar.name, now_us, work_us, new_connection)
         )
-        if self._machine.hung:
+        if self._machine.hung:  # a hung process returns no errors and resets no connections
             self._handle_actions(self._machine.arrive(now_us, attempt_id, work_us))
         elif self._errors_on_arrival and self._rng.random() < self._error_share:
             self._respond(attempt_id, Outcome.ERROR)
@@ -169,6 +170,7 @@
     def _work_us(self, request: PendingRequest) -> int:
         """Return the work of a request, which is equal for the first call and all retries of the client."""
         request_class = self._simulation.experiment.classes[request.call.class_index]
+        # the id of a call is SIDECAR.REQUEST, and that of a retry SIDECAR.REQUEST.RETRY
         first_call_id = ".".join(request.call.call_id.split(".")[:2])
         return draw.work_us(self._simulation.plan.seed, first_call_id, request_class.work_ms, request_class.work_cv)
 
--- a/garnetusher/model/upstream_overload.py
+++ b/garnetusher/model/upstream_overload.py
@@ -60,7 +60,7 @@
     """Return how much work a machine in slow start can receive during the overload window without a crash.
 
     The budget is the overload factor times the machine's capacity over the window, with a tolerance for random bursts.
-    For the part of the window before the start, the capacity at the start applies (rule 4 in the protocol page).
+    For the part of the window before the start, the capacity at the start applies, as rule 4 of the protocol states.
 
     Args:
         settings: The settings of the machine.
--- a/tests/experiment.py
+++ b/tests/experiment.py
@@ -52,4 +52,5 @@
 
 
 def small(**changes: Any) -> Experiment:
+    """Return the experiment of `text(**changes)`."""
     return config.parse(text(**changes), Experiment)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -99,6 +99,7 @@
     machine = Upstream(upstreams, 1.0)
     for job in range(4):
         machine.arrive(0, job, 600_000)
+    # the overload (above choke_at) has lasted 1 s when the second job ends; each later job takes 2.6 times 0.6 s
     assert [len(machine.wakeup(t)) for t in (600_010, 1_200_020)] == [1, 1]
     assert machine.degraded
     assert machine.wakeup(2_700_000) == []
@@ -166,7 +167,7 @@
     link = DatagramLink(conditions, random.Random(1))
     copies = [link.send(i * 100, b"%d" % i) for i in range(5_000)]
     assert 0.17 < sum(not c for c in copies) / 5_000 < 0.23
-    assert 0.06 < sum(len(c) == 2 for c in copies) / 5_000 < 0.1
+    assert 0.06 < sum(len(c) == 2 for c in copies) / 5_000 < 0.1  # a tenth of the 80% that are not lost
     delivered = [data for _, data in sorted((at, data) for c in copies for at, data in c)]
     assert delivered != sorted(delivered, key=int)
     conditions.cut = 1
@@ -217,6 +218,7 @@
         '[[fault]]\nat_s = 20\nfor_s = 20\nwhat = "burst"\ntimes = 3\ntenant = "y"',
     )
     run_plan = plan.make(config, 3)
+    # 120 requests per second, half of them of each tenant; in the 20 s of the burst, tenant y sends three times as many
     all_arrivals = [a for s in run_plan.sidecars for a in plan.arrivals(config, run_plan, s)]
     arrivals_outside_burst = [a for a in all_arrivals if not 20e6 <= a[0] < 40e6]
     assert 0.9 < len(arrivals_outside_burst) / (120 * 40) < 1.1
--- a/tests/test_weighted_draw.py
+++ b/tests/test_weighted_draw.py
@@ -130,10 +130,10 @@
                 total = sum(weights.values())
                 for endpoint_id in weights.keys() | drawn.keys():
                     probability = weights.get(endpoint_id, 0.0) / total
-                    deviation = (probability * (1 - probability) / draws) ** 0.5
-                    assert abs(drawn[endpoint_id] / draws - probability) <= 4.5 * deviation + 1e-9, (seed, endpoint_id)
+                    std_dev = (probability * (1 - probability) / draws) ** 0.5
+                    assert abs(drawn[endpoint_id] / draws - probability) <= 4.5 * std_dev + 1e-9, (seed, endpoint_id)
                 compared += len(weights) > 1
-    assert compared >= 20
+    assert compared >= 20  # the runs reach enough pools with a choice of endpoints
 
 
 def test_cohorts_accrue_like_single_endpoints_when_endpoints_warm_up() -> None:
--- a/tests/test_zone_state_figures.py
+++ b/tests/test_zone_state_figures.py
@@ -1,4 +1,4 @@
-"""Tests the figures of logged zone states, and runs of the model with the policy of another tree."""
+"""Tests the figures of logged zone states, and runs of the model with the policy of another source tree."""
 
 from __future__ import annotations
 
