--- a/garnetusher/__main__.py
+++ b/garnetusher/__main__.py
@@ -34,7 +34,7 @@
     CommandGroup(
         "model",
         "garnetusher.cli.model_commands",
-        "Run the same experiments in virtual time, with the policy that sidecars use.",
+        "Run the same experiments as `lab` in virtual time, with the policy that sidecars use.",
     ),
     CommandGroup(
         "zones", "garnetusher.cli.zones", "Show the state of each zone at a sidecar; evacuate or restore a zone."
@@ -42,7 +42,7 @@
     CommandGroup(
         "members",
         "garnetusher.cli.members",
-        "Show the members that a process considers present, and whether the others agree.",
+        "Show the members of the fleet with their states, as a process sees them, and whether others disagree.",
     ),
     CommandGroup("config", "garnetusher.cli.config_commands", "Check experiment files without running them."),
 )
@@ -86,6 +86,7 @@
     Returns:
         The exit status, as `garnetusher.cli.ExitStatus` defines it.
     """
+    # The first argument that is not an option is the name of the group; no option before it takes a value.
     arguments = [argument for argument in sys.argv[1:] if not argument.startswith("-")]
     try:
         status = application(arguments[0] if arguments else "")(prog_name=PROGRAM, standalone_mode=False)
@@ -94,15 +95,15 @@
     except Abort:
         status = ExitStatus.FAILURE
     except CommandError as error:
-        status = _report(str(error), error.status)
+        status = _report_error(str(error), error.status)
     except TyperException as error:
         status = _report_usage_error(error.format_message())
     except KeyboardInterrupt:
-        status = _report("stopped; nothing was left running", ExitStatus.FAILURE)
+        status = _report_error("stopped; nothing was left running", ExitStatus.FAILURE)
     return int(status or ExitStatus.SUCCESS)
 
 
-def _report(message: str, status: ExitStatus) -> ExitStatus:
+def _report_error(message: str, status: ExitStatus) -> ExitStatus:
     print(f"{PROGRAM}: {message}", file=sys.stderr)
     return status
 
@@ -112,7 +113,7 @@
     if message.startswith("Usage:"):
         print(message, file=sys.stderr)
         return ExitStatus.USAGE_ERROR
-    return _report(" ".join(message.split()), ExitStatus.USAGE_ERROR)
+    return _report_error(" ".join(message.split()), ExitStatus.USAGE_ERROR)
 
 
 if __name__ == "__main__":
--- a/garnetusher/cli/admin_client.py
+++ b/garnetusher/cli/admin_client.py
@@ -13,7 +13,9 @@
 TIMEOUT_S = 2.0  # a short timeout suffices because a running sidecar answers immediately
 ADDRESS_VARIABLE = "BALANCER_ADMIN"
 
-AdminAddress = Annotated[str, typer.Option(help=f"Admin address of the sidecar; ${ADDRESS_VARIABLE} if not given.")]
+AdminAddress = Annotated[
+    str, typer.Option(help=f"Admin address of the sidecar, as host:port; ${ADDRESS_VARIABLE} if not given.")
+]
 
 
 class AdminResponse(NamedTuple):
--- a/garnetusher/cli/console.py
+++ b/garnetusher/cli/console.py
@@ -14,7 +14,7 @@
 Progress = Callable[[str, float], None]
 """A function that receives the current activity and the completed share, from 0 to 1."""
 
-_error_console = Console(stderr=True, highlight=False)
+_stderr_console = Console(stderr=True, highlight=False)
 
 
 def say(text: str) -> None:
@@ -47,7 +47,7 @@
         TextColumn("{task.percentage:3.0f}%"),
         TimeElapsedColumn(),
     )
-    with rich.progress.Progress(*columns, console=_error_console, transient=True) as bar:
+    with rich.progress.Progress(*columns, console=_stderr_console, transient=True) as bar:
         task = bar.add_task(title, total=1.0)
 
         def update(activity: str, share: float) -> None:
--- a/garnetusher/cli/curves.py
+++ b/garnetusher/cli/curves.py
@@ -15,11 +15,12 @@
 from garnetusher.cli.runs import CompletedRun, run_experiment
 from garnetusher.model.experiment import Experiment, scaled
 
-SIZES = (10, 100, 1000, 10_000)
+SIZES = (10, 100, 1000, 10_000)  # numbers of sidecars if the call gives none
 GROW_FLEET, GROW_SIDECARS = "fleet", "sidecars"
 GROWTH_MODES = (GROW_FLEET, GROW_SIDECARS)
 RULES_BROKEN = "rules_broken"
-PLOTS = {  # titles of the plotted figures, by the name of the figure
+# The figures in the table, each of which also has a plot; maps their names to their titles.
+PLOTS = {
     "served_worth.whole": "worth served",
     "retries": "retries a request",
     "crossings": "crossings a request",
@@ -77,7 +78,7 @@
         progress: a function that is called after each run.
 
     Returns:
-        The points, by policy and then by size.
+        The points, in the order of the policies and then of the sizes.
     """
     cases = [_Case(policy, size) for size in sorted(sizes, reverse=True) for policy in policies]
     experiment_by_case = {case: _scale_for_case(experiment, case, grow) for case in cases}
@@ -102,8 +103,11 @@
 def _point(policy: str, experiment: Experiment, runs: Sequence[CompletedRun]) -> CurvePoint:
     sidecars = sum(experiment.sidecars.per_zone.values())
     upstreams = sum(experiment.upstreams.per_zone.values())
-    figures = [_figures(run, sidecars) for run in runs]
-    means = {name: round(sum(run[name] for run in figures) / len(figures), 5) for name in (*PLOTS, RULES_BROKEN)}
+    figures_by_run = [_figures(run, sidecars) for run in runs]
+    means = {
+        name: round(sum(figures[name] for figures in figures_by_run) / len(figures_by_run), 5)
+        for name in (*PLOTS, RULES_BROKEN)
+    }
     return CurvePoint(policy, sidecars, upstreams, experiment.load.requests_per_s, means)
 
 
@@ -151,18 +155,18 @@
     paths = []
     for figure_name in PLOTS:
         path = folder / f"{name}-{grow}-{figure_name.replace('.', '-').replace('_', '-')}.svg"
-        _draw_figure(name, grow, points, figure_name, path)
+        _draw_plot(name, grow, points, figure_name, path)
         paths.append(path)
     return paths
 
 
-def _draw_figure(name: str, grow: str, points: Sequence[CurvePoint], figure_name: str, path: Path) -> None:
+def _draw_plot(name: str, grow: str, points: Sequence[CurvePoint], figure_name: str, path: Path) -> None:
     import matplotlib  # noqa: PLC0415 -- the import is slow and few commands need it
 
     matplotlib.use("svg")
     from matplotlib import pyplot as plt  # noqa: PLC0415 -- the backend must be chosen before this import
 
-    figure, axes = plt.subplots(figsize=(5.2, 3.4))
+    plot, axes = plt.subplots(figsize=(5.2, 3.4))
     policies = list(dict.fromkeys(point.policy for point in points))
     for policy in policies:
         policy_points = [point for point in points if point.policy == policy]
@@ -175,5 +179,5 @@
     axes.grid(alpha=0.25)
     if len(policies) > 1:
         axes.legend(fontsize=8)
-    figure.savefig(path, bbox_inches="tight", metadata={"Date": None})
-    plt.close(figure)
+    plot.savefig(path, bbox_inches="tight", metadata={"Date": None})
+    plt.close(plot)
--- a/garnetusher/cli/decision_cost.py
+++ b/garnetusher/cli/decision_cost.py
@@ -13,9 +13,9 @@
 
 LIST_LENGTHS = (10, 100, 1000, 10_000)
 SEED = 1
-ROUNDS = 7  # number of measured rounds; the table shows the median of their costs
+ROUND_COUNT = 7  # number of measured rounds; the table shows the median of their costs
 REQUESTS_PER_ROUND = 400
-CHANGES = 50  # number of measured changes of one entry; the table shows the cost of the slowest change
+CHANGE_COUNT = 50  # number of measured updates of one list entry; the table shows the cost of the slowest update
 
 COLUMNS = (
     number_column("upstreams"),
@@ -37,7 +37,7 @@
         request_us: CPU time of the decisions on one request.
         list_ms: CPU time to process the complete list.
         same_list_ms: CPU time to process the same list again.
-        change_ms: CPU time to process a change of one entry; the maximum of `CHANGES` changes.
+        change_ms: CPU time to process a change of one entry; the maximum of `CHANGE_COUNT` changes.
         sent_share: the share of requests that the policy forwarded.
     """
 
@@ -52,14 +52,16 @@
 
 def measure(upstreams: int, *, all_warming: bool) -> DecisionCost:
     """Measure the CPU time that one balancer uses for list updates and for a steady stream of requests."""
-    steady = SteadyLoad(SEED)
+    steady_load = SteadyLoad(SEED)
     complete_list = endpoint_list(upstreams, all_warming)
-    list_ms = _event_ms(steady, complete_list)
-    same_list_ms = _event_ms(steady, endpoint_list(upstreams, all_warming))
-    _round_us(steady)  # the first round fills caches and is not measured
-    request_us = statistics.median([_round_us(steady) for _ in range(ROUNDS)])
-    sent_share = steady.sent / steady.requests
-    change_ms = max(_event_ms(steady, status_update(complete_list, index, CHANGES)) for index in range(CHANGES))
+    list_ms = _event_ms(steady_load, complete_list)
+    same_list_ms = _event_ms(steady_load, endpoint_list(upstreams, all_warming))
+    _round_us(steady_load)  # the first round fills caches and is not measured
+    request_us = statistics.median([_round_us(steady_load) for _ in range(ROUND_COUNT)])
+    sent_share = steady_load.sent / steady_load.requests
+    change_ms = max(
+        _event_ms(steady_load, status_update(complete_list, index, CHANGE_COUNT)) for index in range(CHANGE_COUNT)
+    )
     return DecisionCost(
         upstreams=upstreams,
         all_warming=all_warming,
@@ -71,22 +73,23 @@
     )
 
 
-def _round_us(steady: SteadyLoad) -> float:
+def _round_us(steady_load: SteadyLoad) -> float:
     """Return the mean CPU time of one request in a round, in microseconds."""
     started_ns = time.process_time_ns()
     for _ in range(REQUESTS_PER_ROUND):
-        steady.send_request()
+        steady_load.send_request()
     return (time.process_time_ns() - started_ns) / 1000 / REQUESTS_PER_ROUND
 
 
-def _event_ms(steady: SteadyLoad, event: EndpointListUpdate) -> float:
+def _event_ms(steady_load: SteadyLoad, event: EndpointListUpdate) -> float:
+    """Return the CPU time of one event, in milliseconds."""
     started_ns = time.process_time_ns()
-    steady.handle(event)
+    steady_load.handle(event)
     return (time.process_time_ns() - started_ns) / 1e6
 
 
 def table(costs: list[DecisionCost]) -> str:
-    """Return a Markdown table with a row for each list."""
+    """Return a Markdown table with a row for each measurement."""
     rows = [
         [
             str(cost.upstreams),
--- a/garnetusher/cli/fidelity.py
+++ b/garnetusher/cli/fidelity.py
@@ -40,7 +40,7 @@
         seeds: the seeds of the runs.
         real: mean figures on real processes; a figure that no run has is missing.
         virtual: mean figures in virtual time; a figure that no run has is missing.
-        rules_broken: the number of broken rules in virtual time.
+        rules_broken: the number of rule breaches in virtual time, over all runs.
     """
 
     name: str
@@ -79,7 +79,7 @@
 
 
 def measure(lab_runs: Sequence[tuple[Result, Experiment]], progress: Progress) -> list[Row]:
-    """Run each experiment in virtual time with the seed of its run on real processes."""
+    """Repeat each run in virtual time with the same experiment and seed, and return a row for each experiment."""
     virtual_by_name: dict[str, list[Result]] = {}
     with ProcessPoolExecutor() as pool:
         runs = pool.map(run_experiment, [experiment for _, experiment in lab_runs], [real.seed for real, _ in lab_runs])
@@ -103,7 +103,10 @@
 
 
 def table(rows: Sequence[Row]) -> str:
-    """Return a Markdown table of real and virtual figures with a row for each experiment."""
+    """Return a Markdown table with a row for each experiment, in which each cell has the real and the virtual figure.
+
+    The last column has the difference of served worth; `!` marks a difference above `TOLERANCE`.
+    """
     columns = [Column("experiment"), *map(number_column, ("plays", *FIGURES, "worth apart"))]
     return markdown.table(columns, map(_cells, rows))
 
--- a/garnetusher/cli/markdown.py
+++ b/garnetusher/cli/markdown.py
@@ -7,7 +7,12 @@
 
 
 class Column(NamedTuple):
-    """The title and the alignment of a column."""
+    """A column of a table.
+
+    Attributes:
+        title: the cell in the header row.
+        alignment: the cell in the delimiter row, which is `---:` for a right-aligned column.
+    """
 
     title: str
     alignment: str = "---"
--- a/garnetusher/cli/members.py
+++ b/garnetusher/cli/members.py
@@ -1,24 +1,24 @@
-"""`garnetusher members`: the members that a running process considers present, and whether the others agree."""
+"""`garnetusher members`: the members of the fleet, as a running process sees them, and whether others disagree."""
 
 from __future__ import annotations
 
-import json as json_module
+import json
 from http import HTTPStatus
-from typing import Annotated, Any
+from typing import Any
 
 import typer
 
 from garnetusher import cli
-from garnetusher.cli.zones import At, call
+from garnetusher.cli.admin_client import AdminAddress, call
+from garnetusher.cli.options import JsonFlag
 
-app = typer.Typer(help="Show the members that a process considers present, and whether the others agree.")
+app = typer.Typer(
+    help="Show the members of the fleet with their states, as a process sees them, and whether others disagree."
+)
 
 
 @app.callback(invoke_without_command=True, epilog="Example: garnetusher members --at 127.0.0.1:9100")
-def members(
-    at: At = "",
-    json: Annotated[bool, typer.Option("--json", help="Print one JSON document on standard output.")] = False,  # noqa: FBT002  typer declares a flag for this parameter
-) -> None:
+def members(at: AdminAddress = "", *, as_json: JsonFlag = False) -> None:
     """Show the state of each member and the time in this state, and list the members that disagree."""
     status, text = call(at, "GET", "/_members")
     if status == HTTPStatus.NOT_FOUND:
@@ -28,8 +28,8 @@
         )
     if status != HTTPStatus.OK:
         cli.fail(f"the sidecar answered {status}: {text.strip()}", cli.FAILURE)
-    document: dict[str, Any] = json_module.loads(text)
-    if json:
+    document: dict[str, Any] = json.loads(text)
+    if as_json:
         cli.say_json(document)
         return
     cli.say("\n".join(format_lines(document)))
@@ -50,6 +50,7 @@
 
 def _summary_line(document: dict[str, Any]) -> str:
     agreement = "agreed" if document["agreed"] else "in dispute"
+    # The members disagree, or the count still includes members that left or failed recently.
     count_note = "" if document["trusted"] else ", the count is held"
     return f"{document['cluster']}: limits are divided by {document['instances']}, {agreement}{count_note}"
 
--- a/garnetusher/cli/membership_scenarios.py
+++ b/garnetusher/cli/membership_scenarios.py
@@ -11,7 +11,8 @@
 
 from garnetusher.model.membership_scenario import MembershipResult, Scenario, run_scenario
 
-SIZES = (10, 100, 1000)
+SIZES = (10, 100, 1000)  # numbers of members if the call gives none
+# Fields of `MembershipResult` that the table shows.
 COLUMNS = (
     "members",
     "loss",
@@ -30,19 +31,19 @@
 )
 
 
-def _run(size: int, loss: float, starved: float, seed: int) -> MembershipResult:
-    return run_scenario(Scenario(size, loss, int(starved * size), seed, cpu_ns=time.thread_time_ns))
+def _run(size: int, loss: float, starved_share: float, seed: int) -> MembershipResult:
+    return run_scenario(Scenario(size, loss, int(starved_share * size), seed, cpu_ns=time.thread_time_ns))
 
 
 def measure(
-    sizes: list[int], loss: float, starved: float, seeds: range, progress: Callable[[str, float], None]
+    sizes: list[int], loss: float, starved_share: float, seeds: range, progress: Callable[[str, float], None]
 ) -> list[MembershipResult]:
     """Run the scenario for each size and seed on all cores, with the largest sizes first.
 
     Args:
         sizes: numbers of members in a fleet.
         loss: the share of datagrams that are lost.
-        starved: the share of members that handle each event late.
+        starved_share: the share of members that handle each event late.
         seeds: the seeds of the runs.
         progress: a function that receives the current activity and the completed share.
 
@@ -54,7 +55,7 @@
     run_seeds = [seed for _, seed in cases]
     results = []
     with ProcessPoolExecutor() as pool:
-        for result in pool.map(_run, run_sizes, [loss] * len(cases), [starved] * len(cases), run_seeds):
+        for result in pool.map(_run, run_sizes, [loss] * len(cases), [starved_share] * len(cases), run_seeds):
             results.append(result)
             progress(f"{result.members} members", len(results) / len(cases))
     return sorted(results, key=lambda result: (result.members, result.seed))
@@ -68,17 +69,17 @@
 
 
 def draw(results: list[MembershipResult], path: Path) -> None:
-    """Plot times and traffic against the size of the fleet."""
+    """Draw an SVG file with the times and the traffic of each run against the size of the fleet."""
     import matplotlib  # noqa: PLC0415  the import is slow and only this command needs it
 
     matplotlib.use("svg")
     from matplotlib import pyplot as plt  # noqa: PLC0415  the backend must be chosen before this import
 
-    figure, (times_axes, traffic_axes) = plt.subplots(1, 2, figsize=(9.5, 3.4))
+    plot, (times_axes, traffic_axes) = plt.subplots(1, 2, figsize=(9.5, 3.4))
     sizes = [result.members for result in results]
     for name, label in (
         ("noticed_p50_s", "kill detected, median"),
-        ("noticed_p99_s", "99th"),
+        ("noticed_p99_s", "kill detected, 99th percentile"),
         ("joined_s", "join of all members at once"),
         ("healed_s", "views equal after a split"),
     ):
@@ -92,5 +93,5 @@
         axes.grid(alpha=0.25)
     times_axes.legend(fontsize=8)
     path.parent.mkdir(parents=True, exist_ok=True)
-    figure.savefig(path, bbox_inches="tight", metadata={"Date": None})
-    plt.close(figure)
+    plot.savefig(path, bbox_inches="tight", metadata={"Date": None})
+    plt.close(plot)
--- a/garnetusher/cli/model_commands.py
+++ b/garnetusher/cli/model_commands.py
@@ -35,13 +35,13 @@
 from garnetusher.model.experiment import Experiment
 
 app = typer.Typer(
-    no_args_is_help=True, help="Run the same experiments in virtual time, with the policy that sidecars use."
+    no_args_is_help=True, help="Run the same experiments as `lab` in virtual time, with the policy that sidecars use."
 )
 
 
 @app.callback()
 def model() -> None:
-    """Run the same experiments in virtual time, with the policy that sidecars use."""
+    """Run the same experiments as `lab` in virtual time, with the policy that sidecars use."""
 
 
 @app.command(epilog="Example: garnetusher model run experiments/zone-silent.toml --sidecars 100 --seeds 1:8")
@@ -53,7 +53,7 @@
     ] = None,
     seeds: Annotated[str | None, typer.Option(help="Seeds of several runs, A:B, spread over the cores.")] = None,
     sidecars: Annotated[
-        int | None, typer.Option(min=1, help="Number of sidecars; all else scales in proportion.")
+        int | None, typer.Option(min=1, help="Number of sidecars; upstreams and load scale in proportion.")
     ] = None,
     disabled: Annotated[
         list[str] | None,
@@ -248,6 +248,7 @@
         cli.say_json(runs)
     else:
         cli.say(f"{membership_scenarios.table(runs)}\n\nplot: {out}")
+    # The command fails if any member was considered failed while it was running.
     cli.finish(held=not any(run.accused for run in runs))
 
 
--- a/garnetusher/cli/other_tree.py
+++ b/garnetusher/cli/other_tree.py
@@ -13,7 +13,7 @@
 from garnetusher.cli.errors import fail
 
 TREE_OPTION = "--tree"
-RUN_COMMAND = "import sys; from garnetusher.__main__ import main; sys.exit(main())"
+MAIN_CODE = "import sys; from garnetusher.__main__ import main; sys.exit(main())"
 POLICY_PATH = Path("garnetusher", "policy")
 
 
@@ -65,4 +65,5 @@
 
 def _run(python_path: Path, arguments: Sequence[str]) -> int:
     environment = os.environ | {"PYTHONPATH": str(python_path)}
-    return subprocess.call([sys.executable, "-P", "-c", RUN_COMMAND, *arguments], env=environment)
+    # `-P` keeps the current folder, which may contain another `garnetusher`, out of the import path.
+    return subprocess.call([sys.executable, "-P", "-c", MAIN_CODE, *arguments], env=environment)
--- a/garnetusher/cli/runs.py
+++ b/garnetusher/cli/runs.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from garnetusher.model import plan as plans
-from garnetusher.model import result
+from garnetusher.model import result as results
 from garnetusher.model.ablations import ablate
 from garnetusher.model.experiment import Experiment
 from garnetusher.model.simulation import Simulation
@@ -23,7 +23,7 @@
         decision_cpu_us: mean CPU time of the decisions on one request.
     """
 
-    result: result.Result
+    result: results.Result
     elapsed_s: float
     decision_cpu_us: float
 
@@ -53,8 +53,8 @@
     with ablate(list(disabled)):
         simulation = Simulation(experiment, plan, time.thread_time_ns)
         records = simulation.run()
-    not_asked = sum(sidecar.clients.skipped_requests for sidecar in simulation.sidecars.values())
-    run_result, _ = result.evaluate(experiment, plan, records, simulation.clock.events, not_asked=not_asked)
+    skipped_requests = sum(sidecar.clients.skipped_requests for sidecar in simulation.sidecars.values())
+    run_result, _ = results.evaluate(experiment, plan, records, simulation.clock.events, not_asked=skipped_requests)
     run_result.digest = simulation.clock.digest
     requests = max(1.0, run_result.figures["requests"])
     return CompletedRun(run_result, time.perf_counter() - started_s, simulation.decision_cpu_ns / 1000 / requests)
--- a/garnetusher/cli/schedule_search.py
+++ b/garnetusher/cli/schedule_search.py
@@ -73,7 +73,8 @@
         max_steps: the maximum number of steps in a schedule.
 
     Yields:
-        The current result after each group of seeds, in the order of the seeds. Each yield gives the same object.
+        The result so far, after each group of seeds and in the order of the seeds; always the same object, which the
+        function updates.
     """
     result = SearchResult(part, [seeds[0], seeds[-1]], max_steps=max_steps)
     groups = [seeds[start : start + SEEDS_PER_TASK] for start in range(0, len(seeds), SEEDS_PER_TASK)]
@@ -97,8 +98,8 @@
     """
     paths = []
     for rule, failure in _smallest_by_rule(result.failures).items():
-        rule_in_name = "".join(character if character.isalnum() else "-" for character in rule)
-        path = folder / f"{result.part}-{rule_in_name}-{failure.schedule.seed}.json"
+        rule_in_file_name = "".join(character if character.isalnum() else "-" for character in rule)
+        path = folder / f"{result.part}-{rule_in_file_name}-{failure.schedule.seed}.json"
         folder.mkdir(parents=True, exist_ok=True)
         explore.save(failure, path)
         paths.append(path)
--- a/garnetusher/cli/zones.py
+++ b/garnetusher/cli/zones.py
@@ -14,20 +14,16 @@
 from garnetusher.cli.admin_client import AdminAddress, call
 from garnetusher.cli.options import JsonFlag
 
-__all__ = ["At", "app", "call"]  # `cli.members` imports `At` and `call` from here
-
 app = typer.Typer(help="Show the state of each zone at a sidecar; evacuate or restore a zone.")
 
-At = AdminAddress
-
 
 class ZoneReport(Struct):
     """One zone in the answer to `GET /_zones`.
 
     Attributes:
         zone: the name of the zone.
-        state: active, suspected, evacuated or restoring, under the name that the admin interface uses.
-        decided_by: the origin of the state, which is evidence or an operator.
+        state: `near` (active), `doubted` (suspected), `left` (evacuated) or `returning` (being restored).
+        decided_by: what led to the state: `evidence` from attempts, or `operator`.
         for_s: the time in this state, in seconds.
         upstreams: the number of endpoints in the zone.
         why: the reason for this state.
--- a/garnetusher/config.py
+++ b/garnetusher/config.py
@@ -78,7 +78,7 @@
 
 
 def _file_error(path: Path | str, model: type[msgspec.Struct], message: str) -> FileError:
-    """Convert a message of msgspec to an error that has the dotted key of the file."""
+    """Convert a message of msgspec to an error that names the file and the dotted key."""
     unknown = _UNKNOWN_KEY.match(message)
     if unknown is not None:
         table = _dotted(unknown["path"] or "")
@@ -116,7 +116,7 @@
     struct: Any = model
     for part in table.split(".") if table else []:
         if part.isdigit() or part == "*":
-            continue
+            continue  # an index of a list or a key of a mapping; `struct` is already the type of the elements
         field = next((field for field in msgspec.structs.fields(struct) if field.encode_name == part), None)
         if field is None:
             return
--- a/garnetusher/errors.py
+++ b/garnetusher/errors.py
@@ -2,4 +2,4 @@
 
 
 class GarnetusherError(Exception):
-    """An error whose message tells a person what to correct; each package derives its own classes."""
+    """An error whose message tells the user what to correct; each package derives its own error classes from it."""
--- a/garnetusher/logs.py
+++ b/garnetusher/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one JSON object per line, with a stable event name from `EVENTS`.
+"""Structured logs of the lab: one JSON object per line, with a stable event name from `EVENTS`.
 
 `docs/logs.md` lists the same names; a test compares the two lists. Every line has `at` (UTC, ISO 8601), `level`,
-`event`, and the fields that `EVENTS` lists for the event.
+`event`, the fields that `EVENTS` lists for the event, and the fields that its logger adds to each line.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """The meaning of a log event and the names of its fields."""
+    """The meaning of a log event, and the names of the fields that it has in addition to those of every line."""
 
     summary: str
     fields: tuple[str, ...]
@@ -29,7 +29,7 @@
 EVENTS: dict[str, LogEvent] = {
     "lab.play.begins": LogEvent("an experiment has started", ("experiment", "seed", "out", "sidecars", "upstreams")),
     "lab.play.ends": LogEvent(
-        "the figures of an experiment are available", ("experiment", "seed", "held", "broken", "late")
+        "an experiment has ended and its figures are available", ("experiment", "seed", "held", "broken", "late")
     ),
     "lab.tree.builds": LogEvent("the build of the tree under test has started", ("tree",)),
     "lab.sidecar.started": LogEvent("a sidecar process has started", ("sidecar", "pid")),
@@ -50,14 +50,14 @@
 
 
 def _require_known_event(_logger: object, _method: str, fields: Any) -> Any:
-    """Raise an error for an unknown event name; this function is a processor of structlog."""
+    """Raise an error for an unknown event name; structlog calls this function for each log line."""
     if fields["event"] not in EVENTS:
         raise UnknownEventError(fields["event"])
     return fields
 
 
 def configure(stream: TextIO | None = None, level: str = "info") -> None:
-    """Configure all loggers to write JSON lines.
+    """Configure all loggers of structlog to write JSON lines.
 
     Args:
         stream: the output stream; None means standard error.
--- a/garnetusher/simulator/__main__.py
+++ b/garnetusher/simulator/__main__.py
@@ -30,7 +30,7 @@
 
 
 class InstanceHost:
-    """The running balancer instances, which share only the endpoint lists of the decoder."""
+    """The running balancer instances, which share one decoder with its endpoint lists and no other state."""
 
     def __init__(self) -> None:
         self.decoder = protocol.Decoder()
@@ -42,15 +42,15 @@
         Raises:
             ProtocolError: the frame or its settings are malformed, or a class index is out of range.
         """
-        replies: list[bytes] = []
+        reply_records: list[bytes] = []
         for instance, record in self.decoder.decode_records(body, count):
             if isinstance(record, protocol.InstanceStarted):
                 self.instances[instance] = Balancer(_settings(record.settings_text), record.seed, now_us)
             elif isinstance(record, protocol.InstanceStopped):
                 self.instances.pop(instance, None)
             elif instance in self.instances:
-                replies.extend(self._handle(now_us, instance, record))
-        return protocol.encode_reply(replies)
+                reply_records.extend(self._handle(now_us, instance, record))
+        return protocol.encode_reply_frame(reply_records)
 
     def _handle(self, now_us: int, instance: int, event: Event) -> list[bytes]:
         balancer = self.instances[instance]
@@ -59,10 +59,10 @@
             message = f"instance {instance}: expected a class index below {class_count}, got {event.class_index}"
             raise protocol.ProtocolError(message)
         try:
-            return [protocol.encode(instance, action) for action in balancer.handle(now_us, event)]
+            return [protocol.encode_record(instance, action) for action in balancer.handle(now_us, event)]
         except Exception as error:  # the reply reports the exception, and the other instances keep running
             text = f"{type(error).__name__}: {error}"
-            return [protocol.encode(instance, protocol.InternalError(text))]
+            return [protocol.encode_record(instance, protocol.InternalError(text))]
 
 
 def _settings(text: str) -> Settings:
@@ -76,7 +76,8 @@
     """Answer frames until the input ends.
 
     Raises:
-        ProtocolError: a frame is malformed; the message has the number of the frame, counted from 0.
+        ProtocolError: a frame is malformed; the message starts with `batch N`, where N is the number of the frame,
+            counted from 0.
     """
     host = InstanceHost()
     frame_number = 0
--- a/garnetusher/simulator/protocol.py
+++ b/garnetusher/simulator/protocol.py
@@ -1,7 +1,8 @@
 """The binary protocol of the simulator: decodes frames into events and encodes actions into frames.
 
-A frame is a header followed by records. A record is a code, the number of a balancer instance and the fields of that
-code; an endpoint list has no instance number. This module makes no balancing decisions.
+A frame is a header followed by records. Each record contains one event, one action or an endpoint list. It consists of
+a code, which identifies the type of the record, the number of a balancer instance, and the fields of that type. An
+endpoint list has no instance number. This module makes no balancing decisions.
 """
 
 from __future__ import annotations
@@ -46,9 +47,11 @@
 HEADER = struct.Struct("<IIQ")  # body size in bytes, number of records, time in us
 REPLY_HEADER = struct.Struct("<II")  # body size in bytes, number of records
 
-# Layouts of the fields that follow the code and the instance number of a record.
+# Layouts of the fields of an endpoint list, which follow the code of the record.
 _ENDPOINT = struct.Struct("<IBBHBfQ")
 _ENDPOINT_LIST_HEADER = struct.Struct("<II")
+
+# Layouts of the fields that follow the code and the instance number of other records.
 _INSTANCE_STARTED = struct.Struct("<QI")
 _ENDPOINTS_UPDATED = struct.Struct("<BII")
 _REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
@@ -68,6 +71,7 @@
 _CLIENT_RETRY = 2
 _WRITES = 4
 
+# Codes of outcomes; the protocol uses the errno values of Linux, such as 110 for ETIMEDOUT.
 _OUTCOMES = {
     0: Outcome.OK,
     5: Outcome.ERROR,
@@ -89,7 +93,12 @@
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """Event: an instance starts with no state."""
+    """A record of the simulator: an instance has started and has no state yet.
+
+    Attributes:
+        seed: the seed of the random draws of the instance.
+        settings_text: the settings as lines of path=value.
+    """
 
     seed: int
     settings_text: str
@@ -97,18 +106,18 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """Event: an instance was killed."""
+    """A record of the simulator: an instance was killed."""
 
 
 @dataclass(slots=True)
 class InternalError:
-    """Action: the policy raised an exception; `text` has its type and message."""
+    """A reply record: the policy raised an exception; `text` contains its type and its message."""
 
     text: str
 
 
 Record = Event | InstanceStarted | InstanceStopped
-Reply = Action | InternalError
+ReplyRecord = Action | InternalError
 
 
 class Decoder:
@@ -170,8 +179,8 @@
         """Return the values of the next fields, which have this layout."""
         return layout.unpack(self.read_bytes(layout.size))
 
-    def read_floats(self, count: int) -> list[float]:
-        """Return the next `count` floats, which are the values of a load report.
+    def read_load_report(self, count: int) -> list[float]:
+        """Return the next `count` values of type float, which are a load report.
 
         Raises:
             ProtocolError: a value is not finite, or fewer values are left.
@@ -206,16 +215,16 @@
     return value
 
 
-def _instance_started(decoder: Decoder) -> Record:
+def _read_instance_started(decoder: Decoder) -> Record:
     seed, size = decoder.read_fields(_INSTANCE_STARTED)
     return InstanceStarted(seed, decoder.read_bytes(size).decode())
 
 
-def _instance_stopped(_decoder: Decoder) -> Record:
+def _read_instance_stopped(_decoder: Decoder) -> Record:
     return InstanceStopped()
 
 
-def _endpoints_updated(decoder: Decoder) -> Record:
+def _read_endpoints_updated(decoder: Decoder) -> Record:
     kind_code, version, list_number = decoder.read_fields(_ENDPOINTS_UPDATED)
     update_kind = _look_up(_UPDATE_KINDS, kind_code, "update kind")
     if update_kind is UpdateKind.FAILED:
@@ -226,7 +235,7 @@
     return EndpointsUpdated(update_kind, decoder.endpoint_lists[list_number], version)
 
 
-def _request_arrived(decoder: Decoder) -> Record:
+def _read_request_arrived(decoder: Decoder) -> Record:
     fields = decoder.read_fields(_REQUEST_ARRIVED)
     request_id, class_index, tenant_index, affinity_key, work_us, flags, deadline_us = fields
     return RequestArrived(
@@ -241,7 +250,7 @@
     )
 
 
-def _attempt_ended(decoder: Decoder) -> Record:
+def _read_attempt_ended(decoder: Decoder) -> Record:
     fields = decoder.read_fields(_ATTEMPT_ENDED)
     request_id, attempt_index, endpoint_id, outcome_code, elapsed_us, completed, report_size = fields
     return AttemptEnded(
@@ -251,45 +260,45 @@
         _look_up(_OUTCOMES, outcome_code, "outcome"),
         elapsed_us,
         request_completed=bool(completed),
-        load_report=decoder.read_floats(report_size),
+        load_report=decoder.read_load_report(report_size),
     )
 
 
-def _response_started(decoder: Decoder) -> Record:
+def _read_response_started(decoder: Decoder) -> Record:
     request_id, attempt_index, elapsed_us, endpoint_id = decoder.read_fields(_RESPONSE_STARTED)
     return ResponseStarted(request_id, attempt_index, endpoint_id, elapsed_us)
 
 
-def _health_check_ended(decoder: Decoder) -> Record:
+def _read_health_check_ended(decoder: Decoder) -> Record:
     endpoint_id, outcome_code, elapsed_us, report_size = decoder.read_fields(_HEALTH_CHECK_ENDED)
     outcome = _look_up(_OUTCOMES, outcome_code, "outcome")
-    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, decoder.read_floats(report_size))
+    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, decoder.read_load_report(report_size))
 
 
-def _peer_message(decoder: Decoder) -> Record:
+def _read_peer_message(decoder: Decoder) -> Record:
     sender_id, size = decoder.read_fields(_PEER_MESSAGE)
     return PeerMessage(sender_id, decoder.read_bytes(size))
 
 
-def _timer_fired(decoder: Decoder) -> Record:
+def _read_timer_fired(decoder: Decoder) -> Record:
     return TimerFired(decoder.read_fields(_U32)[0])
 
 
-def _client_disconnected(decoder: Decoder) -> Record:
+def _read_client_disconnected(decoder: Decoder) -> Record:
     return ClientDisconnected(decoder.read_fields(_U32)[0])
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
-    10: _attempt_ended,
-    20: _response_started,
-    30: _peer_message,
-    40: _instance_stopped,
-    50: _timer_fired,
-    60: _client_disconnected,
-    70: _request_arrived,
-    80: _endpoints_updated,
-    90: _health_check_ended,
-    100: _instance_started,
+    10: _read_attempt_ended,
+    20: _read_response_started,
+    30: _read_peer_message,
+    40: _read_instance_stopped,
+    50: _read_timer_fired,
+    60: _read_client_disconnected,
+    70: _read_request_arrived,
+    80: _read_endpoints_updated,
+    90: _read_health_check_ended,
+    100: _read_instance_started,
 }
 
 
@@ -339,12 +348,12 @@
 }
 
 
-def encode(instance: int, action: Reply) -> bytes:
-    """Return the encoded record of an action."""
+def encode_record(instance: int, action: ReplyRecord) -> bytes:
+    """Return the encoded record of an action or of an internal error."""
     return _WRITERS[type(action)](instance, action)
 
 
-def encode_reply(records: list[bytes]) -> bytes:
+def encode_reply_frame(records: list[bytes]) -> bytes:
     """Return the reply frame that carries these encoded records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -47,14 +47,17 @@
 
     The fixture sees only sidecars in this process; the violations of other processes are in their logs.
     """
-    from garnetusher.sidecar.requests.trace import Trace  # noqa: PLC0415 - test_known_red.py copies this file to a folder without the sidecar
+    # The import is here because test_known_red.py copies this file to a folder without the sidecar.
+    from garnetusher.sidecar.requests.trace import Trace  # noqa: PLC0415
 
     violated_rules: list[str] = []
     record_violation = Trace.record_violation
 
-    def record_and_collect(self: Trace, rule: str, request_id: int, attempt: int = -1, upstream: int = -1) -> None:
+    def record_and_collect(
+        self: Trace, rule: str, request_id: int, attempt_index: int = -1, endpoint_id: int = -1
+    ) -> None:
         violated_rules.append(rule)
-        record_violation(self, rule, request_id, attempt, upstream)
+        record_violation(self, rule, request_id, attempt_index, endpoint_id)
 
     monkeypatch.setattr(Trace, "record_violation", record_and_collect)
     yield
--- a/tests/test_command_errors.py
+++ b/tests/test_command_errors.py
@@ -67,7 +67,7 @@
     new: str,
     words: list[str],
 ) -> None:
-    experiment_text = text(more="{{more}}".format())
+    experiment_text = text(more="{more}")  # some entries of `INVALID_FILES` replace this placeholder
     assert old in experiment_text
     path = tmp_path / "bad.toml"
     path.write_text(experiment_text.replace(old, new, 1).replace("{more}", ""))
--- a/tests/test_curve_and_fidelity.py
+++ b/tests/test_curve_and_fidelity.py
@@ -37,7 +37,7 @@
         ("random", 8, 6),
     ]
     small_fleet, large_fleet = points[0].figures, points[1].figures
-    # each sidecar has its own connections
+    # Each sidecar has its own connections.
     assert large_fleet["connections_per_request"] > small_fleet["connections_per_request"]
     assert small_fleet["decision_us"] > 0
     assert small_fleet["list_calls_a_sidecar"] == large_fleet["list_calls_a_sidecar"] == 1
@@ -58,6 +58,7 @@
         folders.append(tmp_path / str(seed))
         folders[-1].mkdir()
         result.write(run_result, folders[-1] / "result.json")
+    # The third run is late and does not count, so only the second one can exceed the tolerance.
     for run_folders, differs in ((folders[:1], False), (folders[::2], False), (folders, True)):
         (row,) = fidelity.measure(fidelity.read_lab_runs(run_folders, tmp_path), lambda activity, share: None)
         assert row.within_tolerance != differs
@@ -65,7 +66,7 @@
         assert row.real["refused"] == row.virtual["refused"]
     completed = run_model_command("fidelity", *map(str, folders), "--library", str(tmp_path))
     assert completed.returncode == 1
-    assert "0.1000 !" in completed.stdout
+    assert "0.1000 !" in completed.stdout  # the mean difference of the first two runs, 0.0 and 0.2
 
 
 @pytest.mark.parametrize(
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -25,6 +25,7 @@
 
 
 def run_simulator(simulator_command: str, data: bytes) -> subprocess.CompletedProcess[bytes]:
+    # Without these variables the command cannot use the Python environment of the test run.
     environment = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
     return subprocess.run(
         ["/bin/sh", "-c", simulator_command],
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -37,7 +37,7 @@
 }
 ALLOWED_EVERYWHERE = {"garnetusher", "garnetusher.errors", "garnetusher.errors.GarnetusherError"}
 CYTHON_MODULES = {"cython_runtime", "_cython_3_3_0"}  # modules that httptools creates when it is imported
-FORBIDDEN_WITHOUT_IO = {"asyncio", "socket", "threading", "subprocess", "time", "os", "selectors"}
+CLOCK_AND_IO_MODULES = {"asyncio", "socket", "threading", "subprocess", "time", "os", "selectors"}
 
 
 def modules() -> Iterator[tuple[str, Path]]:
@@ -64,10 +64,10 @@
     for module, path in modules():
         package = next((p for p in ALLOWED_IMPORTS if is_within(module, p)), None)
         for name in imported_names(path):
-            is_own = is_within(name, "garnetusher")
+            is_project_module = is_within(name, "garnetusher")
             if (
                 package is not None
-                and is_own
+                and is_project_module
                 and name not in ALLOWED_EVERYWHERE
                 and not any(
                     is_within(name, allowed) or is_within(allowed, name) for allowed in ALLOWED_IMPORTS[package]
@@ -83,7 +83,7 @@
         for module, path in modules()
         if is_within(module, "garnetusher.model")
         or (is_within(module, "garnetusher.membership") and path.stem != "transport")
-        for name in imported_names(path) & FORBIDDEN_WITHOUT_IO
+        for name in imported_names(path) & CLOCK_AND_IO_MODULES
     ]
     assert violations == []
 
@@ -126,15 +126,15 @@
 
 def descriptors(pid: int) -> tuple[list[str], set[str]]:
     """Return the kind of each descriptor except the standard streams, and the listening TCP sockets."""
-    inodes = {}
+    kind_by_inode = {}
     for table in ("tcp", "unix"):
         lines = Path(f"/proc/{pid}/net/{table}").read_text().splitlines()[1:]
         for line in lines:
             fields = line.split()
             if table == "tcp":
-                inodes[fields[9]] = "listening" if fields[3] == "0A" else "tcp"
+                kind_by_inode[fields[9]] = "listening" if fields[3] == "0A" else "tcp"
             else:
-                inodes[fields[6]] = "unix"
+                kind_by_inode[fields[6]] = "unix"
     kinds = []
     for link in Path(f"/proc/{pid}/fd").iterdir():
         try:
@@ -144,7 +144,8 @@
         if int(link.name) <= 2:
             continue
         if target.startswith("socket:"):
-            kinds.append(inodes.get(target[8:-1], "unix") + target[8:-1])
+            # The target is `socket:[inode]`. The inode is part of the kind so that two listening sockets differ.
+            kinds.append(kind_by_inode.get(target[8:-1], "unix") + target[8:-1])
         else:
             kinds.append("anon_inode" if target.startswith("anon_inode") else "file")
     kinds_without_inode = ["unix" if k.startswith("unix") else k for k in kinds]
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -44,11 +44,14 @@
     "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
     " f211902c 01 00 0000 01 0000c03f 20145d0000000000"
 )
+ENDPOINTS_UPDATED_RECORD = "50 0300 02 29000000 00000000"
+REQUEST_ARRIVED_RECORD = "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
+ATTEMPT_ENDED_RECORD = "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00"
 FIRST_ENDPOINT_ID, SECOND_ENDPOINT_ID, REQUEST_ID, OTHER_REQUEST_ID = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
 EVENTS: list[tuple[str, protocol.Record]] = [
     (
-        ENDPOINT_LIST_RECORD + "50 0300 02 29000000 00000000",
+        ENDPOINT_LIST_RECORD + ENDPOINTS_UPDATED_RECORD,
         EndpointsUpdated(
             UpdateKind.CACHED,
             [Endpoint(FIRST_ENDPOINT_ID), Endpoint(SECOND_ENDPOINT_ID, zone=1, weight=1.5, started_us=6100000)],
@@ -56,14 +59,14 @@
         ),
     ),
     (
-        "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
+        REQUEST_ARRIVED_RECORD,
         RequestArrived(REQUEST_ID, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
     ),
     ("28 0300", protocol.InstanceStopped()),
     ("32 0300 4d000000", TimerFired(77)),
     ("3c 0300 192b6f0e", ClientDisconnected(OTHER_REQUEST_ID)),
     (
-        "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
+        ATTEMPT_ENDED_RECORD,
         AttemptEnded(REQUEST_ID, 0, FIRST_ENDPOINT_ID, Outcome.OK, 18500, True),
     ),
     ("1e 0300 0200 0400 68692037", PeerMessage(2, b"hi 7")),
@@ -71,14 +74,16 @@
     ("5a 0300 f211902c 0000 78050000 00", HealthCheckEnded(SECOND_ENDPOINT_ID, Outcome.OK, 1400)),
 ]
 
-ACTIONS: list[tuple[str, protocol.Reply]] = [
-    ("14 0300 c4913a5d 074a1203 80380100", Forward(REQUEST_ID, FIRST_ENDPOINT_ID, 80000)),
+FORWARD, SET_TIMER = Forward(REQUEST_ID, FIRST_ENDPOINT_ID, 80000), SetTimer(8912250, 77)
+
+ACTIONS: list[tuple[str, protocol.ReplyRecord]] = [
+    ("14 0300 c4913a5d 074a1203 80380100", FORWARD),
     ("5a 0300 192b6f0e", Fail(OTHER_REQUEST_ID)),
     ("32 0300 ffffffff 0400 68692037", SendToPeer(b"hi 7")),
     ("46 0300 01", WatchEndpoints()),
     ("6e 0300 f211902c", CloseIdleConnections(SECOND_ENDPOINT_ID)),
     ("28 0300 192b6f0e 90d00300", Shed(OTHER_REQUEST_ID, 250000)),
-    ("1e 0300 7afd870000000000 4d000000", SetTimer(8912250, 77)),
+    ("1e 0300 7afd870000000000 4d000000", SET_TIMER),
     ("50 0300 f211902c", CheckHealth(SECOND_ENDPOINT_ID)),
     ("78 0300 1100 74776f2073657276657273206b6e6f776e", LogMessage("two servers known")),
     ("64 0300 c4913a5d 00", CancelAttempt(REQUEST_ID, 0)),
@@ -113,13 +118,13 @@
 @pytest.mark.parametrize(("text", "event"), EVENTS)
 def test_decoder_reads_the_documented_events(text: str, event: protocol.Record) -> None:
     data = bytes.fromhex(text)
-    count = 2 if text.startswith("6e") else 1
+    count = 2 if text.startswith("6e") else 1  # 6e is the code of an endpoint list, a record of its own
     assert list(protocol.Decoder().decode_records(data, count)) == [(3, event)]
 
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
-def test_encoder_writes_the_documented_actions(text: str, action: protocol.Reply) -> None:
-    assert protocol.encode(3, action) == bytes.fromhex(text)
+def test_encoder_writes_the_documented_actions(text: str, action: protocol.ReplyRecord) -> None:
+    assert protocol.encode_record(3, action) == bytes.fromhex(text)
 
 
 def test_documented_frames_are_decoded_and_encoded() -> None:
@@ -131,11 +136,11 @@
         (5, "ClientDisconnected"),
     ]
     records = [
-        protocol.encode(3, ACTIONS[0][1]),
-        protocol.encode(3, ACTIONS[6][1]),
-        bytes.fromhex("78 0500 1100 74776f2073657276657273206b6e6f776e"),
+        protocol.encode_record(3, FORWARD),
+        protocol.encode_record(3, SET_TIMER),
+        bytes.fromhex("78 0500 1100 74776f2073657276657273206b6e6f776e"),  # a log message of instance 5
     ]
-    assert protocol.encode_reply(records) == bytes.fromhex(
+    assert protocol.encode_reply_frame(records) == bytes.fromhex(
         "34000000 03000000 14 0300 c4913a5d 074a1203 80380100 1e 0300 7afd870000000000 4d000000"
         "78 0500 1100 74776f2073657276657273206b6e6f776e"
     )
@@ -145,23 +150,27 @@
     start_records = [
         instance_started(),
         bytes.fromhex(ENDPOINT_LIST_RECORD),
-        bytes.fromhex("50 0300 02 29000000 00000000"),
+        bytes.fromhex(ENDPOINTS_UPDATED_RECORD),
     ]
-    arrival = bytes.fromhex(EVENTS[1][0])
+    arrival = bytes.fromhex(REQUEST_ARRIVED_RECORD)
     replies = serve(frame(start_records) + frame([arrival]))
     size, _ = struct.unpack_from("<II", replies)
+    # The record is behind the first reply frame and the header of the second; a header has 8 bytes.
     code, instance, request_id, endpoint_id = struct.unpack_from("<BHII", replies, 8 + size + 8)
     assert (code, instance, request_id) == (20, 3, REQUEST_ID)
     assert endpoint_id in (FIRST_ENDPOINT_ID, SECOND_ENDPOINT_ID)
 
 
 def test_instance_restarted_within_one_frame_has_no_state() -> None:
-    endpoints_updated = bytes.fromhex("50 0300 02 29000000 00000000")
+    endpoints_updated = bytes.fromhex(ENDPOINTS_UPDATED_RECORD)
     start_records = [instance_started(), bytes.fromhex(ENDPOINT_LIST_RECORD), endpoints_updated]
     restart = [bytes.fromhex("28 0300"), instance_started(seed=10), endpoints_updated]
-    earlier_outcome = bytes.fromhex(EVENTS[5][0])
+    earlier_outcome = bytes.fromhex(ATTEMPT_ENDED_RECORD)
     replies = serve(
-        frame(start_records) + frame([bytes.fromhex(EVENTS[1][0])]) + frame(restart) + frame([earlier_outcome])
+        frame(start_records)
+        + frame([bytes.fromhex(REQUEST_ARRIVED_RECORD)])
+        + frame(restart)
+        + frame([earlier_outcome])
     )
     assert replies.endswith(bytes(8))  # the new instance ignores the outcome of an earlier attempt
 
