--- a/garnetusher/model/checker.py
+++ b/garnetusher/model/checker.py
@@ -6,8 +6,8 @@
 1. ``one_answer``: each client call that a sidecar accepted gets one final response, at the latest half a second after
    the client timeout, and nothing after it. A response with status 200 comes from an upstream that received this call.
    ``held_back``: a call that fails is answered within half its client timeout, counted from its start or, if later,
-   from the end of its last attempt.
-   Time for which the sidecar or the lab's workers waited for a CPU core does not count.
+   from the end of its last attempt. Time for which the sidecar or the lab's workers waited for a CPU core does not
+   count.
 2. ``no_repeat``: a request that is not idempotent is not sent again, and not reported as safe to retry, once it may
    have run. Upstreams receive no request that no client sent.
 3. ``drain``: a sidecar sends no new attempt to an upstream later than a second after it learned that the upstream
