--- a/garnetusher/lab/discovery.py
+++ b/garnetusher/lab/discovery.py
@@ -183,9 +183,9 @@
 
     def _send_snapshot(self, connection: SidecarConnection) -> None:
         body = json.dumps(self._snapshot(connection.sidecar)).encode()
+        sent_steps = list(self._listed.values())  # the list may change before the link delivers the snapshot
         connection.link_connection.write(
-            SNAPSHOT_HEAD % len(body) + body,
-            lambda: self.record_delivery(connection.sidecar, list(self._listed.values())),
+            SNAPSHOT_HEAD % len(body) + body, partial(self.record_delivery, connection.sidecar, sent_steps)
         )
 
     def _start_watch(self, connection: SidecarConnection, since: int) -> None:
