--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -93,12 +93,14 @@
         late: The number of the worker's timers that fired late.
         cpu_s: The CPU time of the worker, in seconds.
         not_asked: The number of requests that were due but not sent while their application and its sidecar were down.
+        began_late_us: How long after time 0 of the run the worker read the start order; 0 if it read the order in time.
     """
 
     events: int
     late: int
     cpu_s: float
     not_asked: int = 0
+    began_late_us: int = 0
 
 
 class Worker:
