--- a/garnetusher/lab/run.py
+++ b/garnetusher/lab/run.py
@@ -31,6 +31,7 @@
 from garnetusher.model.records import AnyRecord, CpuWaitRole, Journal, ProcessUsage
 
 START_DELAY_S = 0.5  # time 0 is this long after `StartOrder` is sent, so that each worker has read it by then
+MAX_BEGAN_LATE_US = 100_000  # a run in which a worker began later than this after time 0 is invalid
 CLIENT_WORKER_REQUESTS_PER_S = 1000  # the maximum request rate of one client process
 UPSTREAM_WORKER_REQUESTS_PER_S = 900  # the maximum request rate that the upstreams of one process serve
 SAMPLE_INTERVAL_S = 1.0  # the interval between measurements of the processes' CPU time and memory
@@ -68,6 +69,16 @@
         super().__init__(f"the lab's worker {name} has not been started")
 
 
+class WorkerBeganLateError(LabError):
+    """The machine was too busy: a worker began so late that the records do not show the planned run."""
+
+    def __init__(self, name: str, late_us: int) -> None:
+        super().__init__(
+            f"the run is invalid: the machine is too busy, and the lab's worker {name} began "
+            f"{late_us / 1000:.0f} ms after the start of the run"
+        )
+
+
 class CompletedRun(Struct):
     """The records and the measurements of a completed run.
 
@@ -421,7 +432,9 @@
         summaries = {}
         for worker in self.workers:
             await worker.send(STOP_ORDER)
-            summaries[worker.job.name] = await worker.receive(WorkerSummary)
+            summary = summaries[worker.job.name] = await worker.receive(WorkerSummary)
+            if summary.began_late_us > MAX_BEGAN_LATE_US:
+                raise WorkerBeganLateError(worker.job.name, summary.began_late_us)
         return summaries
 
     def _merge_records(self) -> list[AnyRecord]:
--- a/garnetusher/lab/run_clock.py
+++ b/garnetusher/lab/run_clock.py
@@ -33,6 +33,7 @@
         self.zero_ns = time.monotonic_ns()
         self.events = self.late = 0
         self._last_late_record_us = 0
+        self._stopped = False
 
     def begin(self, zero_ns: int) -> None:
         """Set the start of the run, on the monotonic clock that all processes of the machine share."""
@@ -43,15 +44,22 @@
         """Return the time since the start of the run, in microseconds."""
         return (time.monotonic_ns() - self.zero_ns) // 1000
 
+    def stop(self) -> None:
+        """Ignore all later timers and records, because the journal is about to be closed."""
+        self._stopped = True
+
     def write(self, record: AnyRecord) -> None:
         """Write a record to the journal."""
-        self.journal.write(record)
+        if not self._stopped:
+            self.journal.write(record)
 
     def at(self, at_us: int, action: Callable[..., None], *args: object) -> asyncio.TimerHandle:
         """Call `action` with `args` at a time of the run; count the call, and whether it is late."""
         return self.loop.call_at(self.zero_ns / 1e9 + at_us / 1e6, self._fire, at_us, action, args)
 
     def _fire(self, at_us: int, action: Callable[..., None], args: tuple[object, ...]) -> None:
+        if self._stopped:
+            return
         now_us = self.now_us()
         self.events += 1
         if now_us - at_us > LATE_US:
--- a/garnetusher/lab/worker.py
+++ b/garnetusher/lab/worker.py
@@ -113,6 +113,7 @@
         self.upstreams: list[UpstreamServer] = []
         self.discovery: DiscoveryServer | None = None
         self.applications: list[Application] = []
+        self._began_late_us = 0
 
     def prepare(self) -> WorkerReady:
         """Create the nodes of the job, open all their sockets, and return the addresses."""
@@ -156,6 +157,7 @@
     def begin(self, order: StartOrder) -> None:
         """Start the clock, and schedule the actions of the plan."""
         self.clock.begin(order.zero_ns)
+        self._began_late_us = max(0, self.clock.now_us())
         for upstream in self.upstreams:
             upstream.begin()
         if self.discovery is not None:
@@ -184,9 +186,12 @@
             application.close()
         if self.discovery is not None:
             self.discovery.close()
+        self.clock.stop()
         self.journal.close()
         not_asked = sum(application.not_asked for application in self.applications)
-        return WorkerSummary(self.clock.events, self.clock.late, time.process_time(), not_asked)
+        return WorkerSummary(
+            self.clock.events, self.clock.late, time.process_time(), not_asked, began_late_us=self._began_late_us
+        )
 
 
 def _apply_link_fault(step: LinkStep, listeners: list[Listener]) -> None:
@@ -221,10 +226,11 @@
     job = msgspec.json.decode(await reader.readline(), type=WorkerJob)
     os.sched_setaffinity(0, job.cores)
     worker = Worker(job)
-    _send(worker.prepare())
+    ready = worker.prepare()
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
+    _send(ready)
     start_line = await reader.readline()
     if not start_line:
         return
