--- a/garnetusher/sidecar/admin/handlers.py
+++ b/garnetusher/sidecar/admin/handlers.py
@@ -44,7 +44,7 @@
         """Report the latest events; an `X-Request-Id` in `?request=` selects the events of that request."""
         trace = self._sidecar.trace
         client_request_id = request.query.removeprefix("request=")
-        events = trace.find(client_request_id) if request.query else list(trace.events)
+        events = trace.find(client_request_id) if request.query else trace.all_events()
         return _response("\n".join(json.dumps(event.to_dict()) for event in events))
 
     def counters(self, request: AdminRequest) -> AdminResponse:
--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -18,6 +18,8 @@
 from garnetusher.sidecar.discovery.endpoint_list import EndpointList, EndpointUpdate, ListBatch
 from garnetusher.sidecar.discovery.list_reader import ListReader
 from garnetusher.sidecar.discovery.messages import RawList, parse_cached_list, parse_entries
+from garnetusher.sidecar.requests.trace import EventName, Trace
+from garnetusher.sidecar.transitions import WatchTransition
 
 log = logging.getLogger(__name__)
 
@@ -57,6 +59,7 @@
             self._transport.abort()
             return
         self.state = WatchState.AWAITING_RESPONSE
+        self._watcher.record(WatchTransition.AWAITING_RESPONSE)
         host, port = self._watcher.address
         self._transport.write(
             b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n"
@@ -67,12 +70,14 @@
         """Parse data from discovery; malformed data ends the watch."""
         if self.state is WatchState.CLOSED:
             return
-        self.state = WatchState.STREAMING
+        if self.state is not WatchState.STREAMING:
+            self.state = WatchState.STREAMING
+            self._watcher.record(WatchTransition.STREAMING)
         try:
             self._parser.feed_data(data)
         except Exception as error:  # malformed data of any kind must not stop the sidecar
             log.warning("closing the watch: cannot process data from discovery: %r", error)
-            self.fail()
+            self.fail(WatchTransition.MALFORMED)
 
     def on_body(self, data: bytes) -> None:
         """Process a part of the response body."""
@@ -85,16 +90,17 @@
 
     def on_message_complete(self) -> None:
         """Fail the watch: discovery never completes the response of a healthy watch."""
-        self.fail()
+        is_ok = self._parser.get_status_code() == http.HTTPStatus.OK
+        self.fail(WatchTransition.RESPONSE_ENDED if is_ok else WatchTransition.ERROR_RESPONSE)
 
     def connection_lost(self, error: Exception | None) -> None:
         """Fail the watch, as its connection is closed."""
-        self.fail()
+        self.fail(WatchTransition.CONNECTION_LOST)
 
-    def fail(self, *, reconnect: bool = False) -> None:
+    def fail(self, cause: WatchTransition, *, reconnect: bool = False) -> None:
         """End the watch; with `reconnect` the watcher opens another one even if it does not watch permanently."""
         self._abort()
-        self._watcher.on_watch_failed(self, reconnect=reconnect)
+        self._watcher.on_watch_failed(self, cause, reconnect=reconnect)
 
     def close(self) -> None:
         """End the watch and ignore data that still arrives."""
@@ -147,7 +153,9 @@
         pending_steps: remaining work on received lists.
     """
 
-    def __init__(self, address: Address, endpoint_list: EndpointList, listener: UpdateListener) -> None:
+    def __init__(
+        self, address: Address, endpoint_list: EndpointList, listener: UpdateListener, trace: Trace | None = None
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.address = address
         self.endpoint_list = endpoint_list
@@ -160,6 +168,8 @@
         self.last_activity_s = 0.0  # time of the last data or of the watch's start, on the event loop's clock
         self.connect_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None  # timer for the next silence check or the next watch
+        self._trace = trace or Trace()
+        self._is_watch_current = False  # whether the current watch has reported that its list is applied
 
     def load_cached(self, document: object) -> None:
         """Apply the cached endpoint list; if it is malformed, the sidecar starts without a list."""
@@ -182,6 +192,7 @@
         """Watch the list at a new address; data from the old address is ignored from now on, as it may be outdated."""
         self.address = address
         log.info("the address of discovery has changed to %s:%d", *address)
+        self.record(WatchTransition.ADDRESS_CHANGED)
         self._open_watch()
 
     def watch_endpoints(self, active: bool) -> None:  # noqa: FBT001 called through a `Callable[[bool], None]`
@@ -190,6 +201,11 @@
             self._open_watch()
         else:
             self.stop()
+            self.record(WatchTransition.STOPPED)
+
+    def record(self, transition: WatchTransition) -> None:
+        """Record a transition of the current watch."""
+        self._trace.record_state(EventName.WATCH, transition)
 
     def stop(self) -> None:
         """End the watch; lists that were received earlier are still applied."""
@@ -208,16 +224,19 @@
     def on_no_change(self) -> None:
         """Handle an empty line, which means that the list has not changed."""
         if not self.pending_steps:
-            self.has_current_list.set()
+            self._mark_current()
 
-    def on_watch_failed(self, watch: WatchConnection, *, reconnect: bool = False) -> None:
+    def on_watch_failed(self, watch: WatchConnection, cause: WatchTransition, *, reconnect: bool = False) -> None:
         """Handle the end of a watch: open another one after a short delay, or notify the policy."""
         if watch is not self.watch:
             return
         self.stop()
+        self.record(cause)
         if self.watches_permanently or reconnect:
+            self.record(WatchTransition.RETRY_WAITING)
             self._timer = self.loop.call_later(RECONNECT_DELAY_S, self._open_watch)
         else:
+            self.record(WatchTransition.POLICY_WAITING)
             self.listener(EndpointsUpdated(UpdateKind.FAILED), {})
 
     def on_list_received(self, received: RawList) -> None:
@@ -234,6 +253,8 @@
         is_idle = not self.pending_steps
         batches = self.endpoint_list.split(received)
         if len(batches) > 1:
+            self._is_watch_current = False
+            self.record(WatchTransition.APPLYING)
             self.pending_steps.extend(Step(StepKind.PARSE, batch) for batch in batches)
         self.pending_steps.extend(Step(StepKind.APPLY, batch) for batch in batches)
         if is_idle:
@@ -242,6 +263,8 @@
     def _open_watch(self) -> None:
         self.stop()
         self.watch = WatchConnection(self)
+        self._is_watch_current = False
+        self.record(WatchTransition.CONNECTING)
         self.note_activity()
         self._timer = self.loop.call_later(RESPONSE_TIMEOUT_S, self._check_silence)
         self.connect_task = self.loop.create_task(self._connect(self.watch))
@@ -250,7 +273,7 @@
         try:
             await self.loop.create_connection(lambda: watch, *self.address)
         except (OSError, ValueError):  # ValueError: the host name is invalid
-            self.on_watch_failed(watch)
+            self.on_watch_failed(watch, WatchTransition.CONNECT_FAILED)
 
     def _check_silence(self) -> None:
         """End a watch that is silent for too long; the connection to an unreachable machine would stay open forever."""
@@ -265,7 +288,7 @@
         log.warning("closing the watch: discovery has sent no data within the time limit")
         # The watcher itself reopens a watch that became silent, as the policy's next request for a watch may come after
         # the 6 s within which the sidecar is expected to know a change.
-        self.watch.fail(reconnect=was_answered)
+        self.watch.fail(WatchTransition.SILENT if was_answered else WatchTransition.NO_RESPONSE, reconnect=was_answered)
 
     def _run_step(self) -> None:
         """Run the first pending step, and leave the others to later iterations of the event loop."""
@@ -283,7 +306,15 @@
         if self.pending_steps:
             self.loop.call_soon(self._run_scheduled_step)
         else:
-            self.has_current_list.set()
+            self._mark_current()
+
+    def _mark_current(self) -> None:
+        """Record that all that discovery has sent is applied; a list may outlast the watch that received it."""
+        self.has_current_list.set()
+        is_streaming = self.watch is not None and self.watch.state is WatchState.STREAMING
+        if is_streaming and not self._is_watch_current:
+            self._is_watch_current = True
+            self.record(WatchTransition.CURRENT)
 
     def _process(self, step: Step) -> EndpointUpdate | None:
         entries = step.batch.entries()
@@ -299,7 +330,7 @@
         except Exception as error:  # a malformed list must not stop the sidecar
             log.warning("cannot apply the endpoint list: %r", error)
             if self.watch is not None:
-                self.watch.fail()
+                self.watch.fail(WatchTransition.MALFORMED)
 
     def _notify(self, update: EndpointUpdate) -> None:
         self.listener(update.event, update.addresses)
--- a/garnetusher/sidecar/lifecycle.py
+++ b/garnetusher/sidecar/lifecycle.py
@@ -6,9 +6,11 @@
 import time
 from collections.abc import Callable
 
+from garnetusher.sidecar.transitions import LifecycleTransition
+
 
 class LifecycleState(enum.Enum):
-    """A stage in the lifecycle of this process."""
+    """A stage in the lifecycle of this process; each value is also the value of a `LifecycleTransition`."""
 
     STARTING = "starting"  # the process does not accept clients yet
     SERVING = "serving"
@@ -22,11 +24,25 @@
     Stopping overrides draining, which overrides starting and serving. Repeated calls have no effect.
     """
 
-    def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        clock: Callable[[], float] = time.monotonic,
+        on_transition: Callable[[LifecycleTransition], None] = lambda _: None,
+    ) -> None:
+        """Start in the state `STARTING`.
+
+        Args:
+            clock: returns the monotonic time in seconds.
+            on_transition: called with each state that the process enters, and with each step of its shutdown.
+        """
         self._clock = clock
+        self._on_transition = on_transition
+        self._last_transition: LifecycleTransition | None = None
         self._started = False
         self._draining_since_s: float | None = None
         self._stopping_since_s: float | None = None
+        self._reported_state: LifecycleState | None = None
+        self._report_state()
 
     @property
     def state(self) -> LifecycleState:
@@ -56,6 +72,7 @@
     def start(self) -> None:
         """Mark the process as serving."""
         self._started = True
+        self._report_state()
 
     def drain(self) -> None:
         """Start draining, which lasts until `undrain`.
@@ -64,12 +81,26 @@
         """
         if self._draining_since_s is None:
             self._draining_since_s = self._clock()
+            self._report_state()
 
     def undrain(self) -> None:
         """Stop draining."""
         self._draining_since_s = None
+        self._report_state()
 
     def stop(self) -> None:
         """Mark the process as shutting down, which cannot be undone."""
         if self._stopping_since_s is None:
             self._stopping_since_s = self._clock()
+            self._report_state()
+
+    def report(self, transition: LifecycleTransition) -> None:
+        """Report a state or a step of the shutdown, unless it was the last one that was reported."""
+        if transition is not self._last_transition:
+            self._last_transition = transition
+            self._on_transition(transition)
+
+    def _report_state(self) -> None:
+        if self.state is not self._reported_state:
+            self._reported_state = self.state
+            self.report(LifecycleTransition(self.state.value))
--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -1,27 +1,36 @@
-"""The most recent request events, kept in memory, and counters since the process start, for operators and the log."""
+"""The most recent events, kept in memory, and counters since the process start, for operators and the log.
+
+Request events and state events (transitions and closed connections) have separate rings, so that neither of them
+displaces the other.
+"""
 
 from __future__ import annotations
 
 import enum
+import heapq
 import json
 import logging
 from collections import Counter, deque
 from typing import NamedTuple
 
 from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.transitions import LifecycleTransition, WatchTransition
 
 log = logging.getLogger(__name__)
 
 TRACE_CAPACITY = 1024  # holds a few seconds of events of a busy sidecar in 150 KB
+STATE_TRACE_CAPACITY = 1024  # state events are rarer, as a reused connection causes none
 MAX_LOGGED_EVENTS = 24  # limits the events in a log line, so that the line fits into one write to a pipe
 
 NO_REQUEST = 0
 NO_ATTEMPT = -1
 NO_ENDPOINT = -1
 
+StateReason = WatchTransition | LifecycleTransition
+
 
 class EventName(enum.StrEnum):
-    """The kinds of events; their values are part of the JSON of the admin API (docs/on-call/requests.md)."""
+    """The kinds of events; their values are part of the JSON of the admin API (docs/on-call/trace.md)."""
 
     RECEIVED = "taken"
     CHOSEN = "chosen"
@@ -32,10 +41,12 @@
     CLIENT_DISCONNECTED = "client gone"
     CLIENT_HALF_CLOSED = "client sends no more"
     VIOLATION = "violation"
+    WATCH = "watch"
+    LIFECYCLE = "lifecycle"
 
 
 class TraceEvent(NamedTuple):
-    """One event in the lifetime of a request.
+    """One event in the lifetime of a request, of a connection, of the watch or of the process.
 
     Attributes:
         at_us: the time of the event on the monotonic clock.
@@ -43,7 +54,8 @@
         request_id: the dispatcher's number for the request; `NO_REQUEST` if the event concerns no request.
         attempt_index: the index of the attempt; `NO_ATTEMPT` if the event concerns no attempt.
         endpoint_id: the endpoint of the attempt; `NO_ENDPOINT` if the event concerns no endpoint.
-        reason: the detail of the event: an outcome, a denial, a disposition, a rule or the client's `X-Request-Id`.
+        reason: the detail of the event: an outcome, a denial, a disposition, a rule, the client's `X-Request-Id`,
+            or a value of an enum in `garnetusher.sidecar.transitions`.
     """
 
     at_us: int
@@ -68,10 +80,17 @@
 
 
 class Trace:
-    """A ring buffer of the most recent events, and the counters."""
+    """Ring buffers of the most recent events, and the counters.
+
+    Attributes:
+        events: the request events, oldest first.
+        state_events: the transitions and closed connections, oldest first.
+        counts: the counters.
+    """
 
     def __init__(self) -> None:
         self.events: deque[TraceEvent] = deque(maxlen=TRACE_CAPACITY)
+        self.state_events: deque[TraceEvent] = deque(maxlen=STATE_TRACE_CAPACITY)
         self.counts: Counter[str] = Counter()
 
     def record_event(
@@ -82,9 +101,17 @@
         endpoint_id: int = NO_ENDPOINT,
         reason: str = "",
     ) -> None:
-        """Append an event with the current time."""
+        """Append a request event with the current time."""
         self.events.append(TraceEvent(monotonic_us(), name, request_id, attempt_index, endpoint_id, reason))
 
+    def record_state(self, name: EventName, reason: StateReason, endpoint_id: int = NO_ENDPOINT) -> None:
+        """Append a transition or a closed connection with the current time."""
+        self.state_events.append(TraceEvent(monotonic_us(), name, endpoint_id=endpoint_id, reason=reason.value))
+
+    def all_events(self) -> list[TraceEvent]:
+        """Return the events of both rings in the order of their times."""
+        return list(heapq.merge(self.events, self.state_events, key=lambda event: event.at_us))
+
     def count(self, counter: str) -> None:
         """Increment a counter; callers may only pass names from a bounded set."""
         self.counts[counter] += 1
--- a/garnetusher/sidecar/shutdown.py
+++ b/garnetusher/sidecar/shutdown.py
@@ -14,6 +14,7 @@
 from garnetusher.policy.settings import RequestClass
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.downstream.server import DownstreamServer
+from garnetusher.sidecar.transitions import LifecycleTransition
 
 ACCEPT_AFTER_SIGTERM_S = 0.5  # clients open new connections for up to 0.4 s after SIGTERM
 KILL_DELAY_S = 0.7  # SIGKILL arrives at least this long after the longest deadline
@@ -65,6 +66,7 @@
     server.close_idle(monotonic_us())
     await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
     await server.stop_listening(shared=False)
+    server.lifecycle.report(LifecycleTransition.CLOSED)
 
 
 async def drain_with_successor(server: DownstreamServer, schedule: ShutdownSchedule) -> None:
@@ -73,6 +75,7 @@
     Closing an idle connection immediately would lose a request that its client is sending at that moment.
     """
     await server.stop_listening(shared=True)
+    server.lifecycle.report(LifecycleTransition.CLOSED)
     while server.connections and server.lifecycle.closing_for_s < schedule.close_waiting_at_s:  # noqa: ASYNC110 the loop also has a time limit
         await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -86,6 +89,7 @@
     while _has_open_work(server, schedule):
         server.close_idle(monotonic_us())
         if server.lifecycle.closing_for_s >= schedule.final_responses_s:
+            server.lifecycle.report(LifecycleTransition.REJECTING_INCOMPLETE)
             server.shed_incomplete_requests()
         await asyncio.sleep(POLL_INTERVAL_S)
 
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -13,7 +13,7 @@
 from garnetusher.sidecar.downstream.server import DownstreamServer
 from garnetusher.sidecar.lifecycle import Lifecycle
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
-from garnetusher.sidecar.requests.trace import Trace
+from garnetusher.sidecar.requests.trace import EventName, Trace
 from garnetusher.sidecar.upstream.pool import ConnectionPool
 
 log = logging.getLogger(__name__)
@@ -49,13 +49,13 @@
         """
         settings = configuration.settings
         self.configuration = configuration
-        self.lifecycle = Lifecycle()
         self.trace = Trace()
+        self.lifecycle = Lifecycle(on_transition=lambda reached: self.trace.record_state(EventName.LIFECYCLE, reached))
         self.connection_pool = ConnectionPool(configuration.idle_timeout_us, settings.connect_timeout_us, self.trace)
         self.dispatcher = RequestDispatcher(settings, configuration.seed, self.connection_pool, self.trace)
         self.endpoint_list = EndpointList(configuration.zones, configuration.machine_types)
         self.endpoint_watcher = EndpointWatcher(
-            configuration.discovery, self.endpoint_list, self.dispatcher.on_endpoints_updated
+            configuration.discovery, self.endpoint_list, self.dispatcher.on_endpoints_updated, self.trace
         )
         self.dispatcher.watch_endpoints = self.endpoint_watcher.watch_endpoints
         process_count = 1 if inherited is None else PROCESSES_AT_TAKEOVER
