--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -14,8 +14,10 @@
 from garnetusher.sidecar.downstream.request_reader import RequestReader
 from garnetusher.sidecar.downstream.response_writer import ResponseWriter, content_type_header, retry_after_header
 from garnetusher.sidecar.requests.messages import RESPONSE_MARGIN_US, Disposition, FinalResponse
+from garnetusher.sidecar.requests.trace import EventName
 from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from garnetusher.sidecar.streaming import STALL_TIMEOUT_US, Head, SharedBufferProtocol, Source, Upload
+from garnetusher.sidecar.transitions import ClientCloseReason
 
 if TYPE_CHECKING:
     from garnetusher.sidecar.downstream.server import DownstreamServer
@@ -68,7 +70,8 @@
         self.idle_since_us = 0
         self._sock = sock
         self._request_id = 0  # the dispatcher's identifier of the current request
-        self._close_after_response = False
+        self._close_reason: ClientCloseReason | None = None  # set once it closes after the current response
+        self._is_close_recorded = False
         self._client_half_closed = False  # the client has closed its sending side
 
     @property
@@ -97,6 +100,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Remove the connection from the server and cancel its request."""
+        self._record_close(ClientCloseReason.CLIENT_CLOSED if exc is None else ClientCloseReason.RESET)
         self.server.connections.pop(self, None)
         self._drop_request()
 
@@ -108,10 +112,12 @@
         forwards no further attempts of its request.
         """
         if not (self.has_open_request and self.reader.complete):
+            self._record_close(ClientCloseReason.CLIENT_CLOSED)
             if self.writer.source is not None:
-                self._reject(400)  # an orderly close would make a partial response look complete
+                # An orderly close would make a partial response look complete.
+                self._reject(400, ClientCloseReason.CLIENT_CLOSED)
             return False
-        self._close_after_response = True
+        self._close_after_response(ClientCloseReason.CLIENT_HALF_CLOSED)
         self._client_half_closed = True
         self.server.dispatcher.on_client_half_closed(self._request_id)
         return True
@@ -141,7 +147,7 @@
         except Exception:
             # An unexpected error in one request must affect neither the process nor other requests.
             log.exception("unexpected error while processing a client request; responding with status 500")
-            self._reject(500)
+            self._reject(500, ClientCloseReason.INTERNAL_ERROR)
 
     # Reading a request
 
@@ -156,7 +162,7 @@
 
     def _on_head_complete(self) -> None:
         if not self.reader.keep_alive:
-            self._close_after_response = True
+            self._close_after_response(ClientCloseReason.CLIENT_ASKED)
         if self.reader.is_readiness_check:
             return
         self.reader.route(self.server.router)
@@ -233,20 +239,21 @@
 
     # Rejecting a request without the dispatcher
 
-    def shed_incomplete_request(self, retry_after_us: int = RESTART_RETRY_AFTER_US) -> None:
+    def shed_incomplete_request(self, reason: ClientCloseReason, retry_after_us: int = RESTART_RETRY_AFTER_US) -> None:
         """Shed a request that has not been read completely and therefore has not run.
 
         Args:
+            reason: Why the request is not read to its end.
             retry_after_us: The value of the Retry-After header, limited by the settings, which may also disable it.
         """
         settings = self.server.router.settings
         retry_after_us = min(retry_after_us, settings.max_retry_after_us) if settings.send_retry_after else 0
-        self._reject(503, headers=retry_after_header(retry_after_us))
+        self._reject(503, reason, headers=retry_after_header(retry_after_us))
 
     def _reject_with_reason(self, rejection: RequestRejected) -> None:
-        self._reject(rejection.status, str(rejection).encode() + b"\n")
+        self._reject(rejection.status, ClientCloseReason.BAD_REQUEST, str(rejection).encode() + b"\n")
 
-    def _reject(self, status: int, body: bytes = b"", headers: bytes = b"") -> None:
+    def _reject(self, status: int, reason: ClientCloseReason, body: bytes = b"", headers: bytes = b"") -> None:
         """Drop the request, send an error response and close the connection.
 
         If a streamed response has started, the client would read the error as part of it, so the connection is
@@ -254,10 +261,12 @@
         """
         response_started = self.writer.source is not None
         self._drop_request()
+        self._close_reason = reason
         if response_started:
+            self._record_close(reason)
             self.finish_response(complete=False)
         else:
-            self._write_response(status, body, headers, close=True)
+            self._write_response(status, body, headers)
 
     def _drop_request(self) -> None:
         """Cancel the current request, if there is one, and release its body memory."""
@@ -283,8 +292,10 @@
     def begin_response(self, head: Head, source: Source) -> None:
         """Write the head of a long final response, whose body is streamed."""
         ends_with_connection = self.writer.start_stream(head, source, allow_chunked=not self.reader.is_http_1_0)
-        self._decide_close(close=ends_with_connection)
-        self.writer.write_stream_head(head, close=self._close_after_response)
+        if ends_with_connection:
+            self._close_after_response(ClientCloseReason.RESPONSE_REQUIRES_CLOSE)
+        self._decide_close()
+        self.writer.write_stream_head(head, close=self._close_reason is not None)
 
     def write_chunk(self, data: bytes) -> None:
         """Write the next bytes of a streamed response."""
@@ -300,6 +311,7 @@
         self.has_open_request = False
         self.writer.source = None
         if not complete:
+            self._record_close(ClientCloseReason.RESPONSE_INCOMPLETE)
             if self._sock is not None:
                 self._sock.reset_at_close()
             self.transport.abort()
@@ -328,28 +340,36 @@
     def _complete_unread_since_us(self) -> int:
         return self.arrival_times.complete_unread_since_us(self.reader.missing_size)
 
-    def _write_response(self, status: int, body: bytes, headers: bytes = b"", *, close: bool = False) -> None:
+    def _write_response(self, status: int, body: bytes, headers: bytes = b"") -> None:
         if self.transport.is_closing() or self.closing:
             return
-        self._decide_close(close=close)
-        self.writer.write_response(status, body, headers, close=self._close_after_response)
+        self._decide_close()
+        self.writer.write_response(status, body, headers, close=self._close_reason is not None)
         self._on_response_complete()
 
-    def _decide_close(self, *, close: bool) -> None:
+    def _close_after_response(self, reason: ClientCloseReason) -> None:
+        """Close the connection after the current response; the first reason counts."""
+        if self._close_reason is None:
+            self._close_reason = reason
+
+    def _decide_close(self) -> None:
         """Decide whether the connection closes after the response.
 
         It closes if the body is incomplete, because the rest of the body would be parsed as the next request.
         """
-        if close or not self.reader.complete or self.server.lifecycle.closing:
-            self._close_after_response = True
+        if not self.reader.complete:
+            self._close_after_response(ClientCloseReason.RESPONSE_BEFORE_BODY_END)
+        if self.server.lifecycle.closing:
+            self._close_after_response(self.server.closing_reason)
 
     def _on_response_complete(self) -> None:
         """Prepare for the next request or close the connection."""
         self._drop_request()
-        if self.reader.has_extra_bytes and not self._close_after_response:
+        if self.reader.has_extra_bytes and self._close_reason is None:
             self.writer.write_pipelining_error()
-        if self._close_after_response or self.reader.has_extra_bytes:
-            self._start_lingering_close()
+            self._close_reason = ClientCloseReason.PIPELINED
+        if self._close_reason is not None:
+            self._start_lingering_close(self._close_reason)
             return
         self.reader.reset()
         self.writer.reset()
@@ -359,11 +379,18 @@
 
     # Closing the connection
 
-    def _start_lingering_close(self) -> None:
+    def _record_close(self, reason: ClientCloseReason) -> None:
+        """Record why the connection closes; the first reason counts."""
+        if not self._is_close_recorded:
+            self._is_close_recorded = True
+            self.server.trace.record_state(EventName.CLIENT_CLOSE, reason)
+
+    def _start_lingering_close(self, reason: ClientCloseReason) -> None:
         """Close the sending side and discard further input.
 
         Closing a socket with unread bytes resets the connection, and the client might lose the response.
         """
+        self._record_close(reason)
         self.state = ConnectionState.CLOSING
         if self._client_half_closed:  # no further input can arrive, and an immediate close frees the descriptor
             self.transport.close()
@@ -387,7 +414,7 @@
         else:
             self.transport.abort()
 
-    def schedule_close(self) -> None:
+    def schedule_close(self, reason: ClientCloseReason) -> None:
         """Close an idle connection after two event loop iterations, which read pending input from the kernel.
 
         An immediate close would reset a connection with a request that has arrived but has not been read.
@@ -395,19 +422,20 @@
         if self.state is ConnectionState.ACTIVE:
             self.state = ConnectionState.CLOSE_SCHEDULED
             loop = asyncio.get_running_loop()
-            loop.call_soon(loop.call_soon, self._close_if_idle)
+            loop.call_soon(loop.call_soon, self._close_if_idle, reason)
 
-    def _close_if_idle(self) -> None:
+    def _close_if_idle(self, reason: ClientCloseReason) -> None:
         if self.state is ConnectionState.CLOSE_SCHEDULED:
             self.state = ConnectionState.ACTIVE
         if self.idle:
-            self.close()
+            self.close(reason)
 
-    def close(self) -> None:
+    def close(self, reason: ClientCloseReason) -> None:
         """Close the connection if the write gate confirms that it carries no complete request."""
         carries_request = self.has_open_request and self.reader.complete
         if not self.server.dispatcher.write_gate.may_close(self._request_id, carries_request):
             return
+        self._record_close(reason)
         self.state = ConnectionState.CLOSING
         self.transport.close()
 
@@ -421,7 +449,8 @@
         Args:
             now_us: The time of the check, which is the same for all connections.
         """
-        self.writer.abort_if_stalled(now_us)
+        if self.writer.abort_if_stalled(now_us):
+            self._record_close(ClientCloseReason.CLIENT_STALLED)
         if self.closing or self.reader.complete:
             return
         if self.has_sent_valid_request and self.reader.message_started_us == 0:
@@ -430,16 +459,18 @@
             self._check_paused_body(now_us)
         elif now_us > self.reader.deadline_us:
             if self.reader.message_started_us:
-                self._reject(408)
+                self._reject(408, ClientCloseReason.READ_TIMEOUT)
             else:
-                self.schedule_close()
+                self.schedule_close(ClientCloseReason.NO_REQUEST)
 
     def _check_paused_body(self, now_us: int) -> None:
         paused_us = now_us - self.arrival_times.paused_since_us
-        if self.client_has_closed() or self._must_respond_before_next_check(now_us):
-            self.shed_incomplete_request()
+        if self.client_has_closed():
+            self.shed_incomplete_request(ClientCloseReason.CLIENT_CLOSED)
+        elif self._must_respond_before_next_check(now_us):
+            self.shed_incomplete_request(ClientCloseReason.BODY_NOT_READ)
         elif not self.has_open_request and paused_us > BODY_MEMORY_TIMEOUT_US:
-            self.shed_incomplete_request(BODY_MEMORY_TIMEOUT_US)
+            self.shed_incomplete_request(ClientCloseReason.BODY_MEMORY, BODY_MEMORY_TIMEOUT_US)
         elif self.has_open_request and paused_us > STALL_TIMEOUT_US:
             self.server.dispatcher.on_body_stalled(self._request_id)
 
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -13,7 +13,9 @@
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.lifecycle import Lifecycle, LifecycleState
 from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
+from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.streaming import BodyMemory
+from garnetusher.sidecar.transitions import ClientCloseReason
 
 LISTEN_BACKLOG = 512  # maximum number of connections waiting to be accepted
 LISTEN_RETRY_TIMEOUT_S = 10.0  # time for the address to become free; clients wait 30 s at startup
@@ -57,6 +59,17 @@
         """Whether clients should send requests to this sidecar."""
         return self.dispatcher.ready and self.lifecycle.serving
 
+    @property
+    def trace(self) -> Trace:
+        """The latest events and the counters."""
+        return self.dispatcher.write_gate.trace
+
+    @property
+    def closing_reason(self) -> ClientCloseReason:
+        """The reason of each close while the process drains or stops."""
+        is_stopping = self.lifecycle.state is LifecycleState.STOPPING
+        return ClientCloseReason.SHUTDOWN if is_stopping else ClientCloseReason.DRAINING
+
     @property
     def busy(self) -> bool:
         """Whether any connection has an open request or unsent response bytes."""
@@ -116,9 +129,9 @@
         if oldest is None:
             return
         if oldest.idle:
-            oldest.schedule_close()
+            oldest.schedule_close(ClientCloseReason.CONNECTION_LIMIT)
         else:
-            oldest.close()
+            oldest.close(ClientCloseReason.CONNECTION_LIMIT)
 
     def check_connections(self) -> None:
         """Check the time-outs of all connections now, and schedule the next check."""
@@ -147,11 +160,11 @@
         for connection in list(self.connections):
             limit_us = idle_since_us if connection.has_sent_valid_request else new_idle_since_us
             if connection.idle and connection.idle_since_us <= limit_us:
-                connection.schedule_close()
+                connection.schedule_close(self.closing_reason)
 
     def shed_incomplete_requests(self) -> None:
         """Shed all requests that have not been read completely, because no time is left to handle them."""
         for connection in list(self.connections):
             reading = connection.reader.message_started_us and not connection.reader.complete
             if reading and not connection.closing and connection.writer.source is None:
-                connection.shed_incomplete_request()
+                connection.shed_incomplete_request(ClientCloseReason.SHUTDOWN)
--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from garnetusher.sidecar.clock import monotonic_us
-from garnetusher.sidecar.transitions import LifecycleTransition, WatchTransition
+from garnetusher.sidecar.transitions import ClientCloseReason, LifecycleTransition, WatchTransition
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
 NO_ATTEMPT = -1
 NO_ENDPOINT = -1
 
-StateReason = WatchTransition | LifecycleTransition
+StateReason = WatchTransition | LifecycleTransition | ClientCloseReason
 
 
 class EventName(enum.StrEnum):
@@ -43,6 +43,7 @@
     VIOLATION = "violation"
     WATCH = "watch"
     LIFECYCLE = "lifecycle"
+    CLIENT_CLOSE = "client connection closed"
 
 
 class TraceEvent(NamedTuple):
--- a/garnetusher/sidecar/transitions.py
+++ b/garnetusher/sidecar/transitions.py
@@ -38,3 +38,26 @@
     STOPPING = "stopping"
     CLOSED = "closed"  # this process accepts no new connections
     REJECTING_INCOMPLETE = "rejecting incomplete requests"  # the time for final responses has come
+
+
+class ClientCloseReason(enum.StrEnum):
+    """Why a connection from a client was closed; the first reason counts."""
+
+    CLIENT_CLOSED = "client closed"  # while no complete request was open on it
+    CLIENT_HALF_CLOSED = "client sends no more"  # closed after the response to its last request
+    CLIENT_ASKED = "client asked"  # `Connection: close`, or HTTP/1.0 without keep-alive
+    RESET = "reset"  # a read or a write failed
+    NO_REQUEST = "no request"  # the first bytes did not arrive within the read time-out
+    READ_TIMEOUT = "read timeout"  # the rest of a request did not arrive in time
+    CLIENT_STALLED = "client does not read"  # it read nothing of a response for STALL_TIMEOUT_US
+    BAD_REQUEST = "bad request"  # the response is an error for the head, the framing or the size of the request
+    PIPELINED = "pipelined request"  # bytes arrived before the response to the previous request
+    INTERNAL_ERROR = "internal error"
+    RESPONSE_BEFORE_BODY_END = "response before the end of the body"
+    BODY_NOT_READ = "body not read in time"
+    BODY_MEMORY = "no memory for the body"
+    RESPONSE_REQUIRES_CLOSE = "response requires close"  # only the close of the connection marks its end
+    RESPONSE_INCOMPLETE = "response incomplete"  # the upstream broke a streamed response off
+    CONNECTION_LIMIT = "connection limit"
+    DRAINING = "draining"
+    SHUTDOWN = "shutdown"
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -3,24 +3,45 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import enum
 import json
 import re
-from collections.abc import Iterable
+import socket
+import struct
+from collections.abc import Callable, Iterable
 from typing import Any, cast
 
 import pytest
 
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar import shutdown
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.discovery.endpoint_list import BATCH_SIZE
+from garnetusher.sidecar.downstream import request_reader
+from garnetusher.sidecar.downstream.connection import BODY_MEMORY_TIMEOUT_US, DownstreamConnection
 from garnetusher.sidecar.requests.messages import Denial, Disposition
 from garnetusher.sidecar.requests.trace import STATE_TRACE_CAPACITY, TRACE_CAPACITY, EventName, Trace
-from garnetusher.sidecar.transitions import LifecycleTransition, WatchTransition
+from garnetusher.sidecar.streaming import STALL_TIMEOUT_US
+from garnetusher.sidecar.transitions import ClientCloseReason, LifecycleTransition, WatchTransition
+from tests.downstream import new_connection
 from tests.experiment import ROOT
 from tests.fake_loop import FakeEventLoop
-from tests.net import OK, Sidecar, Upstream, entry, listing, never_respond, request, respond_with, sidecar, until
+from tests.net import (
+    OK,
+    Sidecar,
+    Upstream,
+    entry,
+    listing,
+    never_respond,
+    read_message,
+    request,
+    respond_with,
+    sidecar,
+    until,
+)
 from tests.runner import run
+from tests.streams import CHUNKED, LONG_BODY, FunctionUpstream, chunked, upload_request
 from tests.test_interleaving_watch import RESPONSE_HEAD, WatcherHarness, chunk, lines
 
 DOCUMENTED: dict[str, Iterable[str]] = {
@@ -30,6 +51,7 @@
     "Dispositions: `answered`": [disposition.value for disposition in Disposition],
     "Watch of the endpoint list: `watch`": WatchTransition,
     "Process: `lifecycle`": LifecycleTransition,
+    "Client connections: `client connection closed`": ClientCloseReason,
 }
 
 
@@ -44,6 +66,13 @@
     return [event["reason"] for event in await trace_of(running) if event["what"] == name]
 
 
+async def wait_for_event(running: Sidecar, name: EventName) -> None:
+    """Wait until there is an event of this kind."""
+    async with asyncio.timeout(10):
+        while name not in [event["what"] for event in await trace_of(running)]:  # noqa: ASYNC110 - as below
+            await asyncio.sleep(0.01)
+
+
 async def wait_for_reason(running: Sidecar, name: EventName, reason: enum.StrEnum) -> None:
     """Wait until an event of this kind has this reason."""
     async with asyncio.timeout(10):
@@ -200,3 +229,137 @@
             ]
 
     run(test)
+
+
+def reset(writer: asyncio.StreamWriter) -> None:
+    """Reset a connection."""
+    sock = writer.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    writer.transport.abort()
+
+
+HTTP_1_0 = request().replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"\r\n\r\n", b"\r\nConnection: keep-alive\r\n\r\n")
+
+
+@pytest.mark.parametrize(
+    ("sent", "response", "leave", "expected"),
+    [
+        (b"", OK, asyncio.StreamWriter.close, ClientCloseReason.CLIENT_CLOSED),
+        (b"GET /read HT", OK, reset, ClientCloseReason.RESET),
+        (request(extra="Connection: close\r\n"), OK, None, ClientCloseReason.CLIENT_ASKED),
+        (b"noise\r\n\r\n", OK, None, ClientCloseReason.BAD_REQUEST),
+        (request() + request(), OK, None, ClientCloseReason.PIPELINED),
+        (b"", OK, None, ClientCloseReason.NO_REQUEST),
+        (b"GET /read HT", OK, None, ClientCloseReason.READ_TIMEOUT),
+        (upload_request(LONG_BODY)[:200_000], OK, None, ClientCloseReason.RESPONSE_BEFORE_BODY_END),
+        (HTTP_1_0, CHUNKED + chunked(LONG_BODY, 9000) + b"0\r\n\r\n", None, ClientCloseReason.RESPONSE_REQUIRES_CLOSE),
+        (request(), CHUNKED + chunked(LONG_BODY, 9000), None, ClientCloseReason.RESPONSE_INCOMPLETE),
+    ],
+)
+def test_close_of_a_client_connection_is_traced_once_with_its_reason(
+    monkeypatch: pytest.MonkeyPatch,
+    sent: bytes,
+    response: bytes,
+    leave: Callable[[asyncio.StreamWriter], None] | None,
+    expected: ClientCloseReason,
+) -> None:
+    if expected in (ClientCloseReason.NO_REQUEST, ClientCloseReason.READ_TIMEOUT):
+        monkeypatch.setattr(request_reader, "READ_TIMEOUT_US", 300_000)
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(response)
+        await writer.drain()
+
+    async def test() -> None:
+        async with sidecar(FunctionUpstream(handle)) as running:
+            await wait_for_reason(running, EventName.CLIENT_CLOSE, ClientCloseReason.CLIENT_CLOSED)
+            earlier = len(await reasons(running, EventName.CLIENT_CLOSE))  # the harness has connected and closed
+            reader, writer = await running.connect()
+            writer.write(sent)
+            if leave is not None:
+                await asyncio.sleep(0.05)  # the sidecar has read what was sent
+                leave(writer)
+            with contextlib.suppress(ConnectionError):
+                while await reader.read(1 << 16):
+                    pass
+            await wait_for_reason(running, EventName.CLIENT_CLOSE, expected)
+            writer.close()
+            await asyncio.sleep(0.05)
+            assert (await reasons(running, EventName.CLIENT_CLOSE))[earlier:] == [expected]
+
+    run(test)
+
+
+def test_close_of_a_half_closed_client_connection_and_closes_of_a_drain_and_a_shutdown_are_traced() -> None:
+    async def test() -> None:
+        received, release = asyncio.Event(), asyncio.Event()
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            received.set()
+            await release.wait()
+            writer.write(OK)
+
+        async with sidecar(Upstream(script)) as running:
+            reader, writer = await running.connect()
+            writer.write(request())
+            await received.wait()
+            writer.write_eof()
+            await wait_for_event(running, EventName.CLIENT_HALF_CLOSED)
+            release.set()
+            assert await reader.read() != b""
+            await running.call_admin("POST", "/_lameduck/on")
+            await running.send_request(request())
+            await running.call_admin("POST", "/_lameduck/off")
+            idle_reader, idle_writer = await running.connect()
+            idle_writer.write(request())
+            await read_message(idle_reader)
+            running.stop.set()
+            assert await idle_reader.read() == b""
+            await wait_for_reason(running, EventName.CLIENT_CLOSE, ClientCloseReason.SHUTDOWN)
+            closes = await reasons(running, EventName.CLIENT_CLOSE)
+            assert closes[-3:] == ["client sends no more", "draining", "shutdown"]
+            for each in (writer, idle_writer):
+                each.close()
+
+    run(test)
+
+
+def test_close_at_the_connection_limit_is_traced() -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(respond_with(OK))) as running:  # limited to 200 descriptors
+            clients = [await running.connect() for _ in range(102)]
+            await wait_for_reason(running, EventName.CLIENT_CLOSE, ClientCloseReason.CONNECTION_LIMIT)
+            for _, writer in clients:
+                writer.close()
+
+    run(test)
+
+
+def close_reasons(connection: DownstreamConnection) -> list[str]:
+    return [event.reason for event in connection.server.trace.state_events]
+
+
+def test_closes_for_stalled_clients_paused_bodies_and_internal_errors_are_traced(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def test() -> None:
+        stalled = new_connection()
+        stalled.pause_writing()
+        stalled.check_timeouts(monotonic_us() + STALL_TIMEOUT_US + 1)
+        assert close_reasons(stalled) == ["client does not read"]
+        for is_due, expected in ((False, "no memory for the body"), (True, "body not read in time")):
+            waiting = new_connection()
+            waiting.server.body_memory.free = 0
+            monkeypatch.setattr(waiting, "_must_respond_before_next_check", lambda now_us, is_due=is_due: is_due)
+            waiting.data_received(upload_request(LONG_BODY)[:70_000])
+            waiting.check_timeouts(monotonic_us() + BODY_MEMORY_TIMEOUT_US + 1)
+            assert close_reasons(waiting) == [expected]
+        failing = new_connection()
+        monkeypatch.setattr(failing, "_read_request", None)
+        failing.data_received(request())
+        assert close_reasons(failing) == ["internal error"]
+
+    run(test)
