--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -58,9 +58,10 @@
 )
 from garnetusher.sidecar.requests.request_table import RequestTable
 from garnetusher.sidecar.requests.responses import ResponseSender
-from garnetusher.sidecar.requests.trace import EventName, Trace
+from garnetusher.sidecar.requests.trace import NO_ENDPOINT, EventName, Trace
 from garnetusher.sidecar.requests.write_gate import WriteGate
 from garnetusher.sidecar.streaming import Head, Sink, Source
+from garnetusher.sidecar.transitions import UpstreamCloseReason
 
 log = logging.getLogger(__name__)
 
@@ -231,12 +232,17 @@
             addresses: the addresses on which the endpoints of the update listen, by endpoint id.
         """
         for address in self._endpoints.update(event, addresses):
-            self._transport.close_idle_connections(address)
+            self._transport.close_idle_connections(address, UpstreamCloseReason.ENDPOINT_REMOVED)
         self._dispatch_event(event)
         if event.update_kind is not UpdateKind.FAILED:
             for request in self._requests.snapshot():
                 self._attempts.withdraw_stale(request)
 
+    def endpoint_id_at(self, address: Address) -> int:
+        """Return the id of the ready endpoint on an address, or `NO_ENDPOINT`; trace events name it."""
+        endpoint_id = self._endpoints.id_at(address)
+        return NO_ENDPOINT if endpoint_id is None else endpoint_id
+
     # Zone reports and overrides for operators
 
     def zone_reports(self, names: list[str]) -> list[dict[str, object]]:
@@ -370,4 +376,4 @@
     def _close_idle_connections(self, action: CloseIdleConnections) -> None:
         ready = self._endpoints.get(action.endpoint_id)
         if ready is not None:
-            self._transport.close_idle_connections(ready.address)
+            self._transport.close_idle_connections(ready.address, UpstreamCloseReason.ENDPOINT_UNUSED)
--- a/garnetusher/sidecar/requests/endpoints.py
+++ b/garnetusher/sidecar/requests/endpoints.py
@@ -23,6 +23,7 @@
 
     def __init__(self) -> None:
         self._ready: dict[int, ReadyEndpoint] = {}
+        self._ids: dict[Address, int] = {}  # of ready endpoints; if several share an address, the latest one
 
     @property
     def any_ready(self) -> bool:
@@ -33,6 +34,10 @@
         """Return the ready endpoint with this id, or None if it is not ready or not listed."""
         return self._ready.get(endpoint_id)
 
+    def id_at(self, address: Address) -> int | None:
+        """Return the id of the ready endpoint that listens on an address, or None."""
+        return self._ids.get(address)
+
     def update(self, event: EndpointsUpdated, addresses: Mapping[int, Address]) -> list[Address]:
         """Apply an update of the endpoint list.
 
@@ -47,16 +52,25 @@
         released: list[Address] = []
         if event.update_kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
             for endpoint_id in self._ready.keys() - addresses.keys():
-                released.append(self._ready.pop(endpoint_id).address)
+                released.append(self._remove(self._ready[endpoint_id]))
         for endpoint in event.endpoints:
             address = addresses[endpoint.id]
             previous = self._ready.get(endpoint.id)
             if previous is not None and previous.address != address:
-                del self._ready[endpoint.id]
-                released.append(previous.address)
+                released.append(self._remove(previous))
+                previous = None
             if endpoint.status is EndpointStatus.READY:
                 self._ready[endpoint.id] = ReadyEndpoint(endpoint, address)
+                self._ids[address] = endpoint.id
             else:
-                self._ready.pop(endpoint.id, None)
+                if previous is not None:
+                    self._remove(previous)
                 released.append(address)
         return released
+
+    def _remove(self, ready: ReadyEndpoint) -> Address:
+        """Remove a ready endpoint and return its address."""
+        del self._ready[ready.endpoint.id]
+        if self._ids.get(ready.address) == ready.endpoint.id:
+            del self._ids[ready.address]
+        return ready.address
--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -12,6 +12,7 @@
 from garnetusher.policy.settings import RequestClass
 from garnetusher.sidecar.requests.endpoints import Address, ReadyEndpoint
 from garnetusher.sidecar.streaming import Head, Sink, Source, Upload
+from garnetusher.sidecar.transitions import UpstreamCloseReason
 
 RESPONSE_MARGIN_US = 10_000  # a response is sent this long before the client times out, so that it arrives in time
 
@@ -185,7 +186,7 @@
             The handle with which the caller can abandon the attempt.
         """
 
-    def close_idle_connections(self, address: Address) -> None:
+    def close_idle_connections(self, address: Address, reason: UpstreamCloseReason) -> None:
         """Close the idle connections to an endpoint."""
 
 
--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from garnetusher.sidecar.clock import monotonic_us
-from garnetusher.sidecar.transitions import ClientCloseReason, LifecycleTransition, WatchTransition
+from garnetusher.sidecar.transitions import ClientCloseReason, LifecycleTransition, UpstreamCloseReason, WatchTransition
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
 NO_ATTEMPT = -1
 NO_ENDPOINT = -1
 
-StateReason = WatchTransition | LifecycleTransition | ClientCloseReason
+StateReason = WatchTransition | LifecycleTransition | ClientCloseReason | UpstreamCloseReason
 
 
 class EventName(enum.StrEnum):
@@ -44,6 +44,7 @@
     WATCH = "watch"
     LIFECYCLE = "lifecycle"
     CLIENT_CLOSE = "client connection closed"
+    UPSTREAM_CLOSE = "upstream connection closed"
 
 
 class TraceEvent(NamedTuple):
--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -53,6 +53,7 @@
         self.lifecycle = Lifecycle(on_transition=lambda reached: self.trace.record_state(EventName.LIFECYCLE, reached))
         self.connection_pool = ConnectionPool(configuration.idle_timeout_us, settings.connect_timeout_us, self.trace)
         self.dispatcher = RequestDispatcher(settings, configuration.seed, self.connection_pool, self.trace)
+        self.connection_pool.endpoint_id_at = self.dispatcher.endpoint_id_at
         self.endpoint_list = EndpointList(configuration.zones, configuration.machine_types)
         self.endpoint_watcher = EndpointWatcher(
             configuration.discovery, self.endpoint_list, self.dispatcher.on_endpoints_updated, self.trace
--- a/garnetusher/sidecar/transitions.py
+++ b/garnetusher/sidecar/transitions.py
@@ -61,3 +61,23 @@
     CONNECTION_LIMIT = "connection limit"
     DRAINING = "draining"
     SHUTDOWN = "shutdown"
+
+
+class UpstreamCloseReason(enum.StrEnum):
+    """Why an established connection to an upstream was closed; the first reason counts."""
+
+    IDLE_LIMIT = "idle limit"  # closed before the upstream closes it
+    IDLE_REUSE_EVIDENCE = "idle reuse evidence"  # connections that were idle for so long have lost requests
+    ENDPOINT_REMOVED = "endpoint removed"  # it drains, is gone or has moved
+    ENDPOINT_UNUSED = "endpoint not in use"  # the policy uses other endpoints
+    UPSTREAM_CLOSED = "upstream closed"
+    RESET = "reset"  # a read or a write failed
+    UNREQUESTED_DATA = "unrequested data"
+    RESPONSE_REQUIRES_CLOSE = "response requires close"
+    RESPONSE_BEFORE_REQUEST_END = "response before the end of the request"
+    MALFORMED_RESPONSE = "malformed response"
+    RESPONSE_TOO_LARGE = "response too large"
+    RESPONSE_NOT_WANTED = "response not wanted"  # no client waits for a long response
+    RESPONSE_STALLED = "response stalled"  # the upstream sent nothing of a streamed response for STALL_TIMEOUT_US
+    ATTEMPT_ABANDONED = "attempt abandoned"  # it was written, and its response is not awaited any more
+    LOCAL_SHORTAGE = "shortage on this machine"
--- a/garnetusher/sidecar/upstream/attempt.py
+++ b/garnetusher/sidecar/upstream/attempt.py
@@ -9,6 +9,7 @@
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WriteAuthorizer, WritePermit
 from garnetusher.sidecar.streaming import Head, Sink, Source
+from garnetusher.sidecar.transitions import UpstreamCloseReason
 from garnetusher.sidecar.upstream import request_writer
 from garnetusher.sidecar.upstream.request_writer import Address
 
@@ -91,7 +92,7 @@
         connection.attempt = None
         connection.detach_upload(self)
         if self.written:
-            connection.close()
+            connection.close(UpstreamCloseReason.ATTEMPT_ABANDONED)
 
     def end(self, result: AttemptResult) -> None:
         """Report the result of the attempt."""
--- a/garnetusher/sidecar/upstream/connecting.py
+++ b/garnetusher/sidecar/upstream/connecting.py
@@ -10,6 +10,7 @@
 from garnetusher.sidecar.requests.messages import AttemptResult
 from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.sockets import RETRY_INTERVAL_S, ShortageTolerantSocket, is_local_error
+from garnetusher.sidecar.transitions import UpstreamCloseReason
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
 from garnetusher.sidecar.upstream.request_writer import Address
@@ -54,6 +55,7 @@
         except (OSError, ValueError):  # connection refused, host unreachable, timeout, or invalid address
             if connection is not None:
                 connection.attempt = None
+                connection.record_close(UpstreamCloseReason.LOCAL_SHORTAGE)
                 connection.sock.close()
             if not attempt.abandoned and not attempt.written:
                 failed_locally = attempt.short_of_local_resources
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -11,7 +11,9 @@
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult
+from garnetusher.sidecar.requests.trace import EventName
 from garnetusher.sidecar.streaming import Head, SharedBufferProtocol, Sink
+from garnetusher.sidecar.transitions import UpstreamCloseReason
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
 from garnetusher.sidecar.upstream.idle_reuse import IdleTiming
 from garnetusher.sidecar.upstream.request_writer import Address, RequestWriter
@@ -46,6 +48,7 @@
 
     Attributes:
         address: the address of the upstream.
+        endpoint_id: the endpoint that listened on the address when the connection was created, or `NO_ENDPOINT`.
         sock: the socket of the connection.
         attempt: the attempt that the connection carries or is being opened for.
         idle_timing: when the connection became idle, and how long it was idle before its attempt.
@@ -57,6 +60,7 @@
 
     def __init__(self, pool: ConnectionPool, address: Address, sock: socket.socket) -> None:
         self.address = address
+        self.endpoint_id = pool.endpoint_id_at(address)
         self.sock = sock
         self.attempt: UpstreamAttempt | None = None
         self.idle_timing = IdleTiming()
@@ -67,6 +71,7 @@
         self._pool = pool
         self._transport: asyncio.Transport | None = None
         self._request_writer: RequestWriter | None = None
+        self._is_close_recorded = False
 
     @property
     def request_writer(self) -> RequestWriter:
@@ -106,7 +111,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse a part of the response."""
         if self.attempt is None or not self.response_reader.expecting:
-            self.close()  # the upstream sent bytes that belong to no request
+            self.close(UpstreamCloseReason.UNREQUESTED_DATA)
             return
         response = self.response_reader
         response.received += len(data)
@@ -115,14 +120,15 @@
         response.feed(data)
         if response.complete:
             self._finish_complete()
-        elif self.closed or response.connection_unusable or response.exceeds_framing_limit:
-            self.abort_response()
+        elif self.closed or response.unusable_reason is not None or response.exceeds_framing_limit:
+            self.abort_response(response.unusable_reason or UpstreamCloseReason.RESPONSE_TOO_LARGE)
         elif not was_in_body and response.is_buffering_body_of_unknown_length:
             self._pool.loop.call_later(MAX_BUFFERING_S, self._on_buffering_timeout, self.attempt)
 
     def eof_received(self) -> None:
         """Complete a response whose body ends where the connection ends."""
         self.closed = True
+        self.record_close(UpstreamCloseReason.UPSTREAM_CLOSED)
         if self.attempt is not None and self.response_reader.feed_eof():
             self._finish_complete()
 
@@ -132,6 +138,7 @@
         A streamed response is an exception: it shows that the upstream runs the request before it has the whole body.
         """
         self.closed = True
+        self.record_close(UpstreamCloseReason.UPSTREAM_CLOSED if error is None else UpstreamCloseReason.RESET)
         self._pool.remove_idle(self)
         if self.attempt is not None:
             never_ran = self.request_writer.request_incomplete and self.response_reader.sink is None
@@ -139,21 +146,23 @@
 
     # Requests
 
-    def is_usable(self) -> bool:
-        """Return whether a request can be written on the connection.
+    def reuse_obstacle(self) -> UpstreamCloseReason | None:
+        """Return why no request can be written on the connection, or None if one can be.
 
         A request would be lost if the upstream has already closed the connection, or if stray bytes from the upstream
         are still unread in the kernel.
         """
-        if self.closed or self._transport is None or self._transport.is_closing():
-            return False
+        if self.closed:
+            return UpstreamCloseReason.UPSTREAM_CLOSED
+        if self._transport is None or self._transport.is_closing():
+            return UpstreamCloseReason.RESET
         try:
-            self.sock.recv(1, socket.MSG_PEEK)
+            stray_data = self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
-            return True
+            return None
         except OSError:
-            return False
-        return False
+            return UpstreamCloseReason.RESET
+        return UpstreamCloseReason.UNREQUESTED_DATA if stray_data else UpstreamCloseReason.UPSTREAM_CLOSED
 
     def send(self, attempt: UpstreamAttempt) -> bool:
         """Write an attempt if that is still permitted; return whether it was permitted."""
@@ -219,18 +228,20 @@
         try:
             response.start_streaming()
         except ResponseNotWantedError:
-            self.abort_response()
+            self.abort_response(UpstreamCloseReason.RESPONSE_NOT_WANTED)
 
     # End of an attempt or of the connection
 
-    def abort_response(self) -> None:
+    def abort_response(self, reason: UpstreamCloseReason) -> None:
         """Close the connection in the middle of a response, and end the attempt as RESET."""
-        self.close()
+        self.close(reason)
         self.finish(Outcome.RESET)
 
     def _finish_complete(self) -> None:
-        if self.closed or self.response_reader.connection_unusable or self.request_writer.request_incomplete:
-            self.close()  # the upstream would take the rest of an incomplete request for the next request
+        unusable_reason = self.response_reader.unusable_reason
+        if self.closed or unusable_reason is not None or self.request_writer.request_incomplete:
+            # The upstream would take the rest of an incomplete request for the next request.
+            self.close(unusable_reason or UpstreamCloseReason.RESPONSE_BEFORE_REQUEST_END)
         self.finish(self.response_reader.outcome())
 
     def finish(self, outcome: Outcome) -> None:
@@ -252,7 +263,13 @@
             self.detach_upload(attempt)
             attempt.end(result)
 
-    def close(self) -> None:
+    def record_close(self, reason: UpstreamCloseReason) -> None:
+        """Record why the connection closes; the first reason counts."""
+        if not self._is_close_recorded:
+            self._is_close_recorded = True
+            self._pool.trace.record_state(EventName.UPSTREAM_CLOSE, reason, self.endpoint_id)
+
+    def close(self, reason: UpstreamCloseReason) -> None:
         """Close the connection, and notify the upstream immediately.
 
         The event loop closes the socket in its next iteration. After an attempt is abandoned, the next attempt may be
@@ -260,6 +277,7 @@
         down here.
         """
         self.closed = True
+        self.record_close(reason)
         self._pool.remove_idle(self)
         self._pool.streaming.discard(self)
         if self._transport is not None:
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -8,9 +8,10 @@
 
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest, WriteAuthorizer
-from garnetusher.sidecar.requests.trace import Trace
+from garnetusher.sidecar.requests.trace import NO_ENDPOINT, Trace
 from garnetusher.sidecar.sockets import RETRY_INTERVAL_S
 from garnetusher.sidecar.streaming import STALL_TIMEOUT_US, Head, Sink, Source
+from garnetusher.sidecar.transitions import UpstreamCloseReason
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
 from garnetusher.sidecar.upstream.connecting import Connector
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
@@ -29,6 +30,8 @@
         idle_reuse: the estimate of how long a connection may be idle and still be reused.
         streaming: the connections whose current response is streamed to the client.
         sweep_timer: the timer for the next call of `sweep`.
+        trace: the latest events and the counters.
+        endpoint_id_at: returns the endpoint on an address, which the events of its connections name.
     """
 
     def __init__(self, idle_timeout_us: int, connect_timeout_us: int, trace: Trace | None = None) -> None:
@@ -36,7 +39,9 @@
         self.idle_reuse = IdleReuseEstimator.for_idle_timeout(idle_timeout_us)
         self.idle: dict[Address, list[UpstreamConnection]] = {}
         self.streaming: set[UpstreamConnection] = set()
-        self._connector = Connector(connect_timeout_us, trace or Trace(), self._make_connection)
+        self.trace = trace or Trace()
+        self.endpoint_id_at: Callable[[Address], int] = lambda _address: NO_ENDPOINT
+        self._connector = Connector(connect_timeout_us, self.trace, self._make_connection)
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def apply_settings(self, idle_timeout_us: int, connect_timeout_us: int) -> None:
@@ -73,12 +78,14 @@
         for connection in reversed(self.idle.get(address, [])[:]):
             if connection.idle_timing.grace_remaining_us(now_us) > 0:
                 connections_in_grace.append(connection)
-            elif connection.idle_timing.since_us > oldest_us and connection.is_usable():
+            elif connection.idle_timing.since_us <= oldest_us:
+                connection.close(self._idle_close_reason(connection, now_us))
+            elif (obstacle := connection.reuse_obstacle()) is not None:
+                connection.close(obstacle)
+            else:
                 self.remove_idle(connection)
                 self._send_or_add_idle(connection, attempt)
                 return attempt
-            else:
-                connection.close()
         if connections_in_grace:
             self._wait_for_grace(connections_in_grace[-1], attempt, now_us)
         else:
@@ -98,8 +105,9 @@
 
     def send_after_grace(self, connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
         """Write an attempt on its reserved connection, unless it was abandoned or the connection is unusable."""
-        if not connection.is_usable():
-            connection.close()
+        obstacle = connection.reuse_obstacle()
+        if obstacle is not None:
+            connection.close(obstacle)
             if not attempt.abandoned:
                 self.open_connection(attempt)
         elif attempt.abandoned:
@@ -120,7 +128,7 @@
         """
         attempt.written, attempt.connection = False, None
         connection.attempt = None
-        connection.close()
+        connection.close(UpstreamCloseReason.LOCAL_SHORTAGE)
         self.loop.call_later(RETRY_INTERVAL_S, self.open_connection, attempt)
 
     def open_connection(self, attempt: UpstreamAttempt) -> None:
@@ -149,22 +157,29 @@
         if not connections:
             del self.idle[connection.address]
 
-    def close_idle_connections(self, address: Address) -> None:
+    def close_idle_connections(self, address: Address, reason: UpstreamCloseReason) -> None:
         """Close all idle connections to an upstream."""
         for connection in self.idle.get(address, [])[:]:
-            connection.close()
+            connection.close(reason)
 
     def sweep(self) -> None:
         """Close idle connections before their upstream does, and connections whose streamed response has stalled."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         self.idle_reuse.decay()
         self._abort_stalled_responses(monotonic_us() - STALL_TIMEOUT_US)
-        oldest_us = monotonic_us() - self.idle_reuse.limit_us()
+        now_us = monotonic_us()
+        oldest_us = now_us - self.idle_reuse.limit_us()
         for connections in list(self.idle.values()):
             for connection in [each for each in connections if each.idle_timing.since_us <= oldest_us]:
-                connection.close()
+                connection.close(self._idle_close_reason(connection, now_us))
+
+    def _idle_close_reason(self, connection: UpstreamConnection, now_us: int) -> UpstreamCloseReason:
+        """Return which limit a connection has exceeded that has been idle for too long."""
+        if connection.idle_timing.since_us <= now_us - self.idle_reuse.max_idle_us:
+            return UpstreamCloseReason.IDLE_LIMIT
+        return UpstreamCloseReason.IDLE_REUSE_EVIDENCE
 
     def _abort_stalled_responses(self, no_data_since_us: int) -> None:
         stalled = [each for each in self.streaming if not each.reading_paused and each.last_read_us <= no_data_since_us]
         for connection in stalled:
-            connection.abort_response()
+            connection.abort_response(UpstreamCloseReason.RESPONSE_STALLED)
--- a/garnetusher/sidecar/upstream/response_reader.py
+++ b/garnetusher/sidecar/upstream/response_reader.py
@@ -10,6 +10,7 @@
 from garnetusher.errors import GarnetusherError
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, MAX_BUFFERED_SIZE, Head, Sink
+from garnetusher.sidecar.transitions import UpstreamCloseReason
 
 MAX_HEADERS_SIZE = 64 * 1024  # bytes; parsing 1 MiB of headers takes 40 ms, and all other requests wait meanwhile
 # Framing is all of a response but its body: the heads, the sizes of chunks, and the trailers. A response may have
@@ -74,7 +75,7 @@
 
     Attributes:
         state: the progress of reading the response.
-        connection_unusable: whether no further response can be read from this connection.
+        unusable_reason: why no further response can be read from this connection; None if one can be.
         status: the status of the latest head, which may be that of an interim response.
         length: the value of Content-Length; None if the header is absent.
         content_type: the value of Content-Type; empty if the header is absent.
@@ -91,19 +92,19 @@
         "_not_run",
         "_parser",
         "body",
-        "connection_unusable",
         "content_type",
         "length",
         "received",
         "sink",
         "state",
         "status",
+        "unusable_reason",
     )
 
     def __init__(self) -> None:
         self._consumer: ResponseConsumer | None = None
         self._parser: httptools.HttpResponseParser | None = None
-        self.connection_unusable = False
+        self.unusable_reason: UpstreamCloseReason | None = None
         self._reset()
 
     def _reset(self) -> None:
@@ -163,8 +164,20 @@
             return
         try:
             self._parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.connection_unusable = True  # the following bytes could be taken for the next response
+        except httptools.HttpParserError as error:
+            self._set_unusable(self._error_reason(error))  # the following bytes could be taken for the next response
+
+    def _error_reason(self, error: httptools.HttpParserError) -> UpstreamCloseReason:
+        """Return what an error of the parser, or of one of its callbacks, says about the received bytes."""
+        if isinstance(error.__context__, ResponseTooLargeError):
+            return UpstreamCloseReason.RESPONSE_TOO_LARGE
+        if isinstance(error.__context__, ResponseNotWantedError):
+            return UpstreamCloseReason.RESPONSE_NOT_WANTED
+        return UpstreamCloseReason.UNREQUESTED_DATA if self.complete else UpstreamCloseReason.MALFORMED_RESPONSE
+
+    def _set_unusable(self, reason: UpstreamCloseReason) -> None:
+        if self.unusable_reason is None:
+            self.unusable_reason = reason
 
     def feed_eof(self) -> bool:
         """Process the end of the upstream's stream; return whether it completes the response."""
@@ -201,7 +214,7 @@
     def on_message_begin(self) -> None:
         """Handle the start of a message; a second message after the response makes the connection unusable."""
         if self.state is _COMPLETE:
-            self.connection_unusable = True
+            self._set_unusable(UpstreamCloseReason.UNREQUESTED_DATA)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Process a header of the head; trailers after the body are ignored.
@@ -271,4 +284,4 @@
             return
         self.state = _COMPLETE
         if not self._parser.should_keep_alive():
-            self.connection_unusable = True
+            self._set_unusable(UpstreamCloseReason.RESPONSE_REQUIRES_CLOSE)
--- a/tests/test_ready_endpoints.py
+++ b/tests/test_ready_endpoints.py
@@ -69,3 +69,11 @@
 def test_ready_endpoints_is_empty_when_a_snapshot_is_empty(endpoints: ReadyEndpoints) -> None:
     assert update(endpoints, UpdateKind.SNAPSHOT) == [address_of(0), address_of(1)]
     assert not endpoints.any_ready
+
+
+def test_ready_endpoints_finds_the_endpoint_of_an_address_while_it_is_ready(endpoints: ReadyEndpoints) -> None:
+    assert endpoints.id_at(address_of(1)) == 1
+    endpoints.update(EndpointsUpdated(UpdateKind.DELTA, [Endpoint(1)]), {1: address_of(5)})
+    assert (endpoints.id_at(address_of(1)), endpoints.id_at(address_of(5))) == (None, 1)
+    update(endpoints, UpdateKind.SNAPSHOT)
+    assert endpoints.id_at(address_of(5)) is None
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -14,23 +14,32 @@
 
 import pytest
 
-from garnetusher.policy.events import Outcome
+from garnetusher.policy.actions import CloseIdleConnections
+from garnetusher.policy.events import Endpoint, EndpointsUpdated, Outcome, UpdateKind
+from garnetusher.policy.settings import Settings
 from garnetusher.sidecar import shutdown
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.discovery.endpoint_list import BATCH_SIZE
 from garnetusher.sidecar.downstream import request_reader
 from garnetusher.sidecar.downstream.connection import BODY_MEMORY_TIMEOUT_US, DownstreamConnection
+from garnetusher.sidecar.requests.dispatcher import RequestDispatcher
 from garnetusher.sidecar.requests.messages import Denial, Disposition
 from garnetusher.sidecar.requests.trace import STATE_TRACE_CAPACITY, TRACE_CAPACITY, EventName, Trace
 from garnetusher.sidecar.streaming import STALL_TIMEOUT_US
-from garnetusher.sidecar.transitions import ClientCloseReason, LifecycleTransition, WatchTransition
+from garnetusher.sidecar.transitions import ClientCloseReason, LifecycleTransition, UpstreamCloseReason, WatchTransition
+from garnetusher.sidecar.upstream import pool as pool_module
+from garnetusher.sidecar.upstream.connection import UpstreamConnection
+from garnetusher.sidecar.upstream.pool import ConnectionPool
 from tests.downstream import new_connection
 from tests.experiment import ROOT
 from tests.fake_loop import FakeEventLoop
 from tests.net import (
     OK,
+    Discovery,
     Sidecar,
     Upstream,
+    attempt_at,
+    classes,
     entry,
     listing,
     never_respond,
@@ -42,7 +51,7 @@
 )
 from tests.runner import run
 from tests.streams import CHUNKED, LONG_BODY, FunctionUpstream, chunked, upload_request
-from tests.test_interleaving_watch import RESPONSE_HEAD, WatcherHarness, chunk, lines
+from tests.test_interleaving_watch import RESPONSE_HEAD, FakeTransport, WatcherHarness, chunk, lines
 
 DOCUMENTED: dict[str, Iterable[str]] = {
     "Kinds: `what`": EventName,
@@ -52,6 +61,7 @@
     "Watch of the endpoint list: `watch`": WatchTransition,
     "Process: `lifecycle`": LifecycleTransition,
     "Client connections: `client connection closed`": ClientCloseReason,
+    "Upstream connections: `upstream connection closed`": UpstreamCloseReason,
 }
 
 
@@ -363,3 +373,109 @@
         assert close_reasons(failing) == ["internal error"]
 
     run(test)
+
+
+LONG_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
+
+
+@pytest.mark.parametrize(
+    ("sent", "response", "expected"),
+    [
+        (request(), OK, UpstreamCloseReason.UPSTREAM_CLOSED),
+        (request(), b"reset", UpstreamCloseReason.RESET),
+        (request(deadline_ms=300), b"", UpstreamCloseReason.ATTEMPT_ABANDONED),
+        (request(), OK + b"HTTP/1.1 408 Request Timeout\r\n", UpstreamCloseReason.UNREQUESTED_DATA),
+        (request(), OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n"), UpstreamCloseReason.RESPONSE_REQUIRES_CLOSE),
+        (request(), b"noise\r\n\r\n", UpstreamCloseReason.MALFORMED_RESPONSE),
+        (request(), LONG_HEAD.replace(b"200000", b"999999999"), UpstreamCloseReason.RESPONSE_TOO_LARGE),
+        (upload_request(LONG_BODY)[:200_000], OK, UpstreamCloseReason.RESPONSE_BEFORE_REQUEST_END),
+        (request(), LONG_HEAD + b"x", UpstreamCloseReason.RESPONSE_STALLED),
+        (request(), OK, UpstreamCloseReason.IDLE_LIMIT),
+    ],
+)
+def test_close_of_an_upstream_connection_is_traced_once_with_its_reason_and_upstream(
+    monkeypatch: pytest.MonkeyPatch, sent: bytes, response: bytes, expected: UpstreamCloseReason
+) -> None:
+    monkeypatch.setattr(pool_module, "STALL_TIMEOUT_US", 300_000)
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        if response == b"reset":
+            reset(writer)
+            return
+        writer.write(response)
+        if expected is not UpstreamCloseReason.UPSTREAM_CLOSED:
+            while await reader.read(1 << 16):
+                pass
+
+    async def test() -> None:
+        idle_timeout_us = 400_000 if expected is UpstreamCloseReason.IDLE_LIMIT else 60_000_000
+        async with sidecar(FunctionUpstream(handle), idle_timeout_us=idle_timeout_us, max_attempts=1) as running:
+            _, writer = await running.connect()
+            writer.write(sent)
+            await wait_for_reason(running, EventName.UPSTREAM_CLOSE, expected)
+            await asyncio.sleep(0.05)
+            closes = [event for event in await trace_of(running) if event["what"] == EventName.UPSTREAM_CLOSE]
+            assert [(event["reason"], "upstream" in event) for event in closes] == [(expected, True)]
+            writer.close()
+
+    run(test)
+
+
+def test_reused_connections_cause_no_state_events_until_their_endpoint_drains() -> None:
+    async def test() -> None:
+        upstream, discovery = Upstream(respond_with(OK)), Discovery()
+        async with sidecar(upstream, discovery=discovery) as running:
+            await discovery.wait_for_watch()
+            reader, writer = await running.connect()
+            for number in range(5):
+                writer.write(request(request_id=str(number)))
+                await read_message(reader)
+            kinds = [event["what"] for event in await trace_of(running) if "request" not in event]
+            assert set(kinds) == {"lifecycle", "watch", "client connection closed"}
+            assert kinds.count("client connection closed") == 1  # the connection of the harness
+            discovery.send_update(listing(entry("u0", upstream.port, "leaving"), rev=2, full=False))
+            await wait_for_reason(running, EventName.UPSTREAM_CLOSE, UpstreamCloseReason.ENDPOINT_REMOVED)
+            writer.close()
+
+    run(test)
+
+
+class FullTransport(FakeTransport):
+    """A transport whose kernel takes no byte."""
+
+    def get_write_buffer_size(self) -> int:
+        return 1 << 20
+
+
+def test_closes_that_the_pool_and_the_policy_decide_are_traced() -> None:
+    async def test() -> None:
+        pool, address = ConnectionPool(60_000_000, 10_000_000), ("127.0.0.1", 1)
+        pool.sweep_timer.cancel()
+        dispatcher = RequestDispatcher(Settings(classes()), 1, pool, pool.trace)
+        dispatcher.on_endpoints_updated(EndpointsUpdated(UpdateKind.SNAPSHOT, [Endpoint(7)]), {7: address})
+        pool.endpoint_id_at = dispatcher.endpoint_id_at
+        sidecar_end, upstream_end = socket.socketpair()
+        with sidecar_end, upstream_end:
+            idle = [UpstreamConnection(pool, address, sidecar_end) for _ in range(2)]
+            idle[0].idle_timing.since_us = monotonic_us() - 60_000
+            pool.idle_reuse.loss_shares = [1.0 for _ in pool.idle_reuse.loss_shares]
+            pool.idle[address] = idle[:1]
+            pool.sweep()
+            pool.sweep_timer.cancel()
+            pool.idle[address] = idle[1:]
+            dispatcher._execute(CloseIdleConnections(7))
+            for transport in (FullTransport(), FakeTransport()):
+                connection = UpstreamConnection(pool, address, sidecar_end)
+                connection.connection_made(transport)
+                pool.remove_idle(connection)
+                connection.send(attempt_at(pool, address, lambda result: None))
+                connection.data_received(LONG_HEAD)  # no client waits for it
+            assert [(event.reason, event.endpoint_id) for event in pool.trace.state_events] == [
+                (UpstreamCloseReason.IDLE_REUSE_EVIDENCE, 7),
+                (UpstreamCloseReason.ENDPOINT_UNUSED, 7),
+                (UpstreamCloseReason.LOCAL_SHORTAGE, 7),
+                (UpstreamCloseReason.RESPONSE_NOT_WANTED, 7),
+            ]
+
+    run(test)
