--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -1,7 +1,7 @@
 """The most recent events, kept in memory, and counters since the process start, for operators and the log.
 
-Request events and state events (transitions and closed connections) have separate rings, so that neither of them
-displaces the other.
+Request events and each kind of state events (transitions and closed connections) have separate rings, so that no kind
+displaces another: clients that open a connection for each request close many.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import heapq
 import json
 import logging
-from collections import Counter, deque
+from collections import Counter, defaultdict, deque
 from typing import NamedTuple
 
 from garnetusher.sidecar.clock import monotonic_us
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 TRACE_CAPACITY = 1024  # holds a few seconds of events of a busy sidecar in 150 KB
-STATE_TRACE_CAPACITY = 1024  # state events are rarer, as a reused connection causes none
+STATE_TRACE_CAPACITY = 256  # for each kind of state events; serializing all events blocks the loop for milliseconds
 MAX_LOGGED_EVENTS = 24  # limits the events in a log line, so that the line fits into one write to a pipe
 
 NO_REQUEST = 0
@@ -86,13 +86,14 @@
 
     Attributes:
         events: the request events, oldest first.
-        state_events: the transitions and closed connections, oldest first.
         counts: the counters.
     """
 
     def __init__(self) -> None:
         self.events: deque[TraceEvent] = deque(maxlen=TRACE_CAPACITY)
-        self.state_events: deque[TraceEvent] = deque(maxlen=STATE_TRACE_CAPACITY)
+        self._state_events: defaultdict[EventName, deque[TraceEvent]] = defaultdict(
+            lambda: deque(maxlen=STATE_TRACE_CAPACITY)
+        )
         self.counts: Counter[str] = Counter()
 
     def record_event(
@@ -108,11 +109,16 @@
 
     def record_state(self, name: EventName, reason: StateReason, endpoint_id: int = NO_ENDPOINT) -> None:
         """Append a transition or a closed connection with the current time."""
-        self.state_events.append(TraceEvent(monotonic_us(), name, endpoint_id=endpoint_id, reason=reason.value))
+        self._state_events[name].append(TraceEvent(monotonic_us(), name, endpoint_id=endpoint_id, reason=reason))
+
+    @property
+    def state_events(self) -> list[TraceEvent]:
+        """The transitions and closed connections in the order of their times."""
+        return _merge(*self._state_events.values())
 
     def all_events(self) -> list[TraceEvent]:
-        """Return the events of both rings in the order of their times."""
-        return list(heapq.merge(self.events, self.state_events, key=lambda event: event.at_us))
+        """Return the events of all rings in the order of their times."""
+        return _merge(self.events, *self._state_events.values())
 
     def count(self, counter: str) -> None:
         """Increment a counter; callers may only pass names from a bounded set."""
@@ -146,3 +152,7 @@
             endpoint_id,
             json.dumps(events),
         )
+
+
+def _merge(*rings: deque[TraceEvent]) -> list[TraceEvent]:
+    return list(heapq.merge(*rings, key=lambda event: event.at_us))
