--- a/garnetusher/__main__.py
+++ b/garnetusher/__main__.py
@@ -44,6 +44,11 @@
         "garnetusher.cli.members",
         "Show the members of the fleet with their states, as a process sees them, and whether others disagree.",
     ),
+    CommandGroup(
+        "trace",
+        "garnetusher.cli.trace",
+        "Show the way of a request through a sidecar, or its latest transitions and closed connections.",
+    ),
     CommandGroup("config", "garnetusher.cli.config_commands", "Check experiment files without running them."),
 )
 
--- a/garnetusher/cli/admin_client.py
+++ b/garnetusher/cli/admin_client.py
@@ -45,7 +45,7 @@
         connection.request(method, path)
         response = connection.getresponse()
         return AdminResponse(response.status, response.read().decode())
-    except OSError as error:
-        cli.fail(f"no answer from {address}: {error}", cli.FAILURE)
+    except (OSError, http.client.HTTPException) as error:  # HTTPException: something else listens at the address
+        cli.fail(f"no answer from {address}: {' '.join(str(error).split())}", cli.FAILURE)
     finally:
         connection.close()
--- a/garnetusher/sidecar/admin/handlers.py
+++ b/garnetusher/sidecar/admin/handlers.py
@@ -5,6 +5,7 @@
 import json
 from http import HTTPStatus
 from typing import TYPE_CHECKING
+from urllib.parse import unquote
 
 from garnetusher.sidecar.admin.messages import AdminRequest, AdminResponse, Route
 from garnetusher.sidecar.sidecar import Sidecar
@@ -41,10 +42,16 @@
         return _response(json.dumps(reports))
 
     def trace(self, request: AdminRequest) -> AdminResponse:
-        """Report the latest events; an `X-Request-Id` in `?request=` selects the events of that request."""
+        """Report the latest events; an `X-Request-Id` in `?request=` selects the events of that request.
+
+        The id may be percent-encoded or literal. Like the ids of clients, its bytes are read as Latin-1.
+        """
         trace = self._sidecar.trace
         client_request_id = request.query.removeprefix("request=")
-        events = trace.find(client_request_id) if request.query else trace.all_events()
+        if request.query:
+            events = trace.find(client_request_id) or trace.find(unquote(client_request_id, "latin-1"))
+        else:
+            events = trace.all_events()
         return _response("\n".join(json.dumps(event.to_dict()) for event in events))
 
     def counters(self, request: AdminRequest) -> AdminResponse:
