--- a/tests/test_interleaving_watch.py
+++ b/tests/test_interleaving_watch.py
@@ -262,6 +262,8 @@
         )
         watcher.watch_endpoints(True)
         await until(lambda: update_kinds == [UpdateKind.FAILED])
+        reasons = [event.reason for event in watcher._trace.state_events]
+        assert reasons == ["connecting", "connect failed", "waiting for the policy"]
 
     run(test)
 
@@ -364,5 +366,8 @@
         assert (loop.connect_count, update_kinds) == (3, [])
         loop.advance(12.0)  # the third call gets no response
         assert (loop.connect_count, update_kinds) == (3, [UpdateKind.FAILED])
+        reasons = [event.reason for event in harness.watcher._trace.state_events]
+        assert reasons[-7:-2] == ["streaming", "current", "silent", "waiting to reconnect", "connecting"]
+        assert reasons[-2:] == ["no response", "waiting for the policy"]
 
     run(test)
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -74,6 +74,7 @@
             pool.sweep_timer.cancel()
             assert pool.idle == {}
             assert connection.closed
+            assert [event.reason for event in pool.trace.state_events] == ["idle reuse evidence"]
 
     run(test)
 
