--- a/garnetusher/sidecar/requests/trace.py
+++ b/garnetusher/sidecar/requests/trace.py
@@ -1,27 +1,36 @@
-"""The most recent request events, kept in memory, and counters since the process start, for operators and the log."""
+"""The most recent events, kept in memory, and counters since the process start, for operators and the log.
+
+Request events and each kind of state events (transitions and closed connections) have separate rings, so that no kind
+displaces another: clients that open a connection for each request close many.
+"""
 
 from __future__ import annotations
 
 import enum
+import heapq
 import json
 import logging
-from collections import Counter, deque
+from collections import Counter, defaultdict, deque
 from typing import NamedTuple
 
 from garnetusher.sidecar.clock import monotonic_us
+from garnetusher.sidecar.transitions import ClientCloseReason, LifecycleTransition, UpstreamCloseReason, WatchTransition
 
 log = logging.getLogger(__name__)
 
 TRACE_CAPACITY = 1024  # holds a few seconds of events of a busy sidecar in 150 KB
+STATE_TRACE_CAPACITY = 256  # for each kind of state events; serializing all events blocks the loop for milliseconds
 MAX_LOGGED_EVENTS = 24  # limits the events in a log line, so that the line fits into one write to a pipe
 
 NO_REQUEST = 0
 NO_ATTEMPT = -1
 NO_ENDPOINT = -1
 
+StateReason = WatchTransition | LifecycleTransition | ClientCloseReason | UpstreamCloseReason
+
 
 class EventName(enum.StrEnum):
-    """The kinds of events; their values are part of the JSON of the admin API (docs/on-call/requests.md)."""
+    """The kinds of events; their values are part of the JSON of the admin API (docs/on-call/trace.md)."""
 
     RECEIVED = "taken"
     CHOSEN = "chosen"
@@ -32,10 +41,14 @@
     CLIENT_DISCONNECTED = "client gone"
     CLIENT_HALF_CLOSED = "client sends no more"
     VIOLATION = "violation"
+    WATCH = "watch"
+    LIFECYCLE = "lifecycle"
+    CLIENT_CLOSE = "client connection closed"
+    UPSTREAM_CLOSE = "upstream connection closed"
 
 
 class TraceEvent(NamedTuple):
-    """One event in the lifetime of a request.
+    """One event in the lifetime of a request, of a connection, of the watch or of the process.
 
     Attributes:
         at_us: the time of the event on the monotonic clock.
@@ -43,7 +56,8 @@
         request_id: the dispatcher's number for the request; `NO_REQUEST` if the event concerns no request.
         attempt_index: the index of the attempt; `NO_ATTEMPT` if the event concerns no attempt.
         endpoint_id: the endpoint of the attempt; `NO_ENDPOINT` if the event concerns no endpoint.
-        reason: the detail of the event: an outcome, a denial, a disposition, a rule or the client's `X-Request-Id`.
+        reason: the detail of the event: an outcome, a denial, a disposition, a rule, the client's `X-Request-Id`,
+            or a value of an enum in `garnetusher.sidecar.transitions`.
     """
 
     at_us: int
@@ -68,10 +82,18 @@
 
 
 class Trace:
-    """A ring buffer of the most recent events, and the counters."""
+    """Ring buffers of the most recent events, and the counters.
+
+    Attributes:
+        events: the request events, oldest first.
+        counts: the counters.
+    """
 
     def __init__(self) -> None:
         self.events: deque[TraceEvent] = deque(maxlen=TRACE_CAPACITY)
+        self._state_events: defaultdict[EventName, deque[TraceEvent]] = defaultdict(
+            lambda: deque(maxlen=STATE_TRACE_CAPACITY)
+        )
         self.counts: Counter[str] = Counter()
 
     def record_event(
@@ -82,9 +104,22 @@
         endpoint_id: int = NO_ENDPOINT,
         reason: str = "",
     ) -> None:
-        """Append an event with the current time."""
+        """Append a request event with the current time."""
         self.events.append(TraceEvent(monotonic_us(), name, request_id, attempt_index, endpoint_id, reason))
 
+    def record_state(self, name: EventName, reason: StateReason, endpoint_id: int = NO_ENDPOINT) -> None:
+        """Append a transition or a closed connection with the current time."""
+        self._state_events[name].append(TraceEvent(monotonic_us(), name, endpoint_id=endpoint_id, reason=reason))
+
+    @property
+    def state_events(self) -> list[TraceEvent]:
+        """The transitions and closed connections in the order of their times."""
+        return _merge(*self._state_events.values())
+
+    def all_events(self) -> list[TraceEvent]:
+        """Return the events of all rings in the order of their times."""
+        return _merge(self.events, *self._state_events.values())
+
     def count(self, counter: str) -> None:
         """Increment a counter; callers may only pass names from a bounded set."""
         self.counts[counter] += 1
@@ -117,3 +152,7 @@
             endpoint_id,
             json.dumps(events),
         )
+
+
+def _merge(*rings: deque[TraceEvent]) -> list[TraceEvent]:
+    return list(heapq.merge(*rings, key=lambda event: event.at_us))
