--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -11,7 +11,7 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
-from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US, IdleReuseEstimator
+from garnetusher.sidecar.upstream.idle_reuse import FIRST_ATTEMPT, NEVER_USED, RESPONSE_GRACE_US, IdleReuseEstimator
 from garnetusher.sidecar.upstream.pool import ConnectionPool
 from tests.net import OK, Upstream, attempt_at, request, respond_with, sidecar, until
 from tests.runner import run
@@ -55,6 +55,14 @@
             assert 0 <= estimator.limit_us() <= max_idle_us
 
 
+@pytest.mark.parametrize("idle_us", [FIRST_ATTEMPT, NEVER_USED])
+def test_idle_reuse_estimator_ignores_losses_when_the_connection_was_not_idle_before(idle_us: int) -> None:
+    estimator = IdleReuseEstimator(4_700_000)
+    for _ in range(40):  # an upstream that accepts connections and resets them shows nothing about idle connections
+        estimator.record_reuse(idle_us, lost=True)
+    assert estimator.limit_us() == 4_700_000
+
+
 def test_pool_closes_connections_idle_for_a_time_after_which_requests_are_lost() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 10_000_000), ("127.0.0.1", 1)
