--- a/garnetusher/sidecar/upstream/idle_reuse.py
+++ b/garnetusher/sidecar/upstream/idle_reuse.py
@@ -72,7 +72,12 @@
         return min(self.max_idle_us, MIN_IDLE_LIMIT_US << range_index)
 
     def record_reuse(self, idle_us: int, *, lost: bool) -> None:
-        """Record that a connection was reused after `idle_us`, and whether its request was lost."""
+        """Record that a connection was reused after `idle_us`, and whether its request was lost.
+
+        FIRST_ATTEMPT and NEVER_USED are no idle times, and count in no range.
+        """
+        if idle_us < 0:
+            return
         range_index = (idle_us // MIN_IDLE_LIMIT_US).bit_length() - 1
         if 0 <= range_index < len(self.loss_shares):
             self.loss_shares[range_index] += (lost - self.loss_shares[range_index]) * LOSS_WEIGHT
