--- a/garnetusher/sidecar/requests/dispatcher.py
+++ b/garnetusher/sidecar/requests/dispatcher.py
@@ -182,7 +182,7 @@
         self._deadlines.set_request_deadline(request, self._deadlines.request_deadline_us(request.http_request))
         for attempt in request.attempts:
             if not attempt.ended:
-                attempt.started_us = arrived_us
+                attempt.started_us = max(attempt.started_us, arrived_us)
         self._deadlines.restart_attempt_timers(request)
         self._dispatch_event(RequestBodyComplete(request_id, request.deadline_us))
 
