--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -53,6 +53,18 @@
     assert host.balancer.endpoints[100].latency_ratio <= latency_ratio
 
 
+def test_buffered_request_is_shed_in_time_when_its_body_is_complete_and_its_deadline_is_short() -> None:
+    host = ready_host(1)
+    fill_slots(host)
+    request = host.arrive(PAY, body_complete=False)  # it replaces the request in the buffer
+    assert host.answer(request) is None
+    deadline_us = host.now_us + 50_000  # a third of the time that a request may spend in the buffer
+    host.request_records[request].event.deadline_us = deadline_us
+    host.deliver(RequestBodyComplete(request, deadline_us))
+    host.advance(50_000)
+    assert isinstance(host.answer(request), Shed)
+
+
 @pytest.mark.parametrize(
     ("outcome", "answer_type"), [(Outcome.CONNECT_FAILED, Shed), (Outcome.OVERLOADED, Shed), (Outcome.RESET, Fail)]
 )
