--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -71,6 +71,7 @@
             if attempt.outcome is None:
                 attempt.sent_us = now_us
                 self._forwarder.take_slot(attempt)
+        self._admission.reschedule_buffer_timeout(request)
 
     def on_not_replayable(self, event: RequestNotReplayable) -> None:
         """Record that the body of a request cannot be sent again."""
