--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -3,17 +3,22 @@
 from __future__ import annotations
 
 import asyncio
+import errno
+import selectors
 import socket
+from collections.abc import Awaitable, Callable
+from typing import Any
 
 import pytest
 
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.clock import monotonic_us
-from garnetusher.sidecar.requests.messages import AttemptResult
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
+from garnetusher.sidecar.streaming import Head, Source
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
 from garnetusher.sidecar.upstream.idle_reuse import FIRST_ATTEMPT, NEVER_USED, RESPONSE_GRACE_US, IdleReuseEstimator
 from garnetusher.sidecar.upstream.pool import ConnectionPool
-from tests.net import OK, Upstream, attempt_at, request, respond_with, sidecar, until
+from tests.net import OK, TEST_TIMEOUT_S, Upstream, attempt_at, permit_write, request, respond_with, sidecar, until
 from tests.runner import run
 
 
@@ -134,3 +139,103 @@
         pool.sweep_timer.cancel()
 
     run(test)
+
+
+class FullSelector(selectors.EpollSelector):
+    """A selector that, while it is full, loses a descriptor that it is asked to watch, as `RetryingEpollSelector` does.
+
+    epoll_ctl fails with ENOSPC while the user's limit on watched descriptors is reached.
+    """
+
+    full = False
+
+    def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
+        if self.full:
+            raise OSError(errno.ENOSPC, "no space left")
+        return super().register(fileobj, events, data)
+
+    def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
+        self.unregister(fileobj)
+        return self.register(fileobj, events, data)
+
+
+class PausingSink:
+    """A client that pauses a streamed response at each part of it, and fills the selector at the last part."""
+
+    def __init__(self, selector: FullSelector, source: Source, length: int) -> None:
+        self.selector = selector
+        self.source = source
+        self.missing = length
+
+    def write_chunk(self, data: bytes) -> None:
+        self.missing -= len(data)
+        self.source.pause()
+        if self.missing:
+            asyncio.get_running_loop().call_soon(self.source.resume)
+        else:
+            self.selector.full = True
+
+
+def run_with_selector(selector: selectors.BaseSelector, test: Callable[[], Awaitable[None]]) -> None:
+    async def run_with_timeout() -> None:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await test()
+
+    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
+        runner.run(run_with_timeout())
+
+
+async def idle_connection(pool: ConnectionPool, sock: socket.socket) -> UpstreamConnection:
+    """Return a connection that has just become idle in the pool."""
+    sock.setblocking(False)
+    connection = UpstreamConnection(pool, ("127.0.0.1", 1), sock)
+    await asyncio.get_running_loop().create_connection(lambda: connection, sock=sock)
+    return connection
+
+
+def test_attempt_ends_when_epoll_cannot_watch_its_connection_for_writing() -> None:
+    selector = FullSelector()
+
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 1_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        sidecar_end, upstream_end = socket.socketpair()
+        with sidecar_end, upstream_end:
+            connection = await idle_connection(pool, sidecar_end)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"x" * 10_000_000, 0, 0, 1)  # more than the kernel takes
+            selector.full = True
+            pool.start_attempt(
+                connection.address, http_request, permit_write, results.append, lambda head, source: None
+            )
+            selector.full = False
+            await until(lambda: bool(results))
+            assert [result.outcome for result in results] == [
+                Outcome.CONNECT_FAILED
+            ]  # an incomplete request never runs
+            assert pool.idle == {}
+
+    run_with_selector(selector, test)
+
+
+def test_attempt_ends_when_epoll_cannot_watch_its_connection_after_a_paused_response() -> None:
+    selector, length = FullSelector(), 100_000
+
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 1_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+
+        def start_response(head: Head, source: Source) -> PausingSink:
+            return PausingSink(selector, source, length)
+
+        sidecar_end, upstream_end = socket.socketpair()
+        with sidecar_end, upstream_end:
+            connection = await idle_connection(pool, sidecar_end)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+            pool.start_attempt(connection.address, http_request, permit_write, results.append, start_response)
+            upstream_end.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (length, b"x" * length))
+            await until(lambda: bool(results))
+            assert [result.outcome for result in results] == [Outcome.OK]
+            assert pool.idle == {}
+            selector.full = False
+
+    run_with_selector(selector, test)
