--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -169,15 +169,23 @@
         self.reading_paused = False
         self.last_read_us = 0
         self.idle_timing.start_attempt(monotonic_us())
+        try:
+            self._write(attempt, head)
+        except OSError:  # epoll can't watch the socket, so the rest of the request or of its body can't be sent
+            writer.has_unsent_bytes = True
+            self.close()
+        return True
+
+    def _write(self, attempt: UpstreamAttempt, head: bytes) -> None:
+        writer = self.request_writer
         if not writer.write_head(head):
             self._pool.restart_attempt(self, attempt)
-            return True
+            return
         if attempt.request.upload is not None:
             writer.start_body(attempt.request.upload)
         if writer.transport.is_closing():
             # The write failed, as the connection was already broken; `connection_lost` then reports CONNECT_FAILED.
             writer.has_unsent_bytes = True
-        return True
 
     def detach_upload(self, attempt: UpstreamAttempt) -> None:
         """Stop passing the long body of an attempt to this connection."""
@@ -245,13 +253,20 @@
         response.release()
         self._pool.streaming.discard(self)
         if not self.closed:
-            if self.reading_paused:
-                self.resume()
-            self._pool.put_idle(self)
+            self._become_idle()
         if attempt is not None:
             self.detach_upload(attempt)
             attempt.end(result)
 
+    def _become_idle(self) -> None:
+        try:
+            if self.reading_paused:
+                self.resume()
+        except OSError:  # epoll can't watch the socket, so no further response could be read from it
+            self.close()
+        else:
+            self._pool.put_idle(self)
+
     def close(self) -> None:
         """Close the connection, and notify the upstream immediately.
 
