--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -239,3 +239,30 @@
             selector.full = False
 
     run_with_selector(selector, test)
+
+
+def test_attempt_is_sent_when_connect_fails_once_with_eagain(monkeypatch: pytest.MonkeyPatch) -> None:
+    """connect(2) fails with EAGAIN if the routing cache is short of entries; the connection is then not in progress."""
+    connect, failures = socket.socket.connect, [BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable")]
+
+    def connect_after_failures(sock: socket.socket, address: Any) -> None:
+        if failures:
+            raise failures.pop()
+        connect(sock, address)
+
+    async def test() -> None:
+        upstream = Upstream(respond_with(OK))
+        await upstream.start()
+        pool, results = ConnectionPool(60_000_000, 10_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        monkeypatch.setattr(socket.socket, "connect", connect_after_failures)
+        http_request = HttpRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+        address = ("127.0.0.1", upstream.port)
+        pool.start_attempt(address, http_request, permit_write, results.append, lambda head, source: None)
+        await until(lambda: bool(results))
+        assert not failures
+        assert [result.outcome for result in results] == [Outcome.OK]
+        pool.close_idle_connections(address)
+        upstream.stop()
+
+    run(test)
