--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -109,6 +109,18 @@
             if error.errno not in SHORTAGES or arguments[:2] != (socket.IPPROTO_TCP, socket.TCP_NODELAY):
                 raise
 
+    def connect(self, address: Any, /) -> None:
+        """Connect as `socket.connect` does, but raise EAGAIN, a shortage of routing cache entries, as ENOBUFS.
+
+        EAGAIN and EINPROGRESS are both a BlockingIOError, and the event loop waits for the connection after either.
+        """
+        try:
+            super().connect(address)
+        except BlockingIOError as error:
+            if error.errno != errno.EAGAIN:
+                raise
+            raise OSError(errno.ENOBUFS, SHORTAGE_TEXT) from None
+
     def send(self, data: ReadableBuffer, flags: int = 0, /) -> int:
         """Send as `socket.send` does; a shortage raises BlockingIOError."""
         try:
