--- a/garnetusher/sidecar/requests/messages.py
+++ b/garnetusher/sidecar/requests/messages.py
@@ -156,6 +156,10 @@
     def written(self) -> bool:
         """Whether any byte of the attempt has been written."""
 
+    @property
+    def short_of_local_resources(self) -> bool:
+        """Whether the attempt has no connection because this machine lacked the resources for it."""
+
     def abandon(self) -> None:
         """Stop waiting for the response: write nothing more, and close the connection if the attempt has used it."""
 
--- a/garnetusher/sidecar/upstream/pool.py
+++ b/garnetusher/sidecar/upstream/pool.py
@@ -119,6 +119,7 @@
         new connection writes a new head with the time that remains at that moment.
         """
         attempt.written, attempt.connection = False, None
+        attempt.short_of_local_resources = True
         connection.attempt = None
         connection.close()
         self.loop.call_later(RETRY_INTERVAL_S, self.open_connection, attempt)
--- a/tests/test_interleaving_attempts.py
+++ b/tests/test_interleaving_attempts.py
@@ -36,6 +36,8 @@
 class FakeAttempt:
     """An attempt that a test ends; it is written when it starts, or never."""
 
+    short_of_local_resources = False
+
     def __init__(self, *, written: bool) -> None:
         self.written = written
         self.abandoned = False
