--- a/garnetusher/sidecar/requests/attempts.py
+++ b/garnetusher/sidecar/requests/attempts.py
@@ -118,15 +118,15 @@
             request: the request of the attempt.
             attempt_index: the index of the attempt.
             outcome: the outcome of the attempt; an attempt that has not been written never ran, and ends as
-                `CONNECT_FAILED` instead, which counts against the endpoint, or as `NOT_WRITTEN`, which does not, if
-                this machine lacked the resources for a connection.
+                `CONNECT_FAILED` instead, which counts against the endpoint. It ends as `NOT_WRITTEN`, which does not
+                count, if it is cancelled or if this machine lacked the resources for a connection.
         """
         attempt = request.attempts[attempt_index]
         if attempt.ended or attempt.handle is None:
             return
         if not attempt.handle.written:
-            failed_locally = attempt.handle.short_of_local_resources
-            outcome = Outcome.NOT_WRITTEN if failed_locally else Outcome.CONNECT_FAILED
+            is_evidence = outcome is not Outcome.CANCELLED and not attempt.handle.short_of_local_resources
+            outcome = Outcome.CONNECT_FAILED if is_evidence else Outcome.NOT_WRITTEN
         attempt.handle.abandon()
         self.end(request, attempt_index, AttemptResult(outcome))
 
