--- a/tests/test_write_gate.py
+++ b/tests/test_write_gate.py
@@ -194,6 +194,22 @@
     assert case.authorize_write() is Denial.WINDOW_OVER
 
 
+def test_write_gate_denies_a_retry_when_the_window_of_an_attempt_written_earlier_has_ended() -> None:
+    """An attempt that waits for its connection can be written after the hedged attempt that started later."""
+    case = WriteGateCase("deduplicated")
+    case.add_earlier_attempt(1, Outcome.RESET, written_us=NOW_US - 400_000)
+    case.add_earlier_attempt(1, Outcome.RESET, written_us=NOW_US - 100_000)
+    assert case.authorize_write() is Denial.WINDOW_OVER
+
+
+@pytest.mark.violates
+def test_write_gate_records_a_violation_when_only_one_of_two_attempts_is_in_the_scope() -> None:
+    case = WriteGateCase("deduplicated")
+    case.add_earlier_attempt(3, Outcome.RESET)
+    case.add_earlier_attempt(1, Outcome.RESET)
+    assert case.authorize_write() is Denial.MAY_HAVE_RUN
+
+
 @pytest.mark.violates
 def test_write_gate_fails_a_request_when_it_is_shed_but_may_have_run() -> None:
     case = WriteGateCase("at_most_once")
