--- a/garnetusher/sidecar/requests/write_gate.py
+++ b/garnetusher/sidecar/requests/write_gate.py
@@ -93,14 +93,16 @@
         others = [other for other in request.attempts if other is not attempt]
         if not self.settings.hedging and any(other.written_us and not other.ended for other in others):
             return Denial.STILL_OUT
-        possibly_executed = next((other for other in others if other.may_have_run), None)
-        if possibly_executed is None or request.request_class.effect == "idempotent":
+        possibly_executed = [other for other in others if other.may_have_run]
+        if not possibly_executed or request.request_class.effect == "idempotent":
             return None
         if request.request_class.effect == "at_most_once":
             return Denial.MAY_HAVE_RUN
-        if now_us >= possibly_executed.written_us + request.request_class.deduplication_window_us:
+        first_written_us = min(other.written_us for other in possibly_executed)
+        if now_us >= first_written_us + request.request_class.deduplication_window_us:
             return Denial.WINDOW_OVER
-        if _in_same_deduplication_scope(request.request_class.deduplication_scope, possibly_executed, attempt):
+        scope = request.request_class.deduplication_scope
+        if all(_in_same_deduplication_scope(scope, other, attempt) for other in possibly_executed):
             return None
         return Denial.MAY_HAVE_RUN
 
