--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -14,6 +14,7 @@
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from garnetusher.sidecar.streaming import Head, Source
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
 from garnetusher.sidecar.upstream.idle_reuse import FIRST_ATTEMPT, NEVER_USED, RESPONSE_GRACE_US, IdleReuseEstimator
@@ -266,3 +267,35 @@
         upstream.stop()
 
     run(test)
+
+
+def test_attempt_ends_when_the_rest_of_its_head_cannot_be_sent_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The head says how much time the client has left, so it must not reach the upstream much later."""
+    send, sent = socket.socket.send, []
+
+    def send_one_byte(sock: socket.socket, data: Any, flags: int = 0) -> int:
+        if not isinstance(sock, ShortageTolerantSocket):
+            return send(sock, data, flags)
+        if sent:
+            raise OSError(errno.ENOBUFS, "No buffer space available")
+        sent.append(send(sock, bytes(data[:1]), flags))
+        return sent[0]
+
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 1_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            sock = ShortageTolerantSocket(socket.AF_INET, socket.SOCK_STREAM)
+            sock.connect(listener.getsockname())
+            connection = await idle_connection(pool, sock)
+            monkeypatch.setattr(socket.socket, "send", send_one_byte)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"body", 0, 0, 1)
+            pool.start_attempt(
+                connection.address, http_request, permit_write, results.append, lambda head, source: None
+            )
+            await until(lambda: bool(results))
+            assert sent == [1]
+            assert [result.outcome for result in results] == [Outcome.NOT_WRITTEN]
+            assert connection.closed
+
+    run(test)
