--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -93,13 +93,15 @@
 
     Attributes:
         read_failures: the consecutive failed reads.
+        write_shortages: the consecutive writes that failed because of a shortage.
     """
 
-    __slots__ = ("read_failures",)
+    __slots__ = ("read_failures", "write_shortages")
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
         self.read_failures = FailureStreak()
+        self.write_shortages = FailureStreak()
 
     def setsockopt(self, *arguments: Any) -> None:
         """Set an option as `socket.setsockopt` does, but skip TCP_NODELAY if there is no memory for it."""
@@ -126,6 +128,8 @@
         try:
             return super().send(data, flags)
         except OSError as error:
+            if error.errno in SHORTAGES:
+                self.write_shortages.record_failure()
             _raise_as_blocking(error)
 
     def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -11,6 +11,7 @@
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from garnetusher.sidecar.streaming import Head, SharedBufferProtocol, Sink
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
 from garnetusher.sidecar.upstream.idle_reuse import IdleTiming
@@ -23,6 +24,9 @@
 # A response of unknown length is buffered for this time, in seconds. After that it is streamed, so that its first bytes
 # reach the client without further delay.
 MAX_BUFFERING_S = 0.1
+# The rest of a head may wait for this time, in seconds, while this machine is short of memory or buffers. After that,
+# its X-Deadline-Ms header would be wrong by about the 0.15 s that upstreams tolerate.
+MAX_HEAD_DELAY_S = 0.1
 
 
 class NotConnectedError(GarnetusherError):
@@ -100,6 +104,7 @@
     def resume_writing(self) -> None:
         """Resume reading a long body from the client."""
         self.request_writer.has_unsent_bytes = False
+        self.request_writer.head_sent = True
         if self.attempt is not None and self.attempt.request.upload is not None:
             self.attempt.request.upload.set_source_reading(enabled=True)
 
@@ -181,12 +186,22 @@
         if not writer.write_head(head):
             self._pool.restart_attempt(self, attempt)
             return
+        if not writer.head_sent:
+            self._pool.loop.call_later(MAX_HEAD_DELAY_S, self._on_head_delayed, attempt)
         if attempt.request.upload is not None:
             writer.start_body(attempt.request.upload)
         if writer.transport.is_closing():
             # The write failed, as the connection was already broken; `connection_lost` then reports CONNECT_FAILED.
             writer.has_unsent_bytes = True
 
+    def _on_head_delayed(self, attempt: UpstreamAttempt) -> None:
+        """End an attempt whose head this machine still can't send; the upstream never runs the incomplete request."""
+        if self.attempt is not attempt or self.request_writer.head_sent:
+            return
+        if isinstance(self.sock, ShortageTolerantSocket) and self.sock.write_shortages.first_failure_us():
+            self.close()
+            self.finish(Outcome.NOT_WRITTEN)
+
     def detach_upload(self, attempt: UpstreamAttempt) -> None:
         """Stop passing the long body of an attempt to this connection."""
         if attempt.request.upload is not None and self._request_writer is not None:
--- a/garnetusher/sidecar/upstream/request_writer.py
+++ b/garnetusher/sidecar/upstream/request_writer.py
@@ -30,14 +30,16 @@
     Attributes:
         transport: the transport of the connection.
         has_unsent_bytes: whether some of the written bytes have not been passed to the kernel.
+        head_sent: whether the kernel has all of the latest head and of what was written with it.
         body_incomplete: whether a part of the request's body has not arrived from the client yet.
     """
 
-    __slots__ = ("_chunked", "body_incomplete", "has_unsent_bytes", "transport")
+    __slots__ = ("_chunked", "body_incomplete", "has_unsent_bytes", "head_sent", "transport")
 
     def __init__(self, transport: asyncio.Transport) -> None:
         self.transport = transport
         self.has_unsent_bytes = False
+        self.head_sent = False
         self.body_incomplete = False
         self._chunked = False
 
@@ -49,6 +51,7 @@
     def write_head(self, head: bytes) -> bool:
         """Write a head and its buffered body; return False if no byte was sent although the connection is open."""
         self.transport.write(head)
+        self.head_sent = not self.has_unsent_bytes
         return self.transport.get_write_buffer_size() < len(head) or self.transport.is_closing()
 
     def start_body(self, upload: Upload) -> None:
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -271,7 +271,7 @@
 
 def test_attempt_ends_when_the_rest_of_its_head_cannot_be_sent_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     """The head says how much time the client has left, so it must not reach the upstream much later."""
-    send, sent = socket.socket.send, []
+    send, sent = socket.socket.send, list[int]()
 
     def send_one_byte(sock: socket.socket, data: Any, flags: int = 0) -> int:
         if not isinstance(sock, ShortageTolerantSocket):
