--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
 from garnetusher.sidecar.streaming import MAX_BODY_SIZE, Head, Source
 from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US
@@ -217,3 +218,27 @@
         upstream.stop()
 
     run(test)
+
+
+@pytest.mark.parametrize("head", [b"Content-Length: %d\r\n\r\n" % len(LONG_BODY), b"\r\n"], ids=["length", "no length"])
+def test_attempt_counts_as_cancelled_when_nobody_waits_for_its_long_response(head: bytes) -> None:
+    """The client has gone, or a hedged attempt was faster; a broken connection would count against the upstream."""
+
+    async def test() -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(b"HTTP/1.1 200 OK\r\n" + head + LONG_BODY[:100])  # without a length it is streamed after 0.1 s
+            await reader.read()
+
+        upstream = FunctionUpstream(handle)
+        await upstream.start()
+        pool, results = ConnectionPool(60_000_000, 10_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        http_request = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
+        address = ("127.0.0.1", upstream.port)
+        pool.start_attempt(address, http_request, permit_write, results.append, lambda head, source: None)
+        await until(lambda: bool(results))
+        assert [result.outcome for result in results] == [Outcome.CANCELLED]
+        upstream.stop()
+
+    run(test)
