--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -247,9 +247,9 @@
     # End of an attempt or of the connection
 
     def abort_response(self) -> None:
-        """Close the connection in the middle of a response, and end the attempt as RESET."""
+        """Close the connection in the middle of a response, and end the attempt as RESET, or CANCELLED if unwanted."""
         self.close()
-        self.finish(Outcome.RESET)
+        self.finish(Outcome.CANCELLED if self.response_reader.unwanted else Outcome.RESET)
 
     def _finish_complete(self) -> None:
         if self.closed or self.response_reader.connection_unusable or self.request_writer.request_incomplete:
--- a/garnetusher/sidecar/upstream/response_reader.py
+++ b/garnetusher/sidecar/upstream/response_reader.py
@@ -81,6 +81,7 @@
         body: the part of the body that is buffered.
         sink: the receiver of a streamed body; None while the body is buffered.
         received: the number of bytes of head and body that have arrived.
+        unwanted: whether no client waits for the response, which is therefore not read to its end.
     """
 
     __slots__ = (
@@ -98,6 +99,7 @@
         "sink",
         "state",
         "status",
+        "unwanted",
     )
 
     def __init__(self) -> None:
@@ -114,6 +116,7 @@
         self.body = bytearray()
         self.sink: Sink | None = None
         self.received = 0
+        self.unwanted = False
         self._body_size = 0
         self._headers_size = 0
         self._not_run = False
@@ -182,6 +185,7 @@
         if self._consumer is not None:
             self.sink = self._consumer.start_streaming(Head(self.length, self.content_type))
         if self.sink is None:
+            self.unwanted = True
             raise ResponseNotWantedError
         buffered, self.body = bytes(self.body), bytearray()
         self.sink.write_chunk(buffered)
