--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -65,6 +65,19 @@
     assert isinstance(host.answer(request), Shed)
 
 
+@pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.CANCELLED])
+def test_slow_upload_does_not_make_its_upstream_appear_slow_when_its_attempt_ends(outcome: Outcome) -> None:
+    host = ready_host(1)
+    request = arrive_with_partial_body(host)
+    state, class_state = host.balancer.endpoints[100], host.balancer.context.class_states[READ]
+    latency_ratio, slot_limit, mean_response_us = state.latency_ratio, state.slot_limit, class_state.mean_response_us
+    host.now_us += 20_000_000  # the client sends slowly, and disconnects or gets its response before the body ends
+    host.end(request, 0, outcome)
+    assert state.latency_ratio <= latency_ratio
+    assert state.slot_limit >= slot_limit
+    assert class_state.mean_response_us <= mean_response_us
+
+
 @pytest.mark.parametrize(
     ("outcome", "answer_type"), [(Outcome.CONNECT_FAILED, Shed), (Outcome.OVERLOADED, Shed), (Outcome.RESET, Fail)]
 )
