--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -171,6 +171,8 @@
         """Free the attempt's slot and update the estimates from its outcome."""
         self._forwarder.free_slot(attempt)
         class_state = request.class_state
+        if outcome in (Outcome.OK, Outcome.CANCELLED) and not request.body_complete:
+            elapsed_us = int(class_state.mean_response_us)  # the elapsed time is that of the upload
         if outcome not in OUTCOMES_WITHOUT_EVIDENCE:
             self._outlier_detector.record_outcome(attempt, outcome, elapsed_us, class_state)
         if outcome is Outcome.OK:
