--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 
 import pytest
 
@@ -242,3 +243,30 @@
         upstream.stop()
 
     run(test)
+
+
+def test_attempt_ends_when_the_buffered_part_of_a_slow_response_cannot_be_written_to_the_client() -> None:
+    """A part that is lost would leave a hole in the response, and no timer ends a response that has started."""
+
+    class FailingSink:
+        def write_chunk(self, data: bytes) -> None:
+            raise OSError(errno.ENOSPC, "epoll can't watch the client's socket")
+
+    async def test() -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + LONG_BODY[:100])  # it is streamed after 0.1 s
+            await reader.read()
+
+        upstream = FunctionUpstream(handle)
+        await upstream.start()
+        pool, results = ConnectionPool(60_000_000, 10_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        http_request = HttpRequest(b"GET", b"/read", [], b"", 0, 0, 1)
+        address = ("127.0.0.1", upstream.port)
+        pool.start_attempt(address, http_request, permit_write, results.append, lambda head, source: FailingSink())
+        await until(lambda: bool(results))
+        assert [result.outcome for result in results] == [Outcome.RESET]
+        upstream.stop()
+
+    run(test)
