--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -241,7 +241,7 @@
             return
         try:
             response.start_streaming()
-        except ResponseNotWantedError:
+        except (ResponseNotWantedError, OSError):  # OSError: epoll can't watch the client's socket
             self.abort_response()
 
     # End of an attempt or of the connection
