--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -14,13 +14,16 @@
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
+from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from garnetusher.sidecar.streaming import Head, Source
+from garnetusher.sidecar.upstream.connecting import LOCAL_FAILURE_COUNTER
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
 from garnetusher.sidecar.upstream.idle_reuse import FIRST_ATTEMPT, NEVER_USED, RESPONSE_GRACE_US, IdleReuseEstimator
 from garnetusher.sidecar.upstream.pool import ConnectionPool
 from tests.net import OK, TEST_TIMEOUT_S, Upstream, attempt_at, permit_write, request, respond_with, sidecar, until
 from tests.runner import run
+from tests.test_interleaving_stop import full_backlog_port
 
 
 def test_pool_reuses_connection_except_when_it_has_ended_or_sent_extra_bytes() -> None:
@@ -210,14 +213,31 @@
             )
             selector.full = False
             await until(lambda: bool(results))
-            assert [result.outcome for result in results] == [
-                Outcome.CONNECT_FAILED
-            ]  # an incomplete request never runs
+            # The upstream never runs the incomplete request, and is not to blame
+            assert [result.outcome for result in results] == [Outcome.NOT_WRITTEN]
             assert pool.idle == {}
 
     run_with_selector(selector, test)
 
 
+def test_connect_is_tried_again_when_epoll_cannot_watch_the_new_connection() -> None:
+    selector, trace = FullSelector(), Trace()
+
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 0, trace), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        with full_backlog_port() as port:
+            address, http_request = ("127.0.0.1", port), HttpRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+            selector.full = True
+            attempt = pool.start_attempt(address, http_request, permit_write, results.append, lambda head, source: None)
+            await until(lambda: trace.counts[LOCAL_FAILURE_COUNTER] >= 2 or bool(results))
+            assert results == []
+            selector.full = False
+            attempt.abandon()
+
+    run_with_selector(selector, test)
+
+
 def test_attempt_ends_when_epoll_cannot_watch_its_connection_after_a_paused_response() -> None:
     selector, length = FullSelector(), 100_000
 
