--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -37,6 +37,7 @@
     errno.EACCES,
     errno.EPERM,
     errno.EINTR,
+    errno.ENOSPC,  # epoll_ctl: the limit on watched descriptors is reached
 }
 SHORTAGE_TEXT = "short of memory or buffers"
 ZERO_LINGER = struct.pack("ii", 1, 0)  # struct linger with l_onoff = 1 and l_linger = 0 s
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -175,14 +175,12 @@
         self.last_read_us = 0
         self.idle_timing.start_attempt(monotonic_us())
         try:
-            self._write(attempt, head)
+            self._write(writer, attempt, head)
         except OSError:  # epoll can't watch the socket, so the rest of the request or of its body can't be sent
-            writer.has_unsent_bytes = True
-            self.close()
+            self._pool.loop.call_soon(self._abort_unsent, attempt)
         return True
 
-    def _write(self, attempt: UpstreamAttempt, head: bytes) -> None:
-        writer = self.request_writer
+    def _write(self, writer: RequestWriter, attempt: UpstreamAttempt, head: bytes) -> None:
         if not writer.write_head(head):
             self._pool.restart_attempt(self, attempt)
             return
@@ -199,6 +197,11 @@
         if self.attempt is not attempt or self.request_writer.head_sent:
             return
         if isinstance(self.sock, ShortageTolerantSocket) and self.sock.write_shortages.first_failure_us():
+            self._abort_unsent(attempt)
+
+    def _abort_unsent(self, attempt: UpstreamAttempt) -> None:
+        """Close the connection and end its attempt, as this machine can't send the rest of the request."""
+        if self.attempt is attempt:
             self.close()
             self.finish(Outcome.NOT_WRITTEN)
 
