--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,7 +12,7 @@
 from garnetusher.model.ablations import ablate
 from garnetusher.model.records import ZoneStateLogged
 from garnetusher.model.simulation import Simulation
-from garnetusher.policy.events import Outcome, ZoneOverridden
+from garnetusher.policy.events import Endpoint, Outcome, ZoneOverridden
 from garnetusher.policy.zone import FailedAttempt, Zone, ZoneState
 from garnetusher.policy.zones import SILENCE_US, Zones
 from tests.experiment import ROOT
@@ -80,6 +80,21 @@
     assert zones.excluded() == {0, 1}
 
 
+def test_zone_is_kept_when_the_endpoints_that_failed_have_left_the_list() -> None:
+    host = PolicyHost()
+    entries = [Endpoint(100 + number, zone=number // 4) for number in range(8)]
+    host.update_endpoints(entries)
+    zones = host.balancer.zones
+    for number in range(3):
+        zones.record_failure(FailedAttempt(0, 100 + number, host.now_us, connection_refused=True), host.now_us)
+    record_response(zones, 1, host.now_us + 100)
+    assert zones.get(0).is_fully_used
+    host.now_us += 1000
+    host.update_endpoints(entries[3:])
+    zones.record_failure(FailedAttempt(0, 103, host.now_us, connection_refused=True), host.now_us)
+    assert zones.get(0).is_fully_used  # a single failure of its only endpoint is not enough
+
+
 def zones_with_one_lost() -> tuple[Zones, list[str], Zone]:
     zones, changes = make_zones()
     record_failures(zones, 0, 6, SECOND)
