--- a/garnetusher/policy/endpoints.py
+++ b/garnetusher/policy/endpoints.py
@@ -81,6 +81,7 @@
     def _remove(self, state: EndpointState) -> None:
         del self.endpoints[state.endpoint.id]
         state.pool.remove(state)
+        self.zones.get(state.endpoint.zone).forget_endpoint(state.endpoint.id)
 
     def _update_endpoint(self, endpoint: Endpoint) -> bool:
         """Add, update or remove one endpoint; return whether it is new or has restarted."""
--- a/garnetusher/policy/zone.py
+++ b/garnetusher/policy/zone.py
@@ -162,6 +162,11 @@
         self.latency_ratio += (latency_ratio - self.latency_ratio) / OUTCOME_WINDOW
         self.outcome_count += 1
 
+    def forget_endpoint(self, endpoint_id: int) -> None:
+        """Discard the misses if one of them was at this endpoint, which has left the endpoint list."""
+        if endpoint_id in self.failing_endpoints:
+            self.clear_evidence()
+
     def clear_evidence(self) -> None:
         """Discard all misses and their evidence."""
         self.failing_endpoints.clear()
