--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -15,7 +15,7 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
 from garnetusher.sidecar.requests.trace import Trace
-from garnetusher.sidecar.sockets import ShortageTolerantSocket
+from garnetusher.sidecar.sockets import RetryingEpollSelector, ShortageTolerantSocket
 from garnetusher.sidecar.streaming import Head, Source
 from garnetusher.sidecar.upstream.connecting import LOCAL_FAILURE_COUNTER
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
@@ -220,6 +220,22 @@
     run_with_selector(selector, test)
 
 
+def test_selector_changes_the_events_of_a_watched_descriptor_when_no_further_one_can_be_watched(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """epoll_ctl needs memory, and a place below the user's limit, to add a descriptor, but not to modify it."""
+
+    def fail_to_register(*arguments: Any) -> selectors.SelectorKey:
+        raise OSError(errno.ENOSPC, "no space left")
+
+    with RetryingEpollSelector() as selector, socket.socket() as sock:
+        selector.register(sock, selectors.EVENT_READ)
+        monkeypatch.setattr(selector, "register", fail_to_register)
+        selector.modify(sock, selectors.EVENT_READ | selectors.EVENT_WRITE)
+        assert selector.get_key(sock).events == selectors.EVENT_READ | selectors.EVENT_WRITE
+        assert [key.fileobj for key, events in selector.select(0) if events & selectors.EVENT_WRITE] == [sock]
+
+
 def test_connect_is_tried_again_when_epoll_cannot_watch_the_new_connection() -> None:
     selector, trace = FullSelector(), Trace()
 
