--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -191,6 +191,14 @@
             time.sleep(EPOLL_RETRY_INTERVAL_S)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Remove the descriptor and add it again, as the inherited method unregisters the descriptor if epoll fails."""
-        self.unregister(fileobj)
-        return self.register(fileobj, events, data)
+        """Change the events of a descriptor; if epoll fails, remove the descriptor and add it again with retries.
+
+        The change alone needs no memory, but adding the descriptor again does.
+        """
+        descriptor = self.get_key(fileobj).fd
+        try:
+            return super().modify(fileobj, events, data)
+        except OSError:  # the inherited method has removed the key, but not the descriptor
+            with contextlib.suppress(OSError):
+                self._selector.unregister(descriptor)  # type: ignore[attr-defined]
+            return self.register(fileobj, events, data)
