--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -220,6 +220,29 @@
     run_with_selector(selector, test)
 
 
+def test_connection_closes_when_epoll_fails_while_its_attempt_is_abandoned() -> None:
+    """The event loop stops watching a socket for writing before it closes the socket."""
+    selector = FullSelector()
+
+    async def test() -> None:
+        pool = ConnectionPool(60_000_000, 1_000_000)
+        pool.sweep_timer.cancel()
+        sidecar_end, upstream_end = socket.socketpair()
+        with sidecar_end, upstream_end:
+            connection = await idle_connection(pool, sidecar_end)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"x" * 10_000_000, 0, 0, 1)  # more than the kernel takes
+            attempt = pool.start_attempt(
+                connection.address, http_request, permit_write, lambda result: None, lambda head, source: None
+            )
+            assert connection.request_writer.has_unsent_bytes
+            selector.full = True
+            attempt.abandon()
+            selector.full = False
+            await until(lambda: sidecar_end.fileno() < 0)
+
+    run_with_selector(selector, test)
+
+
 def test_selector_changes_the_events_of_a_watched_descriptor_when_no_further_one_can_be_watched(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
