--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -298,4 +298,7 @@
         if self._transport is not None:
             with contextlib.suppress(OSError):  # the upstream closed the connection first
                 self.sock.shutdown(socket.SHUT_WR)
-            self._transport.abort()
+            try:
+                self._transport.abort()
+            except OSError:  # epoll could not stop watching for writing, and has removed the socket instead
+                self._transport.abort()
