--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -37,6 +37,7 @@
     errno.EACCES,
     errno.EPERM,
     errno.EINTR,
+    errno.ENOSPC,  # epoll_ctl: the limit on watched descriptors is reached
 }
 SHORTAGE_TEXT = "short of memory or buffers"
 ZERO_LINGER = struct.pack("ii", 1, 0)  # struct linger with l_onoff = 1 and l_linger = 0 s
@@ -93,13 +94,15 @@
 
     Attributes:
         read_failures: the consecutive failed reads.
+        write_shortages: the consecutive writes that failed because of a shortage.
     """
 
-    __slots__ = ("read_failures",)
+    __slots__ = ("read_failures", "write_shortages")
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
         self.read_failures = FailureStreak()
+        self.write_shortages = FailureStreak()
 
     def setsockopt(self, *arguments: Any) -> None:
         """Set an option as `socket.setsockopt` does, but skip TCP_NODELAY if there is no memory for it."""
@@ -109,11 +112,25 @@
             if error.errno not in SHORTAGES or arguments[:2] != (socket.IPPROTO_TCP, socket.TCP_NODELAY):
                 raise
 
+    def connect(self, address: Any, /) -> None:
+        """Connect as `socket.connect` does, but raise EAGAIN, a shortage of routing cache entries, as ENOBUFS.
+
+        EAGAIN and EINPROGRESS are both a BlockingIOError, and the event loop waits for the connection after either.
+        """
+        try:
+            super().connect(address)
+        except BlockingIOError as error:
+            if error.errno != errno.EAGAIN:
+                raise
+            raise OSError(errno.ENOBUFS, SHORTAGE_TEXT) from None
+
     def send(self, data: ReadableBuffer, flags: int = 0, /) -> int:
         """Send as `socket.send` does; a shortage raises BlockingIOError."""
         try:
             return super().send(data, flags)
         except OSError as error:
+            if error.errno in SHORTAGES:
+                self.write_shortages.record_failure()
             _raise_as_blocking(error)
 
     def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
@@ -174,6 +191,14 @@
             time.sleep(EPOLL_RETRY_INTERVAL_S)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Remove the descriptor and add it again, as the inherited method unregisters the descriptor if epoll fails."""
-        self.unregister(fileobj)
-        return self.register(fileobj, events, data)
+        """Change the events of a descriptor; if epoll fails, remove the descriptor and add it again with retries.
+
+        The change alone needs no memory, but adding the descriptor again does.
+        """
+        descriptor = self.get_key(fileobj).fd
+        try:
+            return super().modify(fileobj, events, data)
+        except OSError:  # the inherited method has removed the key, but not the descriptor
+            with contextlib.suppress(OSError):
+                self._selector.unregister(descriptor)  # type: ignore[attr-defined]
+            return self.register(fileobj, events, data)
--- a/garnetusher/sidecar/upstream/connection.py
+++ b/garnetusher/sidecar/upstream/connection.py
@@ -12,6 +12,7 @@
 from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.requests.messages import AttemptResult
 from garnetusher.sidecar.requests.trace import EventName
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from garnetusher.sidecar.streaming import Head, SharedBufferProtocol, Sink
 from garnetusher.sidecar.transitions import UpstreamCloseReason
 from garnetusher.sidecar.upstream.attempt import UpstreamAttempt
@@ -25,6 +26,9 @@
 # A response of unknown length is buffered for this time, in seconds. After that it is streamed, so that its first bytes
 # reach the client without further delay.
 MAX_BUFFERING_S = 0.1
+# The rest of a head may wait for this time, in seconds, while this machine is short of memory or buffers. After that,
+# its X-Deadline-Ms header would be wrong by about the 0.15 s that upstreams tolerate.
+MAX_HEAD_DELAY_S = 0.1
 
 
 class NotConnectedError(GarnetusherError):
@@ -105,6 +109,7 @@
     def resume_writing(self) -> None:
         """Resume reading a long body from the client."""
         self.request_writer.has_unsent_bytes = False
+        self.request_writer.head_sent = True
         if self.attempt is not None and self.attempt.request.upload is not None:
             self.attempt.request.upload.set_source_reading(enabled=True)
 
@@ -178,15 +183,36 @@
         self.reading_paused = False
         self.last_read_us = 0
         self.idle_timing.start_attempt(monotonic_us())
+        try:
+            self._write(writer, attempt, head)
+        except OSError:  # epoll can't watch the socket, so the rest of the request or of its body can't be sent
+            self._pool.loop.call_soon(self._abort_unsent, attempt)
+        return True
+
+    def _write(self, writer: RequestWriter, attempt: UpstreamAttempt, head: bytes) -> None:
         if not writer.write_head(head):
             self._pool.restart_attempt(self, attempt)
-            return True
+            return
+        if not writer.head_sent:
+            self._pool.loop.call_later(MAX_HEAD_DELAY_S, self._on_head_delayed, attempt)
         if attempt.request.upload is not None:
             writer.start_body(attempt.request.upload)
         if writer.transport.is_closing():
             # The write failed, as the connection was already broken; `connection_lost` then reports CONNECT_FAILED.
             writer.has_unsent_bytes = True
-        return True
+
+    def _on_head_delayed(self, attempt: UpstreamAttempt) -> None:
+        """End an attempt whose head this machine still can't send; the upstream never runs the incomplete request."""
+        if self.attempt is not attempt or self.request_writer.head_sent:
+            return
+        if isinstance(self.sock, ShortageTolerantSocket) and self.sock.write_shortages.first_failure_us():
+            self._abort_unsent(attempt)
+
+    def _abort_unsent(self, attempt: UpstreamAttempt) -> None:
+        """Close the connection and end its attempt, as this machine can't send the rest of the request."""
+        if self.attempt is attempt:
+            self.close(UpstreamCloseReason.LOCAL_SHORTAGE)
+            self.finish(Outcome.NOT_WRITTEN)
 
     def detach_upload(self, attempt: UpstreamAttempt) -> None:
         """Stop passing the long body of an attempt to this connection."""
@@ -229,13 +255,15 @@
             response.start_streaming()
         except ResponseNotWantedError:
             self.abort_response(UpstreamCloseReason.RESPONSE_NOT_WANTED)
+        except OSError:  # epoll can't watch the client's socket
+            self.abort_response(UpstreamCloseReason.LOCAL_SHORTAGE)
 
     # End of an attempt or of the connection
 
     def abort_response(self, reason: UpstreamCloseReason) -> None:
-        """Close the connection in the middle of a response, and end the attempt as RESET."""
+        """Close the connection in the middle of a response, and end the attempt as RESET, or CANCELLED if unwanted."""
         self.close(reason)
-        self.finish(Outcome.RESET)
+        self.finish(Outcome.CANCELLED if self.response_reader.unwanted else Outcome.RESET)
 
     def _finish_complete(self) -> None:
         unusable_reason = self.response_reader.unusable_reason
@@ -256,13 +284,20 @@
         response.release()
         self._pool.streaming.discard(self)
         if not self.closed:
-            if self.reading_paused:
-                self.resume()
-            self._pool.put_idle(self)
+            self._become_idle()
         if attempt is not None:
             self.detach_upload(attempt)
             attempt.end(result)
 
+    def _become_idle(self) -> None:
+        try:
+            if self.reading_paused:
+                self.resume()
+        except OSError:  # epoll can't watch the socket, so no further response could be read from it
+            self.close(UpstreamCloseReason.LOCAL_SHORTAGE)
+        else:
+            self._pool.put_idle(self)
+
     def record_close(self, reason: UpstreamCloseReason) -> None:
         """Record why the connection closes; the first reason counts."""
         if not self._is_close_recorded:
@@ -283,4 +318,7 @@
         if self._transport is not None:
             with contextlib.suppress(OSError):  # the upstream closed the connection first
                 self.sock.shutdown(socket.SHUT_WR)
-            self._transport.abort()
+            try:
+                self._transport.abort()
+            except OSError:  # epoll could not stop watching for writing, and has removed the socket instead
+                self._transport.abort()
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -3,18 +3,28 @@
 from __future__ import annotations
 
 import asyncio
+import errno
+import selectors
 import socket
+from collections.abc import Awaitable, Callable
+from typing import Any
 
 import pytest
 
 from garnetusher.policy.events import Outcome
 from garnetusher.sidecar.clock import monotonic_us
-from garnetusher.sidecar.requests.messages import AttemptResult
+from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
+from garnetusher.sidecar.requests.trace import Trace
+from garnetusher.sidecar.sockets import RetryingEpollSelector, ShortageTolerantSocket
+from garnetusher.sidecar.streaming import Head, Source
+from garnetusher.sidecar.transitions import UpstreamCloseReason
+from garnetusher.sidecar.upstream.connecting import LOCAL_FAILURE_COUNTER
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
-from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US, IdleReuseEstimator
+from garnetusher.sidecar.upstream.idle_reuse import FIRST_ATTEMPT, NEVER_USED, RESPONSE_GRACE_US, IdleReuseEstimator
 from garnetusher.sidecar.upstream.pool import ConnectionPool
-from tests.net import OK, Upstream, attempt_at, request, respond_with, sidecar, until
+from tests.net import OK, TEST_TIMEOUT_S, Upstream, attempt_at, permit_write, request, respond_with, sidecar, until
 from tests.runner import run
+from tests.test_interleaving_stop import full_backlog_port
 
 
 def test_pool_reuses_connection_except_when_it_has_ended_or_sent_extra_bytes() -> None:
@@ -55,6 +65,14 @@
             assert 0 <= estimator.limit_us() <= max_idle_us
 
 
+@pytest.mark.parametrize("idle_us", [FIRST_ATTEMPT, NEVER_USED])
+def test_idle_reuse_estimator_ignores_losses_when_the_connection_was_not_idle_before(idle_us: int) -> None:
+    estimator = IdleReuseEstimator(4_700_000)
+    for _ in range(40):  # an upstream that accepts connections and resets them shows nothing about idle connections
+        estimator.record_reuse(idle_us, lost=True)
+    assert estimator.limit_us() == 4_700_000
+
+
 def test_pool_closes_connections_idle_for_a_time_after_which_requests_are_lost() -> None:
     async def test() -> None:
         pool, address = ConnectionPool(60_000_000, 10_000_000), ("127.0.0.1", 1)
@@ -127,3 +145,218 @@
         pool.sweep_timer.cancel()
 
     run(test)
+
+
+class FullSelector(selectors.EpollSelector):
+    """A selector that, while it is full, loses a descriptor that it is asked to watch, as `RetryingEpollSelector` does.
+
+    epoll_ctl fails with ENOSPC while the user's limit on watched descriptors is reached.
+    """
+
+    full = False
+
+    def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
+        if self.full:
+            raise OSError(errno.ENOSPC, "no space left")
+        return super().register(fileobj, events, data)
+
+    def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
+        self.unregister(fileobj)
+        return self.register(fileobj, events, data)
+
+
+class PausingSink:
+    """A client that pauses a streamed response at each part of it, and fills the selector at the last part."""
+
+    def __init__(self, selector: FullSelector, source: Source, length: int) -> None:
+        self.selector = selector
+        self.source = source
+        self.missing = length
+
+    def write_chunk(self, data: bytes) -> None:
+        self.missing -= len(data)
+        self.source.pause()
+        if self.missing:
+            asyncio.get_running_loop().call_soon(self.source.resume)
+        else:
+            self.selector.full = True
+
+
+def run_with_selector(selector: selectors.BaseSelector, test: Callable[[], Awaitable[None]]) -> None:
+    async def run_with_timeout() -> None:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await test()
+
+    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
+        runner.run(run_with_timeout())
+
+
+async def idle_connection(pool: ConnectionPool, sock: socket.socket) -> UpstreamConnection:
+    """Return a connection that has just become idle in the pool."""
+    sock.setblocking(False)
+    connection = UpstreamConnection(pool, ("127.0.0.1", 1), sock)
+    await asyncio.get_running_loop().create_connection(lambda: connection, sock=sock)
+    return connection
+
+
+def test_attempt_ends_when_epoll_cannot_watch_its_connection_for_writing() -> None:
+    selector = FullSelector()
+
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 1_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        sidecar_end, upstream_end = socket.socketpair()
+        with sidecar_end, upstream_end:
+            connection = await idle_connection(pool, sidecar_end)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"x" * 10_000_000, 0, 0, 1)  # more than the kernel takes
+            selector.full = True
+            pool.start_attempt(
+                connection.address, http_request, permit_write, results.append, lambda head, source: None
+            )
+            selector.full = False
+            await until(lambda: bool(results))
+            # The upstream never runs the incomplete request, and is not to blame
+            assert [result.outcome for result in results] == [Outcome.NOT_WRITTEN]
+            assert pool.idle == {}
+
+    run_with_selector(selector, test)
+
+
+def test_connection_closes_when_epoll_fails_while_its_attempt_is_abandoned() -> None:
+    """The event loop stops watching a socket for writing before it closes the socket."""
+    selector = FullSelector()
+
+    async def test() -> None:
+        pool = ConnectionPool(60_000_000, 1_000_000)
+        pool.sweep_timer.cancel()
+        sidecar_end, upstream_end = socket.socketpair()
+        with sidecar_end, upstream_end:
+            connection = await idle_connection(pool, sidecar_end)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"x" * 10_000_000, 0, 0, 1)  # more than the kernel takes
+            attempt = pool.start_attempt(
+                connection.address, http_request, permit_write, lambda result: None, lambda head, source: None
+            )
+            assert connection.request_writer.has_unsent_bytes
+            selector.full = True
+            attempt.abandon()
+            selector.full = False
+            await until(lambda: sidecar_end.fileno() < 0)
+
+    run_with_selector(selector, test)
+
+
+def test_selector_changes_the_events_of_a_watched_descriptor_when_no_further_one_can_be_watched(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """epoll_ctl needs memory, and a place below the user's limit, to add a descriptor, but not to modify it."""
+
+    def fail_to_register(*arguments: Any) -> selectors.SelectorKey:
+        raise OSError(errno.ENOSPC, "no space left")
+
+    with RetryingEpollSelector() as selector, socket.socket() as sock:
+        selector.register(sock, selectors.EVENT_READ)
+        monkeypatch.setattr(selector, "register", fail_to_register)
+        selector.modify(sock, selectors.EVENT_READ | selectors.EVENT_WRITE)
+        assert selector.get_key(sock).events == selectors.EVENT_READ | selectors.EVENT_WRITE
+        assert [key.fileobj for key, events in selector.select(0) if events & selectors.EVENT_WRITE] == [sock]
+
+
+def test_connect_is_tried_again_when_epoll_cannot_watch_the_new_connection() -> None:
+    selector, trace = FullSelector(), Trace()
+
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 0, trace), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        with full_backlog_port() as port:
+            address, http_request = ("127.0.0.1", port), HttpRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+            selector.full = True
+            attempt = pool.start_attempt(address, http_request, permit_write, results.append, lambda head, source: None)
+            await until(lambda: trace.counts[LOCAL_FAILURE_COUNTER] >= 2 or bool(results))
+            assert results == []
+            selector.full = False
+            attempt.abandon()
+
+    run_with_selector(selector, test)
+
+
+def test_attempt_ends_when_epoll_cannot_watch_its_connection_after_a_paused_response() -> None:
+    selector, length = FullSelector(), 100_000
+
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 1_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+
+        def start_response(head: Head, source: Source) -> PausingSink:
+            return PausingSink(selector, source, length)
+
+        sidecar_end, upstream_end = socket.socketpair()
+        with sidecar_end, upstream_end:
+            connection = await idle_connection(pool, sidecar_end)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+            pool.start_attempt(connection.address, http_request, permit_write, results.append, start_response)
+            upstream_end.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (length, b"x" * length))
+            await until(lambda: bool(results))
+            assert [result.outcome for result in results] == [Outcome.OK]
+            assert pool.idle == {}
+            selector.full = False
+
+    run_with_selector(selector, test)
+
+
+def test_attempt_is_sent_when_connect_fails_once_with_eagain(monkeypatch: pytest.MonkeyPatch) -> None:
+    """connect(2) fails with EAGAIN if the routing cache is short of entries; the connection is then not in progress."""
+    connect, failures = socket.socket.connect, [BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable")]
+
+    def connect_after_failures(sock: socket.socket, address: Any) -> None:
+        if failures:
+            raise failures.pop()
+        connect(sock, address)
+
+    async def test() -> None:
+        upstream = Upstream(respond_with(OK))
+        await upstream.start()
+        pool, results = ConnectionPool(60_000_000, 10_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        monkeypatch.setattr(socket.socket, "connect", connect_after_failures)
+        http_request = HttpRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+        address = ("127.0.0.1", upstream.port)
+        pool.start_attempt(address, http_request, permit_write, results.append, lambda head, source: None)
+        await until(lambda: bool(results))
+        assert not failures
+        assert [result.outcome for result in results] == [Outcome.OK]
+        pool.close_idle_connections(address, UpstreamCloseReason.ENDPOINT_REMOVED)
+        upstream.stop()
+
+    run(test)
+
+
+def test_attempt_ends_when_the_rest_of_its_head_cannot_be_sent_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The head says how much time the client has left, so it must not reach the upstream much later."""
+    send, sent = socket.socket.send, list[int]()
+
+    def send_one_byte(sock: socket.socket, data: Any, flags: int = 0) -> int:
+        if not isinstance(sock, ShortageTolerantSocket):
+            return send(sock, data, flags)
+        if sent:
+            raise OSError(errno.ENOBUFS, "No buffer space available")
+        sent.append(send(sock, bytes(data[:1]), flags))
+        return sent[0]
+
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 1_000_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            sock = ShortageTolerantSocket(socket.AF_INET, socket.SOCK_STREAM)
+            sock.connect(listener.getsockname())
+            connection = await idle_connection(pool, sock)
+            monkeypatch.setattr(socket.socket, "send", send_one_byte)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"body", 0, 0, 1)
+            pool.start_attempt(
+                connection.address, http_request, permit_write, results.append, lambda head, source: None
+            )
+            await until(lambda: bool(results))
+            assert sent == [1]
+            assert [result.outcome for result in results] == [Outcome.NOT_WRITTEN]
+            assert connection.closed
+
+    run(test)
