--- a/tests/test_interleaving_watch.py
+++ b/tests/test_interleaving_watch.py
@@ -8,12 +8,14 @@
 
 import pytest
 
+from garnetusher.policy.actions import WatchEndpoints
 from garnetusher.policy.events import EndpointStatus, EndpointsUpdated, UpdateKind
 from garnetusher.sidecar.addresses import Address, parse_address
 from garnetusher.sidecar.discovery.endpoint_list import BATCH_SIZE, EndpointList
 from garnetusher.sidecar.discovery.watch import EndpointWatcher, WatchConnection
 from tests.fake_loop import FakeEventLoop
 from tests.net import OK, Discovery, Upstream, entry, listing, request, respond_with, sidecar, until
+from tests.policy_host import PolicyHost, settings, upstreams
 from tests.runner import run, status
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -366,3 +368,24 @@
         assert (loop.connect_count, update_kinds) == (3, [UpdateKind.FAILED])
 
     run(test)
+
+
+def test_requested_watch_stays_open_when_its_first_answer_is_that_nothing_has_changed() -> None:
+    """Discovery handles a few calls per second for the whole fleet, so a healthy watch must not be called for again."""
+
+    async def test() -> None:
+        harness, policy = WatcherHarness(), PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000))
+        harness.watcher.listener = lambda event, addresses: policy.deliver(event)
+        policy.update_endpoints(upstreams(4), UpdateKind.CACHED)
+        policy.deliver(EndpointsUpdated(UpdateKind.FAILED))  # the previous watch broke
+        policy.advance(4_000_000)
+        assert WatchEndpoints(active=True) in policy.actions
+        harness.watcher.watch_endpoints(True)
+        harness.connect()
+        harness.watch().data_received(RESPONSE_HEAD + chunk(b"\n"))
+        policy.actions.clear()
+        policy.advance(60_000_000)
+        assert policy.actions.count(WatchEndpoints(active=True)) == 0
+        harness.stop()
+
+    run(test)
