--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -48,6 +48,7 @@
         self._watcher = watcher
         self._parser = httptools.HttpResponseParser(self)
         self._reader = ListReader()
+        self._answered = False  # whether a list or an empty line has arrived
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -107,10 +108,13 @@
 
     def _process_line(self, line: bytes) -> None:
         received = self._reader.add_line(line)
+        if received is None and line:
+            return  # a part of a list
+        first_answer, self._answered = not self._answered, True
         if received is not None:
             self._watcher.on_list_received(received)
-        elif not line:
-            self._watcher.on_no_change()
+        else:
+            self._watcher.on_no_change(first_answer=first_answer)
 
 
 class StepKind(enum.Enum):
@@ -205,10 +209,18 @@
         """Record the current time as the time of the last activity, from which silence is measured."""
         self.last_activity_s = self.loop.time()
 
-    def on_no_change(self) -> None:
-        """Handle an empty line, which means that the list has not changed."""
-        if not self.pending_steps:
-            self.has_current_list.set()
+    def on_no_change(self, *, first_answer: bool) -> None:
+        """Handle an empty line, which means that the list has not changed.
+
+        Args:
+            first_answer: whether the watch has received no list and no empty line before. If the policy requests the
+                watches, an empty delta then tells it that this one is open, or it would soon call discovery again.
+        """
+        if self.pending_steps:
+            return
+        self.has_current_list.set()
+        if first_answer and not self.watches_permanently:
+            self.listener(EndpointsUpdated(UpdateKind.DELTA, version=self.version), {})
 
     def on_watch_failed(self, watch: WatchConnection, *, reconnect: bool = False) -> None:
         """Handle the end of a watch: open another one after a short delay, or notify the policy."""
--- a/tests/test_interleaving_watch.py
+++ b/tests/test_interleaving_watch.py
@@ -76,6 +76,14 @@
         uids = {endpoint_id: uid for uid, endpoint_id in self.endpoint_list.endpoint_ids.items()}
         self.updates.append((event.version, [(str(uids.get(e.id, "gone")), e.status) for e in event.endpoints]))
 
+    def deliver_to(self, policy: PolicyHost) -> None:
+        """Pass the updates to a policy instead of recording them."""
+
+        def on_update(event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
+            policy.deliver(event)
+
+        self.watcher.listener = on_update
+
     def stop(self) -> None:
         self.watcher.watches_permanently = False
         self.watcher.stop()
@@ -359,13 +367,13 @@
         harness.watch().connection_made(FakeTransport())
         harness.watch().data_received(RESPONSE_HEAD + chunk(b"\n"))
         loop.advance(4.0)
-        assert (loop.connect_count, update_kinds) == (2, [])
+        assert (loop.connect_count, update_kinds) == (2, [UpdateKind.DELTA])
         harness.watch().connection_made(FakeTransport())
         harness.watch().data_received(RESPONSE_HEAD + chunk(b"\n"))
         loop.advance(8.0)  # the second watch becomes silent too
-        assert (loop.connect_count, update_kinds) == (3, [])
+        assert (loop.connect_count, update_kinds) == (3, 2 * [UpdateKind.DELTA])
         loop.advance(12.0)  # the third call gets no response
-        assert (loop.connect_count, update_kinds) == (3, [UpdateKind.FAILED])
+        assert (loop.connect_count, update_kinds) == (3, [*2 * [UpdateKind.DELTA], UpdateKind.FAILED])
 
     run(test)
 
@@ -375,7 +383,7 @@
 
     async def test() -> None:
         harness, policy = WatcherHarness(), PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000))
-        harness.watcher.listener = lambda event, addresses: policy.deliver(event)
+        harness.deliver_to(policy)
         policy.update_endpoints(upstreams(4), UpdateKind.CACHED)
         policy.deliver(EndpointsUpdated(UpdateKind.FAILED))  # the previous watch broke
         policy.advance(4_000_000)
