--- a/tests/test_interleaving_watch.py
+++ b/tests/test_interleaving_watch.py
@@ -397,3 +397,29 @@
         harness.stop()
 
     run(test)
+
+
+@pytest.mark.parametrize("malformed", [False, True])
+def test_policy_requests_another_watch_when_one_ends_while_its_long_list_is_applied(malformed: bool) -> None:
+    """The rest of the list is applied after the failure is reported, and must not look like a list from a new watch."""
+
+    async def test() -> None:
+        harness, policy = WatcherHarness(), PolicyHost(settings(poll_endpoints=True, poll_interval_us=10_000_000))
+        harness.deliver_to(policy)
+        policy.update_endpoints(upstreams(4), UpdateKind.CACHED)
+        policy.advance(4_000_000)
+        assert WatchEndpoints(active=True) in policy.actions
+        harness.watcher.watch_endpoints(True)
+        harness.connect()
+        snapshot = listing(*(entry(f"n{n}", 1) for n in range(3 * BATCH_SIZE)), rev=4)
+        harness.watch().data_received(RESPONSE_HEAD + chunk(lines(snapshot)))
+        if malformed:
+            harness.watch().data_received(chunk(lines(listing(entry("n0", 1) | {"endpoint": "nowhere"}, full=False))))
+        harness.watch().connection_lost(None)
+        await until(lambda: not harness.watcher.pending_steps)
+        policy.actions.clear()
+        policy.advance(10_000_000)
+        assert WatchEndpoints(active=True) in policy.actions
+        harness.stop()
+
+    run(test)
