--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -162,6 +162,7 @@
         self.has_current_list = asyncio.Event()
         self.pending_steps: deque[Step] = deque()
         self.last_activity_s = 0.0  # time of the last data or of the watch's start, on the event loop's clock
+        self._awaits_request = False  # whether no watch is opened before the policy requests one
         self.connect_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None  # timer for the next silence check or the next watch
 
@@ -194,6 +195,7 @@
             self._open_watch()
         else:
             self.stop()
+            self._awaits_request = True
 
     def stop(self) -> None:
         """End the watch; lists that were received earlier are still applied."""
@@ -230,7 +232,8 @@
         if self.watches_permanently or reconnect:
             self._timer = self.loop.call_later(RECONNECT_DELAY_S, self._open_watch)
         else:
-            self.listener(EndpointsUpdated(UpdateKind.FAILED), {})
+            self._awaits_request = True
+            self._report_missing_watch()
 
     def on_list_received(self, received: RawList) -> None:
         """Apply a short list at once, or a long one in batches so that requests are processed in between.
@@ -253,6 +256,7 @@
 
     def _open_watch(self) -> None:
         self.stop()
+        self._awaits_request = False
         self.watch = WatchConnection(self)
         self.note_activity()
         self._timer = self.loop.call_later(RESPONSE_TIMEOUT_S, self._check_silence)
@@ -296,6 +300,7 @@
             self.loop.call_soon(self._run_scheduled_step)
         else:
             self.has_current_list.set()
+            self._report_missing_watch()
 
     def _process(self, step: Step) -> EndpointUpdate | None:
         entries = step.batch.entries()
@@ -312,6 +317,17 @@
             log.warning("cannot apply the endpoint list: %r", error)
             if self.watch is not None:
                 self.watch.fail()
+            else:
+                self._report_missing_watch()
+
+    def _report_missing_watch(self) -> None:
+        """Tell the policy that no watch is open, if none is opened before its next request.
+
+        The policy takes each part of a list for a sign of an open watch, and does not request another one. The report
+        is therefore repeated after the last part of a list whose watch has ended in the meantime.
+        """
+        if self._awaits_request:
+            self.listener(EndpointsUpdated(UpdateKind.FAILED), {})
 
     def _notify(self, update: EndpointUpdate) -> None:
         self.listener(update.event, update.addresses)
