--- a/tests/test_interleaving_stop.py
+++ b/tests/test_interleaving_stop.py
@@ -7,6 +7,7 @@
 import json
 import signal
 import socket
+import time
 from collections.abc import AsyncIterator, Iterator
 from pathlib import Path
 from subprocess import Popen
@@ -17,6 +18,7 @@
 from tests.net import (
     OK,
     TEST_TIMEOUT_S,
+    Discovery,
     Upstream,
     entry,
     listing,
@@ -27,7 +29,7 @@
     until,
     wait_for_listener,
 )
-from tests.processes import SETTINGS, program, write_configuration
+from tests.processes import SETTINGS, program, with_value, write_configuration
 from tests.runner import run, status
 from tests.streams import upload_request
 
@@ -238,3 +240,61 @@
         upstream.stop()
 
     run(test)
+
+
+KILL_AFTER_S = 3.7  # the earliest time of SIGKILL after SIGTERM if the longest deadline is 3 s or more
+
+
+def test_stop_responds_before_sigkill_when_sigterm_arrived_while_the_process_was_stopped(tmp_path: Path) -> None:
+    """The time until SIGKILL counts from SIGTERM, not from the moment at which the process can handle it."""
+
+    async def test() -> None:
+        upstream = Upstream(never_respond)
+        await upstream.start()
+        async with run_sidecar(tmp_path, upstream.port) as (process, send):
+            client = await send(request("pay", body=b"b"))
+            await until(lambda: len(upstream.requests) == 1)
+            process.send_signal(signal.SIGSTOP)
+            process.send_signal(signal.SIGTERM)
+            sent_at_s = time.monotonic()
+            await asyncio.sleep(1.0)
+            process.send_signal(signal.SIGCONT)
+            assert await client.status() == 500
+            assert time.monotonic() - sent_at_s < KILL_AFTER_S
+        upstream.stop()
+
+    run(test)
+
+
+def test_stop_responds_before_sigkill_when_sigterm_arrived_before_the_process_could_listen(tmp_path: Path) -> None:
+    async def test() -> None:
+        pay = {"name": "pay", "aim": 3_000_000, "deadline": 3_000_000, "effect": "at_most_once", "worth": 1.0}
+        upstream, discovery = Upstream(never_respond), Discovery()
+        await upstream.start()
+        await discovery.start()
+        with socket.socket() as predecessor:
+            predecessor.bind(("127.0.0.1", 0))
+            predecessor.listen()
+            address = predecessor.getsockname()
+            path = write_configuration(
+                tmp_path,
+                listen=f"127.0.0.1:{address[1]}",
+                discovery=f"127.0.0.1:{discovery.port}",
+                settings=with_value(SETTINGS, "request-classes", [pay]),
+                known=listing(entry("u", upstream.port)),
+            )
+            with program(path) as process:
+                await discovery.wait_for_watch()
+                process.send_signal(signal.SIGTERM)
+                sent_at_s = time.monotonic()
+                await asyncio.sleep(1.0)
+                predecessor.close()
+                await wait_for_listener(address[1], lambda: process.poll() is None)
+                reader, writer = await asyncio.open_connection(*address)
+                writer.write(request("pay", body=b"b", deadline_ms=3000))
+                assert await Client(reader, writer).status() == 500
+                assert time.monotonic() - sent_at_s < KILL_AFTER_S
+        upstream.stop()
+        discovery.stop()
+
+    run(test)
