--- a/garnetusher/sidecar/downstream/arrival_time.py
+++ b/garnetusher/sidecar/downstream/arrival_time.py
@@ -25,9 +25,11 @@
 
     def __init__(self) -> None:
         self._next_check_due_us = 0  # 0 means that no check has run yet
+        self._last_check_due_us = 0
 
     def record_check(self, checked_at_us: int, interval_us: int) -> None:
         """Record that the event loop has read all bytes that had arrived before a check."""
+        self._last_check_due_us = self._next_check_due_us
         self._next_check_due_us = checked_at_us + interval_us
 
     def earliest_arrival_us(self) -> int:
@@ -36,6 +38,13 @@
             return min(monotonic_us(), self._next_check_due_us)
         return monotonic_us()
 
+    def earliest_signal_us(self) -> int:
+        """Return the earliest time at which a signal that is handled now may have arrived.
+
+        After a pause, the event loop handles a signal only some iterations after the check that the pause has delayed.
+        """
+        return min(self.earliest_arrival_us(), self._last_check_due_us or self.earliest_arrival_us())
+
 
 class ArrivalTimes:
     """The earliest arrival times on one connection.
--- a/garnetusher/sidecar/lifecycle.py
+++ b/garnetusher/sidecar/lifecycle.py
@@ -69,7 +69,11 @@
         """Stop draining."""
         self._draining_since_s = None
 
-    def stop(self) -> None:
-        """Mark the process as shutting down, which cannot be undone."""
+    def stop(self, signal_age_s: float = 0.0) -> None:
+        """Mark the process as shutting down, which cannot be undone.
+
+        Args:
+            signal_age_s: the longest time that may have passed since the signal to shut down arrived.
+        """
         if self._stopping_since_s is None:
-            self._stopping_since_s = self._clock()
+            self._stopping_since_s = self._clock() - signal_age_s
--- a/garnetusher/sidecar/service.py
+++ b/garnetusher/sidecar/service.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 
 from garnetusher.sidecar import shutdown, startup
+from garnetusher.sidecar.clock import monotonic_us
 from garnetusher.sidecar.configuration import Configuration
 from garnetusher.sidecar.reload import Reloader
 from garnetusher.sidecar.shutdown import ShutdownSchedule
@@ -55,6 +56,7 @@
     sidecar = Sidecar(configuration, inherited)
     sidecar.start()
     on_sidecar_started(sidecar)
+    stopping = asyncio.create_task(_wait_for_stop(sidecar, stop))
     members = await startup.start_membership(sidecar)
     await startup.start_admin(sidecar, members)
     if inherited is not None:
@@ -62,9 +64,8 @@
     sidecar.lifecycle.start()
     server = sidecar.server
     await server.listen(inherited or configuration.listen)
-    await stop.wait()
+    await stopping
 
-    sidecar.lifecycle.stop()
     schedule = ShutdownSchedule.for_classes(server.dispatcher.settings.classes)
     shutdown.announce_deadline(server, schedule)
     if members is not None:
@@ -74,3 +75,10 @@
     else:
         await shutdown.drain_with_successor(server, schedule)
     await shutdown.finish_requests(server, schedule)
+
+
+async def _wait_for_stop(sidecar: Sidecar, stop: asyncio.Event) -> None:
+    """Wait for SIGTERM and record its time, from which SIGKILL is due, even if the startup is not complete yet."""
+    await stop.wait()
+    signal_age_us = monotonic_us() - sidecar.server.event_loop_lag.earliest_signal_us()
+    sidecar.lifecycle.stop(signal_age_us / 1e6)
--- a/garnetusher/sidecar/shutdown.py
+++ b/garnetusher/sidecar/shutdown.py
@@ -57,7 +57,8 @@
 
 def announce_deadline(server: DownstreamServer, schedule: ShutdownSchedule) -> None:
     """Tell the dispatcher to answer all requests by `schedule.final_responses_s`."""
-    server.dispatcher.finish_by(monotonic_us() + int(schedule.final_responses_s * 1e6))
+    remaining_s = schedule.final_responses_s - server.lifecycle.closing_for_s
+    server.dispatcher.finish_by(monotonic_us() + int(remaining_s * 1e6))
 
 
 async def drain_without_successor(server: DownstreamServer) -> None:
