--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 import json
+import os
 import signal
 import socket
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -15,14 +18,17 @@
 from tests.net import (
     OK,
     TEST_TIMEOUT_S,
+    Discovery,
     Upstream,
     entry,
     listing,
     read_message,
     request,
+    until,
     wait_for_listener,
 )
 from tests.processes import program, write_configuration
+from tests.runner import run
 
 
 def test_program_is_ready_and_exits_with_0_when_it_receives_sigterm(tmp_path: Path) -> None:
@@ -102,3 +108,41 @@
         _, errors = process.communicate(timeout=TEST_TIMEOUT_S)
         assert process.returncode == 2
         assert len(errors.splitlines()) == 1
+
+
+def test_program_applies_the_new_file_when_sighup_arrives_while_it_still_reads_the_old_one(tmp_path: Path) -> None:
+    """An operator who replaces the file of a whole fleet does not know which sidecars are just starting."""
+
+    async def test() -> None:
+        discovery = Discovery()
+        await discovery.start()
+        path = write_configuration(tmp_path)
+        old_file = path.read_text()
+        new_file = tmp_path / "new.json"
+        new_file.write_text(json.dumps(json.loads(old_file) | {"discovery": f"127.0.0.1:{discovery.port}"}))
+        path.unlink()
+        os.mkfifo(path)
+        with program(path) as process:
+            pipe = await open_pipe_when_it_is_read(path, lambda: process.poll() is None)
+            new_file.replace(path)
+            process.send_signal(signal.SIGHUP)
+            with os.fdopen(pipe, "w") as writer:
+                writer.write(old_file)
+            await until(lambda: bool(discovery.watch_requests) or process.poll() is not None)
+            assert process.poll() is None
+        discovery.stop()
+
+    run(test)
+
+
+async def open_pipe_when_it_is_read(path: Path, is_alive: Callable[[], bool]) -> int:
+    """Wait until a program opens a named pipe for reading, and return a descriptor for writing."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        while True:
+            assert is_alive()
+            try:
+                return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
+            except OSError as error:
+                if error.errno != errno.ENXIO:  # nobody reads yet
+                    raise
+            await asyncio.sleep(0.005)
