--- a/garnetusher/sidecar/__main__.py
+++ b/garnetusher/sidecar/__main__.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import os
+import signal
 import socket
 import sys
 from collections.abc import Mapping
@@ -61,6 +62,8 @@
 def main() -> int:
     """Run the sidecar and return the exit status."""
     logs.configure()
+    # SIGHUP would end the process until `service.run` handles it, and the file may be replaced before that.
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         invocation = Invocation.from_environment(os.environ)
     except CONFIGURATION_ERRORS as error:
--- a/garnetusher/sidecar/service.py
+++ b/garnetusher/sidecar/service.py
@@ -32,6 +32,7 @@
 
     def reload_on_sighup(sidecar: Sidecar) -> None:
         loop.add_signal_handler(signal.SIGHUP, Reloader(path, sidecar.reload).on_signal)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # a signal that has arrived already is handled now
 
     await serve(configuration, stop, reload_on_sighup, inherited)
 
