--- a/tests/test_interleaving_retries.py
+++ b/tests/test_interleaving_retries.py
@@ -11,6 +11,8 @@
 
 from garnetusher.policy.events import EndpointStatus, Outcome, UpdateKind
 from garnetusher.policy.settings import RequestClass
+from garnetusher.sidecar.discovery.endpoint_list import EndpointList
+from garnetusher.sidecar.discovery.messages import parse_entries, parse_list
 from garnetusher.sidecar.upstream import idle_reuse
 from garnetusher.sidecar.upstream.connection import UpstreamConnection
 from garnetusher.sidecar.upstream.pool import ConnectionPool
@@ -356,3 +358,53 @@
             assert total_requests() == (3 if class_name == "pay" else 4)
 
     run(test)
+
+
+def test_deduplicated_request_is_not_repeated_in_another_zone_when_the_configuration_lists_neither() -> None:
+    """Discovery may list a zone before the configuration does; upstreams of two such zones share no memory."""
+    request_class = RequestClass(
+        "mark",
+        latency_objective_us=500_000,
+        deadline_us=500_000,
+        effect="deduplicated",
+        deduplication_scope="zone",
+        deduplication_window_us=10_000_000,
+    )
+
+    async def test() -> None:
+        first, second = Upstream(respond_with(ERROR)), Upstream(respond_with(ERROR))
+        for upstream in (first, second):
+            await upstream.start()
+        known = listing(entry("u0", first.port) | {"az": "x"}, entry("u1", second.port) | {"az": "y"})
+        async with sidecar(known=known, classes=[request_class]) as running:
+            for number in range(4):
+                response = await running.send_request(request("mark", str(number), b"b", deadline_ms=500))
+                assert status(response) in (500, 503)
+        ids = [{header_value(head, b"x-request-id") for head, _ in each.requests} for each in (first, second)]
+        assert not ids[0] & ids[1]
+        for upstream in (first, second):
+            upstream.stop()
+
+    run(test)
+
+
+def header_value(head: bytes, name: bytes) -> bytes:
+    return next(line.split(b":", 1)[1].strip() for line in head.split(b"\r\n") if line.lower().startswith(name))
+
+
+def test_endpoint_list_keeps_zones_apart_when_the_configuration_gains_one() -> None:
+    """An upstream that is listed in an unknown zone must not seem to be in the zone that the configuration gains."""
+
+    async def test() -> None:
+        endpoint_list = EndpointList(["a"], ["m"])
+
+        def zone_of(name: str) -> int:
+            raw = parse_list(listing(entry(f"u-{name}", 1) | {"az": name}, full=False))
+            return endpoint_list.apply(UpdateKind.DELTA, parse_entries(raw.entries), 1).event.endpoints[0].zone
+
+        unknown = zone_of("x")
+        endpoint_list.zones = ["a", "b"]
+        assert (zone_of("a"), zone_of("b")) == (0, 1)
+        assert unknown not in (0, 1)
+
+    run(test)
