--- a/garnetusher/sidecar/discovery/endpoint_list.py
+++ b/garnetusher/sidecar/discovery/endpoint_list.py
@@ -22,6 +22,10 @@
 # An iteration with 10,000 entries would delay all requests by 100 ms.
 BATCH_SIZE = 500
 
+# Number of the first zone that the configuration does not list; no configuration lists this many zones. Each such zone
+# has its own number, as its endpoints share no deduplicated requests with those of another zone.
+FIRST_UNKNOWN_ZONE = 1 << 16
+
 
 @dataclass(slots=True)
 class EndpointUpdate:
@@ -67,7 +71,7 @@
     Each uid gets a numeric id, and start times are converted to the sidecar's monotonic clock.
 
     Attributes:
-        zones: names of the zones; the policy identifies a zone by its index in this list.
+        zones: names of the configured zones; the policy identifies a zone by its index in this list.
         machine_types: names of the machine types; the policy identifies a machine type by its index in this list.
         endpoint_ids: numeric id of each listed endpoint, by uid.
     """
@@ -76,6 +80,7 @@
         self.zones = zones
         self.machine_types = machine_types
         self.endpoint_ids: dict[Hashable, int] = {}
+        self._unknown_zones: dict[str, int] = {}  # numbers of zones that the configuration does not list
         self._last_endpoint_id = 0
         self._start_times = StartTimes(monotonic_us)
 
@@ -138,13 +143,18 @@
         return Endpoint(
             id=self.endpoint_ids[entry.uid],
             status=entry.status,
-            zone=_index_of(entry.zone, self.zones),
+            zone=self._zone_number(entry.zone),
             machine_type=_index_of(entry.machine_type, self.machine_types),
             cell=entry.cell,
             weight=entry.weight,
             started_us=self._start_times.started_us(entry.uid, entry.started_ms),
         )
 
+    def _zone_number(self, name: object) -> int:
+        if isinstance(name, str) and name in self.zones:
+            return self.zones.index(name)
+        return self._unknown_zones.setdefault(repr(name), FIRST_UNKNOWN_ZONE + len(self._unknown_zones))
+
     def _forget_unlisted(self, listed: set[Hashable]) -> None:
         for uid in [uid for uid in self.endpoint_ids if uid not in listed]:
             self._forget(uid)
