--- a/tests/test_host_faults.py
+++ b/tests/test_host_faults.py
@@ -16,6 +16,7 @@
 import pytest
 
 from garnetusher.lab.syscall_faults import Call
+from garnetusher.sidecar.discovery.watch import SILENCE_TIMEOUT_S
 from tests.faulty_host import sidecar_on_faulty_host
 from tests.net import (
     OK,
@@ -428,3 +429,31 @@
         upstream.stop()
 
     run(test)
+
+
+def test_drain_is_applied_at_once_when_it_arrived_while_the_process_was_stopped(tmp_path: Path) -> None:
+    """The watch is not silent: its data waits in the kernel, and must be read before the time without data counts."""
+
+    async def test() -> None:
+        draining, other, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
+        for peer in (draining, other, discovery):
+            await peer.start()
+        async with sidecar_on_faulty_host(
+            tmp_path, discovery=f"127.0.0.1:{discovery.port}", known=listing(entry("u", draining.port))
+        ) as running:
+            await wait_for_watch(discovery)
+            discovery.send_update(listing(full=False))
+            assert await running.send_request(request("pay", "first", b"b", 1200)) == 200
+            await asyncio.sleep(0.1)  # the process waits for events when it is stopped
+            async with running.paused(SILENCE_TIMEOUT_S + 0.2):
+                discovery.send_update(
+                    listing(entry("u", draining.port, "leaving"), entry("v", other.port), rev=2, full=False)
+                )
+            # The first requests may count as old as the pause, and are shed.
+            while not other.requests and len(discovery.watch_requests) == 1:
+                await running.send_request(request("pay", str(len(draining.requests)), b"b", 1200))
+        assert (len(discovery.watch_requests), len(draining.requests)) == (1, 1)
+        for peer in (draining, other, discovery):
+            peer.stop()
+
+    run(test)
