--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -272,16 +272,28 @@
         """End a watch that is silent for too long; the connection to an unreachable machine would stay open forever."""
         if self.watch is None:
             return
-        was_answered = self.watch.state is WatchState.STREAMING
-        timeout_s = SILENCE_TIMEOUT_S if was_answered else RESPONSE_TIMEOUT_S
-        remaining_s = self.last_activity_s + timeout_s - self.loop.time()
+        remaining_s = self._silence_remaining_s(self.watch)
         if remaining_s > 0:
             self._timer = self.loop.call_later(remaining_s, self._check_silence)
             return
+        # After a pause of this process, the timer may run before the event loop has read what arrived in the meantime.
+        self.loop.call_soon(self.loop.call_soon, self._end_silent_watch, self.watch)
+
+    def _end_silent_watch(self, watch: WatchConnection) -> None:
+        if watch is not self.watch:
+            return
+        if self._silence_remaining_s(watch) > 0:
+            self._check_silence()
+            return
         log.warning("closing the watch: discovery has sent no data within the time limit")
         # The watcher itself reopens a watch that became silent, as the policy's next request for a watch may come after
         # the 6 s within which the sidecar is expected to know a change.
-        self.watch.fail(reconnect=was_answered)
+        watch.fail(reconnect=watch.state is WatchState.STREAMING)
+
+    def _silence_remaining_s(self, watch: WatchConnection) -> float:
+        """Return how long a watch may still be silent."""
+        timeout_s = SILENCE_TIMEOUT_S if watch.state is WatchState.STREAMING else RESPONSE_TIMEOUT_S
+        return self.last_activity_s + timeout_s - self.loop.time()
 
     def _run_step(self) -> None:
         """Run the first pending step, and leave the others to later iterations of the event loop."""
--- a/tests/fake_loop.py
+++ b/tests/fake_loop.py
@@ -23,6 +23,9 @@
         self.timers.append(timer)
         return SimpleNamespace(cancel=lambda: self.timers.remove(timer) if timer in self.timers else None)
 
+    def call_soon(self, callback: Callable[..., None], *args: object) -> Any:
+        return self.call_later(0, callback, *args)
+
     def create_task(self, coroutine: Coroutine[Any, Any, None]) -> Any:
         coroutine.close()
         self.connect_count += 1
