--- a/tests/test_host_faults.py
+++ b/tests/test_host_faults.py
@@ -457,3 +457,38 @@
             peer.stop()
 
     run(test)
+
+
+def test_request_is_not_sent_to_an_upstream_whose_drain_arrived_long_before_the_request_is_read(tmp_path: Path) -> None:
+    """The request and then the drain arrive while the process is stopped, so the request is read first."""
+
+    async def test() -> None:
+        draining, other, discovery = Upstream(respond_with(OK)), Upstream(respond_with(OK)), Discovery()
+        for peer in (draining, other, discovery):
+            await peer.start()
+        async with sidecar_on_faulty_host(
+            tmp_path, discovery=f"127.0.0.1:{discovery.port}", known=listing(entry("u", draining.port))
+        ) as running:
+            await wait_for_watch(discovery)
+            discovery.send_update(listing(full=False))
+            clients = [await running.connect() for _ in range(3)]
+            for reader, writer in clients:
+                writer.write(request("pay", "first", b"b", 5000))
+                assert status(await read_message(reader)) == 200
+            sent_count = len(draining.requests)
+            await asyncio.sleep(0.1)
+            async with running.paused(1.3):
+                for _, writer in clients:
+                    writer.write(request("pay", "second", b"b", 5000))
+                await asyncio.sleep(0.1)
+                discovery.send_update(
+                    listing(entry("u", draining.port, "leaving"), entry("v", other.port), rev=2, full=False)
+                )
+            for reader, writer in clients:
+                await read_message(reader)
+                writer.close()
+        assert len(draining.requests) == sent_count
+        for peer in (draining, other, discovery):
+            peer.stop()
+
+    run(test)
