--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -18,6 +18,7 @@
 from garnetusher.sidecar.discovery.endpoint_list import EndpointList, EndpointUpdate, ListBatch
 from garnetusher.sidecar.discovery.list_reader import ListReader
 from garnetusher.sidecar.discovery.messages import RawList, parse_cached_list, parse_entries
+from garnetusher.sidecar.sockets import SidecarEventLoop
 
 log = logging.getLogger(__name__)
 
@@ -58,6 +59,7 @@
             self._transport.abort()
             return
         self.state = WatchState.AWAITING_RESPONSE
+        self._watcher.read_first(self._transport)
         host, port = self._watcher.address
         self._transport.write(
             b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n"
@@ -207,6 +209,11 @@
         if watch is not None:
             watch.close()
 
+    def read_first(self, transport: asyncio.Transport) -> None:
+        """Read a watch before clients and upstreams, as a drain that waited during a pause holds for their requests."""
+        if isinstance(self.loop, SidecarEventLoop):
+            self.loop.handle_first(transport.get_extra_info("socket").fileno())
+
     def note_activity(self) -> None:
         """Record the current time as the time of the last activity, from which silence is measured."""
         self.last_activity_s = self.loop.time()
--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import array
+import asyncio
 import contextlib
 import errno
 import fcntl
@@ -160,8 +161,30 @@
 
     The process blocks meanwhile. Without the retry, the event loop would never learn of the connection, and the
     connection would be lost.
+
+    Attributes:
+        first_descriptor: the descriptor whose events are returned before all others; -1 = none.
     """
 
+    def __init__(self) -> None:
+        super().__init__()
+        self.first_descriptor = -1
+
+    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Wait for events as `EpollSelector.select` does, and return those of `first_descriptor` first.
+
+        A wait that a pause of this process interrupts returns no events once its timeout is over. The descriptors are
+        therefore polled again, so that the event loop handles what arrived during the pause before its timers.
+        """
+        events = super().select(timeout)
+        if not events and timeout != 0:
+            events = super().select(0)
+        for index, (key, _) in enumerate(events):
+            if key.fd == self.first_descriptor:
+                events.insert(0, events.pop(index))
+                break
+        return events
+
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         """Add a descriptor, with retries for EPOLL_RETRY_TIMEOUT_S."""
         retry_until_s = time.monotonic() + EPOLL_RETRY_TIMEOUT_S
@@ -177,3 +200,15 @@
         """Remove the descriptor and add it again, as the inherited method unregisters the descriptor if epoll fails."""
         self.unregister(fileobj)
         return self.register(fileobj, events, data)
+
+
+class SidecarEventLoop(asyncio.SelectorEventLoop):
+    """An event loop that uses epoll, even if the `selectors` module could not use epoll when it was imported."""
+
+    def __init__(self) -> None:
+        self._epoll = RetryingEpollSelector()
+        super().__init__(self._epoll)
+
+    def handle_first(self, descriptor: int) -> None:
+        """Handle the events of this descriptor before all others that are ready in the same iteration."""
+        self._epoll.first_descriptor = descriptor
--- a/garnetusher/sidecar/startup.py
+++ b/garnetusher/sidecar/startup.py
@@ -19,7 +19,7 @@
 from garnetusher.sidecar.configuration_section import ConfigurationError
 from garnetusher.sidecar.discovery.watch import EndpointWatcher
 from garnetusher.sidecar.sidecar import Sidecar
-from garnetusher.sidecar.sockets import RETRY_INTERVAL_S, RetryingEpollSelector, is_local_error
+from garnetusher.sidecar.sockets import RETRY_INTERVAL_S, SidecarEventLoop, is_local_error
 
 if TYPE_CHECKING:
     from garnetusher.sidecar.membership import FleetMembership
@@ -57,12 +57,12 @@
 
 
 def make_event_loop() -> asyncio.AbstractEventLoop:
-    """Return an event loop that uses epoll, even if the `selectors` module could not use epoll when it was imported.
+    """Return the event loop of the sidecar.
 
     Raises:
         OSError: this machine still lacks the resources for the loop after the last retry.
     """
-    return retry_on_shortage(lambda: asyncio.SelectorEventLoop(RetryingEpollSelector()))
+    return retry_on_shortage(SidecarEventLoop)
 
 
 def retry_on_shortage(create: Callable[[], _Result]) -> _Result:
