--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -202,3 +202,26 @@
             peer.stop()
 
     asyncio.run(test())
+
+
+@pytest.mark.parametrize("path", ["settings.request-classes.0.name", "settings.accounts.0.name"])
+def test_sidecar_moves_its_watch_when_a_file_that_it_rejected_is_corrected(tmp_path: Path, path: str) -> None:
+    """A name that no request can carry is found only after the file has been read."""
+
+    async def test() -> None:
+        file = write_configuration(tmp_path)
+        document = json.loads(file.read_text())
+        account = {"name": "a", "allowance-per-s": 1.0}
+        document = with_value(document, "settings.accounts", [account]) | {"discovery": "127.0.0.1:2"}
+        sidecar = Sidecar(load(str(file)))
+        before = sidecar.configuration
+        file.write_text(json.dumps(with_value(document, path, "\ud800")))
+        reloader = Reloader(str(file), sidecar.reload)
+        reloader.on_signal()
+        assert sidecar.configuration is before
+        file.write_text(json.dumps(document))
+        reloader.on_signal()
+        assert sidecar.endpoint_watcher.address == ("127.0.0.1", 2)
+        sidecar.endpoint_watcher.stop()
+
+    asyncio.run(test())
