--- a/garnetusher/sidecar/sidecar.py
+++ b/garnetusher/sidecar/sidecar.py
@@ -83,13 +83,15 @@
             OSError: the file cannot be read.
             ConfigurationError: the file is malformed or incomplete.
             SettingsTextError: a policy setting is missing or invalid.
+            UnicodeEncodeError: the name of a class or a tenant cannot be part of a request.
         """
         current = configurations.reload(path, self.configuration)
+        router = RequestRouter(current.settings)  # raises an error before anything changes
         previous, self.configuration = self.configuration, current
         self.endpoint_list.zones = current.zones
         self.endpoint_list.machine_types = current.machine_types
         self.connection_pool.apply_settings(current.idle_timeout_us, current.settings.connect_timeout_us)
-        self.server.router = RequestRouter(current.settings)
+        self.server.router = router
         self.dispatcher.apply_settings(current.settings)
         self._apply_discovery(previous, current)
         log.info(
