--- a/tests/test_interleaving_watch.py
+++ b/tests/test_interleaving_watch.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 import json
 from typing import Any, cast
 
@@ -423,3 +424,33 @@
         harness.stop()
 
     run(test)
+
+
+def test_endpoint_watcher_applies_later_lists_when_an_update_could_not_be_handled() -> None:
+    """An update closes and pauses connections, which may fail for lack of memory in the middle of a long list."""
+
+    async def test() -> None:
+        harness = WatcherHarness()
+        await harness.watch_permanently()
+        failures = [OSError(errno.ENOMEM, "no memory")]
+
+        def on_update(event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
+            if failures:
+                raise failures.pop()
+            harness.on_update(event, addresses)
+
+        harness.watcher.listener = on_update
+        snapshot = listing(*(entry(f"n{n}", 1) for n in range(2 * BATCH_SIZE)), rev=4)
+        harness.watch().data_received(RESPONSE_HEAD + chunk(lines(snapshot)))
+        await until(lambda: not failures)
+        await until(lambda: harness.watcher.watch is None)
+        assert harness.watcher.version == 0
+        harness.watcher.watch_endpoints(True)
+        harness.connect()
+        drained = listing(entry("n7", 1, "leaving"), rev=5, full=False)
+        harness.watch().data_received(RESPONSE_HEAD + chunk(lines(drained)))
+        await until(lambda: harness.watcher.version == 5)
+        assert harness.updates[-1] == (5, [("n7", EndpointStatus.DRAINING)])
+        harness.stop()
+
+    run(test)
