--- a/garnetusher/sidecar/discovery/watch.py
+++ b/garnetusher/sidecar/discovery/watch.py
@@ -303,18 +303,21 @@
         return self.last_activity_s + timeout_s - self.loop.time()
 
     def _run_step(self) -> None:
-        """Run the first pending step, and leave the others to later iterations of the event loop."""
+        """Run the first pending step, and leave the others to later iterations of the event loop.
+
+        An error discards the others, and the version stays, so that discovery sends the whole change again.
+        """
         step = self.pending_steps[0]
         try:
             update = self._process(step)
+            if update is not None:
+                self._notify(update)
         except Exception:
             self.pending_steps.clear()
             raise
         self.pending_steps.popleft()
-        if update is not None:
-            if step.batch.is_last:
-                self.version = step.batch.version
-            self._notify(update)
+        if update is not None and step.batch.is_last:
+            self.version = step.batch.version
         if self.pending_steps:
             self.loop.call_soon(self._run_scheduled_step)
         else:
