--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -10,7 +10,7 @@
 from tests.downstream import new_connection
 from tests.net import NOT_RUN, OK, Upstream, read_message, request, respond_with, sidecar
 from tests.runner import run, status
-from tests.streams import upload_request
+from tests.streams import FunctionUpstream, read_body, upload_request
 
 
 @pytest.mark.parametrize(
@@ -188,3 +188,30 @@
         assert upstream.requests[0][0].startswith(b"GET /read/it?x=1 HTTP/1.1\r\n")
 
     run(test)
+
+
+@pytest.mark.parametrize("chunk_size", [0, 2])
+def test_connection_forwards_whole_body_when_client_offers_another_protocol(chunk_size: int) -> None:
+    """A server may ignore Upgrade (RFC 9110, section 7.8); clients that prefer HTTP/2 send it with any request."""
+
+    async def test() -> None:
+        bodies = list[bytes]()
+
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            while True:
+                bodies.append((await read_body(reader))[1])
+                writer.write(OK)
+
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
+            offer = "Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: AAMAAABk\r\n"
+            data = upload_request(b"first", chunk_size, offer)
+            for parts in ([data], [data[:-7], data[-7:]], [request("pay", extra=offer)]):
+                for part in parts:
+                    writer.write(part)
+                    await asyncio.sleep(0.05)  # the sidecar reads each part on its own
+                assert status(await read_message(reader)) == 200
+            writer.close()
+        assert bodies == [b"first", b"first", b""]
+
+    run(test)
