--- a/garnetusher/sidecar/downstream/request_reader.py
+++ b/garnetusher/sidecar/downstream/request_reader.py
@@ -154,8 +154,11 @@
     @property
     def expects_continue(self) -> bool:
         """Whether the client waits for a 100 (Continue) response before it sends the body."""
-        has_body = self._chunked or bool(self._content_length)
-        return bool(self._expectation()) and has_body and not self.is_http_1_0
+        return bool(self._expectation()) and self._has_body and not self.is_http_1_0
+
+    @property
+    def _has_body(self) -> bool:
+        return self._chunked or bool(self._content_length)
 
     def feed(self, data: bytes) -> None:
         """Parse bytes from the connection.
@@ -164,8 +167,14 @@
             RequestRejected: The request is malformed, too long or not accepted.
         """
         self._received_size += len(data)
+        self._parse(data)
+        self._check_size()
+
+    def _parse(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
+        except httptools.HttpParserUpgrade as upgrade:
+            self._parse_after_upgrade(data[upgrade.args[0] :])
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
             raise cause if isinstance(cause, RequestRejected) else error from None
@@ -173,7 +182,21 @@
             if not self.complete:
                 raise RequestRejected(400, "malformed request") from None
             self.has_extra_bytes = True
-        self._check_size()
+
+    def _parse_after_upgrade(self, rest: bytes) -> None:
+        """Parse the bytes after a head that offers to change the protocol; a server may ignore the offer.
+
+        The parser ends such a request at its head (RFC 9110, section 7.8, and CONNECT), so another parser reads the
+        body. It gets a head with the same framing and without the offer.
+        """
+        self._parser = httptools.HttpRequestParser(self)
+        if not self.complete:
+            framing = (
+                b"Transfer-Encoding: chunked" if self._chunked else b"Content-Length: %d" % (self._content_length or 0)
+            )
+            self._parse(b"POST / HTTP/1.1\r\n%s\r\n\r\n" % framing)
+        if rest:
+            self._parse(rest)
 
     def _check_size(self) -> None:
         """Limit bytes that the parser does not report, such as an endless head or endless chunk framing.
@@ -198,7 +221,7 @@
 
     def on_url(self, url: bytes) -> None:
         """Append a part of the request target."""
-        if not self.complete:
+        if self.state is ReadState.HEAD:
             self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -222,7 +245,7 @@
 
     def on_headers_complete(self) -> None:
         """Report the complete head to the connection."""
-        if self.complete:
+        if self.state is not ReadState.HEAD:
             return
         self.state = ReadState.BODY
         self._method = self._parser.get_method()
@@ -249,4 +272,6 @@
 
     def on_message_complete(self) -> None:
         """Record that the request is complete."""
+        if self._parser.should_upgrade() and self._has_body:
+            return  # `_parse_after_upgrade` reads the body
         self.state = ReadState.COMPLETE
