--- a/tests/downstream.py
+++ b/tests/downstream.py
@@ -13,6 +13,7 @@
 from garnetusher.sidecar.requests.messages import HttpRequest
 from garnetusher.sidecar.requests.trace import Trace
 from garnetusher.sidecar.requests.write_gate import WriteGate
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from tests.net import classes
 
 
@@ -47,19 +48,41 @@
         pass
 
 
-def new_connection(transport: asyncio.Transport | None = None) -> DownstreamConnection:
-    """Return a connection whose dispatcher accepts every request and never responds."""
-    settings = Settings(classes())
+class NullDispatcher:
+    """A dispatcher that accepts every request, never responds, and records the other calls of connections.
+
+    Attributes:
+        calls: The name of each call other than `on_request`, in order.
+    """
+
+    ready = True
+
+    def __init__(self, settings: Settings) -> None:
+        self.write_gate = WriteGate(Trace(), settings)
+        self.calls: list[str] = []
+
+    def on_request(self, http_request: HttpRequest, sink: object, *, body_complete: bool = True) -> int:
+        return 1
 
-    class NullDispatcher:
-        ready = True
-        write_gate = WriteGate(Trace(), settings)
+    def on_client_disconnected(self, request_id: int) -> None:
+        self.calls.append("client disconnected")
+
+    def on_body_stalled(self, request_id: int) -> None:
+        self.calls.append("body stalled")
+
+
+def new_server(dispatcher: NullDispatcher | None = None) -> DownstreamServer:
+    """Return a server that does not listen."""
+    settings = Settings(classes())
+    return DownstreamServer(cast(RequestDispatcher, dispatcher or NullDispatcher(settings)), settings, 100, Lifecycle())
 
-        def on_request(self, http_request: HttpRequest, sink: object) -> int:
-            return 1
 
-    client_connection = DownstreamConnection(
-        DownstreamServer(cast(RequestDispatcher, NullDispatcher()), settings, 100, Lifecycle())
-    )
+def new_connection(
+    transport: asyncio.Transport | None = None,
+    server: DownstreamServer | None = None,
+    sock: ShortageTolerantSocket | None = None,
+) -> DownstreamConnection:
+    """Return a connection to a server whose dispatcher, unless one is given, never responds."""
+    client_connection = DownstreamConnection(server or new_server(), sock)
     client_connection.connection_made(transport or NullTransport())
     return client_connection
--- a/tests/test_interleaving_long.py
+++ b/tests/test_interleaving_long.py
@@ -7,8 +7,12 @@
 
 import pytest
 
+from garnetusher.policy.settings import Settings
 from garnetusher.sidecar.downstream.request_reader import RequestReader
-from tests.net import request, sidecar
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
+from garnetusher.sidecar.streaming import Head
+from tests.downstream import NullDispatcher, NullTransport, new_connection, new_server
+from tests.net import classes, request, sidecar
 from tests.runner import run, status
 from tests.streams import LONG_BODY, FunctionUpstream, upload_request
 from tests.test_interleaving_idle import next_status
@@ -75,3 +79,55 @@
                         assert b"HTTP/1.1" not in data
 
     run(test)
+
+
+class AbortRecordingTransport(NullTransport):
+    """A transport that records whether the connection was aborted."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.aborted = False
+
+    def abort(self) -> None:
+        self.aborted = True
+
+
+class IdleSource:
+    """The source of a streamed response that sends nothing."""
+
+    def pause(self) -> None:
+        pass
+
+    def resume(self) -> None:
+        pass
+
+
+@pytest.mark.parametrize("client_half_closes", [False, True])
+@pytest.mark.parametrize("waited_s", [2 * DEADLINE_S, 20.0])
+def test_started_response_is_not_reset_when_the_upstream_leaves_the_rest_of_the_body_unread(
+    waited_s: float, client_half_closes: bool
+) -> None:
+    """The whole rest of the body waits in the kernel, and nothing is wrong with the response."""
+
+    async def test() -> None:
+        client, accepted = socket.socketpair()
+        sock = ShortageTolerantSocket.adopt(accepted)
+        transport, dispatcher = AbortRecordingTransport(), NullDispatcher(Settings(classes()))
+        client_connection = new_connection(transport, new_server(dispatcher), sock)
+        upload = request("pay", body=LONG_BODY[:80_000], deadline_ms=int(1000 * DEADLINE_S))
+        client_connection.data_received(upload[:-1000])
+        assert client_connection.has_open_request
+        client_connection.begin_response(Head(len(LONG_BODY), b""), IdleSource())
+        client.sendall(upload[-1000:])
+        if client_half_closes:
+            client.shutdown(socket.SHUT_WR)
+        paused_since_us = client_connection.arrival_times.paused_since_us
+        assert paused_since_us
+        client_connection.check_timeouts(paused_since_us + int(1e6 * waited_s))
+        assert not transport.aborted
+        assert not dispatcher.calls
+        assert client_connection.has_open_request
+        client.close()
+        sock.close()
+
+    run(test)
