--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -435,6 +435,8 @@
                 self.schedule_close()
 
     def _check_paused_body(self, now_us: int) -> None:
+        if self.writer.source is not None:
+            return  # no time-out interrupts a started response; the pool resets it if the upstream stops sending
         paused_us = now_us - self.arrival_times.paused_since_us
         if self.client_has_closed() or self._must_respond_before_next_check(now_us):
             self.shed_incomplete_request()
