--- a/tests/test_streaming_memory.py
+++ b/tests/test_streaming_memory.py
@@ -5,11 +5,13 @@
 import asyncio
 import json
 from pathlib import Path
+from typing import cast
 
 from garnetusher.policy.settings import Settings
 from garnetusher.sidecar.downstream.router import RequestRouter
+from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, HttpRequest, ResponseSink
 from garnetusher.sidecar.streaming import BodyMemory
-from tests.downstream import NullTransport, new_connection
+from tests.downstream import NullDispatcher, NullTransport, new_connection, new_server
 from tests.net import TEST_TIMEOUT_S, classes, entry, listing, request, wait_for_listener
 from tests.processes import program, write_configuration
 from tests.runner import run
@@ -102,3 +104,32 @@
         assert not client_connection.server.body_memory.waiting
 
     run(test)
+
+
+def test_body_memory_is_released_once_when_the_next_body_replaces_the_request_in_the_buffer() -> None:
+    """The request whose body gets the memory may make the policy shed the request that is giving it back."""
+
+    sinks = list[ResponseSink]()
+
+    class ReplacingDispatcher(NullDispatcher):
+        def on_request(self, http_request: HttpRequest, sink: object, *, body_complete: bool = True) -> int:
+            sinks.append(cast(ResponseSink, sink))
+            self.calls.append("request")
+            if len(sinks) == 2 and "client disconnected" not in self.calls:
+                sinks[0].send_response(FinalResponse(Disposition.SHED))
+            return len(sinks)
+
+    async def test() -> None:
+        dispatcher = ReplacingDispatcher(Settings(classes()))
+        server = new_server(dispatcher)
+        server.body_memory.free = 1
+        connections = [new_connection(server=server) for _ in range(3)]
+        for client_connection in connections:
+            client_connection.data_received(request("pay", body=LONG_BODY)[:70_000])
+        assert dispatcher.calls == ["request"]
+        connections[0].shed_incomplete_request()
+        assert len(server.body_memory.waiting) == 1
+        assert dispatcher.calls == ["request", "client disconnected", "request"]
+        assert server.body_memory.free == 0
+
+    run(test)
