--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -260,13 +260,16 @@
             self._write_response(status, body, headers, close=True)
 
     def _drop_request(self) -> None:
-        """Cancel the current request, if there is one, and release its body memory."""
-        if self.reader.upload is not None:
-            self.server.body_memory.release(self._dispatch_streamed_request)
-            self.reader.upload = None
+        """Cancel the current request, if there is one, and release its body memory.
+
+        The memory is released last, because the next body takes it at once, and its request may change the policy.
+        """
+        upload, self.reader.upload = self.reader.upload, None
         if self.has_open_request:
             self.has_open_request = False
             self.server.dispatcher.on_client_disconnected(self._request_id)
+        if upload is not None:
+            self.server.body_memory.release(self._dispatch_streamed_request)
 
     # Responses from the dispatcher
 
