--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 
 import pytest
 
-from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
-from garnetusher.sidecar.streaming import MAX_BODY_SIZE, Head, Source
+from garnetusher.sidecar.downstream import response_writer
+from garnetusher.sidecar.requests.messages import AttemptResult, Disposition, FinalResponse, HttpRequest
+from garnetusher.sidecar.streaming import MAX_BODY_SIZE, STALL_TIMEOUT_US, Head, Source
 from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US
 from garnetusher.sidecar.upstream.pool import ConnectionPool
+from tests.downstream import NullTransport, new_connection
 from tests.net import OK, Upstream, permit_write, read_message, request, respond_with, sidecar, until
 from tests.runner import run, status
 from tests.streams import CHUNKED, LONG_BODY, FunctionUpstream, chunked, read_body
@@ -217,3 +220,57 @@
         upstream.stop()
 
     run(test)
+
+
+def test_sidecar_resets_http_1_0_client_when_it_stops_reading(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Only the end of the connection marks the end of the response, so an orderly end would look complete."""
+    monkeypatch.setattr(response_writer, "STALL_TIMEOUT_US", 300_000)
+
+    async def test() -> None:
+        upstream_connection_ended = asyncio.Event()
+
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(CHUNKED + chunked(24 * LONG_BODY, 65536))
+            try:
+                await reader.read()
+            finally:
+                upstream_connection_ended.set()
+
+        async with sidecar(FunctionUpstream(handle)) as running:
+            with socket.create_connection(("127.0.0.1", running.port)) as sock:
+                sock.sendall(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+                await upstream_connection_ended.wait()
+                sock.setblocking(False)
+                with pytest.raises(ConnectionResetError):  # noqa: PT012 - any of the reads may receive the reset
+                    while await asyncio.get_running_loop().sock_recv(sock, 1 << 20):
+                        pass
+
+    run(test)
+
+
+def test_connection_is_closed_when_its_client_never_reads_the_last_bytes() -> None:
+    """So few bytes are left that the event loop never paused the writing of the response."""
+
+    class StalledTransport(NullTransport):
+        aborted = False
+
+        def get_write_buffer_size(self) -> int:
+            return 1000
+
+        def abort(self) -> None:
+            self.aborted = True
+
+    async def test() -> None:
+        transport = StalledTransport()
+        client_connection = new_connection(transport)
+        client_connection.data_received(request())
+        client_connection.send_response(FinalResponse(Disposition.SERVED, b"x" * 1000))
+        now_us = client_connection.idle_since_us
+        client_connection.check_timeouts(now_us)
+        client_connection.check_timeouts(now_us + STALL_TIMEOUT_US - 1_000_000)
+        assert not transport.aborted
+        client_connection.check_timeouts(now_us + STALL_TIMEOUT_US + 1_000_000)
+        assert transport.aborted
+
+    run(test)
