--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -297,15 +297,12 @@
         """Finish a streamed response.
 
         Args:
-            complete: Whether all of the response was written. If not, the connection is reset, because an orderly
-                close would make the response look complete.
+            complete: Whether all of the response was written. If not, the connection is reset.
         """
         self.has_open_request = False
         self.writer.source = None
         if not complete:
-            if self._sock is not None:
-                self._sock.reset_at_close()
-            self.transport.abort()
+            self._reset()
         elif not self.transport.is_closing():
             self.writer.end_stream()
             self._on_response_complete()
@@ -414,6 +411,12 @@
         self.state = ConnectionState.CLOSING
         self.transport.close()
 
+    def _reset(self) -> None:
+        """Reset the connection, because an orderly close would make the response look complete."""
+        if self._sock is not None:
+            self._sock.reset_at_close()
+        self.transport.abort()
+
     # Time-outs
 
     def check_timeouts(self, now_us: int) -> None:
@@ -424,7 +427,9 @@
         Args:
             now_us: The time of the check, which is the same for all connections.
         """
-        self.writer.abort_if_stalled(now_us)
+        if self.writer.is_stalled(now_us):
+            self._reset()
+            return
         if self.closing or self.reader.complete:
             return
         if self.has_sent_valid_request and self.reader.message_started_us == 0:
--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -150,13 +150,12 @@
         if self.source is not None:
             self.source.resume()
 
-    def abort_if_stalled(self, now_us: int) -> None:
-        """Abort the connection if the client has read nothing for the duration of the stall time-out."""
+    def is_stalled(self, now_us: int) -> bool:
+        """Return whether the client has read nothing for the duration of the stall time-out."""
         if not self._blocked_since_us:
-            return
+            return False
         unsent_size = self.unsent_size
         if unsent_size != self._blocked_size:
             self._blocked_since_us = now_us
             self._blocked_size = unsent_size
-        elif now_us > self._blocked_since_us + STALL_TIMEOUT_US:
-            self.transport.abort()
+        return now_us > self._blocked_since_us + STALL_TIMEOUT_US
