--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -56,7 +56,7 @@
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._blocked_since_us = 0  # the time of the last progress while writing is paused; 0 while it is not paused
+        self._blocked_since_us = 0  # the time of the last progress of unsent bytes; 0 while none are known
         self._blocked_size = 0  # the number of unsent bytes at the last check
         self.reset()
 
@@ -151,11 +151,15 @@
             self.source.resume()
 
     def is_stalled(self, now_us: int) -> bool:
-        """Return whether the client has read nothing for the duration of the stall time-out."""
-        if not self._blocked_since_us:
-            return False
+        """Return whether the client has read nothing for the duration of the stall time-out.
+
+        The last unsent bytes may be too few to pause writing, so they count from the check that first finds them.
+        """
         unsent_size = self.unsent_size
-        if unsent_size != self._blocked_size:
+        if not unsent_size:
+            self._blocked_since_us = 0
+            return False
+        if not self._blocked_since_us or unsent_size != self._blocked_size:
             self._blocked_since_us = now_us
             self._blocked_size = unsent_size
         return now_us > self._blocked_since_us + STALL_TIMEOUT_US
