--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -274,3 +274,26 @@
         assert transport.aborted
 
     run(test)
+
+
+def test_sidecar_keeps_connection_when_its_client_reads_slowly_but_steadily(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The kernel takes more bytes only after it has sent a third of its buffer, which takes a slow client seconds."""
+    monkeypatch.setattr(response_writer, "STALL_TIMEOUT_US", 1_000_000)
+
+    async def test() -> None:
+        body = 10 * LONG_BODY
+        upstream = Upstream(respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body))
+        async with sidecar(upstream) as running:
+            loop, received_size = asyncio.get_running_loop(), 0
+            with socket.socket() as sock:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+                sock.setblocking(False)
+                await loop.sock_connect(sock, ("127.0.0.1", running.port))
+                await loop.sock_sendall(sock, request())
+                while received_size < 3 * len(LONG_BODY):
+                    data = await loop.sock_recv(sock, 65536)
+                    assert data
+                    received_size += len(data)
+                    await asyncio.sleep(0.1)
+
+    run(test)
