--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -427,7 +427,7 @@
         Args:
             now_us: The time of the check, which is the same for all connections.
         """
-        if self.writer.is_stalled(now_us):
+        if self._is_stalled(now_us):
             self._reset()
             return
         if self.closing or self.reader.complete:
@@ -442,6 +442,11 @@
             else:
                 self.schedule_close()
 
+    def _is_stalled(self, now_us: int) -> bool:
+        if self._sock is None or not self.writer.unsent_size:
+            return self.writer.is_stalled(now_us, 0)
+        return self.writer.is_stalled(now_us, self._sock.unacknowledged_size())
+
     def _check_paused_body(self, now_us: int) -> None:
         if self.writer.source is not None:
             return  # no time-out interrupts a started response; the pool resets it if the upstream stops sending
--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
         self._blocked_since_us = 0  # the time of the last progress of unsent bytes; 0 while none are known
-        self._blocked_size = 0  # the number of unsent bytes at the last check
+        self._blocked_size = 0  # the number of bytes that the client had not acknowledged at the last check
         self.reset()
 
     def reset(self) -> None:
@@ -150,16 +150,21 @@
         if self.source is not None:
             self.source.resume()
 
-    def is_stalled(self, now_us: int) -> bool:
+    def is_stalled(self, now_us: int, unacknowledged_size: int) -> bool:
         """Return whether the client has read nothing for the duration of the stall time-out.
 
         The last unsent bytes may be too few to pause writing, so they count from the check that first finds them.
+
+        Args:
+            now_us: The time of the check.
+            unacknowledged_size: The number of bytes in the kernel that the client has not acknowledged. They show the
+                progress of a slow client: the kernel takes further bytes only when much of its buffer is free.
         """
-        unsent_size = self.unsent_size
-        if not unsent_size:
+        if not self.unsent_size:
             self._blocked_since_us = 0
             return False
-        if not self._blocked_since_us or unsent_size != self._blocked_size:
+        blocked_size = self.unsent_size + unacknowledged_size
+        if not self._blocked_since_us or blocked_size != self._blocked_size:
             self._blocked_since_us = now_us
-            self._blocked_size = unsent_size
+            self._blocked_size = blocked_size
         return now_us > self._blocked_since_us + STALL_TIMEOUT_US
--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -137,9 +137,16 @@
 
     def unread_size(self) -> int:
         """Return the number of bytes that wait in the kernel to be read; 0 if the kernel reports an error."""
+        return self._queue_size(termios.FIONREAD)
+
+    def unacknowledged_size(self) -> int:
+        """Return the number of sent bytes that the peer's kernel has not acknowledged; 0 if the kernel has an error."""
+        return self._queue_size(termios.TIOCOUTQ)
+
+    def _queue_size(self, ioctl_request: int) -> int:
         size = array.array("i", [0])
         try:
-            fcntl.ioctl(self.fileno(), termios.FIONREAD, size)
+            fcntl.ioctl(self.fileno(), ioctl_request, size)
         except OSError:
             return 0
         return size[0]
