--- a/tests/test_interleaving_idle.py
+++ b/tests/test_interleaving_idle.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
+import _socket
 import asyncio
+import errno
 import socket
+from typing import Any
 
 import pytest
 
@@ -116,3 +119,33 @@
                     sock.close()
 
     run(test)
+
+
+def test_unread_request_is_served_when_reads_fail_while_idle_connections_are_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The loop has looked at the connection before it is closed, but this machine had no memory for the read."""
+    failures_left, sidecar_port = [0], [0]
+
+    def fail_for_a_moment(sock: socket.socket, *arguments: Any) -> int:
+        if sock.getsockname()[1] != sidecar_port[0] or not failures_left[0]:
+            return _socket.socket.recv_into(sock, *arguments)
+        failures_left[0] -= 1
+        raise OSError(errno.ENOBUFS, "No buffer space available")
+
+    monkeypatch.setattr(socket.socket, "recv_into", fail_for_a_moment, raising=False)
+
+    async def test() -> None:
+        async with sidecar(Upstream(respond_with(OK))) as running:
+            sidecar_port[0] = running.port
+            with socket.create_connection(("127.0.0.1", running.port)) as sock:
+                sock.sendall(request(request_id="1"))
+                assert await next_status(sock) == 200
+                failures_left[0] = 20  # iterations of the event loop
+                sock.send(request(request_id="2"))
+                running.stop.set()
+                assert await next_status(sock) == 200
+            assert not failures_left[0]
+            await running.task
+
+    run(test)
