--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -400,7 +400,8 @@
     def _close_if_idle(self) -> None:
         if self.state is ConnectionState.CLOSE_SCHEDULED:
             self.state = ConnectionState.ACTIVE
-        if self.idle:
+        # Reads that failed, because this machine was short of memory, have left a request in the kernel.
+        if self.idle and not (self._sock is not None and self._sock.unread_size()):
             self.close()
 
     def close(self) -> None:
