--- a/tests/test_interleaving_idle.py
+++ b/tests/test_interleaving_idle.py
@@ -149,3 +149,28 @@
             await running.task
 
     run(test)
+
+
+@pytest.mark.parametrize("loop_iterations", range(4))
+def test_incomplete_request_is_answered_when_its_connection_is_closed_at_the_limit(loop_iterations: int) -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(respond_with(OK))) as running:
+            others = [socket.create_connection(("127.0.0.1", running.port)) for _ in range(99)]
+            for other in others:
+                other.sendall(UP_REQUEST)
+                assert await next_status(other) == 200
+            with socket.create_connection(("127.0.0.1", running.port)) as newest:
+                data = request()
+                newest.sendall(data[:-10])
+                while await running.call_admin("GET", "/_ready") != 200:  # the sidecar has read the first part
+                    pass
+                excess = socket.create_connection(("127.0.0.1", running.port))
+                for _ in range(loop_iterations):  # the event loop sets up the excess connection in one of them
+                    await asyncio.sleep(0)
+                newest.setblocking(True)
+                newest.send(data[-10:])
+                assert await next_status(newest) in (200, 503)
+            for sock in (*others, excess):
+                sock.close()
+
+    run(test)
