--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -397,6 +397,20 @@
             loop = asyncio.get_running_loop()
             loop.call_soon(loop.call_soon, self._close_if_idle)
 
+    def schedule_eviction(self) -> None:
+        """Close a connection whose first request is incomplete, after the same two iterations as an idle one."""
+        if self.state is ConnectionState.ACTIVE:
+            self.state = ConnectionState.CLOSE_SCHEDULED
+            loop = asyncio.get_running_loop()
+            loop.call_soon(loop.call_soon, self._evict)
+
+    def _evict(self) -> None:
+        if self.state is ConnectionState.CLOSE_SCHEDULED:
+            self.state = ConnectionState.ACTIVE
+        if not self.closing and not self.has_sent_valid_request:
+            self.shed_incomplete_request()
+            self.transport.close()  # without lingering, because another connection needs the descriptor
+
     def _close_if_idle(self) -> None:
         if self.state is ConnectionState.CLOSE_SCHEDULED:
             self.state = ConnectionState.ACTIVE
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -118,7 +118,7 @@
         if oldest.idle:
             oldest.schedule_close()
         else:
-            oldest.close()
+            oldest.schedule_eviction()
 
     def check_connections(self) -> None:
         """Check the time-outs of all connections now, and schedule the next check."""
