--- a/tests/test_interleaving_clients.py
+++ b/tests/test_interleaving_clients.py
@@ -6,6 +6,9 @@
 
 import pytest
 
+from garnetusher.policy.actions import Action
+from garnetusher.policy.balancer import Balancer
+from garnetusher.policy.events import AttemptEnded, Event, Outcome
 from garnetusher.sidecar.streaming import UPLOAD_MEMORY_SIZE, BodyMemory
 from tests.net import OK, Upstream, entry, listing, read_message, request, respond_with, sidecar, until
 from tests.runner import run, status
@@ -143,3 +146,28 @@
             assert len(upstream.requests) == 1
 
     run(test)
+
+
+def test_endpoint_is_not_blamed_when_client_disconnects_before_its_connection_is_established(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    outcomes, handle = list[Outcome](), Balancer.handle
+
+    def recording_handle(self: Balancer, now_us: int, event: Event) -> list[Action]:
+        if isinstance(event, AttemptEnded):
+            outcomes.append(event.outcome)
+        return handle(self, now_us, event)
+
+    monkeypatch.setattr(Balancer, "handle", recording_handle)
+
+    async def test() -> None:
+        with full_backlog_port() as port:
+            async with sidecar(known=listing(entry("u", port)), connect_timeout_us=60_000_000) as running:
+                _, writer = await running.connect()
+                writer.write(upload_request(b"x" * 200_000)[:100_000])
+                await asyncio.sleep(0.2)
+                writer.transport.abort()
+                await until(lambda: bool(outcomes))
+                assert outcomes == [Outcome.NOT_WRITTEN]
+
+    run(test)
