--- a/garnetusher/sidecar/requests/attempts.py
+++ b/garnetusher/sidecar/requests/attempts.py
@@ -117,14 +117,14 @@
         Args:
             request: the request of the attempt.
             attempt_index: the index of the attempt.
-            outcome: the outcome of the attempt; an attempt that has not been written never ran, and ends as
-                `CONNECT_FAILED` instead, which counts against the endpoint.
+            outcome: the outcome of the attempt. An attempt that has not been written never ran: it ends as
+                `NOT_WRITTEN` if it is cancelled, and else as `CONNECT_FAILED`, which counts against the endpoint.
         """
         attempt = request.attempts[attempt_index]
         if attempt.ended or attempt.handle is None:
             return
         if not attempt.handle.written:
-            outcome = Outcome.CONNECT_FAILED
+            outcome = Outcome.NOT_WRITTEN if outcome is Outcome.CANCELLED else Outcome.CONNECT_FAILED
         attempt.handle.abandon()
         self.end(request, attempt_index, AttemptResult(outcome))
 
