--- a/tests/test_streaming_memory.py
+++ b/tests/test_streaming_memory.py
@@ -133,3 +133,28 @@
         assert server.body_memory.free == 0
 
     run(test)
+
+
+def test_waiting_bodies_are_all_answered_when_their_class_is_removed_before_they_start() -> None:
+    """Each rejected body hands its memory on to the next one; there are more of them than calls can be nested."""
+
+    class RecordingTransport(NullTransport):
+        def write(self, data: object) -> None:
+            assert isinstance(data, bytes)
+            responses.append(data)
+
+    responses = list[bytes]()
+
+    async def test() -> None:
+        server = new_server()
+        server.body_memory.free = 1
+        connections = [new_connection(RecordingTransport(), server) for _ in range(400)]
+        for client_connection in connections:
+            client_connection.data_received(request("pay", body=LONG_BODY)[:70_000])
+        server.router = RequestRouter(Settings(classes()[:1]))
+        connections[0].shed_incomplete_request()
+        assert [response.split(b" ")[1] for response in responses].count(b"404") == 399
+        assert len(responses) == 400
+        assert server.body_memory.free == 1
+
+    run(test)
