--- a/garnetusher/sidecar/streaming.py
+++ b/garnetusher/sidecar/streaming.py
@@ -179,6 +179,7 @@
         """
         self.free = max(1, size // UPLOAD_MEMORY_SIZE)
         self.waiting: deque[Callable[[], None]] = deque()
+        self._starting = False  # whether `_start_waiting` runs
 
     def acquire(self, begin: Callable[[], None]) -> None:
         """Call `begin` immediately, or as soon as there is memory."""
@@ -196,7 +197,18 @@
         """
         if begin in self.waiting:
             self.waiting.remove(begin)
-        elif self.waiting:
-            self.waiting.popleft()()
-        else:
-            self.free += 1
+            return
+        self.free += 1
+        self._start_waiting()
+
+    def _start_waiting(self) -> None:
+        """Start waiting bodies in order; one that ends at once returns its memory to this loop, without recursion."""
+        if self._starting:
+            return
+        self._starting = True
+        try:
+            while self.waiting and self.free > 0:
+                self.free -= 1
+                self.waiting.popleft()()
+        finally:
+            self._starting = False
