--- a/tests/test_streamed_bodies.py
+++ b/tests/test_streamed_bodies.py
@@ -10,8 +10,8 @@
 from garnetusher.sidecar.downstream import connection, request_reader
 from garnetusher.sidecar.downstream.router import RequestRouter
 from garnetusher.sidecar.streaming import Upload
-from tests.downstream import new_connection
-from tests.net import OK, TEST_TIMEOUT_S, read_message, request, sidecar, until
+from tests.downstream import NullDispatcher, new_connection, new_server
+from tests.net import OK, TEST_TIMEOUT_S, classes, read_message, request, sidecar, until
 from tests.runner import run, status
 from tests.streams import LONG_BODY, FunctionUpstream, read_body, upload_request
 
@@ -237,3 +237,16 @@
         assert len(attempts) == 1
 
     run(test)
+
+
+def test_next_attempt_has_the_full_stall_timeout_when_an_upstream_stopped_reading_long_body() -> None:
+    async def test() -> None:
+        dispatcher = NullDispatcher(Settings(classes()))
+        client_connection = new_connection(server=new_server(dispatcher))
+        client_connection.data_received(request("pay", body=LONG_BODY)[:70_000])
+        paused_since_us = client_connection.arrival_times.paused_since_us
+        for waited_s, stalls in ((9, 0), (11, 1), (11.1, 1), (20, 1), (22, 2)):
+            client_connection.check_timeouts(paused_since_us + int(waited_s * 1e6))
+            assert dispatcher.calls == ["body stalled"] * stalls
+
+    run(test)
