--- a/garnetusher/sidecar/downstream/arrival_time.py
+++ b/garnetusher/sidecar/downstream/arrival_time.py
@@ -43,7 +43,7 @@
     Attributes:
         accepted_us: The earliest time at which the client may have connected.
         arrived_us: The earliest time at which the most recently read bytes may have arrived.
-        paused_since_us: The time at which reading of the body was paused; 0 while it is not paused.
+        paused_since_us: The time from which the pause in reading the body counts; 0 while it is not paused.
     """
 
     def __init__(
@@ -100,6 +100,10 @@
         """Record that reading of the body is paused."""
         self.paused_since_us = self.paused_since_us or self._loop_earliest_arrival_us()
 
+    def restart_pause(self, now_us: int) -> None:
+        """Count the duration of the current pause from now."""
+        self.paused_since_us = now_us
+
     def resume(self) -> None:
         """Record that reading of the body continues."""
         self.paused_since_us = 0
--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -471,6 +471,7 @@
         elif not self.has_open_request and paused_us > BODY_MEMORY_TIMEOUT_US:
             self.shed_incomplete_request(BODY_MEMORY_TIMEOUT_US)
         elif self.has_open_request and paused_us > STALL_TIMEOUT_US:
+            self.arrival_times.restart_pause(now_us)  # the next attempt has the full time-out to take the body
             self.server.dispatcher.on_body_stalled(self._request_id)
 
     def _must_respond_before_next_check(self, now_us: int) -> bool:
