--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -297,3 +297,27 @@
                     await asyncio.sleep(0.1)
 
     run(test)
+
+
+def test_response_is_paused_at_once_when_its_client_has_not_read_the_one_before() -> None:
+    calls = list[str]()
+
+    class RecordingSource:
+        def pause(self) -> None:
+            calls.append("pause")
+
+        def resume(self) -> None:
+            calls.append("resume")
+
+    async def test() -> None:
+        client_connection = new_connection()
+        client_connection.data_received(request())
+        client_connection.pause_writing()  # the event loop calls this once, until most bytes have been sent
+        client_connection.send_response(FinalResponse(Disposition.SERVED, b"x" * 60_000))
+        client_connection.data_received(request())
+        client_connection.begin_response(Head(None, b""), RecordingSource())
+        assert calls == ["pause"]
+        client_connection.resume_writing()
+        assert calls == ["pause", "resume"]
+
+    run(test)
