--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -56,6 +56,7 @@
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
+        self._writing_paused = False  # whether the event loop has too many unsent bytes
         self._blocked_since_us = 0  # the time of the last progress of unsent bytes; 0 while none are known
         self._blocked_size = 0  # the number of bytes that the client had not acknowledged at the last check
         self.reset()
@@ -112,6 +113,8 @@
             Whether only the close of the connection marks the end of the response.
         """
         self.source = source
+        if self._writing_paused:
+            source.pause()
         self._chunked = head.length is None and allow_chunked
         return head.length is None and not self._chunked
 
@@ -140,12 +143,14 @@
 
     def pause(self) -> None:
         """Pause the source because the client reads more slowly than the upstream sends."""
+        self._writing_paused = True
         self._blocked_since_us = monotonic_us()
         if self.source is not None:
             self.source.pause()
 
     def resume(self) -> None:
         """Resume the source because most of the unsent bytes have been sent."""
+        self._writing_paused = False
         self._blocked_since_us = 0
         if self.source is not None:
             self.source.resume()
