--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -215,3 +215,24 @@
         assert bodies == [b"first", b"first", b""]
 
     run(test)
+
+
+@pytest.mark.parametrize("request_is_open", [True, False])
+def test_connection_ignores_line_end_when_it_follows_a_request(request_is_open: bool) -> None:
+    """Some clients end a body with an additional line end, which a server should ignore (RFC 9112, section 2.2)."""
+
+    async def test() -> None:
+        client_connection = new_connection()
+        client_connection.data_received(request("pay", body=b"b"))
+        if request_is_open:
+            client_connection.data_received(b"\r\n")
+        client_connection.send_response(FinalResponse(Disposition.SERVED, b"done"))
+        if not request_is_open:
+            client_connection.data_received(b"\r\n")
+        assert client_connection.idle
+        client_connection.check_timeouts(client_connection.idle_since_us + 10_000_000)
+        assert client_connection.idle
+        client_connection.data_received(request("pay", body=b"b"))
+        assert client_connection.has_open_request
+
+    run(test)
