--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -136,14 +136,16 @@
             return False
 
     def unread_size(self) -> int:
-        """Return the number of bytes that wait in the kernel to be read; 0 if the kernel reports an error."""
+        """Return the number of bytes that wait in the kernel to be read; 0 after an error or a close."""
         return self._queue_size(termios.FIONREAD)
 
     def unacknowledged_size(self) -> int:
-        """Return the number of sent bytes that the peer's kernel has not acknowledged; 0 if the kernel has an error."""
+        """Return the number of sent bytes that the peer's kernel has not acknowledged; 0 after an error or a close."""
         return self._queue_size(termios.TIOCOUTQ)
 
     def _queue_size(self, ioctl_request: int) -> int:
+        if self.fileno() < 0:
+            return 0
         size = array.array("i", [0])
         try:
             fcntl.ioctl(self.fileno(), ioctl_request, size)
--- a/tests/test_interleaving_idle.py
+++ b/tests/test_interleaving_idle.py
@@ -13,6 +13,8 @@
 from garnetusher.sidecar.downstream import request_reader
 from garnetusher.sidecar.downstream import server as downstream_server
 from garnetusher.sidecar.downstream.server import DownstreamServer
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
+from tests.downstream import new_connection
 from tests.net import OK, Upstream, request, respond_with, sidecar
 from tests.runner import run, status
 
@@ -174,3 +176,19 @@
                 sock.close()
 
     run(test)
+
+
+def test_idle_close_raises_no_error_when_its_client_closes_first(caplog: pytest.LogCaptureFixture) -> None:
+    async def test() -> None:
+        client, accepted = socket.socketpair()
+        sock = ShortageTolerantSocket.adopt(accepted)
+        client_connection = new_connection(sock=sock)
+        client_connection.schedule_close()
+        client.close()
+        sock.close()  # the event loop closes the socket of a lost connection in its next iteration
+        for _ in range(3):  # the two iterations after which an idle connection closes, and one more
+            await asyncio.sleep(0)
+        assert client_connection.closing
+
+    run(test)
+    assert not caplog.records
