--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -278,7 +278,7 @@
 
 def test_sidecar_keeps_connection_when_its_client_reads_slowly_but_steadily(monkeypatch: pytest.MonkeyPatch) -> None:
     """The kernel takes more bytes only after it has sent a third of its buffer, which takes a slow client seconds."""
-    monkeypatch.setattr(response_writer, "STALL_TIMEOUT_US", 1_000_000)
+    monkeypatch.setattr(response_writer, "STALL_TIMEOUT_US", 2_000_000)
 
     async def test() -> None:
         body = 10 * LONG_BODY
@@ -290,11 +290,11 @@
                 sock.setblocking(False)
                 await loop.sock_connect(sock, ("127.0.0.1", running.port))
                 await loop.sock_sendall(sock, request())
-                while received_size < 3 * len(LONG_BODY):
+                while received_size < 2 * len(LONG_BODY):
                     data = await loop.sock_recv(sock, 65536)
                     assert data
                     received_size += len(data)
-                    await asyncio.sleep(0.1)
+                    await asyncio.sleep(0.2)
 
     run(test)
 
