--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 
 import pytest
 
 from garnetusher.sidecar.requests.messages import Disposition, FinalResponse
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from tests.downstream import new_connection
 from tests.net import NOT_RUN, OK, Upstream, read_message, request, respond_with, sidecar
 from tests.runner import run, status
@@ -236,3 +238,28 @@
         assert client_connection.has_open_request
 
     run(test)
+
+
+def test_request_is_not_timed_out_when_its_rest_waits_in_the_kernel() -> None:
+    """The rest may have arrived in time while this process was held up, or reads may have failed for a moment."""
+
+    async def test() -> None:
+        client, accepted = socket.socketpair()
+        sock = ShortageTolerantSocket.adopt(accepted)
+        client_connection = new_connection(sock=sock)
+        data = request("pay", body=b"body")
+        client_connection.data_received(data[:-4])
+        client.send(data[-4:])
+        late_us = client_connection.reader.deadline_us + 5_000_000
+        client_connection.check_timeouts(late_us)
+        assert not client_connection.closing
+        client_connection.data_received(sock.recv(4))
+        assert client_connection.has_open_request
+        client_connection.send_response(FinalResponse(Disposition.SERVED))
+        client_connection.data_received(data[:-4])
+        client_connection.check_timeouts(client_connection.reader.deadline_us + 100_000)
+        assert client_connection.closing
+        client.close()
+        sock.close()
+
+    run(test)
