--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -418,8 +418,7 @@
     def _close_if_idle(self) -> None:
         if self.state is ConnectionState.CLOSE_SCHEDULED:
             self.state = ConnectionState.ACTIVE
-        # Reads that failed, because this machine was short of memory, have left a request in the kernel.
-        if self.idle and not (self._sock is not None and self._sock.unread_size()):
+        if self.idle and not self._has_unread_bytes():
             self.close()
 
     def close(self) -> None:
@@ -455,12 +454,16 @@
             return  # the connection is idle between two requests
         if self.arrival_times.paused_since_us:
             self._check_paused_body(now_us)
-        elif now_us > self.reader.deadline_us:
+        elif now_us > self.reader.deadline_us and not self._has_unread_bytes():
             if self.reader.message_started_us:
                 self._reject(408)
             else:
                 self.schedule_close()
 
+    def _has_unread_bytes(self) -> bool:
+        """Return whether bytes wait in the kernel: the process was held up, or was short of memory for the reads."""
+        return self._sock is not None and self._sock.unread_size() > 0
+
     def _is_stalled(self, now_us: int) -> bool:
         if self._sock is None or not self.writer.unsent_size:
             return self.writer.is_stalled(now_us, 0)
