--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -74,6 +74,19 @@
     assert host.answer(request) is None
 
 
+@pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.OK])
+def test_endpoint_does_not_appear_slow_when_its_client_sends_slowly(outcome: Outcome) -> None:
+    """The client leaves, or the endpoint responds, before the body is complete; its response time has not begun."""
+    host = ready_host(1)
+    request = arrive_with_partial_body(host)
+    state = host.balancer.endpoints[100]
+    class_state = host.balancer.requests[request].class_state
+    before = (state.latency_ratio, state.slot_limit, class_state.mean_response_us)
+    host.now_us += 20_000_000
+    host.end(request, 0, outcome)
+    assert (state.latency_ratio, state.slot_limit, class_state.mean_response_us) == before
+
+
 def test_response_frees_its_slot_and_cancels_the_hedge_when_it_starts() -> None:
     host = ready_host(cancel_attempts=True, hedging=True)
     request = host.arrive(READ)
