--- a/garnetusher/policy/lifecycle.py
+++ b/garnetusher/policy/lifecycle.py
@@ -170,13 +170,15 @@
         """Free the attempt's slot and update the estimates from its outcome."""
         self._forwarder.free_slot(attempt)
         class_state = request.class_state
-        if outcome not in OUTCOMES_WITHOUT_EVIDENCE:
+        # Response times count from the last byte of the body; before it, the elapsed time is the client's
+        has_response_time = request.body_complete or outcome not in (Outcome.OK, Outcome.CANCELLED)
+        if outcome not in OUTCOMES_WITHOUT_EVIDENCE and has_response_time:
             self._outlier_detector.record_outcome(attempt, outcome, elapsed_us, class_state)
         if outcome is Outcome.OK:
             pool = attempt.endpoint_state.pool
             pool.slow_start.counted_responses += 1.0
             pool.unserved_allowance = min(pool.unserved_allowance + UNSERVED_SHARE, MAX_UNSERVED)
-        if outcome in (Outcome.OK, Outcome.TIMEOUT):
+        if outcome in (Outcome.OK, Outcome.TIMEOUT) and has_response_time:
             # Timeouts count too: otherwise the mean would include only the few quick responses while endpoints are slow
             mean_us = class_state.mean_response_us
             class_state.mean_response_us = max(1.0, mean_us + (elapsed_us - mean_us) / RESPONSE_WINDOW)
