--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -25,7 +25,7 @@
 CHECK_INTERVAL_S = 0.1  # interval between time-out checks of all connections
 BODY_MEMORY_TIMEOUT_US = 5_000_000  # maximum wait for free memory for a long body
 RESTART_RETRY_AFTER_US = 1_000_000  # time within which a new process replaces one that is stopping
-LINE_END = b"\r\n"
+EMPTY_LINE = b"\r\n"
 LINGER_CHECK_INTERVAL_S = 1.0  # interval between checks whether a client has read its last response
 
 
@@ -131,8 +131,8 @@
             self.idle_since_us = monotonic_us()
             return
         between_requests = self.reader.complete or not self.reader.message_started_us
-        if between_requests and not data.strip(LINE_END):
-            return  # RFC 9112, section 2.2: ignore line ends before a request
+        if between_requests and data == EMPTY_LINE:
+            return  # RFC 9112, section 2.2: ignore at least one empty line before a request
         if self.has_open_request and self.reader.complete:
             self.reader.has_extra_bytes = True  # pipelining: the connection closes after the open request's response
             return
