--- a/garnetusher/sidecar/downstream/connection.py
+++ b/garnetusher/sidecar/downstream/connection.py
@@ -27,6 +27,7 @@
 CHECK_INTERVAL_S = 0.1  # interval between time-out checks of all connections
 BODY_MEMORY_TIMEOUT_US = 5_000_000  # maximum wait for free memory for a long body
 RESTART_RETRY_AFTER_US = 1_000_000  # time within which a new process replaces one that is stopping
+EMPTY_LINE = b"\r\n"
 LINGER_CHECK_INTERVAL_S = 1.0  # interval between checks whether a client has read its last response
 
 
@@ -135,6 +136,9 @@
         if self.closing:
             self.idle_since_us = monotonic_us()
             return
+        between_requests = self.reader.complete or not self.reader.message_started_us
+        if between_requests and data == EMPTY_LINE:
+            return  # RFC 9112, section 2.2: ignore at least one empty line before a request
         if self.has_open_request and self.reader.complete:
             self.reader.has_extra_bytes = True  # pipelining: the connection closes after the open request's response
             return
@@ -269,13 +273,16 @@
             self._write_response(status, body, headers)
 
     def _drop_request(self) -> None:
-        """Cancel the current request, if there is one, and release its body memory."""
-        if self.reader.upload is not None:
-            self.server.body_memory.release(self._dispatch_streamed_request)
-            self.reader.upload = None
+        """Cancel the current request, if there is one, and release its body memory.
+
+        The memory is released last, because the next body takes it at once, and its request may change the policy.
+        """
+        upload, self.reader.upload = self.reader.upload, None
         if self.has_open_request:
             self.has_open_request = False
             self.server.dispatcher.on_client_disconnected(self._request_id)
+        if upload is not None:
+            self.server.body_memory.release(self._dispatch_streamed_request)
 
     # Responses from the dispatcher
 
@@ -305,16 +312,13 @@
         """Finish a streamed response.
 
         Args:
-            complete: Whether all of the response was written. If not, the connection is reset, because an orderly
-                close would make the response look complete.
+            complete: Whether all of the response was written. If not, the connection is reset.
         """
         self.has_open_request = False
         self.writer.source = None
         if not complete:
             self._record_close(ClientCloseReason.RESPONSE_INCOMPLETE)
-            if self._sock is not None:
-                self._sock.reset_at_close()
-            self.transport.abort()
+            self._reset()
         elif not self.transport.is_closing():
             self.writer.end_stream()
             self._on_response_complete()
@@ -424,10 +428,24 @@
             loop = asyncio.get_running_loop()
             loop.call_soon(loop.call_soon, self._close_if_idle, reason)
 
+    def schedule_eviction(self) -> None:
+        """Close a connection whose first request is incomplete, after the same two iterations as an idle one."""
+        if self.state is ConnectionState.ACTIVE:
+            self.state = ConnectionState.CLOSE_SCHEDULED
+            loop = asyncio.get_running_loop()
+            loop.call_soon(loop.call_soon, self._evict)
+
+    def _evict(self) -> None:
+        if self.state is ConnectionState.CLOSE_SCHEDULED:
+            self.state = ConnectionState.ACTIVE
+        if not self.closing and not self.has_sent_valid_request:
+            self.shed_incomplete_request(ClientCloseReason.CONNECTION_LIMIT)
+            self.transport.close()  # without lingering, because another connection needs the descriptor
+
     def _close_if_idle(self, reason: ClientCloseReason) -> None:
         if self.state is ConnectionState.CLOSE_SCHEDULED:
             self.state = ConnectionState.ACTIVE
-        if self.idle:
+        if self.idle and not self._has_unread_bytes():
             self.close(reason)
 
     def close(self, reason: ClientCloseReason) -> None:
@@ -439,6 +457,12 @@
         self.state = ConnectionState.CLOSING
         self.transport.close()
 
+    def _reset(self) -> None:
+        """Reset the connection, because an orderly close would make the response look complete."""
+        if self._sock is not None:
+            self._sock.reset_at_close()
+        self.transport.abort()
+
     # Time-outs
 
     def check_timeouts(self, now_us: int) -> None:
@@ -449,21 +473,34 @@
         Args:
             now_us: The time of the check, which is the same for all connections.
         """
-        if self.writer.abort_if_stalled(now_us):
+        if self._is_stalled(now_us):
             self._record_close(ClientCloseReason.CLIENT_STALLED)
+            self._reset()
+            return
         if self.closing or self.reader.complete:
             return
         if self.has_sent_valid_request and self.reader.message_started_us == 0:
             return  # the connection is idle between two requests
         if self.arrival_times.paused_since_us:
             self._check_paused_body(now_us)
-        elif now_us > self.reader.deadline_us:
+        elif now_us > self.reader.deadline_us and not self._has_unread_bytes():
             if self.reader.message_started_us:
                 self._reject(408, ClientCloseReason.READ_TIMEOUT)
             else:
                 self.schedule_close(ClientCloseReason.NO_REQUEST)
 
+    def _has_unread_bytes(self) -> bool:
+        """Return whether bytes wait in the kernel: the process was held up, or was short of memory for the reads."""
+        return self._sock is not None and self._sock.unread_size() > 0
+
+    def _is_stalled(self, now_us: int) -> bool:
+        if self._sock is None or not self.writer.unsent_size:
+            return self.writer.is_stalled(now_us, 0)
+        return self.writer.is_stalled(now_us, self._sock.unacknowledged_size())
+
     def _check_paused_body(self, now_us: int) -> None:
+        if self.writer.source is not None:
+            return  # no time-out interrupts a started response; the pool resets it if the upstream stops sending
         paused_us = now_us - self.arrival_times.paused_since_us
         if self.client_has_closed():
             self.shed_incomplete_request(ClientCloseReason.CLIENT_CLOSED)
@@ -472,6 +509,7 @@
         elif not self.has_open_request and paused_us > BODY_MEMORY_TIMEOUT_US:
             self.shed_incomplete_request(ClientCloseReason.BODY_MEMORY, BODY_MEMORY_TIMEOUT_US)
         elif self.has_open_request and paused_us > STALL_TIMEOUT_US:
+            self.arrival_times.restart_pause(now_us)  # the next attempt has the full time-out to take the body
             self.server.dispatcher.on_body_stalled(self._request_id)
 
     def _must_respond_before_next_check(self, now_us: int) -> bool:
--- a/garnetusher/sidecar/downstream/response_writer.py
+++ b/garnetusher/sidecar/downstream/response_writer.py
@@ -56,8 +56,9 @@
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._blocked_since_us = 0  # the time of the last progress while writing is paused; 0 while it is not paused
-        self._blocked_size = 0  # the number of unsent bytes at the last check
+        self._writing_paused = False  # whether the event loop has too many unsent bytes
+        self._blocked_since_us = 0  # the time of the last progress of unsent bytes; 0 while none are known
+        self._blocked_size = 0  # the number of bytes that the client had not acknowledged at the last check
         self.reset()
 
     def reset(self) -> None:
@@ -112,6 +113,8 @@
             Whether only the close of the connection marks the end of the response.
         """
         self.source = source
+        if self._writing_paused:
+            source.pause()
         self._chunked = head.length is None and allow_chunked
         return head.length is None and not self._chunked
 
@@ -140,25 +143,33 @@
 
     def pause(self) -> None:
         """Pause the source because the client reads more slowly than the upstream sends."""
+        self._writing_paused = True
         self._blocked_since_us = monotonic_us()
         if self.source is not None:
             self.source.pause()
 
     def resume(self) -> None:
         """Resume the source because most of the unsent bytes have been sent."""
+        self._writing_paused = False
         self._blocked_since_us = 0
         if self.source is not None:
             self.source.resume()
 
-    def abort_if_stalled(self, now_us: int) -> bool:
-        """Abort the connection if the client has read nothing for the stall time-out; return whether that is so."""
-        if not self._blocked_since_us:
+    def is_stalled(self, now_us: int, unacknowledged_size: int) -> bool:
+        """Return whether the client has read nothing for the duration of the stall time-out.
+
+        The last unsent bytes may be too few to pause writing, so they count from the check that first finds them.
+
+        Args:
+            now_us: The time of the check.
+            unacknowledged_size: The number of bytes in the kernel that the client has not acknowledged. They show the
+                progress of a slow client: the kernel takes further bytes only when much of its buffer is free.
+        """
+        if not self.unsent_size:
+            self._blocked_since_us = 0
             return False
-        unsent_size = self.unsent_size
-        if unsent_size != self._blocked_size:
+        blocked_size = self.unsent_size + unacknowledged_size
+        if not self._blocked_since_us or blocked_size != self._blocked_size:
             self._blocked_since_us = now_us
-            self._blocked_size = unsent_size
-        elif now_us > self._blocked_since_us + STALL_TIMEOUT_US:
-            self.transport.abort()
-            return True
-        return False
+            self._blocked_size = blocked_size
+        return now_us > self._blocked_since_us + STALL_TIMEOUT_US
--- a/garnetusher/sidecar/downstream/server.py
+++ b/garnetusher/sidecar/downstream/server.py
@@ -131,7 +131,7 @@
         if oldest.idle:
             oldest.schedule_close(ClientCloseReason.CONNECTION_LIMIT)
         else:
-            oldest.close(ClientCloseReason.CONNECTION_LIMIT)
+            oldest.schedule_eviction()
 
     def check_connections(self) -> None:
         """Check the time-outs of all connections now, and schedule the next check."""
--- a/tests/test_downstream_connection.py
+++ b/tests/test_downstream_connection.py
@@ -3,14 +3,16 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 
 import pytest
 
 from garnetusher.sidecar.requests.messages import Disposition, FinalResponse
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
 from tests.downstream import new_connection
 from tests.net import NOT_RUN, OK, Upstream, read_message, request, respond_with, sidecar
 from tests.runner import run, status
-from tests.streams import upload_request
+from tests.streams import FunctionUpstream, read_body, upload_request
 
 
 @pytest.mark.parametrize(
@@ -188,3 +190,76 @@
         assert upstream.requests[0][0].startswith(b"GET /read/it?x=1 HTTP/1.1\r\n")
 
     run(test)
+
+
+@pytest.mark.parametrize("chunk_size", [0, 2])
+def test_connection_forwards_whole_body_when_client_offers_another_protocol(chunk_size: int) -> None:
+    """A server may ignore Upgrade (RFC 9110, section 7.8); clients that prefer HTTP/2 send it with any request."""
+
+    async def test() -> None:
+        bodies = list[bytes]()
+
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            while True:
+                bodies.append((await read_body(reader))[1])
+                writer.write(OK)
+
+        async with sidecar(FunctionUpstream(handle)) as running:
+            reader, writer = await running.connect()
+            offer = "Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: AAMAAABk\r\n"
+            data = upload_request(b"first", chunk_size, offer)
+            for parts in ([data], [data[:-7], data[-7:]], [request("pay", extra=offer)]):
+                for part in parts:
+                    writer.write(part)
+                    await asyncio.sleep(0.05)  # the sidecar reads each part on its own
+                assert status(await read_message(reader)) == 200
+            writer.close()
+        assert bodies == [b"first", b"first", b""]
+
+    run(test)
+
+
+@pytest.mark.parametrize("request_is_open", [True, False])
+def test_connection_ignores_line_end_when_it_follows_a_request(request_is_open: bool) -> None:
+    """Some clients end a body with an additional line end, which a server should ignore (RFC 9112, section 2.2)."""
+
+    async def test() -> None:
+        client_connection = new_connection()
+        client_connection.data_received(request("pay", body=b"b"))
+        if request_is_open:
+            client_connection.data_received(b"\r\n")
+        client_connection.send_response(FinalResponse(Disposition.SERVED, b"done"))
+        if not request_is_open:
+            client_connection.data_received(b"\r\n")
+        assert client_connection.idle
+        client_connection.check_timeouts(client_connection.idle_since_us + 10_000_000)
+        assert client_connection.idle
+        client_connection.data_received(request("pay", body=b"b"))
+        assert client_connection.has_open_request
+
+    run(test)
+
+
+def test_request_is_not_timed_out_when_its_rest_waits_in_the_kernel() -> None:
+    """The rest may have arrived in time while this process was held up, or reads may have failed for a moment."""
+
+    async def test() -> None:
+        client, accepted = socket.socketpair()
+        sock = ShortageTolerantSocket.adopt(accepted)
+        client_connection = new_connection(sock=sock)
+        data = request("pay", body=b"body")
+        client_connection.data_received(data[:-4])
+        client.send(data[-4:])
+        late_us = client_connection.reader.deadline_us + 5_000_000
+        client_connection.check_timeouts(late_us)
+        assert not client_connection.closing
+        client_connection.data_received(sock.recv(4))
+        assert client_connection.has_open_request
+        client_connection.send_response(FinalResponse(Disposition.SERVED))
+        client_connection.data_received(data[:-4])
+        client_connection.check_timeouts(client_connection.reader.deadline_us + 100_000)
+        assert client_connection.closing
+        client.close()
+        sock.close()
+
+    run(test)
--- a/tests/test_interleaving_idle.py
+++ b/tests/test_interleaving_idle.py
@@ -2,14 +2,20 @@
 
 from __future__ import annotations
 
+import _socket
 import asyncio
+import errno
 import socket
+from typing import Any
 
 import pytest
 
 from garnetusher.sidecar.downstream import request_reader
 from garnetusher.sidecar.downstream import server as downstream_server
 from garnetusher.sidecar.downstream.server import DownstreamServer
+from garnetusher.sidecar.sockets import ShortageTolerantSocket
+from garnetusher.sidecar.transitions import ClientCloseReason
+from tests.downstream import new_connection
 from tests.net import OK, Upstream, request, respond_with, sidecar
 from tests.runner import run, status
 
@@ -116,3 +122,74 @@
                     sock.close()
 
     run(test)
+
+
+def test_unread_request_is_served_when_reads_fail_while_idle_connections_are_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The loop has looked at the connection before it is closed, but this machine had no memory for the read."""
+    failures_left, sidecar_port = [0], [0]
+
+    def fail_for_a_moment(sock: socket.socket, *arguments: Any) -> int:
+        if sock.getsockname()[1] != sidecar_port[0] or not failures_left[0]:
+            return _socket.socket.recv_into(sock, *arguments)
+        failures_left[0] -= 1
+        raise OSError(errno.ENOBUFS, "No buffer space available")
+
+    monkeypatch.setattr(socket.socket, "recv_into", fail_for_a_moment, raising=False)
+
+    async def test() -> None:
+        async with sidecar(Upstream(respond_with(OK))) as running:
+            sidecar_port[0] = running.port
+            with socket.create_connection(("127.0.0.1", running.port)) as sock:
+                sock.sendall(request(request_id="1"))
+                assert await next_status(sock) == 200
+                failures_left[0] = 20  # iterations of the event loop
+                sock.send(request(request_id="2"))
+                running.stop.set()
+                assert await next_status(sock) == 200
+            assert not failures_left[0]
+            await running.task
+
+    run(test)
+
+
+@pytest.mark.parametrize("loop_iterations", range(4))
+def test_incomplete_request_is_answered_when_its_connection_is_closed_at_the_limit(loop_iterations: int) -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(respond_with(OK))) as running:
+            others = [socket.create_connection(("127.0.0.1", running.port)) for _ in range(99)]
+            for other in others:
+                other.sendall(UP_REQUEST)
+                assert await next_status(other) == 200
+            with socket.create_connection(("127.0.0.1", running.port)) as newest:
+                data = request()
+                newest.sendall(data[:-10])
+                while await running.call_admin("GET", "/_ready") != 200:  # the sidecar has read the first part
+                    pass
+                excess = socket.create_connection(("127.0.0.1", running.port))
+                for _ in range(loop_iterations):  # the event loop sets up the excess connection in one of them
+                    await asyncio.sleep(0)
+                newest.setblocking(True)
+                newest.send(data[-10:])
+                assert await next_status(newest) in (200, 503)
+            for sock in (*others, excess):
+                sock.close()
+
+    run(test)
+
+
+def test_idle_close_raises_no_error_when_its_client_closes_first(caplog: pytest.LogCaptureFixture) -> None:
+    async def test() -> None:
+        client, accepted = socket.socketpair()
+        sock = ShortageTolerantSocket.adopt(accepted)
+        client_connection = new_connection(sock=sock)
+        client_connection.schedule_close(ClientCloseReason.NO_REQUEST)
+        client.close()
+        sock.close()  # the event loop closes the socket of a lost connection in its next iteration
+        for _ in range(3):  # the two iterations after which an idle connection closes, and one more
+            await asyncio.sleep(0)
+        assert client_connection.closing
+
+    run(test)
+    assert not caplog.records
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -4,14 +4,17 @@
 
 import asyncio
 import errno
+import socket
 
 import pytest
 
 from garnetusher.policy.events import Outcome
-from garnetusher.sidecar.requests.messages import AttemptResult, HttpRequest
-from garnetusher.sidecar.streaming import MAX_BODY_SIZE, Head, Source
+from garnetusher.sidecar.downstream import response_writer
+from garnetusher.sidecar.requests.messages import AttemptResult, Disposition, FinalResponse, HttpRequest
+from garnetusher.sidecar.streaming import MAX_BODY_SIZE, STALL_TIMEOUT_US, Head, Source
 from garnetusher.sidecar.upstream.idle_reuse import RESPONSE_GRACE_US
 from garnetusher.sidecar.upstream.pool import ConnectionPool
+from tests.downstream import NullTransport, new_connection
 from tests.net import OK, Upstream, permit_write, read_message, request, respond_with, sidecar, until
 from tests.runner import run, status
 from tests.streams import CHUNKED, LONG_BODY, FunctionUpstream, chunked, read_body
@@ -270,3 +273,104 @@
         upstream.stop()
 
     run(test)
+
+
+def test_sidecar_resets_http_1_0_client_when_it_stops_reading(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Only the end of the connection marks the end of the response, so an orderly end would look complete."""
+    monkeypatch.setattr(response_writer, "STALL_TIMEOUT_US", 300_000)
+
+    async def test() -> None:
+        upstream_connection_ended = asyncio.Event()
+
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_message(reader)
+            writer.write(CHUNKED + chunked(24 * LONG_BODY, 65536))
+            try:
+                await reader.read()
+            finally:
+                upstream_connection_ended.set()
+
+        async with sidecar(FunctionUpstream(handle)) as running:
+            with socket.create_connection(("127.0.0.1", running.port)) as sock:
+                sock.sendall(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+                await upstream_connection_ended.wait()
+                sock.setblocking(False)
+                with pytest.raises(ConnectionResetError):  # noqa: PT012 - any of the reads may receive the reset
+                    while await asyncio.get_running_loop().sock_recv(sock, 1 << 20):
+                        pass
+
+    run(test)
+
+
+def test_connection_is_closed_when_its_client_never_reads_the_last_bytes() -> None:
+    """So few bytes are left that the event loop never paused the writing of the response."""
+
+    class StalledTransport(NullTransport):
+        aborted = False
+
+        def get_write_buffer_size(self) -> int:
+            return 1000
+
+        def abort(self) -> None:
+            self.aborted = True
+
+    async def test() -> None:
+        transport = StalledTransport()
+        client_connection = new_connection(transport)
+        client_connection.data_received(request())
+        client_connection.send_response(FinalResponse(Disposition.SERVED, b"x" * 1000))
+        now_us = client_connection.idle_since_us
+        client_connection.check_timeouts(now_us)
+        client_connection.check_timeouts(now_us + STALL_TIMEOUT_US - 1_000_000)
+        assert not transport.aborted
+        client_connection.check_timeouts(now_us + STALL_TIMEOUT_US + 1_000_000)
+        assert transport.aborted
+
+    run(test)
+
+
+def test_sidecar_keeps_connection_when_its_client_reads_slowly_but_steadily(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The kernel takes more bytes only after it has sent a third of its buffer, which takes a slow client seconds."""
+    monkeypatch.setattr(response_writer, "STALL_TIMEOUT_US", 2_000_000)
+
+    async def test() -> None:
+        body = 10 * LONG_BODY
+        upstream = Upstream(respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body))
+        async with sidecar(upstream) as running:
+            loop, received_size = asyncio.get_running_loop(), 0
+            with socket.socket() as sock:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+                sock.setblocking(False)
+                await loop.sock_connect(sock, ("127.0.0.1", running.port))
+                await loop.sock_sendall(sock, request())
+                while received_size < 2 * len(LONG_BODY):
+                    data = await loop.sock_recv(sock, 65536)
+                    assert data
+                    received_size += len(data)
+                    await asyncio.sleep(0.2)
+
+    run(test)
+
+
+def test_response_is_paused_at_once_when_its_client_has_not_read_the_one_before() -> None:
+    calls = list[str]()
+
+    class RecordingSource:
+        def pause(self) -> None:
+            calls.append("pause")
+
+        def resume(self) -> None:
+            calls.append("resume")
+
+    async def test() -> None:
+        client_connection = new_connection()
+        client_connection.data_received(request())
+        client_connection.pause_writing()  # the event loop calls this once, until most bytes have been sent
+        client_connection.send_response(FinalResponse(Disposition.SERVED, b"x" * 60_000))
+        client_connection.data_received(request())
+        client_connection.begin_response(Head(None, b""), RecordingSource())
+        assert calls == ["pause"]
+        client_connection.resume_writing()
+        assert calls == ["pause", "resume"]
+
+    run(test)
--- a/tests/test_streaming_memory.py
+++ b/tests/test_streaming_memory.py
@@ -5,11 +5,14 @@
 import asyncio
 import json
 from pathlib import Path
+from typing import cast
 
 from garnetusher.policy.settings import Settings
 from garnetusher.sidecar.downstream.router import RequestRouter
+from garnetusher.sidecar.requests.messages import Disposition, FinalResponse, HttpRequest, ResponseSink
 from garnetusher.sidecar.streaming import BodyMemory
-from tests.downstream import NullTransport, new_connection
+from garnetusher.sidecar.transitions import ClientCloseReason
+from tests.downstream import NullDispatcher, NullTransport, new_connection, new_server
 from tests.net import TEST_TIMEOUT_S, classes, entry, listing, request, wait_for_listener
 from tests.processes import program, write_configuration
 from tests.runner import run
@@ -102,3 +105,57 @@
         assert not client_connection.server.body_memory.waiting
 
     run(test)
+
+
+def test_body_memory_is_released_once_when_the_next_body_replaces_the_request_in_the_buffer() -> None:
+    """The request whose body gets the memory may make the policy shed the request that is giving it back."""
+
+    sinks = list[ResponseSink]()
+
+    class ReplacingDispatcher(NullDispatcher):
+        def on_request(self, http_request: HttpRequest, sink: object, *, body_complete: bool = True) -> int:
+            sinks.append(cast(ResponseSink, sink))
+            self.calls.append("request")
+            if len(sinks) == 2 and "client disconnected" not in self.calls:
+                sinks[0].send_response(FinalResponse(Disposition.SHED))
+            return len(sinks)
+
+    async def test() -> None:
+        dispatcher = ReplacingDispatcher(Settings(classes()))
+        server = new_server(dispatcher)
+        server.body_memory.free = 1
+        connections = [new_connection(server=server) for _ in range(3)]
+        for client_connection in connections:
+            client_connection.data_received(request("pay", body=LONG_BODY)[:70_000])
+        assert dispatcher.calls == ["request"]
+        connections[0].shed_incomplete_request(ClientCloseReason.BODY_MEMORY)
+        assert len(server.body_memory.waiting) == 1
+        assert dispatcher.calls == ["request", "client disconnected", "request"]
+        assert server.body_memory.free == 0
+
+    run(test)
+
+
+def test_waiting_bodies_are_all_answered_when_their_class_is_removed_before_they_start() -> None:
+    """Each rejected body hands its memory on to the next one; there are more of them than calls can be nested."""
+
+    class RecordingTransport(NullTransport):
+        def write(self, data: object) -> None:
+            assert isinstance(data, bytes)
+            responses.append(data)
+
+    responses = list[bytes]()
+
+    async def test() -> None:
+        server = new_server()
+        server.body_memory.free = 1
+        connections = [new_connection(RecordingTransport(), server) for _ in range(400)]
+        for client_connection in connections:
+            client_connection.data_received(request("pay", body=LONG_BODY)[:70_000])
+        server.router = RequestRouter(Settings(classes()[:1]))
+        connections[0].shed_incomplete_request(ClientCloseReason.BODY_MEMORY)
+        assert [response.split(b" ")[1] for response in responses].count(b"404") == 399
+        assert len(responses) == 400
+        assert server.body_memory.free == 1
+
+    run(test)
