--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -6,6 +6,7 @@
 import errno
 import selectors
 import socket
+import time
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -301,6 +302,37 @@
     run_with_selector(selector, test)
 
 
+def test_attempt_is_sent_when_its_connection_was_established_before_a_pause_longer_than_the_connect_timeout() -> None:
+    """After the pause, the event loop learns of the connection and of the timeout in the same round."""
+
+    async def test() -> None:
+        loop, upstream = asyncio.get_running_loop(), Upstream(respond_with(OK))
+        await upstream.start()
+        pool, results = ConnectionPool(60_000_000, 100_000), list[AttemptResult]()
+        pool.sweep_timer.cancel()
+
+        async def connect_after_50_ms(sock: socket.socket, address: Any) -> None:
+            sock.setblocking(True)
+            sock.connect(address)
+            sock.setblocking(False)
+            established = loop.create_future()
+            loop.call_later(0.05, established.set_result, None)
+            loop.call_soon(time.sleep, 0.2)
+            await established
+
+        with pytest.MonkeyPatch.context() as monkeypatch:
+            monkeypatch.setattr(loop, "sock_connect", connect_after_50_ms)
+            http_request = HttpRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+            address = ("127.0.0.1", upstream.port)
+            pool.start_attempt(address, http_request, permit_write, results.append, lambda head, source: None)
+            await until(lambda: bool(results))
+        assert [result.outcome for result in results] == [Outcome.OK]
+        pool.close_idle_connections(address)
+        upstream.stop()
+
+    run(test)
+
+
 def test_attempt_is_sent_when_connect_fails_once_with_eagain(monkeypatch: pytest.MonkeyPatch) -> None:
     """connect(2) fails with EAGAIN if the routing cache is short of entries; the connection is then not in progress."""
     connect, failures = socket.socket.connect, [BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable")]
