--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -124,6 +124,14 @@
                 raise
             raise OSError(errno.ENOBUFS, SHORTAGE_TEXT) from None
 
+    def is_connected(self) -> bool:
+        """Return whether the connection is established and has not broken."""
+        try:
+            self.getpeername()
+        except OSError:
+            return False
+        return True
+
     def send(self, data: ReadableBuffer, flags: int = 0, /) -> int:
         """Send as `socket.send` does; a shortage raises BlockingIOError."""
         try:
--- a/garnetusher/sidecar/upstream/connecting.py
+++ b/garnetusher/sidecar/upstream/connecting.py
@@ -46,8 +46,8 @@
         """Open a connection and write the attempt on it; if the attempt was abandoned, the connection becomes idle."""
         connection = None
         try:
-            async with asyncio.timeout(self.connect_timeout_us / 1e6 or None):
-                connection = await self._connect(attempt)
+            async with asyncio.timeout(self.connect_timeout_us / 1e6 or None) as time_limit:
+                connection = await self._connect(attempt, time_limit)
             if connection is not None:
                 established = connection
                 await self._loop.create_connection(lambda: established, sock=established.sock)
@@ -59,7 +59,7 @@
                 failed_locally = attempt.short_of_local_resources
                 attempt.end(AttemptResult(Outcome.NOT_WRITTEN if failed_locally else Outcome.CONNECT_FAILED))
 
-    async def _connect(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
+    async def _connect(self, attempt: UpstreamAttempt, time_limit: asyncio.Timeout) -> UpstreamConnection | None:
         """Connect for an attempt, with retries after local errors, which are no evidence against the upstream.
 
         Returns:
@@ -75,7 +75,7 @@
         while not attempt.abandoned:
             attempt.short_of_local_resources = False
             try:
-                return await self._connect_once(attempt)
+                return await self._connect_once(attempt, time_limit)
             except OSError as error:
                 if not is_local_error(error):
                     raise
@@ -84,7 +84,7 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
         return None
 
-    async def _connect_once(self, attempt: UpstreamAttempt) -> UpstreamConnection:
+    async def _connect_once(self, attempt: UpstreamAttempt, time_limit: asyncio.Timeout) -> UpstreamConnection:
         sock = ShortageTolerantSocket(socket.AF_INET, socket.SOCK_STREAM)
         connection = self._make_connection(attempt.address, sock)
         connection.attempt, attempt.connection = attempt, connection
@@ -93,7 +93,9 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.sock_connect(sock, attempt.address)
         except BaseException:
-            connection.attempt = attempt.connection = None
-            sock.close()
-            raise
+            # After a pause of this process, the timeout can cancel a connect that has succeeded in the meantime
+            if not time_limit.expired() or not sock.is_connected():
+                connection.attempt = attempt.connection = None
+                sock.close()
+                raise
         return connection
