--- a/tests/test_host_faults.py
+++ b/tests/test_host_faults.py
@@ -17,6 +17,7 @@
 
 from garnetusher.lab.syscall_faults import Call
 from garnetusher.sidecar.discovery.watch import SILENCE_TIMEOUT_S
+from garnetusher.sidecar.sockets import EPOLL_RETRY_TIMEOUT_S
 from tests.faulty_host import sidecar_on_faulty_host
 from tests.net import (
     OK,
@@ -492,3 +493,21 @@
             peer.stop()
 
     run(test)
+
+
+def test_connections_are_accepted_again_when_epoll_was_out_of_memory_after_a_failed_accept(tmp_path: Path) -> None:
+    async def test() -> None:
+        upstream = Upstream(respond_with(OK))
+        await upstream.start()
+        async with sidecar_on_faulty_host(tmp_path, known=listing(entry("u", upstream.port))) as running:
+            assert await running.send_request(request("pay", "first", b"b", 1200)) == 200
+            await asyncio.sleep(0.1)
+            running.faults.inject(Call.EPOLL_CTL, errno.ENOMEM, for_s=EPOLL_RETRY_TIMEOUT_S + 0.5)
+            running.faults.inject(Call.ACCEPT, errno.ENFILE, count=1)
+            _, writer = await running.connect()
+            await asyncio.sleep(EPOLL_RETRY_TIMEOUT_S + 1.0)
+            writer.close()
+            assert await running.send_request(request("pay", "second", b"b", 1200)) == 200
+        upstream.stop()
+
+    run(test)
