--- a/garnetusher/sidecar/downstream/listener.py
+++ b/garnetusher/sidecar/downstream/listener.py
@@ -8,6 +8,8 @@
 from typing import Any
 
 from garnetusher.sidecar.sockets import (
+    EPOLL_RETRY_TIMEOUT_S,
+    EPOLL_SHORTAGES,
     RETRY_INTERVAL_S,
     SHORTAGES,
     FailureStreak,
@@ -49,9 +51,17 @@
         sock.setblocking(False)  # noqa: FBT003 - the standard library accepts this argument only by position
 
     def start(self) -> None:
-        """Start or resume accepting connections."""
+        """Start or resume accepting connections; if epoll has no memory for this, try again later.
+
+        The event loop has blocked the process for EPOLL_RETRY_TIMEOUT_S by then, so connections are served for as long.
+        """
         self.retry_timer = None
-        self._loop.add_reader(self.sock.fileno(), self.accept)
+        try:
+            self._loop.add_reader(self.sock.fileno(), self.accept)
+        except OSError as error:
+            if error.errno not in EPOLL_SHORTAGES:
+                raise
+            self.retry_timer = self._loop.call_later(EPOLL_RETRY_TIMEOUT_S, self.start)
 
     def pause(self) -> None:
         """Stop accepting; connections in the kernel's queue stay there for other processes that share the socket."""
--- a/garnetusher/sidecar/sockets.py
+++ b/garnetusher/sidecar/sockets.py
@@ -39,6 +39,7 @@
     errno.EPERM,
     errno.EINTR,
 }
+EPOLL_SHORTAGES = frozenset((errno.ENOMEM, errno.ENOSPC))  # epoll has no memory for a further descriptor
 SHORTAGE_TEXT = "short of memory or buffers"
 ZERO_LINGER = struct.pack("ii", 1, 0)  # struct linger with l_onoff = 1 and l_linger = 0 s
 
@@ -192,7 +193,7 @@
             try:
                 return super().register(fileobj, events, data)
             except OSError as error:
-                if error.errno not in (errno.ENOMEM, errno.ENOSPC) or time.monotonic() >= retry_until_s:
+                if error.errno not in EPOLL_SHORTAGES or time.monotonic() >= retry_until_s:
                     raise
             time.sleep(EPOLL_RETRY_INTERVAL_S)
 
