--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -329,7 +329,7 @@
             pool.start_attempt(address, http_request, permit_write, results.append, lambda head, source: None)
             await until(lambda: bool(results))
         assert [result.outcome for result in results] == [Outcome.OK]
-        pool.close_idle_connections(address)
+        pool.close_idle_connections(address, UpstreamCloseReason.ENDPOINT_REMOVED)
         upstream.stop()
 
     run(test)
