--- a/tests/faulty/defective_sidecar.py
+++ b/tests/faulty/defective_sidecar.py
@@ -32,9 +32,9 @@
     write_response: Callable[..., None] = DownstreamConnection._write_response
     responses = 0
 
-    def write_twice(self: Any, status: int, body: bytes, headers: bytes = b"", *, close: bool = False) -> None:
+    def write_twice(self: Any, status: int, body: bytes, headers: bytes = b"") -> None:
         nonlocal responses
-        write_response(self, status, body, headers, close=close)
+        write_response(self, status, body, headers)
         responses += 1
         if responses % 50 == 0 and not self.closing:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
