--- a/tests/test_membership_exploration.py
+++ b/tests/test_membership_exploration.py
@@ -13,6 +13,7 @@
 from garnetusher.membership.join import Rejoiner
 from garnetusher.membership.name_conflicts import NameConflicts
 from garnetusher.model import explore
+from garnetusher.model.explore import Schedule, Step
 from garnetusher.model.explore.membership import Membership
 
 STEPS = 30
@@ -61,3 +62,18 @@
     """
     part = Membership()
     assert part.run(part.draw(seed, 120)) is None
+
+
+def test_limits_are_checked_in_a_second_network_fault_when_members_found_each_other_before_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The shares may add up to more than one in the first fault, in which n0 restarts alone, but not in the second."""
+    steps = [Step("cut", 0, 1), Step("restart", 0, 0), Step("advance", 9000), Step("heal")]
+    steps += [Step("advance", 3000), Step("split", 1), Step("advance", 9000)]
+    setup = {"nodes": 2, "loss": 0, "doubled": 0, "keys": 0}
+    schedule = Schedule(Membership.name, 1, setup, steps)
+    assert Membership().run(schedule) is None
+    stops_counting_failed_members_at_once(monkeypatch)
+    broken = Membership().run(schedule)
+    assert broken is not None
+    assert (broken.rule, broken.step) == ("limits", len(steps) - 1)
