--- a/tests/test_membership_exploration.py
+++ b/tests/test_membership_exploration.py
@@ -10,7 +10,7 @@
 import pytest
 
 from garnetusher.membership import fleet_size
-from garnetusher.membership.join import Rejoiner
+from garnetusher.membership.join import Joiner, Rejoiner
 from garnetusher.membership.name_conflicts import NameConflicts
 from garnetusher.model import explore
 from garnetusher.model.explore import Schedule, Step
@@ -78,3 +78,17 @@
     broken = Membership().run(schedule)
     assert broken is not None
     assert (broken.rule, broken.step) == ("limits", len(steps) - 1)
+
+
+@pytest.mark.parametrize(("killed", "leaving"), [(0, 1), (1, 0)])
+def test_node_must_join_through_a_seed_that_starts_when_the_last_seed_is_leaving(
+    killed: int, leaving: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    setup = {"nodes": 3, "loss": 0, "doubled": 0, "keys": 0}
+    steps = [Step("kill", killed), Step("restart", 2), Step("leave", leaving)]
+    schedule = Schedule(Membership.name, 1, setup, steps)
+    assert Membership().run(schedule) is None
+    monkeypatch.setattr(Joiner, "handle_join", lambda self, message, address: None)
+    broken = Membership().run(schedule)
+    assert broken is not None
+    assert broken.text == "n0 considers ['n0'] active; ['n0', 'n2'] are running"
